--- a/src/main/java/org/oakwalk/adapter/Outside.java
+++ b/src/main/java/org/oakwalk/adapter/Outside.java
@@ -66,7 +66,7 @@
   /** Sends a request as soon as its budget allows. */
   public void call(Request request, long now, Consumer<Answer> then) {
     if (request instanceof Request.State asked) {
-      state.call(asked, now, then);
+      state.enqueue(asked, now, then);
     } else if (request instanceof Request.Cloud) {
       cloudQueue.add(new Waiting(request, now, 1, then));
       pump(now);
@@ -81,7 +81,7 @@
   /** Sends what the budgets allow by now. */
   public void pump(long now) {
     pumpCommands(now);
-    state.pump(now);
+    state.sendDue(now);
     while (!cloudQueue.isEmpty() && cloud.has(1, now)) {
       Waiting next = cloudQueue.remove(0);
       cloud.spend(1);
@@ -150,7 +150,7 @@
   /** The time by which answers are handled. */
   public void clock(long now) {
     clock = now;
-    state.clock(now);
+    state.setTime(now);
   }
 
   private void send(String address, Request request, long timeout, Consumer<Answer> then) {
--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -90,7 +90,7 @@
             new Leadership.Listener() {
               @Override
               public void rises(Token token, Moment at) {
-                view.leads(true);
+                view.setLeading(true);
                 term =
                     Optional.of(
                         new LeaderTerm(
@@ -107,7 +107,7 @@
 
               @Override
               public void falls(Token token, Moment at) {
-                view.leads(false);
+                view.setLeading(false);
                 term = Optional.empty();
               }
             });
@@ -120,7 +120,7 @@
             settings.teams(),
             new Admission(settings.teams(), view, policy.mostOpenJobs()));
     this.catalogue = new Catalogue(outbox);
-    view.listen(
+    view.setListener(
         new StoreView.Listener() {
           @Override
           public void leaderChanged(Moment at) {
@@ -133,7 +133,7 @@
           }
 
           @Override
-          public void historyLost(Moment at) {
+          public void historyTruncated(Moment at) {
             leadership.historyLost(at);
           }
         });
@@ -158,7 +158,7 @@
       term.ifPresent(r -> r.stoodStill(now));
     }
     handled = Optional.of(now);
-    view.clock(now);
+    view.setTime(now);
     userRequests.clock(now, wall);
     step(event);
     return outbox.drain();
@@ -230,7 +230,7 @@
     }
     leadership.tick(now);
     relay.tick(leadership.holdsToken(), now);
-    catalogue.tick(leadership.holdsToken(), view.types(), now);
+    catalogue.tick(leadership.holdsToken(), view.machineTypes(), now);
     userRequests.types(catalogue.types());
     if (term.isPresent()
         && leadership.mayStepAside(now)
@@ -255,7 +255,7 @@
    * read either, it goes on after a moment like any leader that has lost the store.
    */
   private boolean informed() {
-    return !awake.isAfter(view.contact()) || now.past(awake, INFORMED_WITHIN);
+    return !awake.isAfter(view.lastConfirmed()) || now.past(awake, INFORMED_WITHIN);
   }
 
   private void digest(LeaderTerm current) {
@@ -263,7 +263,7 @@
     userRequests.counts(counts);
     PeerMessage message =
         new PeerMessage.Digest(
-            settings.node(), current.token(), view.fresh(now), counts, current.suspects());
+            settings.node(), current.token(), view.isFresh(now), counts, current.suspects());
     for (NodeId peer : settings.peers()) {
       outbox.call(
           new Request.Tell(peer, message),
@@ -310,7 +310,7 @@
             .or(
                 () ->
                     view.leader()
-                        .filter(leader -> !now.past(view.contact(), NAMES_LEADER_FOR))
+                        .filter(leader -> !now.past(view.lastConfirmed(), NAMES_LEADER_FOR))
                         .map(leader -> leader.record().node()))
             .filter(node -> !node.equals(settings.node())));
   }
@@ -368,13 +368,15 @@
   }
 
   private Response health() {
-    boolean reaches = !now.past(view.contact(), READY_WITHOUT_CONTACT) || servingPeer().isPresent();
-    boolean serves = view.loaded() && userRequests.knowsTypes() && reaches;
+    boolean reaches =
+        !now.past(view.lastConfirmed(), READY_WITHOUT_CONTACT) || servingPeer().isPresent();
+    boolean serves = view.isLoaded() && userRequests.knowsTypes() && reaches;
     return serves ? new Response.Ready() : Response.unavailable("not ready", SOON);
   }
 
   private void peer(Event.PeerSays says) {
-    if (says.message() instanceof PeerMessage.Digest digest && view.beyond(digest.token(), now)) {
+    if (says.message() instanceof PeerMessage.Digest digest
+        && view.isImplausible(digest.token(), now)) {
       // Taken for true it would keep this node from leading, and from hearing who does.
       if (strangeDigests++ == 0) {
         LOG.error("digest of {}: nobody was granted token {}", digest.from(), digest.token());
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -40,8 +40,8 @@
 import org.oakwalk.core.port.Response;
 import org.oakwalk.core.recovery.Recovery;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
 import org.oakwalk.core.store.KnownJob;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -101,7 +101,7 @@
     this.rose = now;
     this.clock = now;
     this.nextRegular = now;
-    Guard guard = new Guard(Keys.LEADER, new Revision(token.value()));
+    Guard guard = new Guard(StoreKeys.LEADER, new Revision(token.value()));
     Span suspectAfter = settings.workers().suspectAfter();
     this.jobs = new JobBook(view, token, now);
     this.relays = new RelayEnds(outbox, view, guard, token, settings.workers());
@@ -133,7 +133,7 @@
     this.gate =
         new Gate(
             policy.drains().budgetsOf(settings.teams().keySet()),
-            new StopLedger(outbox, guard, view.stops(), view::stopsStamp),
+            new StopLedger(outbox, guard, view.recentStops(), view::recentStopsRevision),
             fleet,
             jobs,
             suspectAfter);
@@ -191,7 +191,7 @@
   }
 
   private static boolean bars(StoreView view, Boots.Sort sort) {
-    return view.plans().all().stream()
+    return view.drainPlans().all().stream()
         .anyMatch(drain -> drain.plan().bars(sort.zone(), sort.type(), sort.spot()));
   }
 
@@ -203,7 +203,7 @@
   private static Set<NodeId> mayHoldGrace(
       Settings settings, StoreView view, Span graceLimit, Moment now) {
     Set<NodeId> peers = new HashSet<>(settings.peers());
-    view.ledWithin(graceLimit.surelyPassed(), now).ifPresent(peers::retainAll);
+    view.recentLeaders(graceLimit.surelyPassed(), now).ifPresent(peers::retainAll);
     return peers;
   }
 
--- a/src/main/java/org/oakwalk/core/Products.java
+++ b/src/main/java/org/oakwalk/core/Products.java
@@ -24,7 +24,7 @@
 import org.oakwalk.core.product.ProductKeeper;
 import org.oakwalk.core.product.ProductTerms;
 import org.oakwalk.core.shared.SharedRecord;
-import org.oakwalk.core.shared.SharedState;
+import org.oakwalk.core.shared.SharedRecords;
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.StoreView;
 
@@ -51,7 +51,7 @@
   private final Planner planner;
   private final Headroom headroom;
   private final Ground ground;
-  private Optional<SharedState> shared = Optional.empty();
+  private Optional<SharedRecords> shared = Optional.empty();
   private Optional<Exchange> exchange = Optional.empty();
   private SharedRecord<PlanRow> plans;
 
@@ -78,7 +78,7 @@
    * promise.
    */
   boolean known() {
-    return keeper.inForce().none() || shared.filter(SharedState::known).isPresent();
+    return keeper.inForce().none() || shared.filter(SharedRecords::isLoaded).isPresent();
   }
 
   /** What is to be added to the line on the state of things; empty without terms. */
@@ -105,7 +105,7 @@
       begin(terms);
     }
     shared.get().tick(now);
-    if (shared.get().known()) {
+    if (shared.get().isLoaded()) {
       headroom.tick(terms.headrooms(), recovered, now);
       planner.tick(terms.dawns(), plans, types, recovered, now, wall);
     }
@@ -113,16 +113,16 @@
   }
 
   private void begin(ProductTerms terms) {
-    SharedState state = new SharedState(outbox, leader, settings.state());
+    SharedRecords state = new SharedRecords(outbox, leader, settings.state());
     headroom.share(state);
-    plans = state.record(Planner.RECORD, PlanRow.class);
+    plans = state.declare(Planner.RECORD, PlanRow.class);
     shared = Optional.of(state);
     if (!terms.exchanges().isEmpty()) {
       exchange =
           Optional.of(
               new Exchange(
                   terms.exchanges(),
-                  state.record("exchange", Take.class),
+                  state.declare("exchange", Take.class),
                   ground.fleet(),
                   ground.jobs(),
                   ground.quota(),
--- a/src/main/java/org/oakwalk/core/capacity/CatalogueKeeper.java
+++ b/src/main/java/org/oakwalk/core/capacity/CatalogueKeeper.java
@@ -11,7 +11,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
@@ -41,7 +41,10 @@
 
   /** Stores the types if they differ in more than their prices, which move all the time. */
   public void tick(Map<String, MachineType> types, Moment now) {
-    if (writing || nextTry.isAfter(now) || types.size() > mostTypes || same(types, view.types())) {
+    if (writing
+        || nextTry.isAfter(now)
+        || types.size() > mostTypes
+        || same(types, view.machineTypes())) {
       return;
     }
     writing = true;
@@ -50,9 +53,12 @@
         new Request.Commit(
             // Also on the record's version, or a write whose answer was lost could be applied after
             // a newer one and bring older types back.
-            List.of(guard, new Guard(Keys.TYPES, view.typesStamp())),
+            List.of(guard, new Guard(StoreKeys.MACHINE_TYPES, view.machineTypesRevision())),
             List.of(
-                new Change.Put(Keys.TYPES, new StoredValue.TypesRecord(types), Optional.empty())),
+                new Change.Put(
+                    StoreKeys.MACHINE_TYPES,
+                    new StoredValue.MachineTypesRecord(types),
+                    Optional.empty())),
             Request.Urgency.REST),
         answer -> writing = false);
   }
--- a/src/main/java/org/oakwalk/core/drain/Caution.java
+++ b/src/main/java/org/oakwalk/core/drain/Caution.java
@@ -55,7 +55,7 @@
   }
 
   private Optional<String> present(Collection<DrainPlan> plans, Moment now) {
-    if (now.past(view.contact(), STORE_OUT_AFTER)) {
+    if (now.past(view.lastConfirmed(), STORE_OUT_AFTER)) {
       return Optional.of("the state service is out of reach");
     }
     if (!capacity.health().listens(now)) {
--- a/src/main/java/org/oakwalk/core/drain/Drainer.java
+++ b/src/main/java/org/oakwalk/core/drain/Drainer.java
@@ -64,7 +64,7 @@
     }
 
     int most() {
-      return record.plan().most(record.selected());
+      return record.plan().most(record.selectedMachines());
     }
 
     boolean full() {
@@ -158,7 +158,7 @@
         continue;
       }
       for (Followed plan : plans) {
-        if (plan.runs() && plan.record.plan().selects(machine, plan.record.newest())) {
+        if (plan.runs() && plan.record.plan().selects(machine, plan.record.newestMachine())) {
           claims.computeIfAbsent(machine, m -> new ArrayList<>(1)).add(plan);
           plan.members.add(machine);
           plan.onTheirWay += onItsWay(machine) ? 1 : 0;
@@ -314,8 +314,8 @@
         "drain {} version {}: {} of {} done, {} under way, {} left, {} moving; down {}; {}{}",
         plan.name(),
         plan.version(),
-        Math.max(0, record.selected() - left),
-        record.selected(),
+        Math.max(0, record.selectedMachines() - left),
+        record.selectedMachines(),
         underWay,
         left,
         mover.underWay(),
--- a/src/main/java/org/oakwalk/core/drain/PlanKeeper.java
+++ b/src/main/java/org/oakwalk/core/drain/PlanKeeper.java
@@ -15,7 +15,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 import org.slf4j.Logger;
@@ -51,12 +51,12 @@
 
   /** The plans in force, whatever their status. */
   Collection<StoredValue.DrainRecord> plans() {
-    return view.plans().all();
+    return view.drainPlans().all();
   }
 
   /** Whether there is nothing to follow, now or later. */
   boolean idle() {
-    return declared.isEmpty() && view.plans().all().isEmpty();
+    return declared.isEmpty() && view.drainPlans().all().isEmpty();
   }
 
   /** Stores what this node's file has newly; to be called once the fleet is known. */
@@ -65,11 +65,11 @@
       return;
     }
     for (DrainPlan plan : declared) {
-      Optional<StoredValue.DrainRecord> stored = view.plans().find(plan.name());
-      if (view.plans().unreadablePlan(plan.name())) {
+      Optional<StoredValue.DrainRecord> stored = view.drainPlans().find(plan.name());
+      if (view.drainPlans().isUnreadable(plan.name())) {
         once(plan.name() + " unreadable", "drain {}: the stored plan can't be read", plan.name());
       } else if (stored.isEmpty() || stored.get().plan().version() < plan.version()) {
-        if (view.plans().all().size() < MOST_PLANS || stored.isPresent()) {
+        if (view.drainPlans().all().size() < MOST_PLANS || stored.isPresent()) {
           store(plan, now);
           return;
         }
@@ -106,10 +106,10 @@
       }
     }
     StoredValue.DrainRecord record = new StoredValue.DrainRecord(plan, newest, selected);
-    String key = Keys.drain(plan.name());
+    String key = StoreKeys.drain(plan.name());
     outbox.call(
         new Request.Commit(
-            List.of(guard, new Guard(key, view.plans().stamp(plan.name()))),
+            List.of(guard, new Guard(key, view.drainPlans().revision(plan.name()))),
             List.of(new Change.Put(key, record, Optional.empty())),
             Request.Urgency.REST),
         answer -> {
@@ -120,8 +120,8 @@
                 plan.name(),
                 plan.version(),
                 plan.status(),
-                record.selected(),
-                record.newest());
+                record.selectedMachines(),
+                record.newestMachine());
           }
         });
   }
--- a/src/main/java/org/oakwalk/core/drain/StopLedger.java
+++ b/src/main/java/org/oakwalk/core/drain/StopLedger.java
@@ -15,7 +15,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 
 /**
@@ -35,7 +35,7 @@
   private final Map<String, Integer> granted = new HashMap<>();
   private final Map<String, Integer> asked = new HashMap<>();
   private final Map<String, Integer> inheritedOpen = new HashMap<>();
-  private Map<String, StoredValue.Stops> stored;
+  private Map<String, StoredValue.StopCounts> stored;
 
   /** How the record was last written or found. */
   private Revision stamp;
@@ -59,7 +59,7 @@
     this.seen = seen;
     this.stamp = seen.get();
     this.stored = older.map(StoredValue.StopsRecord::byBudget).orElse(Map.of());
-    stored.forEach((budget, stops) -> inheritedOpen.put(budget, stops.open()));
+    stored.forEach((budget, stops) -> inheritedOpen.put(budget, stops.notRestarted()));
   }
 
   /** Whether so many stops have been granted; if not, they are asked for. */
@@ -83,10 +83,12 @@
 
   /** Stops that may have been made within the last hour. */
   int withinAnHour(Budget budget, WallTime wall) {
-    StoredValue.Stops stops = stored.get(budget.name());
+    StoredValue.StopCounts stops = stored.get(budget.name());
     return stops == null
         ? 0
-        : recent(stops.byTime(), wall).values().stream().mapToInt(Integer::intValue).sum();
+        : recent(stops.grantedByInterval(), wall).values().stream()
+            .mapToInt(Integer::intValue)
+            .sum();
   }
 
   private static TreeMap<Long, Integer> recent(Map<Long, Integer> buckets, WallTime wall) {
@@ -105,7 +107,7 @@
     if (writing || asked.isEmpty() || nextTry.isAfter(now)) {
       return;
     }
-    Map<String, StoredValue.Stops> next = new TreeMap<>(stored);
+    Map<String, StoredValue.StopCounts> next = new TreeMap<>(stored);
     Map<String, Integer> more = new HashMap<>();
     for (Budget budget : budgets) {
       int wanted = asked.getOrDefault(budget.name(), 0);
@@ -117,11 +119,12 @@
       int chunk = budget.stopsPerHour().map(most -> Math.max(1, most / 20)).orElse(MOST_AT_ONCE);
       int grant = Math.min(left, Math.min(MOST_AT_ONCE, Math.max(wanted, chunk)));
       if (grant > 0) {
-        StoredValue.Stops old = stored.getOrDefault(budget.name(), StoredValue.Stops.NONE);
-        TreeMap<Long, Integer> buckets = recent(old.byTime(), wall);
+        StoredValue.StopCounts old =
+            stored.getOrDefault(budget.name(), StoredValue.StopCounts.NONE);
+        TreeMap<Long, Integer> buckets = recent(old.grantedByInterval(), wall);
         buckets.merge(wall.millis() / BUCKET_MILLIS, grant, Integer::sum);
         int stopped = open.getOrDefault(budget, 0) + granted.getOrDefault(budget.name(), 0);
-        next.put(budget.name(), new StoredValue.Stops(stopped + grant, buckets));
+        next.put(budget.name(), new StoredValue.StopCounts(stopped + grant, buckets));
         more.put(budget.name(), grant);
       }
     }
@@ -133,9 +136,10 @@
     nextTry = now.plus(RETRY);
     outbox.call(
         new Request.Commit(
-            List.of(guard, new Guard(Keys.STOPS, stamp)),
+            List.of(guard, new Guard(StoreKeys.RECENT_STOPS, stamp)),
             List.of(
-                new Change.Put(Keys.STOPS, new StoredValue.StopsRecord(next), Optional.empty())),
+                new Change.Put(
+                    StoreKeys.RECENT_STOPS, new StoredValue.StopsRecord(next), Optional.empty())),
             Request.Urgency.REST),
         answer -> {
           writing = false;
--- a/src/main/java/org/oakwalk/core/exchange/OpenTakes.java
+++ b/src/main/java/org/oakwalk/core/exchange/OpenTakes.java
@@ -30,12 +30,12 @@
 
   /** Whether they are known, and can be kept. */
   boolean usable() {
-    return restored && !record.broken();
+    return restored && !record.isUnusable();
   }
 
   /** The same, once what an earlier leader left has been taken over. */
   boolean restored(Moment now) {
-    if (!restored && record.known() && !record.broken()) {
+    if (!restored && record.isLoaded() && !record.isUnusable()) {
       restore(now);
     }
     return usable();
@@ -43,7 +43,7 @@
 
   private void restore(Moment now) {
     restored = true;
-    for (Take take : record.stored()) {
+    for (Take take : record.storedRows()) {
       Live live = new Live(take, now);
       open.put(take.id(), live);
       Optional<Machine> machine = fleet.find(take.machine());
@@ -86,13 +86,13 @@
     }
     changed = false;
     List<Take> rows = open.values().stream().map(live -> live.take).toList();
-    long ticket = record.want(rows);
+    long ticket = record.requestWrite(rows);
     open.values().forEach(live -> live.ticket = live.ticket == 0 ? ticket : live.ticket);
   }
 
   /** Whether a take is stored as it is. */
   boolean isStored(Live live) {
-    boolean inherited = live.ticket == 0 && !changed && record.settled();
+    boolean inherited = live.ticket == 0 && !changed && record.isUpToDate();
     return inherited || live.ticket > 0 && record.revision() >= live.ticket;
   }
 
--- a/src/main/java/org/oakwalk/core/exchange/Take.java
+++ b/src/main/java/org/oakwalk/core/exchange/Take.java
@@ -77,7 +77,7 @@
   }
 
   @Override
-  public int bytes() {
+  public int maxJsonBytes() {
     int letters =
         exchange.length()
             + giver.value().length()
--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -280,7 +280,7 @@
    */
   public boolean above(Report report) {
     Machine machine = machines.get(report.machine());
-    Token told = machine == null ? view.standsUntil(token) : machine.fence().current();
+    Token told = machine == null ? view.latestTokenOf(token) : machine.fence().current();
     return report.token().compareTo(told) > 0;
   }
 
@@ -459,7 +459,7 @@
     boolean due =
         machine.openRuns().repeatable() >= OpenRuns.MOST_BY_COMMAND / 2
             || machine.keptEnded() >= MOST_KEPT;
-    Token highest = view.standsUntil(token);
+    Token highest = view.latestTokenOf(token);
     if (due && !machine.commanding() && machine.fence().raisable(highest)) {
       machine.fence().raise(highest);
       LOG.debug("machine {} gets token {}", machine.id(), highest);
@@ -474,7 +474,7 @@
     // Of a job whose record can't be read nobody knows whether it still asks for the result.
     return view.job(task.job())
         .map(known -> known.phase() != JobRecord.Phase.OPEN)
-        .orElse(!view.unreadable(task.job()));
+        .orElse(!view.isUnreadable(task.job()));
   }
 
   /**
@@ -489,7 +489,7 @@
       return false;
     }
     Moment renewed = foreignRenewal.isAfter(machine.known()) ? foreignRenewal : machine.known();
-    return view.contact().past(renewed, timing.lease().surelyPassed().plus(LAPSE_MARGIN));
+    return view.lastConfirmed().past(renewed, timing.lease().surelyPassed().plus(LAPSE_MARGIN));
   }
 
   /** Declares lapsed what has surely lost its lease. */
@@ -506,7 +506,7 @@
       // A later leader may renew leases as well. Only a read of the store that began after the
       // lease
       // had run out, and still showed this leader, tells that nobody did.
-      if (mayLapse(machine) && view.contact().past(renewed, lease)) {
+      if (mayLapse(machine) && view.lastConfirmed().past(renewed, lease)) {
         LOG.info("machine {} has lapsed with {} tasks", machine.id(), machine.placements().size());
         if (machine.state() != Machine.State.RETURNING) {
           machine.enter(Machine.State.LAPSED);
--- a/src/main/java/org/oakwalk/core/fleet/Registry.java
+++ b/src/main/java/org/oakwalk/core/fleet/Registry.java
@@ -18,7 +18,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 
 /**
@@ -72,7 +72,7 @@
     Change.Put put() {
       return new Change.Put(
           key,
-          new StoredValue.MachinesRecord(List.copyOf(members.values())),
+          new StoredValue.MachineListRecord(List.copyOf(members.values())),
           Optional.<HoldId>empty());
     }
   }
@@ -235,7 +235,9 @@
   private Group group(List<StoredValue.MachineRecord> records, Plan plan) {
     Group group =
         new Group(
-            Keys.machines(new Token(guard.stamp().value()), ++keys), Optional.empty(), records);
+            StoreKeys.machineList(new Token(guard.revision().value()), ++keys),
+            Optional.empty(),
+            records);
     groups.put(group.key, group);
     plan.fresh.add(group);
     return group;
--- a/src/main/java/org/oakwalk/core/headroom/Headroom.java
+++ b/src/main/java/org/oakwalk/core/headroom/Headroom.java
@@ -25,7 +25,7 @@
 import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.product.HeadroomTerms;
 import org.oakwalk.core.shared.SharedRecord;
-import org.oakwalk.core.shared.SharedState;
+import org.oakwalk.core.shared.SharedRecords;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -83,8 +83,8 @@
   }
 
   /** Declares its record. */
-  public void share(SharedState shared) {
-    record = Optional.of(shared.record(RECORD, HeadroomRow.class));
+  public void share(SharedRecords shared) {
+    record = Optional.of(shared.declare(RECORD, HeadroomRow.class));
   }
 
   /** Nothing is declared, or what is declared can't be read. */
@@ -100,11 +100,11 @@
    */
   public void tick(List<HeadroomTerms> terms, boolean recovered, Moment now) {
     SharedRecord<HeadroomRow> kept = record.orElseThrow();
-    if (kept.broken()) {
+    if (kept.isUnusable()) {
       off();
       return;
     }
-    inForce = larger(kept.stored(), wanted);
+    inForce = larger(kept.storedRows(), wanted);
     warmShares.clear();
     terms.forEach(found -> warmShares.put(found.name(), found.warm()));
     if (nextTick.isAfter(now)) {
@@ -117,11 +117,11 @@
     }
     List<HeadroomRow> target =
         amounts.target(terms, inForce, jobs.all(), live, fleet.anyUnconfirmed(), now);
-    if (!target.equals(wanted) || kept.settled() && !target.equals(kept.stored())) {
-      say(kept.stored(), target);
+    if (!target.equals(wanted) || kept.isUpToDate() && !target.equals(kept.storedRows())) {
+      say(kept.storedRows(), target);
       wanted = target;
-      kept.want(target);
-      inForce = larger(kept.stored(), wanted);
+      kept.requestWrite(target);
+      inForce = larger(kept.storedRows(), wanted);
     }
     sayLacking();
     refill.tick(inForce, rooms, now);
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomRow.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomRow.java
@@ -91,15 +91,16 @@
   }
 
   @Override
-  public int bytes() {
-    int bytes = SHORT + SharedRow.bytes(key.name()) + SharedRow.bytes(key.team());
-    bytes += SharedRow.bytes(key.jobClass()) + SharedRow.bytes(image);
-    bytes += key.zone().map(SharedRow::bytes).orElse(0);
+  public int maxJsonBytes() {
+    int bytes =
+        SHORT_ROW_BYTES + SharedRow.maxJsonBytes(key.name()) + SharedRow.maxJsonBytes(key.team());
+    bytes += SharedRow.maxJsonBytes(key.jobClass()) + SharedRow.maxJsonBytes(image);
+    bytes += key.zone().map(SharedRow::maxJsonBytes).orElse(0);
     for (String type : types) {
-      bytes += SharedRow.bytes(type);
+      bytes += SharedRow.maxJsonBytes(type);
     }
     for (String zone : places.keySet()) {
-      bytes += SharedRow.bytes(zone) + 12;
+      bytes += SharedRow.maxJsonBytes(zone) + 12;
     }
     return bytes;
   }
--- a/src/main/java/org/oakwalk/core/job/Admission.java
+++ b/src/main/java/org/oakwalk/core/job/Admission.java
@@ -32,17 +32,17 @@
 
   /** Whether the team may submit another job now. */
   public boolean admits(String team) {
-    if (view.openJobs().all() < mostOpen * KEPT / Math.max(1, teams.size())) {
+    if (view.openJobs().total() < mostOpen * KEPT / Math.max(1, teams.size())) {
       return true;
     }
     double guarantees = teams.values().stream().mapToDouble(Settings.Team::cpus).sum();
-    if (view.openJobs().of(team) < share(teams.get(team), guarantees)) {
+    if (view.openJobs().ofTeam(team) < share(teams.get(team), guarantees)) {
       return true;
     }
-    double held = view.openJobs().all();
+    double held = view.openJobs().total();
     for (Settings.Team other : teams.values()) {
       if (!other.name().equals(team)) {
-        held += Math.max(0, KEPT * share(other, guarantees) - view.openJobs().of(other.name()));
+        held += Math.max(0, KEPT * share(other, guarantees) - view.openJobs().ofTeam(other.name()));
       }
     }
     return held < mostOpen;
--- a/src/main/java/org/oakwalk/core/job/JobBook.java
+++ b/src/main/java/org/oakwalk/core/job/JobBook.java
@@ -46,7 +46,7 @@
         open.add(known);
       }
     }
-    open.sort((a, b) -> a.stamp().compareTo(b.stamp()));
+    open.sort((a, b) -> a.revision().compareTo(b.revision()));
     open.forEach(known -> add(known, now));
   }
 
@@ -83,10 +83,10 @@
       return Optional.empty();
     }
     boolean withdrawn = known.phase() == JobRecord.Phase.WITHDRAWN;
-    job.ended(withdrawn, known.stamp());
+    job.ended(withdrawn, known.revision());
     if (withdrawn) {
       // What was stored before the last read began was known, and this was not.
-      job.withdrawnAfter(view.contact());
+      job.withdrawnAfter(view.lastConfirmed());
     }
     return withdrawn ? Optional.of(job) : Optional.empty();
   }
@@ -161,11 +161,12 @@
   }
 
   private Job add(KnownJob known, Moment now) {
-    boolean inherited = known.stamp().value() < token.value();
-    Job job = new Job(known.spec(), known.stamp(), known.accepted(), inherited, now, this::touched);
+    boolean inherited = known.revision().value() < token.value();
+    Job job =
+        new Job(known.spec(), known.revision(), known.acceptedAt(), inherited, now, this::touched);
     jobs.put(job.id(), job);
     if (known.phase() == JobRecord.Phase.WITHDRAWN) {
-      job.ended(true, known.stamp());
+      job.ended(true, known.revision());
     } else {
       byTeam.computeIfAbsent(job.spec().team(), team -> new LinkedHashSet<>()).add(job);
       touched.add(job);
--- a/src/main/java/org/oakwalk/core/job/ResultWriter.java
+++ b/src/main/java/org/oakwalk/core/job/ResultWriter.java
@@ -18,10 +18,10 @@
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
-import org.oakwalk.core.store.DoneBits;
+import org.oakwalk.core.store.DoneBitmap;
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 import org.slf4j.Logger;
@@ -119,7 +119,7 @@
   private void finish(Job job, Moment now) {
     job.finishing();
     JobRecord record = new JobRecord(job.spec(), JobRecord.Phase.DONE, job.accepted());
-    String key = Keys.job(job.id());
+    String key = StoreKeys.job(job.id());
     outbox.call(
         new Request.Commit(
             List.of(guard, new Guard(key, job.stamp())),
@@ -153,8 +153,8 @@
   public void ended(Job job) {
     aside.remove(job.id());
     if (chunked.remove(job.id())) {
-      for (int chunk = 0; chunk * DoneBits.CHUNK < job.spec().tasks(); chunk++) {
-        String key = Keys.done(job.id(), chunk);
+      for (int chunk = 0; chunk * DoneBitmap.TASKS_PER_CHUNK < job.spec().tasks(); chunk++) {
+        String key = StoreKeys.doneChunk(job.id(), chunk);
         stamps.remove(key);
         doubtful.remove(key);
         obsolete.add(key);
@@ -164,7 +164,7 @@
 
   private void setAside(Answer answer, Job job) {
     if (answer instanceof Answer.Conflict conflict
-        && conflict.failed().contains(Keys.job(job.id()))) {
+        && conflict.failed().contains(StoreKeys.job(job.id()))) {
       aside.add(job.id());
     }
   }
@@ -180,14 +180,14 @@
             stamps.remove(key);
             page.entries().stream()
                 .filter(entry -> entry.key().equals(key))
-                .forEach(entry -> stamps.put(key, entry.stamp()));
+                .forEach(entry -> stamps.put(key, entry.revision()));
           }
         });
   }
 
   private record Part(Job job, BitSet snapshot, int from, int to) {
     String key() {
-      return Keys.done(job.id(), from / DoneBits.CHUNK);
+      return StoreKeys.doneChunk(job.id(), from / DoneBitmap.TASKS_PER_CHUNK);
     }
   }
 
@@ -205,10 +205,10 @@
       BitSet snapshot = job.doneSnapshot();
       int before = parts.size();
       for (int from = 0; from < job.spec().tasks() && changes.size() < budget; ) {
-        int to = Math.min(job.spec().tasks(), from + DoneBits.CHUNK);
+        int to = Math.min(job.spec().tasks(), from + DoneBitmap.TASKS_PER_CHUNK);
         Part part = new Part(job, snapshot, from, to);
         if (job.hasUnstored(from, to) && !doubtful.contains(part.key()) && bytes < MOST_BYTES) {
-          String bits = DoneBits.encode(snapshot.get(from, to));
+          String bits = DoneBitmap.encode(snapshot.get(from, to));
           bytes += bits.length();
           parts.add(part);
           guards.add(new Guard(part.key(), stamps.getOrDefault(part.key(), Revision.NONE)));
@@ -218,7 +218,7 @@
         from = to;
       }
       if (parts.size() > before) {
-        guards.add(new Guard(Keys.job(job.id()), job.stamp()));
+        guards.add(new Guard(StoreKeys.job(job.id()), job.stamp()));
       }
     }
     List<String> removed = new ArrayList<>();
--- a/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
+++ b/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
@@ -23,8 +23,8 @@
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
 import org.oakwalk.core.store.KnownJob;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -98,7 +98,7 @@
         known -> {
           if (!known) {
             answer.accept(Response.unavailable("state service out of reach", SOON));
-          } else if (view.unreadable(id)) {
+          } else if (view.isUnreadable(id)) {
             answer.accept(Response.unavailable("record of the job can't be read", SOON));
           } else if (view.job(id).isEmpty()) {
             answer.accept(Response.refusal(absent, "no such job"));
@@ -121,7 +121,7 @@
           Optional<KnownJob> job = view.job(request.job());
           if (!known) {
             answer.accept(Response.unavailable("state service out of reach", SOON));
-          } else if (view.unreadable(request.job())) {
+          } else if (view.isUnreadable(request.job())) {
             // It may have been accepted, so nobody may be told that it can't be; and what was read
             // of it before may be older than what others have told.
             answer.accept(Response.unavailable("record of the job can't be read", SOON));
@@ -183,7 +183,7 @@
       answer.accept(Response.tooMany("too many open jobs of team " + spec.team(), FULL));
       return;
     }
-    String key = Keys.job(spec.id());
+    String key = StoreKeys.job(spec.id());
     JobRecord record = new JobRecord(spec, JobRecord.Phase.OPEN, wall);
     outbox.call(
         new Request.Commit(
@@ -220,18 +220,18 @@
   }
 
   private void storeWithdrawal(KnownJob job, int tries, Consumer<Response> answer) {
-    String key = Keys.job(job.id());
-    JobRecord record = job.record().in(JobRecord.Phase.WITHDRAWN);
+    String key = StoreKeys.job(job.id());
+    JobRecord record = job.record().withPhase(JobRecord.Phase.WITHDRAWN);
     outbox.call(
         new Request.Commit(
-            List.of(new Guard(key, job.stamp())),
+            List.of(new Guard(key, job.revision())),
             List.of(new Change.Put(key, record, Optional.empty())),
             Request.Urgency.WITHDRAWAL),
         reply -> {
           if (reply instanceof Answer.Committed committed) {
             LOG.info("job {} withdrawn at revision {}", job.id(), committed.epoch());
             // If this node leads it may order no start once the user has been told.
-            view.written(record, committed.epoch());
+            view.applyOwnWrite(record, committed.epoch());
             answer.accept(
                 new Response.JobStatus(false, job.id(), Response.JobState.CANCELLED, 0, 0));
           } else if (reply instanceof Answer.Conflict) {
@@ -252,8 +252,8 @@
       return told;
     }
     return switch (job.state()) {
-      case DONE -> view.learned(job.job(), JobRecord.Phase.DONE) ? told : otherwise;
-      case CANCELLED -> view.learned(job.job(), JobRecord.Phase.WITHDRAWN) ? told : otherwise;
+      case DONE -> view.learnEnd(job.job(), JobRecord.Phase.DONE) ? told : otherwise;
+      case CANCELLED -> view.learnEnd(job.job(), JobRecord.Phase.WITHDRAWN) ? told : otherwise;
       case QUEUED, RUNNING ->
           view.job(job.job())
               .filter(known -> known.phase().isFinal())
--- a/src/main/java/org/oakwalk/core/leadership/Leadership.java
+++ b/src/main/java/org/oakwalk/core/leadership/Leadership.java
@@ -17,7 +17,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 import org.slf4j.Logger;
@@ -126,7 +126,7 @@
   /** Whether workers may be answered under this node's token. */
   public boolean mayAnswer(Moment now) {
     return (state == State.LEADING || state == State.LEASE_GRACE)
-        && !now.past(view.contact(), graceLimit.surelyNotPassed());
+        && !now.past(view.lastConfirmed(), graceLimit.surelyNotPassed());
   }
 
   /** Whether this node holds a token that has not been seen to fall. */
@@ -138,7 +138,8 @@
     if (state == State.LEADING && now.past(leaseFrom, TTL.surelyNotPassed())) {
       enter(State.LEASE_GRACE);
     }
-    if (state == State.LEASE_GRACE && now.past(view.contact(), graceLimit.surelyNotPassed())) {
+    if (state == State.LEASE_GRACE
+        && now.past(view.lastConfirmed(), graceLimit.surelyNotPassed())) {
       enter(State.MUTED);
     }
     if (calling || nextStep.isAfter(now)) {
@@ -146,7 +147,7 @@
     }
     switch (state) {
       case FOLLOWING -> {
-        if (view.fresh(now)) {
+        if (view.isFresh(now)) {
           if (view.leader().isEmpty()) {
             campaign(now);
           } else if (view.leader().get().record().node().equals(node)) {
@@ -165,7 +166,9 @@
     Optional<StoreView.Leader> leader = view.leader();
     boolean mine = leader.isPresent() && leader.get().record().incarnation().equals(incarnation);
     if (state == State.CLAIMING) {
-      if (mine && highest.compareTo(leader.get().token()) > 0 && !view.beyond(highest, now)) {
+      if (mine
+          && highest.compareTo(leader.get().token()) > 0
+          && !view.isImplausible(highest, now)) {
         // Somebody else leads by now, and was told that nothing older goes out from here.
         LOG.info("claim of token {} is seen after token {}", leader.get().token(), highest);
         giveUp();
@@ -173,7 +176,7 @@
         token = leader.get().token();
         rose = now;
         enter(State.LEADING);
-        view.vacantSince()
+        view.leaderMissingSince()
             .ifPresent(since -> LOG.info("nobody led for {}, token {}", now.since(since), token));
         listener.rises(token, now);
       } else if (leader.isPresent()) {
@@ -186,7 +189,7 @@
 
   /** Whether it could leave leading to others now: not soon after it began. */
   public boolean mayStepAside(Moment now) {
-    return state == State.LEADING && now.past(rose, LEADS_AT_LEAST) && view.fresh(now);
+    return state == State.LEADING && now.past(rose, LEADS_AT_LEAST) && view.isFresh(now);
   }
 
   /** Leaves leading to the others, which may reach those that this node can't reach. */
@@ -206,10 +209,10 @@
     if (!holdsToken() || seen.compareTo(token) <= 0) {
       return;
     }
-    if (view.covers(seen) || view.beyond(seen, now)) {
+    if (view.covers(seen) || view.isImplausible(seen, now)) {
       // The copy would show who was granted it.
       setAside(seen);
-    } else if (state != State.LEADING || !view.fresh(now)) {
+    } else if (state != State.LEADING || !view.isFresh(now)) {
       LOG.info("token {} of a worker is above own token {}", seen, token);
       fall(now);
     } else if (!verifying) {
@@ -290,8 +293,8 @@
     LOG.info("the key of token {} was left by this node and is removed", former.token());
     outbox.call(
         new Request.Commit(
-            List.of(new Guard(Keys.LEADER, new Revision(former.token().value()))),
-            List.of(new Change.Remove(Keys.LEADER)),
+            List.of(new Guard(StoreKeys.LEADER, new Revision(former.token().value()))),
+            List.of(new Change.Remove(StoreKeys.LEADER)),
             Request.Urgency.LEADERSHIP),
         answer -> {
           calling = false;
@@ -324,8 +327,8 @@
     StoredValue.LeaderRecord record = new StoredValue.LeaderRecord(node, zone, incarnation);
     outbox.call(
         new Request.Commit(
-            List.of(new Guard(Keys.LEADER, Revision.NONE)),
-            List.of(new Change.Put(Keys.LEADER, record, Optional.of(hold))),
+            List.of(new Guard(StoreKeys.LEADER, Revision.NONE)),
+            List.of(new Change.Put(StoreKeys.LEADER, record, Optional.of(hold))),
             Request.Urgency.LEADERSHIP),
         answer -> {
           calling = false;
--- a/src/main/java/org/oakwalk/core/leadership/Relay.java
+++ b/src/main/java/org/oakwalk/core/leadership/Relay.java
@@ -21,7 +21,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 import org.slf4j.Logger;
@@ -131,7 +131,7 @@
     Token shown = report.token();
     if (!worthwhile || !silent || leader.isEmpty() || !report.zone().equals(zone)) {
       then.accept(Optional.empty());
-    } else if (view.relayed(zone).isEmpty() && view.fresh(now)) {
+    } else if (view.relays(zone).isEmpty() && view.isFresh(now)) {
       waiting.add(known -> then.accept(leader.filter(t -> known && may(t)).map(t -> shown)));
       if (state == State.IDLE) {
         announce(leader.get(), now);
@@ -156,22 +156,23 @@
    */
   private boolean may(Token token) {
     return silent
-        && view.fresh(clock)
+        && view.isFresh(clock)
         && remoteLeader().filter(leader -> leader.token().equals(token)).isPresent()
-        && view.relayed(zone)
-            .filter(relayed -> relayed.record().token().equals(token) && relayed.watched())
-            .filter(relayed -> !clock.past(relayed.earliest(), window.surelyNotPassed()))
+        && view.relays(zone)
+            .filter(relayed -> relayed.record().token().equals(token) && relayed.seenByWatch())
+            .filter(relayed -> !clock.past(relayed.earliestWrite(), window.surelyNotPassed()))
             .isPresent();
   }
 
   private void announce(Token token, Moment now) {
     enter(State.ANNOUNCING);
     LOG.info("leader of token {} is out of reach, zone {} asks to be relayed", token, zone);
-    String key = Keys.relay(zone);
+    String key = StoreKeys.relay(zone);
     outbox.call(
         new Request.Commit(
             List.of(
-                new Guard(Keys.LEADER, new Revision(token.value())), new Guard(key, Revision.NONE)),
+                new Guard(StoreKeys.LEADER, new Revision(token.value())),
+                new Guard(key, Revision.NONE)),
             List.of(
                 new Change.Put(key, new StoredValue.RelayRecord(zone, token), Optional.empty())),
             Request.Urgency.LEADERSHIP),
--- a/src/main/java/org/oakwalk/core/leadership/RelayEnds.java
+++ b/src/main/java/org/oakwalk/core/leadership/RelayEnds.java
@@ -9,7 +9,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 
 /** What a leader makes of followers that keep leases alive for it in a zone. */
@@ -31,7 +31,7 @@
     this.view = view;
     this.guard = guard;
     this.token = token;
-    this.answers = timing.relayWindow().surelyPassed().plus(StoreView.LAG);
+    this.answers = timing.relayWindow().surelyPassed().plus(StoreView.MAX_LAG);
     this.lease = timing.lease().surelyPassed();
   }
 
@@ -42,19 +42,19 @@
    */
   public Moment lastRenewal(String zone, Moment otherwise, Moment now) {
     return zone.isEmpty()
-        ? view.relayed().stream()
+        ? view.relays().stream()
             .map(relayed -> lastRenewal(relayed, now))
             .reduce(otherwise, RelayEnds::later)
-        : view.relayed(zone)
+        : view.relays(zone)
             .map(relayed -> later(lastRenewal(relayed, now), otherwise))
             .orElse(otherwise);
   }
 
-  private Moment lastRenewal(StoreView.Relayed relayed, Moment now) {
+  private Moment lastRenewal(StoreView.RelayAnnouncement relayed, Moment now) {
     if (!relayed.record().token().equals(token)) {
       return new Moment(Long.MIN_VALUE / 2);
     }
-    Moment end = relayed.seen().plus(answers);
+    Moment end = relayed.seenAt().plus(answers);
     return end.isAfter(now) ? now : end;
   }
 
@@ -70,22 +70,22 @@
     if (removing || nextTry.isAfter(now)) {
       return;
     }
-    for (StoreView.Relayed relayed : view.relayed()) {
+    for (StoreView.RelayAnnouncement relayed : view.relays()) {
       boolean older = relayed.record().token().compareTo(token) < 0;
-      if (older || now.past(relayed.seen(), answers.plus(lease))) {
+      if (older || now.past(relayed.seenAt(), answers.plus(lease))) {
         remove(relayed, now);
         return;
       }
     }
   }
 
-  private void remove(StoreView.Relayed relayed, Moment now) {
-    String key = Keys.relay(relayed.record().zone());
+  private void remove(StoreView.RelayAnnouncement relayed, Moment now) {
+    String key = StoreKeys.relay(relayed.record().zone());
     removing = true;
     nextTry = now.plus(RETRY);
     outbox.call(
         new Request.Commit(
-            List.of(guard, new Guard(key, relayed.stamp())),
+            List.of(guard, new Guard(key, relayed.revision())),
             List.of(new Change.Remove(key)),
             Request.Urgency.REST),
         answer -> removing = false);
--- a/src/main/java/org/oakwalk/core/planner/PlanRow.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanRow.java
@@ -36,8 +36,8 @@
       long seconds)
       implements PlanRow {
     @Override
-    public int bytes() {
-      return SHORT + text(dawn);
+    public int maxJsonBytes() {
+      return SHORT_ROW_BYTES + text(dawn);
     }
   }
 
@@ -62,8 +62,8 @@
       double missing)
       implements PlanRow {
     @Override
-    public int bytes() {
-      return SHORT + text(dawn + key.team() + key.jobClass());
+    public int maxJsonBytes() {
+      return SHORT_ROW_BYTES + text(dawn + key.team() + key.jobClass());
     }
   }
 
@@ -74,8 +74,8 @@
    */
   record Runs(String jobClass, List<Long> counts) implements PlanRow {
     @Override
-    public int bytes() {
-      return SHORT + text(jobClass) + NUMBER * counts.size();
+    public int maxJsonBytes() {
+      return SHORT_ROW_BYTES + text(jobClass) + NUMBER * counts.size();
     }
   }
 
@@ -99,8 +99,8 @@
       List<Long> bySlice)
       implements PlanRow {
     @Override
-    public int bytes() {
-      return SHORT + text(dawn + team + jobClass) + NUMBER * bySlice.size();
+    public int maxJsonBytes() {
+      return SHORT_ROW_BYTES + text(dawn + team + jobClass) + NUMBER * bySlice.size();
     }
   }
 
@@ -114,8 +114,8 @@
   record Reach(String type, String zone, boolean spot, double most, double hours, double losses)
       implements PlanRow {
     @Override
-    public int bytes() {
-      return SHORT + text(type + zone);
+    public int maxJsonBytes() {
+      return SHORT_ROW_BYTES + text(type + zone);
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/planner/Planner.java
+++ b/src/main/java/org/oakwalk/core/planner/Planner.java
@@ -87,7 +87,7 @@
     if (!terms.equals(dawns)) {
       follow(terms);
     }
-    if (dawns.isEmpty() || !record.known() || record.broken()) {
+    if (dawns.isEmpty() || !record.isLoaded() || record.isUnusable()) {
       off();
       return;
     }
@@ -96,12 +96,12 @@
       groups.all().forEach(this::apply);
     }
     if (!restored) {
-      restore(record.stored());
+      restore(record.storedRows());
       rose = now;
     }
     if (record.revision() != revision) {
       revision = record.revision();
-      adopt(new PlanInForce(record.stored()));
+      adopt(new PlanInForce(record.storedRows()));
     }
     if (!nextObservation.isAfter(now)) {
       nextObservation = now.plus(OBSERVE_EVERY);
@@ -250,7 +250,7 @@
           dawn.name(),
           night.get().revisions(),
           late);
-      wanted = record.want(rows(Map.of()));
+      wanted = record.requestWrite(rows(Map.of()));
     }
   }
 
@@ -327,7 +327,7 @@
       return;
     }
     Map<String, List<PlanRow>> fresh = draft.rows(open, inForce, wall);
-    wanted = record.want(rows(fresh));
+    wanted = record.requestWrite(rows(fresh));
     LOG.info("dawn plan revised ({}): {}", reason.get(), draft.summary());
     fresh.values().stream()
         .flatMap(List::stream)
--- a/src/main/java/org/oakwalk/core/port/Answer.java
+++ b/src/main/java/org/oakwalk/core/port/Answer.java
@@ -9,7 +9,7 @@
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Rental;
 import org.oakwalk.core.store.Entry;
-import org.oakwalk.core.store.News;
+import org.oakwalk.core.store.KeyChange;
 
 /** What came of a {@link Request}. */
 public sealed interface Answer {
@@ -24,7 +24,7 @@
   record Page(List<Entry> entries, boolean more, Revision epoch) implements Answer {}
 
   /** Changes up to and including the epoch. */
-  record Changes(Revision epoch, List<News> news) implements Answer {}
+  record Changes(Revision epoch, List<KeyChange> news) implements Answer {}
 
   /** The transaction was applied. */
   record Committed(Revision epoch) implements Answer {}
--- a/src/main/java/org/oakwalk/core/product/ProductKeeper.java
+++ b/src/main/java/org/oakwalk/core/product/ProductKeeper.java
@@ -9,7 +9,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 import org.slf4j.Logger;
@@ -40,12 +40,12 @@
 
   /** What is in force; nothing as long as nothing is stored. */
   public ProductTerms inForce() {
-    return view.product().terms();
+    return view.productTerms().terms();
   }
 
   /** Whether there is nothing to follow, now or later. */
   public boolean idle() {
-    return declared.none() && inForce().none() && !view.product().unreadable();
+    return declared.none() && inForce().none() && !view.productTerms().isUnreadable();
   }
 
   /** Whether what this node's file has newly is stored, so that what is in force stays so. */
@@ -55,7 +55,7 @@
 
   /** Stores what this node's file has newly. */
   public void tick(Moment now) {
-    if (view.product().unreadable()) {
+    if (view.productTerms().isUnreadable()) {
       once("product terms: what is stored can't be read; dawns, headroom and exchanges are off");
     } else if (declared.none() || writing || nextTry.isAfter(now)) {
       return;
@@ -82,10 +82,12 @@
     nextTry = now.plus(RETRY);
     outbox.call(
         new Request.Commit(
-            List.of(leader, new Guard(Keys.PRODUCT, view.product().stamp())),
+            List.of(leader, new Guard(StoreKeys.PRODUCT_TERMS, view.productTerms().revision())),
             List.of(
                 new Change.Put(
-                    Keys.PRODUCT, new StoredValue.ProductRecord(declared), Optional.empty())),
+                    StoreKeys.PRODUCT_TERMS,
+                    new StoredValue.ProductRecord(declared),
+                    Optional.empty())),
             Request.Urgency.REST),
         answer -> {
           writing = false;
--- a/src/main/java/org/oakwalk/core/recovery/Recovery.java
+++ b/src/main/java/org/oakwalk/core/recovery/Recovery.java
@@ -22,9 +22,9 @@
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
-import org.oakwalk.core.store.DoneBits;
+import org.oakwalk.core.store.DoneBitmap;
 import org.oakwalk.core.store.Entry;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 import org.slf4j.Logger;
@@ -87,7 +87,7 @@
     this.unsettledPeers = new HashSet<>(mayHoldGrace);
     // A follower that kept a zone's leases alive under an older token stops once its copy of the
     // store shows the change of leader.
-    this.relaysEnd = rose.plus(StoreView.LAG.surelyPassed());
+    this.relaysEnd = rose.plus(StoreView.MAX_LAG.surelyPassed());
     this.lastForeignRenewal =
         mayHoldGrace.isEmpty() ? relaysEnd : rose.plus(graceLimit.surelyPassed());
   }
@@ -145,10 +145,11 @@
       return;
     }
     switch (state) {
-      case READING_RESULTS -> read(Keys.DONE, this::result, State.READING_MACHINES, now);
+      case READING_RESULTS ->
+          read(StoreKeys.DONE_PREFIX, this::result, State.READING_MACHINES, now);
       case READING_MACHINES -> {
         if (!types.isEmpty()) {
-          read(Keys.MACHINES, entry -> machine(entry, now), State.CONFIRMING, now);
+          read(StoreKeys.MACHINE_PREFIX, entry -> machine(entry, now), State.CONFIRMING, now);
         }
       }
       case CONFIRMING -> {
@@ -210,13 +211,13 @@
 
   /** One that makes no sense is set aside: its tasks start again, and the others are restored. */
   private void result(Entry entry) {
-    Optional<Keys.Part> part = Keys.part(entry.key());
+    Optional<StoreKeys.DoneChunkKey> part = StoreKeys.parseDoneChunk(entry.key());
     if (part.isEmpty()) {
       LOG.error("{} is no name of a part of results", entry.key());
       return;
     }
     JobId id = part.get().job();
-    results.found(id, entry.key(), entry.stamp());
+    results.found(id, entry.key(), entry.revision());
     jobs.find(id).ifPresent(job -> restore(job, part.get().chunk(), entry));
   }
 
@@ -226,8 +227,8 @@
       if (!(entry.value() instanceof StoredValue.DoneChunk done)) {
         throw new IllegalArgumentException("not a part of results");
       }
-      long from = (long) chunk * DoneBits.CHUNK;
-      DoneBits.decode(done.bits()).stream()
+      long from = (long) chunk * DoneBitmap.TASKS_PER_CHUNK;
+      DoneBitmap.decode(done.bits()).stream()
           .filter(bit -> from + bit < job.spec().tasks())
           .forEach(bit -> job.restore((int) from + bit));
     } catch (IllegalArgumentException e) {
@@ -239,16 +240,16 @@
     List<StoredValue.MachineRecord> records;
     if (entry.value() instanceof StoredValue.MachineRecord record) {
       records = List.of(record);
-    } else if (entry.value() instanceof StoredValue.MachinesRecord list) {
+    } else if (entry.value() instanceof StoredValue.MachineListRecord list) {
       records = list.machines();
     } else {
       // What can't be read may hold tasks all the same, until it has confirmed or is returned.
       LOG.error("{} can't be read", entry.key());
-      MachineId id = new MachineId(entry.key().substring(Keys.MACHINES.length()));
+      MachineId id = new MachineId(entry.key().substring(StoreKeys.MACHINE_PREFIX.length()));
       records = List.of(new StoredValue.MachineRecord(id, "", "", "", false));
     }
     registered += records.size();
-    registry.found(entry.key(), entry.stamp(), records);
+    registry.found(entry.key(), entry.revision(), records);
     for (StoredValue.MachineRecord record : records) {
       // One whose write was in doubt for an earlier leader may be listed twice.
       if (fleet.find(record.id()).isEmpty()) {
@@ -261,7 +262,7 @@
                 record.spot(),
                 Machine.State.UNCONFIRMED,
                 now)
-            .filter(machine -> record.address().isEmpty() && Keys.listsMachines(entry.key()))
+            .filter(machine -> record.address().isEmpty() && StoreKeys.isMachineList(entry.key()))
             .ifPresent(Machine::standsForMany);
       }
     }
--- a/src/main/java/org/oakwalk/core/shared/SharedRecord.java
+++ b/src/main/java/org/oakwalk/core/shared/SharedRecord.java
@@ -11,16 +11,16 @@
 public interface SharedRecord<R extends SharedRow> {
 
   /** Whether it has been read; until then nothing may rest on it. */
-  boolean known();
+  boolean isLoaded();
 
   /**
    * Whether what is stored can't be made use of, being damaged or of a later form; its feature is
    * off then, and nothing is written over it.
    */
-  boolean broken();
+  boolean isUnusable();
 
   /** The rows that are surely stored, as last confirmed; empty if there are none. */
-  List<R> stored();
+  List<R> storedRows();
 
   /** The revision that is surely stored; zero if none is. */
   long revision();
@@ -32,8 +32,8 @@
    * @return the revision that will hold them: once {@link #revision()} is at least that, they were
    *     stored, or later ones were
    */
-  long want(List<R> rows);
+  long requestWrite(List<R> rows);
 
   /** Whether nothing wanted is still to be stored. */
-  boolean settled();
+  boolean isUpToDate();
 }
--- a/src/main/java/org/oakwalk/core/shared/SharedState.java
+++ b/src/main/java/org/oakwalk/core/shared/SharedRecords.java
@@ -16,7 +16,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Entry;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -26,35 +26,35 @@
  * this leader alone, under the guard of the leader key. All of them together use a stated share of
  * the state service's changes, so that acceptance, withdrawals and results always go before.
  */
-public final class SharedState {
-  private static final Logger LOG = LoggerFactory.getLogger(SharedState.class);
-  private static final Span RETRY = Span.millis(250);
+public final class SharedRecords {
+  private static final Logger LOG = LoggerFactory.getLogger(SharedRecords.class);
+  private static final Span READ_RETRY_DELAY = Span.millis(250);
 
   /** Part of the state service's changes a second that all records together may use. */
-  private static final double SHARE = 0.1;
+  private static final double WRITE_RATE_SHARE = 0.1;
 
   private final Outbox outbox;
-  private final Guard leader;
+  private final Guard leaderGuard;
   private final Settings.StateLimits limits;
-  private final Map<String, KeptRecord<?>> records = new TreeMap<>();
-  private final Map<String, StoredValue> found = new HashMap<>();
-  private final Map<String, Revision> stamps = new HashMap<>();
-  private Optional<String> after = Optional.empty();
-  private boolean reading;
-  private boolean read;
+  private final Map<String, StoredSharedRecord<?>> records = new TreeMap<>();
+  private final Map<String, StoredValue> loadedValues = new HashMap<>();
+  private final Map<String, Revision> loadedRevisions = new HashMap<>();
+  private Optional<String> lastLoadedKey = Optional.empty();
+  private boolean readPending;
+  private boolean loaded;
   private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
-  private int first;
-  private double allowance;
-  private Moment allowedUntil;
+  private int firstRecord;
+  private double writeTokens;
+  private Moment refilledAt;
 
   /**
    * Nothing read yet.
    *
-   * @param leader that this leader leads
+   * @param leaderGuard that this leader leads
    */
-  public SharedState(Outbox outbox, Guard leader, Settings.StateLimits limits) {
+  public SharedRecords(Outbox outbox, Guard leader, Settings.StateLimits limits) {
     this.outbox = outbox;
-    this.leader = leader;
+    this.leaderGuard = leader;
     this.limits = limits;
   }
 
@@ -64,80 +64,81 @@
    * @param name tells it from others, letters only; part of its keys
    * @param rows the rows it consists of; any others make it broken
    */
-  public <R extends SharedRow> SharedRecord<R> record(String name, Class<R> rows) {
-    KeptRecord<R> record = new KeptRecord<>(name, rows, outbox, leader, limits);
+  public <R extends SharedRow> SharedRecord<R> declare(String name, Class<R> rows) {
+    StoredSharedRecord<R> record =
+        new StoredSharedRecord<>(name, rows, outbox, leaderGuard, limits);
     records.put(name, record);
     return record;
   }
 
   /** Whether all records are known. */
-  public boolean known() {
-    return read;
+  public boolean isLoaded() {
+    return loaded;
   }
 
   /** Reads the records once, then stores what is wanted, as far as the share allows. */
   public void tick(Moment now) {
-    if (!read) {
+    if (!loaded) {
       read(now);
       return;
     }
-    allow(now);
+    refill(now);
     // Each time another one is asked first, so that none starves the others.
-    List<KeptRecord<?>> inTurn = new ArrayList<>(records.values());
-    Collections.rotate(inTurn, -first);
-    for (KeptRecord<?> record : inTurn) {
-      if (allowance <= 0) {
+    List<StoredSharedRecord<?>> inTurn = new ArrayList<>(records.values());
+    Collections.rotate(inTurn, -firstRecord);
+    for (StoredSharedRecord<?> record : inTurn) {
+      if (writeTokens <= 0) {
         return;
       }
-      allowance -= record.tick(now);
+      writeTokens -= record.tick(now);
     }
-    first = inTurn.isEmpty() ? 0 : (first + 1) % inTurn.size();
+    firstRecord = inTurn.isEmpty() ? 0 : (firstRecord + 1) % inTurn.size();
   }
 
   /** What was not used is not saved up beyond a second's worth, or what one commit takes. */
-  private void allow(Moment now) {
-    double perSecond = limits.writesPerSecond() * SHARE;
-    if (allowedUntil != null) {
-      allowance += now.since(allowedUntil).asSeconds() * perSecond;
+  private void refill(Moment now) {
+    double perSecond = limits.writesPerSecond() * WRITE_RATE_SHARE;
+    if (refilledAt != null) {
+      writeTokens += now.since(refilledAt).asSeconds() * perSecond;
     }
-    allowance = Math.min(allowance, Math.max(1, perSecond));
-    allowedUntil = now;
+    writeTokens = Math.min(writeTokens, Math.max(1, perSecond));
+    refilledAt = now;
   }
 
   private void read(Moment now) {
-    if (reading || nextTry.isAfter(now)) {
+    if (readPending || nextTry.isAfter(now)) {
       return;
     }
-    reading = true;
+    readPending = true;
     outbox.call(
-        new Request.ReadPage(Keys.SHARED, after, Request.Urgency.LEADERSHIP),
+        new Request.ReadPage(StoreKeys.SHARED_PREFIX, lastLoadedKey, Request.Urgency.LEADERSHIP),
         answer -> {
-          reading = false;
+          readPending = false;
           if (!(answer instanceof Answer.Page page)) {
-            nextTry = now.plus(RETRY);
+            nextTry = now.plus(READ_RETRY_DELAY);
             return;
           }
           for (Entry entry : page.entries()) {
-            found.put(entry.key(), entry.value());
-            stamps.put(entry.key(), entry.stamp());
+            loadedValues.put(entry.key(), entry.value());
+            loadedRevisions.put(entry.key(), entry.revision());
           }
           if (page.more() && !page.entries().isEmpty()) {
-            after = Optional.of(page.entries().get(page.entries().size() - 1).key());
+            lastLoadedKey = Optional.of(page.entries().get(page.entries().size() - 1).key());
           } else {
-            finish();
+            finishLoad();
           }
         });
   }
 
-  private void finish() {
-    read = true;
+  private void finishLoad() {
+    loaded = true;
     List<String> names = new ArrayList<>();
-    for (KeptRecord<?> record : records.values()) {
-      record.take(found, stamps);
+    for (StoredSharedRecord<?> record : records.values()) {
+      record.load(loadedValues, loadedRevisions);
       names.add(record.summary());
     }
-    found.clear();
-    stamps.clear();
+    loadedValues.clear();
+    loadedRevisions.clear();
     if (!names.isEmpty()) {
       LOG.info("shared records read: {}", String.join(", ", names));
     }
--- a/src/main/java/org/oakwalk/core/shared/SharedRow.java
+++ b/src/main/java/org/oakwalk/core/shared/SharedRow.java
@@ -6,15 +6,15 @@
  */
 public interface SharedRow {
   /** What a row without long names takes at most. */
-  int SHORT = 256;
+  int SHORT_ROW_BYTES = 256;
 
   /** Bytes that it takes in the store, as JSON; never too few. */
-  default int bytes() {
-    return SHORT;
+  default int maxJsonBytes() {
+    return SHORT_ROW_BYTES;
   }
 
   /** Bytes that a text takes in JSON at most, its quotes and a comma included. */
-  static int bytes(String text) {
+  static int maxJsonBytes(String text) {
     int bytes = 3;
     for (int i = 0; i < text.length(); i++) {
       char c = text.charAt(i);
--- a/src/main/java/org/oakwalk/core/shared/KeptRecord.java
+++ b/src/main/java/org/oakwalk/core/shared/StoredSharedRecord.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -27,8 +27,8 @@
  * read and then written anew, which voids whatever may still be on its way, before anything else is
  * written.
  */
-final class KeptRecord<R extends SharedRow> implements SharedRecord<R> {
-  private static final Logger LOG = LoggerFactory.getLogger(KeptRecord.class);
+final class StoredSharedRecord<R extends SharedRow> implements SharedRecord<R> {
+  private static final Logger LOG = LoggerFactory.getLogger(StoredSharedRecord.class);
 
   /** States of the writer. */
   enum State {
@@ -37,69 +37,70 @@
     /** Nothing is under way. */
     IDLE,
     /** Parts of a revision are being stored. */
-    PARTS,
+    WRITING_PARTS,
     /** The head that makes it count is being stored. */
-    HEAD,
+    WRITING_HEAD,
     /** An answer was lost: the head is being read. */
-    READING,
+    READING_HEAD,
     /** The head as it is, is written anew, which voids what may still be applied late. */
     FENCING,
     /** What is stored can't be made use of. */
-    BROKEN
+    UNUSABLE
   }
 
   /** More than what stands around the rows of a value takes. */
-  private static final int BYTES_OF_A_FRAME = 256;
+  private static final int VALUE_OVERHEAD_BYTES = 256;
 
-  private static final int SLOTS = 2;
-  private static final Span RETRY = Span.millis(500);
-  private static final Span LONGEST_RETRY = Span.seconds(4);
+  private static final int SLOT_COUNT = 2;
+  private static final Span MIN_RETRY_DELAY = Span.millis(500);
+  private static final Span MAX_RETRY_DELAY = Span.seconds(4);
 
   private final String name;
   private final Class<R> type;
   private final Outbox outbox;
-  private final Guard leader;
-  private final int bytesOfAPart;
-  private final int changesOfACommit;
+  private final Guard leaderGuard;
+  private final int maxBytesPerPart;
+  private final int maxChangesPerCommit;
 
   private State state = State.UNREAD;
-  private List<R> stored = List.of();
+  private List<R> storedRows = List.of();
   private long revision;
   private int slot;
-  private Revision stamp = Revision.NONE;
-  private Optional<List<R>> wanted = Optional.empty();
-  private long wantedAs;
-  private List<R> writing = List.of();
+  private Revision headStoreRevision = Revision.NONE;
+  private Optional<List<R>> pendingRows = Optional.empty();
+  private long pendingRevision;
+  private List<R> writingRows = List.of();
   private List<List<SharedRow>> parts = List.of();
-  private long writingAs;
-  private int storedParts;
+  private long writingRevision;
+  private int storedPartCount;
   private int partsWritten;
-  private boolean calling;
-  private Span pause = RETRY;
+  private boolean requestPending;
+  private Span retryDelay = MIN_RETRY_DELAY;
   private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
 
-  KeptRecord(String name, Class<R> type, Outbox outbox, Guard leader, Settings.StateLimits limits) {
+  StoredSharedRecord(
+      String name, Class<R> type, Outbox outbox, Guard leader, Settings.StateLimits limits) {
     this.name = name;
     this.type = type;
     this.outbox = outbox;
-    this.leader = leader;
-    this.bytesOfAPart = (int) (limits.valueKb() * 1024) - BYTES_OF_A_FRAME;
-    this.changesOfACommit = Math.max(1, limits.changesPerCommit());
+    this.leaderGuard = leader;
+    this.maxBytesPerPart = (int) (limits.valueKb() * 1024) - VALUE_OVERHEAD_BYTES;
+    this.maxChangesPerCommit = Math.max(1, limits.changesPerCommit());
   }
 
   @Override
-  public boolean known() {
+  public boolean isLoaded() {
     return state != State.UNREAD;
   }
 
   @Override
-  public boolean broken() {
-    return state == State.BROKEN;
+  public boolean isUnusable() {
+    return state == State.UNUSABLE;
   }
 
   @Override
-  public List<R> stored() {
-    return stored;
+  public List<R> storedRows() {
+    return storedRows;
   }
 
   @Override
@@ -108,30 +109,30 @@
   }
 
   @Override
-  public long want(List<R> rows) {
-    if (wanted.isEmpty() && state == State.IDLE && revision > 0 && rows.equals(stored)) {
+  public long requestWrite(List<R> rows) {
+    if (pendingRows.isEmpty() && state == State.IDLE && revision > 0 && rows.equals(storedRows)) {
       return revision;
     }
-    if (wanted.isEmpty()) {
-      wantedAs = Math.max(Math.max(wantedAs, writingAs), revision) + 1;
+    if (pendingRows.isEmpty()) {
+      pendingRevision = Math.max(Math.max(pendingRevision, writingRevision), revision) + 1;
     }
-    wanted = Optional.of(List.copyOf(rows));
-    return wantedAs;
+    pendingRows = Optional.of(List.copyOf(rows));
+    return pendingRevision;
   }
 
   @Override
-  public boolean settled() {
-    return wanted.isEmpty() && state == State.IDLE;
+  public boolean isUpToDate() {
+    return pendingRows.isEmpty() && state == State.IDLE;
   }
 
   String summary() {
-    return name + (broken() ? " broken" : " " + revision + " of " + stored.size());
+    return name + (isUnusable() ? " broken" : " " + revision + " of " + storedRows.size());
   }
 
   /** Takes over what was read of the store. */
-  void take(Map<String, StoredValue> found, Map<String, Revision> stamps) {
-    StoredValue value = found.get(Keys.sharedHead(name));
-    stamp = stamps.getOrDefault(Keys.sharedHead(name), Revision.NONE);
+  void load(Map<String, StoredValue> found, Map<String, Revision> stamps) {
+    StoredValue value = found.get(StoreKeys.sharedHead(name));
+    headStoreRevision = stamps.getOrDefault(StoreKeys.sharedHead(name), Revision.NONE);
     if (value == null) {
       enter(State.IDLE);
       return;
@@ -139,23 +140,23 @@
     try {
       StoredValue.SharedHead head = head(value);
       List<R> rows = new ArrayList<>(cast(head.rows()));
-      for (int i = 0; i < head.parts(); i++) {
-        if (!(found.get(Keys.sharedPart(name, head.slot(), i))
+      for (int i = 0; i < head.partCount(); i++) {
+        if (!(found.get(StoreKeys.sharedPart(name, head.slot(), i))
                 instanceof StoredValue.SharedPart part)
             || part.revision() != head.revision()) {
           throw new IllegalArgumentException("part " + i + " is missing");
         }
         rows.addAll(cast(part.rows()));
       }
-      stored = List.copyOf(rows);
+      storedRows = List.copyOf(rows);
       revision = head.revision();
       slot = head.slot();
-      storedParts = head.parts();
+      storedPartCount = head.partCount();
       enter(State.IDLE);
     } catch (IllegalArgumentException | ClassCastException e) {
       LOG.error("shared record {} can't be used, its feature is off: {}", name, e.getMessage());
-      stored = List.of();
-      enter(State.BROKEN);
+      storedRows = List.of();
+      enter(State.UNUSABLE);
     }
   }
 
@@ -173,33 +174,33 @@
 
   /** Goes on with what is to be stored; returns how many changes that asks for. */
   int tick(Moment now) {
-    if (calling || nextTry.isAfter(now)) {
+    if (requestPending || nextTry.isAfter(now)) {
       return 0;
     }
     return switch (state) {
-      case UNREAD, BROKEN -> 0;
-      case IDLE -> wanted.isPresent() ? begin(now) : 0;
-      case PARTS -> writeParts(now);
-      case HEAD -> writeHead(now);
-      case READING -> {
+      case UNREAD, UNUSABLE -> 0;
+      case IDLE -> pendingRows.isPresent() ? startWrite(now) : 0;
+      case WRITING_PARTS -> writeParts(now);
+      case WRITING_HEAD -> writeHead(now);
+      case READING_HEAD -> {
         readHead(now);
         yield 0;
       }
-      case FENCING -> fence(now);
+      case FENCING -> rewriteHead(now);
     };
   }
 
-  private int begin(Moment now) {
-    writing = wanted.orElseThrow();
-    writingAs = wantedAs;
-    wanted = Optional.empty();
-    parts = split(writing);
+  private int startWrite(Moment now) {
+    writingRows = pendingRows.orElseThrow();
+    writingRevision = pendingRevision;
+    pendingRows = Optional.empty();
+    parts = split(writingRows);
     partsWritten = 0;
-    if (parts.size() < changesOfACommit) {
-      enter(State.HEAD);
+    if (parts.size() < maxChangesPerCommit) {
+      enter(State.WRITING_HEAD);
       return writeHead(now);
     }
-    enter(State.PARTS);
+    enter(State.WRITING_PARTS);
     return writeParts(now);
   }
 
@@ -209,13 +210,13 @@
     List<SharedRow> part = new ArrayList<>();
     int bytes = 0;
     for (R row : rows) {
-      if (!part.isEmpty() && bytes + row.bytes() > bytesOfAPart) {
+      if (!part.isEmpty() && bytes + row.maxJsonBytes() > maxBytesPerPart) {
         split.add(part);
         part = new ArrayList<>();
         bytes = 0;
       }
       part.add(row);
-      bytes += row.bytes();
+      bytes += row.maxJsonBytes();
     }
     if (!split.isEmpty()) {
       split.add(part);
@@ -224,18 +225,18 @@
   }
 
   private int otherSlot() {
-    return (slot + 1) % SLOTS;
+    return (slot + 1) % SLOT_COUNT;
   }
 
   private Change part(int index) {
     return new Change.Put(
-        Keys.sharedPart(name, otherSlot(), index),
-        new StoredValue.SharedPart(writingAs, parts.get(index)),
+        StoreKeys.sharedPart(name, otherSlot(), index),
+        new StoredValue.SharedPart(writingRevision, parts.get(index)),
         Optional.empty());
   }
 
   private int writeParts(Moment now) {
-    int until = Math.min(parts.size(), partsWritten + changesOfACommit);
+    int until = Math.min(parts.size(), partsWritten + maxChangesPerCommit);
     List<Change> changes = new ArrayList<>();
     for (int i = partsWritten; i < until; i++) {
       changes.add(part(i));
@@ -246,7 +247,7 @@
         () -> {
           partsWritten = until;
           if (partsWritten == parts.size()) {
-            enter(State.HEAD);
+            enter(State.WRITING_HEAD);
           }
         });
     return changes.size();
@@ -258,77 +259,78 @@
       changes.add(part(i));
     }
     int to = parts.isEmpty() ? slot : otherSlot();
-    List<SharedRow> rows = parts.isEmpty() ? List.copyOf(writing) : List.of();
+    List<SharedRow> rows = parts.isEmpty() ? List.copyOf(writingRows) : List.of();
     changes.add(
         new Change.Put(
-            Keys.sharedHead(name),
-            new StoredValue.SharedHead(writingAs, to, parts.size(), rows),
+            StoreKeys.sharedHead(name),
+            new StoredValue.SharedHead(writingRevision, to, parts.size(), rows),
             Optional.empty()));
     commit(
         changes,
         now,
         () -> {
-          written(to);
+          confirmWritten(to);
           enter(State.IDLE);
         });
     return changes.size();
   }
 
-  private void written(int to) {
-    stored = writing;
-    revision = writingAs;
+  private void confirmWritten(int to) {
+    storedRows = writingRows;
+    revision = writingRevision;
     slot = to;
-    storedParts = parts.size();
+    storedPartCount = parts.size();
   }
 
   private void commit(List<Change> changes, Moment now, Runnable then) {
-    calling = true;
+    requestPending = true;
     outbox.call(
         new Request.Commit(
-            List.of(leader, new Guard(Keys.sharedHead(name), stamp)),
+            List.of(leaderGuard, new Guard(StoreKeys.sharedHead(name), headStoreRevision)),
             changes,
             Request.Urgency.REST),
         answer -> {
-          calling = false;
+          requestPending = false;
           if (answer instanceof Answer.Committed committed) {
-            pause = RETRY;
-            boolean headWritten = state == State.HEAD || state == State.FENCING;
-            stamp = headWritten ? committed.epoch() : stamp;
+            retryDelay = MIN_RETRY_DELAY;
+            boolean headWritten = state == State.WRITING_HEAD || state == State.FENCING;
+            headStoreRevision = headWritten ? committed.epoch() : headStoreRevision;
             then.run();
           } else if (answer instanceof Answer.Refused) {
-            later(now);
+            backOff(now);
           } else {
             // Applied, perhaps, or yet to be; or the head is not what it was taken for.
-            later(now);
-            enter(State.READING);
+            backOff(now);
+            enter(State.READING_HEAD);
           }
         });
   }
 
-  private void later(Moment now) {
-    nextTry = now.plus(pause);
-    pause = pause.times(2).compareTo(LONGEST_RETRY) > 0 ? LONGEST_RETRY : pause.times(2);
+  private void backOff(Moment now) {
+    nextTry = now.plus(retryDelay);
+    retryDelay =
+        retryDelay.times(2).compareTo(MAX_RETRY_DELAY) > 0 ? MAX_RETRY_DELAY : retryDelay.times(2);
   }
 
   private void readHead(Moment now) {
-    calling = true;
+    requestPending = true;
     outbox.call(
-        new Request.ReadPage(Keys.sharedHead(name), Optional.empty(), Request.Urgency.REST),
+        new Request.ReadPage(StoreKeys.sharedHead(name), Optional.empty(), Request.Urgency.REST),
         answer -> {
-          calling = false;
+          requestPending = false;
           if (!(answer instanceof Answer.Page page)) {
-            later(now);
+            backOff(now);
             return;
           }
-          stamp = Revision.NONE;
+          headStoreRevision = Revision.NONE;
           page.entries().stream()
-              .filter(entry -> entry.key().equals(Keys.sharedHead(name)))
+              .filter(entry -> entry.key().equals(StoreKeys.sharedHead(name)))
               .forEach(
                   entry -> {
-                    stamp = entry.stamp();
+                    headStoreRevision = entry.revision();
                     if (entry.value() instanceof StoredValue.SharedHead head
-                        && head.revision() == writingAs) {
-                      written(head.slot());
+                        && head.revision() == writingRevision) {
+                      confirmWritten(head.slot());
                     }
                   });
           enter(State.FENCING);
@@ -336,20 +338,20 @@
   }
 
   /** Writes the head as it is: whatever was sent before this has a guard that fails from now on. */
-  private int fence(Moment now) {
-    List<SharedRow> rows = storedParts > 0 ? List.of() : List.copyOf(stored);
+  private int rewriteHead(Moment now) {
+    List<SharedRow> rows = storedPartCount > 0 ? List.of() : List.copyOf(storedRows);
     commit(
         List.of(
             new Change.Put(
-                Keys.sharedHead(name),
-                new StoredValue.SharedHead(revision, slot, storedParts, rows),
+                StoreKeys.sharedHead(name),
+                new StoredValue.SharedHead(revision, slot, storedPartCount, rows),
                 Optional.empty())),
         now,
         () -> {
           enter(State.IDLE);
-          if (revision < writingAs && wanted.isEmpty()) {
-            wanted = Optional.of(writing);
-            wantedAs = writingAs;
+          if (revision < writingRevision && pendingRows.isEmpty()) {
+            pendingRows = Optional.of(writingRows);
+            pendingRevision = writingRevision;
           }
         });
     return 1;
@@ -359,13 +361,13 @@
   private void enter(State next) {
     boolean legal =
         switch (state) {
-          case UNREAD -> next == State.IDLE || next == State.BROKEN;
-          case IDLE -> next == State.PARTS || next == State.HEAD;
-          case PARTS -> next == State.HEAD || next == State.READING;
-          case HEAD -> next == State.IDLE || next == State.READING;
-          case READING -> next == State.FENCING;
-          case FENCING -> next == State.IDLE || next == State.READING;
-          case BROKEN -> false;
+          case UNREAD -> next == State.IDLE || next == State.UNUSABLE;
+          case IDLE -> next == State.WRITING_PARTS || next == State.WRITING_HEAD;
+          case WRITING_PARTS -> next == State.WRITING_HEAD || next == State.READING_HEAD;
+          case WRITING_HEAD -> next == State.IDLE || next == State.READING_HEAD;
+          case READING_HEAD -> next == State.FENCING;
+          case FENCING -> next == State.IDLE || next == State.READING_HEAD;
+          case UNUSABLE -> false;
         };
     if (!legal) {
       throw new IllegalStateException("record " + name + " from " + state + " to " + next);
--- a/src/main/java/org/oakwalk/core/store/Change.java
+++ b/src/main/java/org/oakwalk/core/store/Change.java
@@ -6,7 +6,7 @@
 /** One change in a transaction. */
 public sealed interface Change {
   /** Writes a key, bound to a lease if one is given. */
-  record Put(String key, StoredValue value, Optional<HoldId> hold) implements Change {}
+  record Put(String key, StoredValue value, Optional<HoldId> lease) implements Change {}
 
   /** Removes a key. */
   record Remove(String key) implements Change {}
--- a/src/main/java/org/oakwalk/core/store/DoneBits.java
+++ b/src/main/java/org/oakwalk/core/store/DoneBitmap.java
@@ -4,11 +4,11 @@
 import java.util.HexFormat;
 
 /** Text form of a set of finished tasks. */
-public final class DoneBits {
+public final class DoneBitmap {
   /** Tasks in one stored value: two kilobytes as text. */
-  public static final int CHUNK = 8192;
+  public static final int TASKS_PER_CHUNK = 8192;
 
-  private DoneBits() {}
+  private DoneBitmap() {}
 
   public static String encode(BitSet part) {
     return HexFormat.of().formatHex(part.toByteArray());
--- a/src/main/java/org/oakwalk/core/store/JobRecord.java
+++ b/src/main/java/org/oakwalk/core/store/JobRecord.java
@@ -4,7 +4,7 @@
 import org.oakwalk.core.job.JobSpec;
 
 /** A job as the state service keeps it. */
-public record JobRecord(JobSpec spec, Phase phase, WallTime accepted) implements StoredValue {
+public record JobRecord(JobSpec spec, Phase phase, WallTime acceptedAt) implements StoredValue {
 
   /** How far a job is, as far as it is stored. The last two are final. */
   public enum Phase {
@@ -17,7 +17,7 @@
     }
   }
 
-  public JobRecord in(Phase next) {
-    return new JobRecord(spec, next, accepted);
+  public JobRecord withPhase(Phase next) {
+    return new JobRecord(spec, next, acceptedAt);
   }
 }
--- a/src/main/java/org/oakwalk/core/store/KnownJob.java
+++ b/src/main/java/org/oakwalk/core/store/KnownJob.java
@@ -10,15 +10,25 @@
  * memory; that of a withdrawn one is kept, since its tasks may still be on machines.
  */
 public record KnownJob(
-    JobId id, JobRecord.Phase phase, Revision stamp, WallTime accepted, JobSpec spec, int tasks) {
+    JobId id,
+    JobRecord.Phase phase,
+    Revision revision,
+    WallTime acceptedAt,
+    JobSpec spec,
+    int tasks) {
 
   static KnownJob of(JobRecord record, Revision stamp) {
     JobSpec kept = record.phase() == JobRecord.Phase.DONE ? null : record.spec();
     return new KnownJob(
-        record.spec().id(), record.phase(), stamp, record.accepted(), kept, record.spec().tasks());
+        record.spec().id(),
+        record.phase(),
+        stamp,
+        record.acceptedAt(),
+        kept,
+        record.spec().tasks());
   }
 
   public JobRecord record() {
-    return new JobRecord(spec, phase, accepted);
+    return new JobRecord(spec, phase, acceptedAt);
   }
 }
--- a/src/main/java/org/oakwalk/core/store/KnownJobs.java
+++ b/src/main/java/org/oakwalk/core/store/KnownJobs.java
@@ -15,11 +15,11 @@
  */
 final class KnownJobs {
   /** How many ends may be known ahead of the copy; each is kept until the copy shows it. */
-  static final int MOST_LEARNED = 10_000;
+  static final int MAX_LEARNED_ENDS = 10_000;
 
   private final Map<JobId, KnownJob> jobs = new HashMap<>();
-  private final Map<JobId, JobRecord.Phase> learned = new HashMap<>();
-  private final OpenJobs open = new OpenJobs();
+  private final Map<JobId, JobRecord.Phase> learnedEnds = new HashMap<>();
+  private final OpenJobCounts open = new OpenJobCounts();
 
   Optional<KnownJob> find(JobId id) {
     return Optional.ofNullable(jobs.get(id));
@@ -29,15 +29,15 @@
     return jobs.values();
   }
 
-  OpenJobs open() {
+  OpenJobCounts open() {
     return open;
   }
 
   /** Takes over a stored record; returns the job if the record is newer than what was known. */
-  Optional<KnownJob> stored(JobRecord record, Revision stamp) {
+  Optional<KnownJob> applyStored(JobRecord record, Revision stamp) {
     JobId id = record.spec().id();
     KnownJob before = jobs.get(id);
-    if (before != null && before.stamp().compareTo(stamp) >= 0) {
+    if (before != null && before.revision().compareTo(stamp) >= 0) {
       return Optional.empty();
     }
     return Optional.of(put(before, KnownJob.of(withLearnedEnd(record), stamp), record));
@@ -48,40 +48,40 @@
    *
    * @return whether that is known from here on; false if there is no room for it
    */
-  boolean learn(JobId id, JobRecord.Phase end) {
+  boolean learnEnd(JobId id, JobRecord.Phase end) {
     if (find(id).filter(job -> job.phase().isFinal()).isPresent()) {
       return true;
     }
-    if (learned.size() >= MOST_LEARNED && !learned.containsKey(id)) {
+    if (learnedEnds.size() >= MAX_LEARNED_ENDS && !learnedEnds.containsKey(id)) {
       return false;
     }
-    learned.put(id, end);
+    learnedEnds.put(id, end);
     return true;
   }
 
   /** The job as it is now if its end was learned but does not count in it yet. */
-  Optional<KnownJob> applyLearned(JobId id) {
+  Optional<KnownJob> applyLearnedEnd(JobId id) {
     KnownJob before = jobs.get(id);
-    JobRecord.Phase end = learned.get(id);
+    JobRecord.Phase end = learnedEnds.get(id);
     if (before == null || end == null || before.phase().isFinal()) {
       return Optional.empty();
     }
-    JobRecord record = before.record().in(end);
-    return Optional.of(put(before, KnownJob.of(record, before.stamp()), record));
+    JobRecord record = before.record().withPhase(end);
+    return Optional.of(put(before, KnownJob.of(record, before.revision()), record));
   }
 
   private JobRecord withLearnedEnd(JobRecord record) {
     if (record.phase().isFinal()) {
-      learned.remove(record.spec().id());
+      learnedEnds.remove(record.spec().id());
       return record;
     }
-    JobRecord.Phase end = learned.get(record.spec().id());
-    return end == null ? record : record.in(end);
+    JobRecord.Phase end = learnedEnds.get(record.spec().id());
+    return end == null ? record : record.withPhase(end);
   }
 
   private KnownJob put(KnownJob before, KnownJob job, JobRecord record) {
     jobs.put(job.id(), job);
-    open.count(record.spec().team(), before, job);
+    open.update(record.spec().team(), before, job);
     return job;
   }
 }
--- a/src/main/java/org/oakwalk/core/store/RequestQueue.java
+++ b/src/main/java/org/oakwalk/core/store/RequestQueue.java
@@ -21,23 +21,24 @@
  */
 public final class RequestQueue {
   /** Longer than this nobody waits for an answer, or would rather ask another node. */
-  private static final long LONGEST_WAIT_MILLIS = 2_500;
+  private static final long MAX_WAIT_MILLIS = 2_500;
 
-  private static final long SWEEP_EVERY_MILLIS = 200;
+  private static final long SWEEP_INTERVAL_MILLIS = 200;
 
   /** So many wait at most, of reads and of writes. */
-  private static final int LONGEST = 400;
+  private static final int MAX_QUEUE_LENGTH = 400;
 
-  private static final int TOO_MANY = 429;
-  private static final int LEAST_PAUSE_MILLIS = 20;
-  private static final int MOST_PAUSE_MILLIS = 80;
+  private static final int HTTP_TOO_MANY_REQUESTS = 429;
+  private static final int MIN_PAUSE_MILLIS = 20;
+  private static final int MAX_PAUSE_MILLIS = 80;
 
-  private record Waiting(Request.State request, long number, long since, Consumer<Answer> then) {
+  private record QueuedRequest(
+      Request.State request, long sequence, long queuedAt, Consumer<Answer> callback) {
     int rank() {
       return request.urgency().ordinal();
     }
 
-    boolean submission() {
+    boolean isSubmission() {
       return request.urgency() == Request.Urgency.ACCEPTANCE;
     }
 
@@ -46,26 +47,26 @@
     }
 
     /** A few small ones without which nobody leads: they wait for no budget. */
-    boolean vital() {
+    boolean bypassesRates() {
       return request.urgency() == Request.Urgency.LEADERSHIP
           && !(request instanceof Request.Watch)
           && !(request instanceof Request.ReadPage);
     }
   }
 
-  private static final Comparator<Waiting> ORDER =
-      Comparator.comparingInt(Waiting::rank).thenComparingLong(Waiting::number);
+  private static final Comparator<QueuedRequest> ORDER =
+      Comparator.comparingInt(QueuedRequest::rank).thenComparingLong(QueuedRequest::sequence);
 
-  private final SharedRate requests;
-  private final SharedRate writes;
+  private final AdaptiveTokenBucket requestRate;
+  private final AdaptiveTokenBucket writeRate;
   private final BiConsumer<Request.State, Consumer<Answer>> sender;
-  private final PriorityQueue<Waiting> reading = new PriorityQueue<>(ORDER);
-  private final PriorityQueue<Waiting> writing = new PriorityQueue<>(ORDER);
+  private final PriorityQueue<QueuedRequest> reading = new PriorityQueue<>(ORDER);
+  private final PriorityQueue<QueuedRequest> writing = new PriorityQueue<>(ORDER);
   private final SplittableRandom jitter;
-  private long numbers;
+  private long lastSequence;
 
   /** How much has been written for submissions since something less urgent began to wait. */
-  private int owed;
+  private int submissionLead;
 
   private long clock;
   private long nextSweep;
@@ -80,9 +81,9 @@
       Settings settings, long now, BiConsumer<Request.State, Consumer<Answer>> sender) {
     Settings.StateLimits limits = settings.state();
     int nodes = settings.peers().size() + 1;
-    this.requests = new SharedRate(limits.requestsPerSecond(), nodes, 3, 4, now);
-    this.writes =
-        new SharedRate(
+    this.requestRate = new AdaptiveTokenBucket(limits.requestsPerSecond(), nodes, 3, 4, now);
+    this.writeRate =
+        new AdaptiveTokenBucket(
             limits.writesPerSecond(), nodes, 2, Math.max(4, limits.changesPerCommit()), now);
     this.sender = sender;
     this.jitter = new SplittableRandom(seed(settings.node()));
@@ -95,22 +96,22 @@
   }
 
   /** Takes a request; it is sent as soon as its turn comes and the rates allow. */
-  public void call(Request.State request, long now, Consumer<Answer> then) {
-    PriorityQueue<Waiting> line = line(request);
-    line.add(new Waiting(request, ++numbers, now, then));
-    if (line.size() > LONGEST) {
+  public void enqueue(Request.State request, long now, Consumer<Answer> then) {
+    PriorityQueue<QueuedRequest> line = queueFor(request);
+    line.add(new QueuedRequest(request, ++lastSequence, now, then));
+    if (line.size() > MAX_QUEUE_LENGTH) {
       // The last of whatever floods the line gives way: submissions must not keep out the few
       // withdrawals, claims and ends of jobs. Reads have a line of their own.
-      Waiting last = lastOfMost(line);
+      QueuedRequest last = lastOfLargestClass(line);
       line.removeIf(waiting -> waiting == last);
-      last.then().accept(new Answer.Refused(TOO_MANY, "queue is full"));
+      last.callback().accept(new Answer.Refused(HTTP_TOO_MANY_REQUESTS, "queue is full"));
     }
-    pump(now);
+    sendDue(now);
   }
 
   /** Of the kind of which most wait, the one that came last. */
-  private static Waiting lastOfMost(PriorityQueue<Waiting> line) {
-    Map<Request.Urgency, List<Waiting>> kinds = new EnumMap<>(Request.Urgency.class);
+  private static QueuedRequest lastOfLargestClass(PriorityQueue<QueuedRequest> line) {
+    Map<Request.Urgency, List<QueuedRequest>> kinds = new EnumMap<>(Request.Urgency.class);
     line.forEach(
         one -> kinds.computeIfAbsent(one.request().urgency(), u -> new ArrayList<>()).add(one));
     return kinds.values().stream()
@@ -119,49 +120,50 @@
         .orElseThrow();
   }
 
-  private PriorityQueue<Waiting> line(Request.State request) {
+  private PriorityQueue<QueuedRequest> queueFor(Request.State request) {
     return request.writes() > 0 ? writing : reading;
   }
 
   /** Sends what the rates allow by now. */
-  public void pump(long now) {
+  public void sendDue(long now) {
     clock = now;
     if (now >= nextSweep) {
-      nextSweep = now + SWEEP_EVERY_MILLIS;
-      sweep(reading, now);
-      sweep(writing, now);
+      nextSweep = now + SWEEP_INTERVAL_MILLIS;
+      refuseExpired(reading, now);
+      refuseExpired(writing, now);
     }
-    for (Waiting next = next(now); next != null; next = next(now)) {
-      Waiting sent = next;
-      PriorityQueue<Waiting> line = line(sent.request());
+    for (QueuedRequest next = nextDue(now); next != null; next = nextDue(now)) {
+      QueuedRequest sent = next;
+      PriorityQueue<QueuedRequest> line = queueFor(sent.request());
       if (line.peek() == sent) {
         line.poll();
       } else {
         line.removeIf(waiting -> waiting == sent);
       }
-      requests.spend(1);
-      writes.spend(sent.request().writes());
-      share(sent);
-      sender.accept(sent.request(), answer -> answered(sent, answer));
+      requestRate.consume(1);
+      writeRate.consume(sent.request().writes());
+      updateSubmissionLead(sent);
+      sender.accept(sent.request(), answer -> onAnswer(sent, answer));
     }
   }
 
   /** Gives up what has waited for too long, also behind others that go on coming. */
-  private static void sweep(PriorityQueue<Waiting> line, long now) {
-    List<Waiting> late = new ArrayList<>();
-    for (Waiting waiting : line) {
-      if (now - waiting.since() > LONGEST_WAIT_MILLIS) {
+  private static void refuseExpired(PriorityQueue<QueuedRequest> line, long now) {
+    List<QueuedRequest> late = new ArrayList<>();
+    for (QueuedRequest waiting : line) {
+      if (now - waiting.queuedAt() > MAX_WAIT_MILLIS) {
         late.add(waiting);
       }
     }
     line.removeAll(late);
-    late.forEach(waiting -> waiting.then().accept(new Answer.Refused(TOO_MANY, "late")));
+    late.forEach(
+        waiting -> waiting.callback().accept(new Answer.Refused(HTTP_TOO_MANY_REQUESTS, "late")));
   }
 
   /** What is to leave the line next, or null if nothing may now. */
-  private Waiting next(long now) {
-    Waiting write = due(firstWrite(), now);
-    Waiting read = due(reading.peek(), now);
+  private QueuedRequest nextDue(long now) {
+    QueuedRequest write = ifAllowed(nextWrite(), now);
+    QueuedRequest read = ifAllowed(reading.peek(), now);
     if (write == null || read == null) {
       return write == null ? read : write;
     }
@@ -174,56 +176,58 @@
    * else no job would be done, nor any result safe, for as long as more is submitted than the
    * service takes.
    */
-  private Waiting firstWrite() {
-    Waiting first = writing.peek();
-    if (first == null || !first.submission() || owed == 0) {
+  private QueuedRequest nextWrite() {
+    QueuedRequest first = writing.peek();
+    if (first == null || !first.isSubmission() || submissionLead == 0) {
       return first;
     }
     return writing.stream()
-        .filter(one -> one.lessUrgentThanSubmissions() && one.request().writes() <= owed)
-        .min(Comparator.comparingLong(Waiting::number))
+        .filter(one -> one.lessUrgentThanSubmissions() && one.request().writes() <= submissionLead)
+        .min(Comparator.comparingLong(QueuedRequest::sequence))
         .orElse(first);
   }
 
   /** Counts how much submissions are ahead of what is less urgent. */
-  private void share(Waiting sent) {
+  private void updateSubmissionLead(QueuedRequest sent) {
     int cost = sent.request().writes();
     if (cost == 0) {
       return;
     }
-    if (writing.stream().noneMatch(Waiting::lessUrgentThanSubmissions)) {
-      owed = 0;
-    } else if (sent.submission()) {
-      owed += cost;
+    if (writing.stream().noneMatch(QueuedRequest::lessUrgentThanSubmissions)) {
+      submissionLead = 0;
+    } else if (sent.isSubmission()) {
+      submissionLead += cost;
     } else if (sent.lessUrgentThanSubmissions()) {
-      owed = Math.max(0, owed - cost);
+      submissionLead = Math.max(0, submissionLead - cost);
     }
   }
 
-  private Waiting due(Waiting first, long now) {
+  private QueuedRequest ifAllowed(QueuedRequest first, long now) {
     if (first == null) {
       return null;
     }
     int cost = first.request().writes();
-    if (first.vital()) {
-      return requests.paused(now) || (cost > 0 && writes.paused(now)) ? null : first;
+    if (first.bypassesRates()) {
+      return requestRate.isPaused(now) || (cost > 0 && writeRate.isPaused(now)) ? null : first;
     }
-    return requests.has(1, now) && (cost == 0 || writes.has(cost, now)) ? first : null;
+    return requestRate.refillAndCheck(1, now) && (cost == 0 || writeRate.refillAndCheck(cost, now))
+        ? first
+        : null;
   }
 
-  private void answered(Waiting sent, Answer answer) {
-    if (answer instanceof Answer.Refused refused && refused.status() == TOO_MANY) {
+  private void onAnswer(QueuedRequest sent, Answer answer) {
+    if (answer instanceof Answer.Refused refused && refused.status() == HTTP_TOO_MANY_REQUESTS) {
       // Which of the two limits it was is not told. Writes are far fewer, so it is mostly theirs.
-      SharedRate exceeded = sent.request().writes() > 0 ? writes : requests;
-      exceeded.refused(clock, jitter.nextInt(LEAST_PAUSE_MILLIS, MOST_PAUSE_MILLIS));
-      line(sent.request()).add(sent);
+      AdaptiveTokenBucket exceeded = sent.request().writes() > 0 ? writeRate : requestRate;
+      exceeded.onRefused(clock, jitter.nextInt(MIN_PAUSE_MILLIS, MAX_PAUSE_MILLIS));
+      queueFor(sent.request()).add(sent);
       return;
     }
-    sent.then().accept(answer);
+    sent.callback().accept(answer);
   }
 
   /** The time by which answers are handled. */
-  public void clock(long now) {
+  public void setTime(long now) {
     clock = now;
   }
 }
--- a/src/main/java/org/oakwalk/core/store/StoreView.java
+++ b/src/main/java/org/oakwalk/core/store/StoreView.java
@@ -45,7 +45,7 @@
     void jobChanged(KnownJob job, Moment now);
 
     /** Changes were missed, and all is read anew. */
-    default void historyLost(Moment now) {}
+    default void historyTruncated(Moment now) {}
   }
 
   /** The leader key as last seen. */
@@ -58,78 +58,78 @@
    * @param earliest begin of the last read that did not show it, so it was made later
    * @param watched whether it was seen as it was made, so that its age is known
    */
-  public record Relayed(
+  public record RelayAnnouncement(
       StoredValue.RelayRecord record,
-      Revision stamp,
-      Moment seen,
-      Moment earliest,
-      boolean watched) {}
+      Revision revision,
+      Moment seenAt,
+      Moment earliestWrite,
+      boolean seenByWatch) {}
 
   /** How many ends of jobs may be known ahead of this copy. */
-  public static final int MOST_LEARNED_ENDS = KnownJobs.MOST_LEARNED;
+  public static final int MAX_LEARNED_ENDS = KnownJobs.MAX_LEARNED_ENDS;
 
-  private static final Span HOLD = Span.millis(1000);
-  private static final Span RETRY = Span.millis(250);
+  private static final Span WATCH_HOLD = Span.millis(1000);
+  private static final Span RETRY_DELAY = Span.millis(250);
 
   /** Part of the rate that all nodes' reads may take together, and all nodes' watches likewise. */
-  private static final double SHARE = 0.4;
+  private static final double RATE_SHARE = 0.4;
 
-  private static final Span STALE = Span.millis(1800);
+  private static final Span STALE_AFTER = Span.millis(1800);
 
   /** By how much a copy that is fresh may lag behind the store, with a margin. */
-  public static final Span LAG = Span.millis(2000);
+  public static final Span MAX_LAG = Span.millis(2000);
 
   /** Bursts and clocks that differ; a rate that is a good deal higher than the settings say. */
-  private static final double FEW_SECONDS = 60;
+  private static final double BURST_MARGIN_SECONDS = 60;
 
-  private static final double AMPLE = 10;
+  private static final double RATE_MARGIN_FACTOR = 10;
 
   private final Outbox outbox;
   private final double requestsPerSecond;
-  private final Span spacing;
-  private final Span leaderSpacing;
+  private final Span readInterval;
+  private final Span leaderWatchInterval;
   private boolean leading;
   private final KnownJobs jobs = new KnownJobs();
-  private final Map<String, Relayed> relays = new HashMap<>();
-  private final Set<String> relaysOnPages = new HashSet<>();
+  private final Map<String, RelayAnnouncement> relays = new HashMap<>();
+  private final Set<String> loadedRelays = new HashSet<>();
   private final Set<String> unreadable = new HashSet<>();
-  private final StoredPlans plans = new StoredPlans();
-  private final StoredProduct product = new StoredProduct();
-  private Optional<StoredValue.StopsRecord> stops = Optional.empty();
-  private Revision stopsStamp = Revision.NONE;
-  private Revision typesStamp = Revision.NONE;
+  private final StoredDrainPlans drainPlans = new StoredDrainPlans();
+  private final StoredProductTerms productTerms = new StoredProductTerms();
+  private Optional<StoredValue.StopsRecord> recentStops = Optional.empty();
+  private Revision recentStopsRevision = Revision.NONE;
+  private Revision machineTypesRevision = Revision.NONE;
 
-  private Map<String, MachineType> types = Map.of();
-  private final Deque<Consumer<Boolean>> waiting = new ArrayDeque<>();
+  private Map<String, MachineType> machineTypes = Map.of();
+  private final Deque<Consumer<Boolean>> catchUpCallbacks = new ArrayDeque<>();
 
   /** How many there ever were, so that each knows which reads began after it. */
-  private long asked;
+  private long catchUpCount;
 
   private Listener listener;
   private State state = State.LOADING;
   private Optional<Leader> leader = Optional.empty();
-  private Revision leaderStamp = new Revision(0);
+  private Revision leaderRevision = new Revision(0);
 
   /** When each node that led was seen to lead no more. */
   private final Map<NodeId, Moment> ledUntil = new HashMap<>();
 
   /** Since when there has been no leader key, as far as was seen here. */
-  private Moment vacantSince;
+  private Moment leaderMissingSince;
 
   private Moment liveSince;
   private Revision position = new Revision(0);
-  private Revision loadEpoch;
-  private Moment loadBegan;
-  private int pages;
-  private boolean leaderOnPages;
-  private Optional<String> loadAfter = Optional.empty();
-  private boolean busy;
-  private boolean reading;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private Revision loadRevision;
+  private Moment loadStartedAt;
+  private int loadedPages;
+  private boolean leaderLoaded;
+  private Optional<String> lastLoadedKey = Optional.empty();
+  private boolean loadOrWatchPending;
+  private boolean readPending;
+  private Moment nextLoadOrWatch = new Moment(Long.MIN_VALUE / 2);
   private Moment nextRead = new Moment(Long.MIN_VALUE / 2);
-  private Moment contact = new Moment(Long.MIN_VALUE / 2);
+  private Moment lastConfirmed = new Moment(Long.MIN_VALUE / 2);
   private boolean failing;
-  private boolean everLive;
+  private boolean loadedOnce;
   private Moment clock = new Moment(0);
 
   /**
@@ -140,17 +140,17 @@
   public StoreView(Outbox outbox, double requestsPerSecond, int nodes) {
     this.outbox = outbox;
     this.requestsPerSecond = requestsPerSecond;
-    this.spacing =
-        Span.millis(Math.max(10, Math.round(1000 * nodes / (requestsPerSecond * SHARE))));
-    this.leaderSpacing = Span.millis(Math.max(1, Math.round(4000 / requestsPerSecond)));
+    this.readInterval =
+        Span.millis(Math.max(10, Math.round(1000 * nodes / (requestsPerSecond * RATE_SHARE))));
+    this.leaderWatchInterval = Span.millis(Math.max(1, Math.round(4000 / requestsPerSecond)));
   }
 
   /** Whether this node leads, so that new jobs should be seen at once. */
-  public void leads(boolean on) {
+  public void setLeading(boolean on) {
     leading = on;
   }
 
-  public void listen(Listener to) {
+  public void setListener(Listener to) {
     this.listener = to;
   }
 
@@ -162,7 +162,7 @@
    * Nodes that may have led at some time within this span, the present leader apart; empty if this
    * copy has not followed the leader key without a gap for so long.
    */
-  public Optional<Set<NodeId>> ledWithin(Span span, Moment now) {
+  public Optional<Set<NodeId>> recentLeaders(Span span, Moment now) {
     if (state != State.LIVE || !now.past(liveSince, span)) {
       return Optional.empty();
     }
@@ -177,8 +177,8 @@
   }
 
   /** When the leader key was last seen to be gone; empty if never. */
-  public Optional<Moment> vacantSince() {
-    return Optional.ofNullable(vacantSince);
+  public Optional<Moment> leaderMissingSince() {
+    return Optional.ofNullable(leaderMissingSince);
   }
 
   public Optional<KnownJob> job(JobId id) {
@@ -190,73 +190,73 @@
   }
 
   /** How many jobs are not over. */
-  public OpenJobs openJobs() {
+  public OpenJobCounts openJobs() {
     return jobs.open();
   }
 
   /** What is known of followers that keep leases alive in a zone. */
-  public Optional<Relayed> relayed(String zone) {
-    return Optional.ofNullable(relays.get(Keys.relay(zone)));
+  public Optional<RelayAnnouncement> relays(String zone) {
+    return Optional.ofNullable(relays.get(StoreKeys.relay(zone)));
   }
 
   /** All that is known of this kind. */
-  public Collection<Relayed> relayed() {
+  public Collection<RelayAnnouncement> relays() {
     return relays.values();
   }
 
   /** Plans to empty machines. */
-  public StoredPlans plans() {
-    return plans;
+  public StoredDrainPlans drainPlans() {
+    return drainPlans;
   }
 
   /** What is in force of dawns, headroom and exchanges. */
-  public StoredProduct product() {
-    return product;
+  public StoredProductTerms productTerms() {
+    return productTerms;
   }
 
   /** Stops that leaders were granted of late. */
-  public Optional<StoredValue.StopsRecord> stops() {
-    return stops;
+  public Optional<StoredValue.StopsRecord> recentStops() {
+    return recentStops;
   }
 
   /** When they were stored; none if they are not. */
-  public Revision stopsStamp() {
-    return stopsStamp;
+  public Revision recentStopsRevision() {
+    return recentStopsRevision;
   }
 
   /** The machine types as a leader last stored them; empty if none did. */
-  public Map<String, MachineType> types() {
-    return types;
+  public Map<String, MachineType> machineTypes() {
+    return machineTypes;
   }
 
   /** When the types were stored; none if they are not. */
-  public Revision typesStamp() {
-    return typesStamp;
+  public Revision machineTypesRevision() {
+    return machineTypesRevision;
   }
 
   /** Whether there is a record of the job that can't be read. */
-  public boolean unreadable(JobId id) {
-    return unreadable.contains(Keys.job(id));
+  public boolean isUnreadable(JobId id) {
+    return unreadable.contains(StoreKeys.job(id));
   }
 
   /** The time by which changes are applied. */
-  public void clock(Moment now) {
+  public void setTime(Moment now) {
     clock = now;
   }
 
   /** Whether everything has been read once. */
-  public boolean loaded() {
-    return everLive;
+  public boolean isLoaded() {
+    return loadedOnce;
   }
 
   /** Whether the copy is complete and was confirmed a short time ago. */
-  public boolean fresh(Moment now) {
-    return state == State.LIVE && !now.past(contact, STALE);
+  public boolean isFresh(Moment now) {
+    return state == State.LIVE && !now.past(lastConfirmed, STALE_AFTER);
   }
 
   /** Begin of the last read that succeeded: everything stored before it is known here. */
-  public Moment contact() {
-    return contact;
+  public Moment lastConfirmed() {
+    return lastConfirmed;
   }
 
   /** Up to which revision this copy holds everything that was stored. */
@@ -273,7 +273,7 @@
    * The highest revision at which the key of the leader with this token is known to have stood. A
    * later claim needs the key to be gone, so each later token is higher.
    */
-  public Token standsUntil(Token granted) {
+  public Token latestTokenOf(Token granted) {
     boolean stands =
         state == State.LIVE && leader.filter(last -> last.token().equals(granted)).isPresent();
     return stands && covers(granted) ? new Token(position.value()) : granted;
@@ -283,15 +283,18 @@
    * Whether nobody can have been granted this token yet: each change is a request, and the service
    * takes no more of them in the time since this copy was last confirmed.
    */
-  public boolean beyond(Token token, Moment now) {
-    double most = (now.since(contact).asSeconds() + FEW_SECONDS) * requestsPerSecond * AMPLE;
+  public boolean isImplausible(Token token, Moment now) {
+    double most =
+        (now.since(lastConfirmed).asSeconds() + BURST_MARGIN_SECONDS)
+            * requestsPerSecond
+            * RATE_MARGIN_FACTOR;
     return state == State.LIVE && token.value() - position.value() > most;
   }
 
   /** Keeps the watch and the reads going. */
   public void tick(Moment now) {
     clock = now;
-    if (!busy && !nextTry.isAfter(now)) {
+    if (!loadOrWatchPending && !nextLoadOrWatch.isAfter(now)) {
       if (state == State.LOADING) {
         load(now);
       } else {
@@ -306,12 +309,12 @@
    * if that can't be had now. Requests that come together share one read.
    */
   public void catchUp(Moment now, Consumer<Boolean> then) {
-    if (state != State.LIVE || (failing && !fresh(now))) {
+    if (state != State.LIVE || (failing && !isFresh(now))) {
       then.accept(false);
       return;
     }
-    waiting.add(then);
-    asked++;
+    catchUpCallbacks.add(then);
+    catchUpCount++;
     read(now);
   }
 
@@ -319,8 +322,8 @@
    * This node's own write of a job was applied. It counts here at once: the watch may bring it a
    * good while after others were told of it.
    */
-  public void written(JobRecord record, Revision stamp) {
-    apply(Keys.job(record.spec().id()), Optional.of(record), stamp);
+  public void applyOwnWrite(JobRecord record, Revision stamp) {
+    apply(StoreKeys.job(record.spec().id()), Optional.of(record), stamp);
   }
 
   /**
@@ -330,82 +333,86 @@
    *
    * @return whether it counts from here on; if not, the answer must not be passed on
    */
-  public boolean learned(JobId id, JobRecord.Phase end) {
-    boolean counts = jobs.learn(id, end);
-    jobs.applyLearned(id).ifPresent(job -> listener.jobChanged(job, clock));
+  public boolean learnEnd(JobId id, JobRecord.Phase end) {
+    boolean counts = jobs.learnEnd(id, end);
+    jobs.applyLearnedEnd(id).ifPresent(job -> listener.jobChanged(job, clock));
     return counts;
   }
 
   private void read(Moment now) {
-    if (reading || waiting.isEmpty() || nextRead.isAfter(now) || state != State.LIVE) {
+    if (readPending || catchUpCallbacks.isEmpty() || nextRead.isAfter(now) || state != State.LIVE) {
       return;
     }
-    reading = true;
-    nextRead = now.plus(spacing);
-    long before = asked;
+    readPending = true;
+    nextRead = now.plus(readInterval);
+    long before = catchUpCount;
     Request.Watch request =
-        new Request.Watch(Keys.WATCHED, position, Span.millis(0), Request.Urgency.ACCEPTANCE);
+        new Request.Watch(
+            StoreKeys.WATCHED_PREFIX, position, Span.millis(0), Request.Urgency.ACCEPTANCE);
     outbox.call(
         request,
         answer -> {
-          reading = false;
-          boolean current = take(answer, now);
-          if (current && !leading && !busy && now.plus(spacing).isAfter(nextTry)) {
+          readPending = false;
+          boolean current = applyChanges(answer, now);
+          if (current
+              && !leading
+              && !loadOrWatchPending
+              && now.plus(readInterval).isAfter(nextLoadOrWatch)) {
             // As long as questions are read for, a watch beside them would tell nothing sooner.
-            nextTry = now.plus(spacing.times(1.5));
+            nextLoadOrWatch = now.plus(readInterval.times(1.5));
           }
-          serve(before, current);
+          completeCatchUps(before, current);
         });
   }
 
   /** Answers those who asked before a read began, unless one that began later has done so. */
-  private void serve(long before, boolean current) {
-    long first = asked - waiting.size();
+  private void completeCatchUps(long before, boolean current) {
+    long first = catchUpCount - catchUpCallbacks.size();
     for (long number = first; number < before; number++) {
-      waiting.poll().accept(current);
+      catchUpCallbacks.poll().accept(current);
     }
   }
 
   private void watch(Moment now) {
-    busy = true;
-    long before = asked;
+    loadOrWatchPending = true;
+    long before = catchUpCount;
     // Right after pages that took long to read, what they lag behind by is asked for at once.
-    Span hold = now.past(contact, STALE) && !failing ? Span.millis(0) : HOLD;
+    Span hold = now.past(lastConfirmed, STALE_AFTER) && !failing ? Span.millis(0) : WATCH_HOLD;
     outbox.call(
-        new Request.Watch(Keys.WATCHED, position, hold, Request.Urgency.LEADERSHIP),
+        new Request.Watch(StoreKeys.WATCHED_PREFIX, position, hold, Request.Urgency.LEADERSHIP),
         answer -> {
-          busy = false;
-          if (!take(answer, now)) {
-            nextTry = clock.plus(RETRY);
+          loadOrWatchPending = false;
+          if (!applyChanges(answer, now)) {
+            nextLoadOrWatch = clock.plus(RETRY_DELAY);
           } else {
             // Each change ends every node's watch. Opened again at once they would take more than
             // the whole rate when much is written.
-            nextTry = now.plus(leading ? leaderSpacing : spacing);
-            serve(before, true);
+            nextLoadOrWatch = now.plus(leading ? leaderWatchInterval : readInterval);
+            completeCatchUps(before, true);
             tick(clock);
           }
         });
   }
 
   /** Applies the answer to a watch; false if it told nothing. */
-  private boolean take(Answer answer, Moment begun) {
+  private boolean applyChanges(Answer answer, Moment begun) {
     if (answer instanceof Answer.Changes changes) {
-      for (News news : changes.news()) {
-        if (news.stamp().compareTo(position) > 0) {
-          apply(news.key(), news.value(), news.stamp());
+      for (KeyChange news : changes.news()) {
+        if (news.revision().compareTo(position) > 0) {
+          apply(news.key(), news.value(), news.revision());
         }
       }
       if (changes.epoch().compareTo(position) > 0) {
         position = changes.epoch();
       }
-      touched(begun);
+      confirmed(begun);
       return true;
     }
     if (answer instanceof Answer.Refused refused && refused.status() == 410) {
       // The history was cut off behind us: read everything again, unless that has begun.
       if (state == State.LIVE) {
         enter(State.LOADING);
-        listener.historyLost(clock);
+        listener.historyTruncated(clock);
       }
       return false;
     }
@@ -414,69 +421,69 @@
   }
 
   private void load(Moment now) {
-    busy = true;
-    if (loadEpoch == null) {
-      loadBegan = now;
+    loadOrWatchPending = true;
+    if (loadRevision == null) {
+      loadStartedAt = now;
     }
     outbox.call(
-        new Request.ReadPage(Keys.WATCHED, loadAfter, Request.Urgency.LEADERSHIP),
+        new Request.ReadPage(StoreKeys.WATCHED_PREFIX, lastLoadedKey, Request.Urgency.LEADERSHIP),
         answer -> {
-          busy = false;
+          loadOrWatchPending = false;
           if (!(answer instanceof Answer.Page page)) {
-            nextTry = clock.plus(RETRY);
+            nextLoadOrWatch = clock.plus(RETRY_DELAY);
             failing = true;
             return;
           }
-          pages++;
-          if (loadEpoch == null) {
-            loadEpoch = page.epoch();
+          loadedPages++;
+          if (loadRevision == null) {
+            loadRevision = page.epoch();
           }
           for (Entry entry : page.entries()) {
-            leaderOnPages |= entry.key().equals(Keys.LEADER);
-            if (entry.key().startsWith(Keys.RELAYS)) {
-              relaysOnPages.add(entry.key());
+            leaderLoaded |= entry.key().equals(StoreKeys.LEADER);
+            if (entry.key().startsWith(StoreKeys.RELAY_PREFIX)) {
+              loadedRelays.add(entry.key());
             }
-            apply(entry.key(), Optional.of(entry.value()), entry.stamp());
+            apply(entry.key(), Optional.of(entry.value()), entry.revision());
           }
           if (page.more() && !page.entries().isEmpty()) {
-            loadAfter = Optional.of(page.entries().get(page.entries().size() - 1).key());
+            lastLoadedKey = Optional.of(page.entries().get(page.entries().size() - 1).key());
           } else {
-            if (!leaderOnPages && leaderStamp.compareTo(loadEpoch) < 0) {
-              apply(Keys.LEADER, Optional.empty(), loadEpoch);
+            if (!leaderLoaded && leaderRevision.compareTo(loadRevision) < 0) {
+              apply(StoreKeys.LEADER, Optional.empty(), loadRevision);
             }
-            relays.keySet().retainAll(relaysOnPages);
-            position = loadEpoch;
+            relays.keySet().retainAll(loadedRelays);
+            position = loadRevision;
             enter(State.LIVE);
             // What changed on the first page after it was read is yet to be seen.
-            touched(loadBegan);
+            confirmed(loadStartedAt);
           }
           tick(clock);
         });
   }
 
-  private void touched(Moment begun) {
+  private void confirmed(Moment begun) {
     failing = false;
-    if (begun.isAfter(contact)) {
-      contact = begun;
+    if (begun.isAfter(lastConfirmed)) {
+      lastConfirmed = begun;
     }
   }
 
   private void enter(State next) {
     state = next;
     if (next == State.LOADING) {
-      loadEpoch = null;
-      loadAfter = Optional.empty();
-      leaderOnPages = false;
-      relaysOnPages.clear();
+      loadRevision = null;
+      lastLoadedKey = Optional.empty();
+      leaderLoaded = false;
+      loadedRelays.clear();
     } else {
-      everLive = true;
+      loadedOnce = true;
       liveSince = clock;
       LOG.info(
           "copy of the store is complete: {} jobs of {} pages in {}",
           jobs.all().size(),
-          pages,
-          clock.since(loadBegan));
-      pages = 0;
+          loadedPages,
+          clock.since(loadStartedAt));
+      loadedPages = 0;
     }
   }
 
@@ -484,50 +491,51 @@
     Optional<StoredValue> value = stored;
     if (stored.isPresent()
         && stored.get() instanceof JobRecord record
-        && !key.equals(Keys.job(record.spec().id()))) {
+        && !key.equals(StoreKeys.job(record.spec().id()))) {
       // Taken for what it says, it would make up a job that nobody submitted.
       value = Optional.of(new StoredValue.Unreadable("record of job " + record.spec().id()));
     }
-    if (key.equals(Keys.STOPS)) {
-      stopsStamp = value.isPresent() ? stamp : Revision.NONE;
-    } else if (key.equals(Keys.TYPES)) {
-      typesStamp = value.isPresent() ? stamp : Revision.NONE;
+    if (key.equals(StoreKeys.RECENT_STOPS)) {
+      recentStopsRevision = value.isPresent() ? stamp : Revision.NONE;
+    } else if (key.equals(StoreKeys.MACHINE_TYPES)) {
+      machineTypesRevision = value.isPresent() ? stamp : Revision.NONE;
     }
-    if (key.equals(Keys.LEADER)) {
-      if (stamp.compareTo(leaderStamp) <= 0) {
+    if (key.equals(StoreKeys.LEADER)) {
+      if (stamp.compareTo(leaderRevision) <= 0) {
         return;
       }
-      leaderStamp = stamp;
+      leaderRevision = stamp;
       leader.ifPresent(last -> ledUntil.put(last.record().node(), clock));
       leader =
           value
               .filter(StoredValue.LeaderRecord.class::isInstance)
               .map(v -> new Leader((StoredValue.LeaderRecord) v, new Token(stamp.value())));
       if (leader.isEmpty()) {
-        vacantSince = clock;
+        leaderMissingSince = clock;
       }
       listener.leaderChanged(clock);
-    } else if (key.equals(Keys.PRODUCT)) {
-      product.put(value, stamp);
+    } else if (key.equals(StoreKeys.PRODUCT_TERMS)) {
+      productTerms.put(value, stamp);
     } else if (value.isPresent() && value.get() instanceof StoredValue.Unreadable damaged) {
-      plans.unreadable(key);
+      drainPlans.markUnreadable(key);
       if (unreadable.add(key)) {
         LOG.error("{} can't be read: {}", key, damaged.reason());
       }
-    } else if (value.isPresent() && value.get() instanceof StoredValue.TypesRecord record) {
-      types = record.types();
+    } else if (value.isPresent() && value.get() instanceof StoredValue.MachineTypesRecord record) {
+      machineTypes = record.types();
     } else if (value.isPresent() && value.get() instanceof StoredValue.DrainRecord record) {
-      plans.put(key, record, stamp);
+      drainPlans.put(key, record, stamp);
     } else if (value.isPresent() && value.get() instanceof StoredValue.StopsRecord record) {
-      stops = Optional.of(record);
-    } else if (key.startsWith(Keys.RELAYS)) {
+      recentStops = Optional.of(record);
+    } else if (key.startsWith(StoreKeys.RELAY_PREFIX)) {
       relays.remove(key);
       if (value.isPresent() && value.get() instanceof StoredValue.RelayRecord relay) {
-        relays.put(key, new Relayed(relay, stamp, clock, contact, state == State.LIVE));
+        relays.put(
+            key, new RelayAnnouncement(relay, stamp, clock, lastConfirmed, state == State.LIVE));
       }
     } else if (value.isPresent() && value.get() instanceof JobRecord record) {
       unreadable.remove(key);
-      jobs.stored(record, stamp).ifPresent(job -> listener.jobChanged(job, clock));
+      jobs.applyStored(record, stamp).ifPresent(job -> listener.jobChanged(job, clock));
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/store/StoredPlans.java
+++ b/src/main/java/org/oakwalk/core/store/StoredDrainPlans.java
@@ -9,19 +9,19 @@
 import org.oakwalk.core.Revision;
 
 /** The copy of the plans to empty machines, by name. */
-public final class StoredPlans {
-  private record Plan(StoredValue.DrainRecord record, Revision stamp) {}
+public final class StoredDrainPlans {
+  private record StoredDrainPlan(StoredValue.DrainRecord record, Revision revision) {}
 
-  private final Map<String, Plan> plans = new TreeMap<>();
+  private final Map<String, StoredDrainPlan> plans = new TreeMap<>();
   private final Set<String> unreadable = new HashSet<>();
 
   void put(String key, StoredValue.DrainRecord record, Revision stamp) {
-    plans.put(key, new Plan(record, stamp));
+    plans.put(key, new StoredDrainPlan(record, stamp));
     unreadable.remove(key);
   }
 
-  void unreadable(String key) {
-    if (key.startsWith(Keys.DRAINS)) {
+  void markUnreadable(String key) {
+    if (key.startsWith(StoreKeys.DRAIN_PREFIX)) {
       plans.remove(key);
       unreadable.add(key);
     }
@@ -29,22 +29,22 @@
 
   /** All that can be read. */
   public Collection<StoredValue.DrainRecord> all() {
-    return plans.values().stream().map(Plan::record).toList();
+    return plans.values().stream().map(StoredDrainPlan::record).toList();
   }
 
   /** The plan of this name. */
   public Optional<StoredValue.DrainRecord> find(String name) {
-    return Optional.ofNullable(plans.get(Keys.drain(name))).map(Plan::record);
+    return Optional.ofNullable(plans.get(StoreKeys.drain(name))).map(StoredDrainPlan::record);
   }
 
   /** When the plan of this name was stored; none if there is no such plan. */
-  public Revision stamp(String name) {
-    Plan plan = plans.get(Keys.drain(name));
-    return plan == null ? Revision.NONE : plan.stamp();
+  public Revision revision(String name) {
+    StoredDrainPlan plan = plans.get(StoreKeys.drain(name));
+    return plan == null ? Revision.NONE : plan.revision();
   }
 
   /** Whether there is a plan of this name that can't be read. */
-  public boolean unreadablePlan(String name) {
-    return unreadable.contains(Keys.drain(name));
+  public boolean isUnreadable(String name) {
+    return unreadable.contains(StoreKeys.drain(name));
   }
 }
--- a/src/main/java/org/oakwalk/core/store/StoredProduct.java
+++ b/src/main/java/org/oakwalk/core/store/StoredProductTerms.java
@@ -5,13 +5,13 @@
 import org.oakwalk.core.product.ProductTerms;
 
 /** The copy of the terms of dawns, headroom and exchanges. */
-public final class StoredProduct {
+public final class StoredProductTerms {
   private ProductTerms terms = ProductTerms.NONE;
-  private Revision stamp = Revision.NONE;
+  private Revision revision = Revision.NONE;
   private boolean unreadable;
 
   void put(Optional<StoredValue> value, Revision at) {
-    stamp = value.isPresent() ? at : Revision.NONE;
+    revision = value.isPresent() ? at : Revision.NONE;
     unreadable = value.filter(StoredValue.Unreadable.class::isInstance).isPresent();
     terms =
         value
@@ -26,12 +26,12 @@
   }
 
   /** When they were stored. */
-  public Revision stamp() {
-    return stamp;
+  public Revision revision() {
+    return revision;
   }
 
   /** Whether what is stored can't be read. */
-  public boolean unreadable() {
+  public boolean isUnreadable() {
     return unreadable;
   }
 }
--- a/src/main/java/org/oakwalk/core/store/StoredValue.java
+++ b/src/main/java/org/oakwalk/core/store/StoredValue.java
@@ -15,10 +15,10 @@
     permits JobRecord,
         StoredValue.LeaderRecord,
         StoredValue.RelayRecord,
-        StoredValue.TypesRecord,
+        StoredValue.MachineTypesRecord,
         StoredValue.DoneChunk,
         StoredValue.MachineRecord,
-        StoredValue.MachinesRecord,
+        StoredValue.MachineListRecord,
         StoredValue.DrainRecord,
         StoredValue.StopsRecord,
         StoredValue.ProductRecord,
@@ -33,7 +33,7 @@
   record RelayRecord(String zone, Token token) implements StoredValue {}
 
   /** The cloud's machine types as a leader read them. */
-  record TypesRecord(Map<String, MachineType> types) implements StoredValue {}
+  record MachineTypesRecord(Map<String, MachineType> types) implements StoredValue {}
 
   /**
    * A plan in force.
@@ -41,7 +41,8 @@
    * @param newest name of the newest machine when it was stored
    * @param selected how many machines it was about then
    */
-  record DrainRecord(DrainPlan plan, MachineId newest, int selected) implements StoredValue {}
+  record DrainRecord(DrainPlan plan, MachineId newestMachine, int selectedMachines)
+      implements StoredValue {}
 
   /**
    * Stops that were granted under one budget.
@@ -49,12 +50,12 @@
    * @param open at most so many tasks were stopped and did not run again when this was written
    * @param byTime granted stops by stretch of time, numbered from the epoch on
    */
-  record Stops(int open, Map<Long, Integer> byTime) {
-    public static final Stops NONE = new Stops(0, Map.of());
+  record StopCounts(int notRestarted, Map<Long, Integer> grantedByInterval) {
+    public static final StopCounts NONE = new StopCounts(0, Map.of());
   }
 
   /** Stops that were granted, by the names of their budgets. */
-  record StopsRecord(Map<String, Stops> byBudget) implements StoredValue {}
+  record StopsRecord(Map<String, StopCounts> byBudget) implements StoredValue {}
 
   /** What operators declare of dawns, headroom and exchanges, as it is in force. */
   record ProductRecord(ProductTerms terms) implements StoredValue {}
@@ -65,7 +66,7 @@
    * @param slot where its parts are
    * @param rows all its rows, if there are no parts
    */
-  record SharedHead(long revision, int slot, int parts, List<SharedRow> rows)
+  record SharedHead(long revision, int slot, int partCount, List<SharedRow> rows)
       implements StoredValue {}
 
   /** A part of a revision of such a record. */
@@ -82,5 +83,5 @@
       implements StoredValue {}
 
   /** Machines that may have been sent commands and were written together. */
-  record MachinesRecord(List<MachineRecord> machines) implements StoredValue {}
+  record MachineListRecord(List<MachineRecord> machines) implements StoredValue {}
 }
--- a/src/main/java/org/oakwalk/model/CrowdedRule.java
+++ b/src/main/java/org/oakwalk/model/CrowdedRule.java
@@ -14,7 +14,7 @@
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Room;
 import org.oakwalk.core.shared.SharedRow;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 
 /**
@@ -94,16 +94,16 @@
     boolean declared =
         world
             .state
-            .value(Keys.PRODUCT)
+            .value(StoreKeys.PRODUCT_TERMS)
             .filter(StoredValue.ProductRecord.class::isInstance)
             .isPresent();
-    Optional<StoredValue> found = world.state.value(Keys.sharedHead(Headroom.RECORD));
+    Optional<StoredValue> found = world.state.value(StoreKeys.sharedHead(Headroom.RECORD));
     if (!declared || !(found.orElse(null) instanceof StoredValue.SharedHead head)) {
       return List.of();
     }
     List<SharedRow> rows = new ArrayList<>(head.rows());
-    for (int i = 0; i < head.parts(); i++) {
-      String key = Keys.sharedPart(Headroom.RECORD, head.slot(), i);
+    for (int i = 0; i < head.partCount(); i++) {
+      String key = StoreKeys.sharedPart(Headroom.RECORD, head.slot(), i);
       if (world.state.value(key).orElse(null) instanceof StoredValue.SharedPart part) {
         rows.addAll(part.rows());
       } else {
--- a/src/main/java/org/oakwalk/model/ExchangeRule.java
+++ b/src/main/java/org/oakwalk/model/ExchangeRule.java
@@ -16,7 +16,7 @@
 import org.oakwalk.core.job.Room;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 
 /**
  * Checks exchanges by what is stored and by what jobs there are: nobody is taken from below its
@@ -104,7 +104,7 @@
    */
   private boolean mayWant(JobId id) {
     boolean stored =
-        world.state.value(Keys.job(id)).orElse(null) instanceof JobRecord record
+        world.state.value(StoreKeys.job(id)).orElse(null) instanceof JobRecord record
             && record.phase() == JobRecord.Phase.OPEN;
     return stored || world.rules.accepted(id) && !world.rules.over(id);
   }
--- a/src/main/java/org/oakwalk/model/KnownEnds.java
+++ b/src/main/java/org/oakwalk/model/KnownEnds.java
@@ -15,7 +15,7 @@
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Entry;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.News;
+import org.oakwalk.core.store.KeyChange;
 
 /**
  * Jobs that one life of a controller knows for certain to be done or cancelled: it has told
@@ -34,7 +34,7 @@
     if (answer instanceof Answer.Page page) {
       page.entries().stream().map(Entry::value).forEach(this::shown);
     } else if (answer instanceof Answer.Changes changes) {
-      changes.news().stream().map(News::value).flatMap(Optional::stream).forEach(this::shown);
+      changes.news().stream().map(KeyChange::value).flatMap(Optional::stream).forEach(this::shown);
     } else if (answer instanceof Answer.Committed && request instanceof Request.Commit commit) {
       for (Change change : commit.changes()) {
         if (change instanceof Change.Put put) {
--- a/src/main/java/org/oakwalk/model/Nights.java
+++ b/src/main/java/org/oakwalk/model/Nights.java
@@ -19,7 +19,7 @@
 import org.oakwalk.core.planner.Window;
 import org.oakwalk.core.product.DawnTerms;
 import org.oakwalk.core.shared.SharedRow;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 
 /** What was promised for each dawn, by the stored plan, and what was done by then. */
@@ -148,11 +148,11 @@
 
   private List<PlanRow> stored() {
     List<SharedRow> rows = new ArrayList<>();
-    if (world.state.value(Keys.sharedHead(Planner.RECORD)).orElse(null)
+    if (world.state.value(StoreKeys.sharedHead(Planner.RECORD)).orElse(null)
         instanceof StoredValue.SharedHead head) {
       rows.addAll(head.rows());
-      for (int i = 0; i < head.parts(); i++) {
-        if (world.state.value(Keys.sharedPart(Planner.RECORD, head.slot(), i)).orElse(null)
+      for (int i = 0; i < head.partCount(); i++) {
+        if (world.state.value(StoreKeys.sharedPart(Planner.RECORD, head.slot(), i)).orElse(null)
             instanceof StoredValue.SharedPart part) {
           rows.addAll(part.rows());
         }
@@ -164,7 +164,7 @@
   /** Looks whether a promise was taken back; to be called now and then. */
   Optional<String> tick() {
     if (dawns.isEmpty()
-        || !(world.state.value(Keys.sharedHead(Planner.RECORD)).orElse(null)
+        || !(world.state.value(StoreKeys.sharedHead(Planner.RECORD)).orElse(null)
             instanceof StoredValue.SharedHead head)
         || head.revision() == revision) {
       return Optional.empty();
--- a/src/main/java/org/oakwalk/model/SimNode.java
+++ b/src/main/java/org/oakwalk/model/SimNode.java
@@ -284,7 +284,7 @@
     Request request = call.request();
     if (request instanceof Request.State state) {
       if (world.limited) {
-        line.call(state, world.time.now(), then);
+        line.enqueue(state, world.time.now(), then);
       } else {
         sendState(state, then);
       }
@@ -360,8 +360,8 @@
   private void pump(int of) {
     if (up && of == life) {
       if (stillness == Stillness.NONE) {
-        line.clock(world.time.now());
-        line.pump(world.time.now());
+        line.setTime(world.time.now());
+        line.sendDue(world.time.now());
       }
       world.time.after(PUMP, () -> pump(of));
     }
--- a/src/main/java/org/oakwalk/model/SimState.java
+++ b/src/main/java/org/oakwalk/model/SimState.java
@@ -21,8 +21,8 @@
 import org.oakwalk.core.store.Entry;
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
-import org.oakwalk.core.store.News;
+import org.oakwalk.core.store.KeyChange;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 
 /** Stand-in for the state service, after its published protocol. */
@@ -98,18 +98,18 @@
 
   /** Whether a job is stored, and not as over. */
   boolean open(JobId job) {
-    return value(Keys.job(job)).orElse(null) instanceof JobRecord record
+    return value(StoreKeys.job(job)).orElse(null) instanceof JobRecord record
         && record.phase() == JobRecord.Phase.OPEN;
   }
 
   /** The rows of a record that leaders keep, in the revision that counts. */
   List<SharedRow> rows(String name) {
-    if (!(value(Keys.sharedHead(name)).orElse(null) instanceof StoredValue.SharedHead head)) {
+    if (!(value(StoreKeys.sharedHead(name)).orElse(null) instanceof StoredValue.SharedHead head)) {
       return List.of();
     }
     List<SharedRow> rows = new ArrayList<>(head.rows());
-    for (int i = 0; i < head.parts(); i++) {
-      if (value(Keys.sharedPart(name, head.slot(), i)).orElse(null)
+    for (int i = 0; i < head.partCount(); i++) {
+      if (value(StoreKeys.sharedPart(name, head.slot(), i)).orElse(null)
           instanceof StoredValue.SharedPart part) {
         rows.addAll(part.rows());
       }
@@ -123,7 +123,7 @@
     rows.add(row);
     epoch++;
     keys.put(
-        Keys.sharedHead(name),
+        StoreKeys.sharedHead(name),
         new Kept(new StoredValue.SharedHead(epoch, 0, 0, rows), epoch, null));
   }
 
@@ -179,7 +179,7 @@
 
   private void remove(String key) {
     keys.remove(key);
-    history.add(new News(key, Optional.empty(), new Revision(epoch)));
+    history.add(new KeyChange(key, Optional.empty(), new Revision(epoch)));
   }
 
   /** A transaction is carried out late, to nobody's knowledge; an outage holds it up as well. */
@@ -248,7 +248,7 @@
   }
 
   private void watch(Request.Watch watch, Consumer<Answer> then, BooleanSupplier refused) {
-    List<News> news = history.since(watch);
+    List<KeyChange> news = history.since(watch);
     if (history.tooOld(watch.after())) {
       then.accept(new Answer.Refused(410, "too old"));
     } else if (!news.isEmpty() || watch.hold().millis() == 0) {
@@ -263,7 +263,7 @@
     List<String> failed = new ArrayList<>();
     for (Guard guard : commit.guards()) {
       Kept kept = keys.get(guard.key());
-      if ((kept == null ? 0 : kept.stamp()) != guard.stamp().value()) {
+      if ((kept == null ? 0 : kept.stamp()) != guard.revision().value()) {
         failed.add(guard.key());
       }
     }
@@ -272,8 +272,8 @@
     }
     for (Change change : commit.changes()) {
       if (change instanceof Change.Put put
-          && put.hold().isPresent()
-          && !holds.containsKey(put.hold().get().value())) {
+          && put.lease().isPresent()
+          && !holds.containsKey(put.lease().get().value())) {
         return new Answer.Refused(400, "no such lease");
       }
     }
@@ -281,8 +281,8 @@
     for (Change change : commit.changes()) {
       if (change instanceof Change.Put put) {
         keys.put(
-            put.key(), new Kept(put.value(), epoch, put.hold().map(HoldId::value).orElse(null)));
-        history.add(new News(put.key(), Optional.of(put.value()), new Revision(epoch)));
+            put.key(), new Kept(put.value(), epoch, put.lease().map(HoldId::value).orElse(null)));
+        history.add(new KeyChange(put.key(), Optional.of(put.value()), new Revision(epoch)));
       } else if (change instanceof Change.Remove remove) {
         remove(remove.key());
       }
@@ -305,7 +305,7 @@
       if (entry.getKey().startsWith(prefix)) {
         StoredValue.Unreadable value = new StoredValue.Unreadable("damaged");
         entry.setValue(new Kept(value, epoch, entry.getValue().hold()));
-        history.add(new News(entry.getKey(), Optional.of(value), new Revision(epoch)));
+        history.add(new KeyChange(entry.getKey(), Optional.of(value), new Revision(epoch)));
       }
     }
     wake();
@@ -323,7 +323,7 @@
 
   /** Answers a watch if there is anything new for it. */
   private boolean tell(Watcher watcher) {
-    List<News> news = history.since(watcher.request());
+    List<KeyChange> news = history.since(watcher.request());
     if (history.tooOld(watcher.request().after())) {
       watchers.remove(watcher);
       behind.remove(watcher);
--- a/src/main/java/org/oakwalk/model/Waits.java
+++ b/src/main/java/org/oakwalk/model/Waits.java
@@ -7,7 +7,7 @@
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 
 /** How long jobs wait for each step of their lives, and the longest that any has waited for it. */
 final class Waits {
@@ -79,7 +79,7 @@
       boolean stored =
           world
               .state
-              .value(Keys.job(job))
+              .value(StoreKeys.job(job))
               .filter(value -> !(value instanceof JobRecord r) || r.phase().isFinal())
               .isPresent();
       if (stored) {
--- a/src/main/java/org/oakwalk/wire/DrainCodec.java
+++ b/src/main/java/org/oakwalk/wire/DrainCodec.java
@@ -33,8 +33,8 @@
     map.put("patience_s", plan.patience().asSeconds());
     map.put("replica_waits_s", plan.replicaMayWait().asSeconds());
     map.put("work_waits_s", plan.workMayWait().asSeconds());
-    map.put("newest", record.newest().value());
-    map.put("selected", record.selected());
+    map.put("newest", record.newestMachine().value());
+    map.put("selected", record.selectedMachines());
   }
 
   private static void texts(ArrayNode list, Set<String> texts) {
@@ -76,14 +76,16 @@
         .forEach(
             (name, stops) -> {
               ObjectNode item = budgets.putObject(name);
-              item.put("open", stops.open());
+              item.put("open", stops.notRestarted());
               ObjectNode times = item.putObject("times");
-              stops.byTime().forEach((time, count) -> times.put(Long.toString(time), count));
+              stops
+                  .grantedByInterval()
+                  .forEach((time, count) -> times.put(Long.toString(time), count));
             });
   }
 
   static StoredValue.StopsRecord stops(Fields map) throws BadMessage {
-    Map<String, StoredValue.Stops> byBudget = new TreeMap<>();
+    Map<String, StoredValue.StopCounts> byBudget = new TreeMap<>();
     for (Map.Entry<String, JsonNode> entry : map.get("budgets").properties()) {
       Fields item = Fields.of(entry.getValue());
       Map<Long, Integer> times = new TreeMap<>();
@@ -99,7 +101,7 @@
       }
       byBudget.put(
           entry.getKey(),
-          new StoredValue.Stops((int) item.count("open", 0, Integer.MAX_VALUE), times));
+          new StoredValue.StopCounts((int) item.count("open", 0, Integer.MAX_VALUE), times));
     }
     return new StoredValue.StopsRecord(byBudget);
   }
--- a/src/main/java/org/oakwalk/wire/SharedCodec.java
+++ b/src/main/java/org/oakwalk/wire/SharedCodec.java
@@ -25,7 +25,9 @@
     /** The class of its rows. */
     Class<R> type();
 
-    /** Puts a row's fields into a map; all of them in at most {@link SharedRow#bytes} bytes. */
+    /**
+     * Puts a row's fields into a map; all of them in at most {@link SharedRow#maxJsonBytes} bytes.
+     */
     void encode(R row, ObjectNode map);
 
     /** Reads what {@link #encode} has put there. */
@@ -42,7 +44,7 @@
     map.put("form", FORM);
     map.put("revision", head.revision());
     map.put("slot", head.slot());
-    map.put("parts", head.parts());
+    map.put("parts", head.partCount());
     rows(head.rows(), map);
   }
 
--- a/src/main/java/org/oakwalk/wire/StateCodec.java
+++ b/src/main/java/org/oakwalk/wire/StateCodec.java
@@ -24,7 +24,7 @@
 import org.oakwalk.core.store.Entry;
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.News;
+import org.oakwalk.core.store.KeyChange;
 import org.oakwalk.core.store.StoredValue;
 
 /** Requests to the state service, its answers, and the form of the stored values. */
@@ -76,7 +76,7 @@
     ObjectNode map = Pack.map();
     ArrayNode guards = map.putArray("guards");
     for (Guard guard : request.guards()) {
-      guards.addObject().put("k", guard.key()).put("stamp", guard.stamp().value());
+      guards.addObject().put("k", guard.key()).put("stamp", guard.revision().value());
     }
     ArrayNode then = map.putArray("then");
     for (Change change : request.changes()) {
@@ -84,7 +84,7 @@
       if (change instanceof Change.Put put) {
         item.put("set", put.key());
         item.set("value", value(put.value()));
-        put.hold().ifPresent(hold -> item.put("hold", hold.value()));
+        put.lease().ifPresent(hold -> item.put("hold", hold.value()));
       } else if (change instanceof Change.Remove remove) {
         item.put("delete", remove.key());
       }
@@ -122,15 +122,15 @@
   }
 
   private static Answer changes(Fields fields) throws BadMessage {
-    List<News> news = new ArrayList<>();
+    List<KeyChange> news = new ArrayList<>();
     if (fields.has("news")) {
       for (JsonNode node : fields.list("news")) {
         Fields item = Fields.of(node);
         Revision stamp = new Revision(item.count("stamp"));
         if (item.has("set")) {
-          news.add(new News(item.text("set"), Optional.of(readable(item)), stamp));
+          news.add(new KeyChange(item.text("set"), Optional.of(readable(item)), stamp));
         } else {
-          news.add(new News(item.text("delete"), Optional.empty(), stamp));
+          news.add(new KeyChange(item.text("delete"), Optional.empty(), stamp));
         }
       }
     }
@@ -142,7 +142,7 @@
     if (value instanceof JobRecord job) {
       map.put("sort", "job");
       map.put("phase", job.phase().name());
-      map.put("accepted", job.accepted().millis());
+      map.put("accepted", job.acceptedAt().millis());
       JobCodec.encode(job.spec(), map.putObject("spec"));
     } else if (value instanceof StoredValue.LeaderRecord leader) {
       map.put("sort", "leader");
@@ -153,7 +153,7 @@
       map.put("sort", "relay");
       map.put("zone", relay.zone());
       map.put("token", relay.token().value());
-    } else if (value instanceof StoredValue.TypesRecord record) {
+    } else if (value instanceof StoredValue.MachineTypesRecord record) {
       map.put("sort", "types");
       types(record, map);
     } else if (value instanceof StoredValue.DrainRecord record) {
@@ -181,7 +181,7 @@
       map.put("type", machine.type());
       map.put("zone", machine.zone());
       map.put("spot", machine.spot());
-    } else if (value instanceof StoredValue.MachinesRecord record) {
+    } else if (value instanceof StoredValue.MachineListRecord record) {
       map.put("sort", "machines");
       ArrayNode list = map.putArray("machines");
       // Without names of fields, since there are many in a value of a few kilobytes.
@@ -209,7 +209,7 @@
     }
   }
 
-  private static void types(StoredValue.TypesRecord record, ObjectNode map) {
+  private static void types(StoredValue.MachineTypesRecord record, ObjectNode map) {
     ArrayNode list = map.putArray("types");
     for (MachineType type : record.types().values()) {
       ObjectNode item = list.addObject();
@@ -243,7 +243,7 @@
               type.seconds("boot_s"),
               type.texts("zones")));
     }
-    return new StoredValue.TypesRecord(types);
+    return new StoredValue.MachineTypesRecord(types);
   }
 
   static StoredValue value(Fields map) throws BadMessage {
@@ -296,7 +296,7 @@
               node.get(3).textValue(),
               node.get(4).booleanValue()));
     }
-    return new StoredValue.MachinesRecord(machines);
+    return new StoredValue.MachineListRecord(machines);
   }
 
   private static JobRecord.Phase phase(String name) throws BadMessage {
--- a/src/test/java/org/oakwalk/core/WorkerTimesTest.java
+++ b/src/test/java/org/oakwalk/core/WorkerTimesTest.java
@@ -50,7 +50,7 @@
   void aLeaseThatOutlastsCancellingLeavesNoGrace(double lease, double cancel) {
     Settings.Workers timing = workers(2.5, lease, cancel);
     assertThat(timing.cancelsInTime()).isFalse();
-    assertThat(timing.graceLimit()).isLessThanOrEqualTo(StoreView.LAG);
+    assertThat(timing.graceLimit()).isLessThanOrEqualTo(StoreView.MAX_LAG);
     assertThat(timing.relays()).isFalse();
     assertThat(timing.relayWindow().millis()).isZero();
   }
--- a/src/test/java/org/oakwalk/core/capacity/CatalogueKeeperTest.java
+++ b/src/test/java/org/oakwalk/core/capacity/CatalogueKeeperTest.java
@@ -14,17 +14,17 @@
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.Room;
 import org.oakwalk.core.port.Outbox;
+import org.oakwalk.core.store.FaultyStore;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
 import org.oakwalk.core.store.KnownJob;
-import org.oakwalk.core.store.LateStore;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
 /** The stored machine types are those that were written last, also if an older write is late. */
 class CatalogueKeeperTest {
   private final Outbox outbox = new Outbox();
-  private final LateStore store = new LateStore();
+  private final FaultyStore store = new FaultyStore();
   private final StoreView view = new StoreView(outbox, 200, 1);
   private CatalogueKeeper keeper;
   private Moment now = new Moment(0);
@@ -32,8 +32,8 @@
   @BeforeEach
   void leads() {
     Revision token =
-        store.put(Keys.LEADER, new StoredValue.LeaderRecord(new NodeId("n"), "a", "life"));
-    view.listen(
+        store.put(StoreKeys.LEADER, new StoredValue.LeaderRecord(new NodeId("n"), "a", "life"));
+    view.setListener(
         new StoreView.Listener() {
           @Override
           public void leaderChanged(Moment at) {}
@@ -43,7 +43,10 @@
         });
     keeper =
         new CatalogueKeeper(
-            outbox, view, new Guard(Keys.LEADER, token), new Settings.StateLimits(100, 100, 64, 4));
+            outbox,
+            view,
+            new Guard(StoreKeys.LEADER, token),
+            new Settings.StateLimits(100, 100, 64, 4));
   }
 
   private static Map<String, MachineType> types(String... names) {
@@ -56,10 +59,10 @@
     return types;
   }
 
-  private void tick(Map<String, MachineType> types, LateStore.Fate fate) {
+  private void tick(Map<String, MachineType> types, FaultyStore.CommitOutcome fate) {
     for (int i = 0; i < 2; i++) {
       now = now.plus(Span.seconds(6));
-      view.clock(now);
+      view.setTime(now);
       view.tick(now);
       store.serve(outbox, commit -> fate);
     }
@@ -68,22 +71,24 @@
   }
 
   private Map<String, MachineType> stored() {
-    return ((StoredValue.TypesRecord) store.find(Keys.TYPES).orElseThrow().value()).types();
+    return ((StoredValue.MachineTypesRecord)
+            store.find(StoreKeys.MACHINE_TYPES).orElseThrow().value())
+        .types();
   }
 
   @Test
   void olderTypesThatAreLateDoNotComeBack() {
-    tick(types("m"), LateStore.Fate.LATE);
-    tick(types("m", "n"), LateStore.Fate.SERVED);
-    store.carryOut(0);
+    tick(types("m"), FaultyStore.CommitOutcome.DELAYED);
+    tick(types("m", "n"), FaultyStore.CommitOutcome.APPLIED);
+    store.applyDelayed(0);
     assertThat(stored()).containsOnlyKeys("m", "n");
   }
 
   @Test
   void aLostAnswerHoldsNothingUp() {
-    tick(types("m"), LateStore.Fate.ANSWER_LOST);
-    tick(types("m", "n"), LateStore.Fate.SERVED);
-    tick(types("m", "n"), LateStore.Fate.SERVED);
+    tick(types("m"), FaultyStore.CommitOutcome.ANSWER_LOST);
+    tick(types("m", "n"), FaultyStore.CommitOutcome.APPLIED);
+    tick(types("m", "n"), FaultyStore.CommitOutcome.APPLIED);
     assertThat(stored()).containsOnlyKeys("m", "n");
   }
 }
--- a/src/test/java/org/oakwalk/core/drain/StopLedgerTest.java
+++ b/src/test/java/org/oakwalk/core/drain/StopLedgerTest.java
@@ -15,9 +15,9 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.store.Entry;
+import org.oakwalk.core.store.FaultyStore;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
-import org.oakwalk.core.store.LateStore;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 
 /** Stops that were made stand in the store, also if an older ledger is stored late. */
@@ -26,26 +26,26 @@
   private static final Budget TWO = new Budget("two", Optional.empty(), 5, Optional.of(40));
   private static final WallTime WALL = new WallTime(1_000_000_000);
 
-  private LateStore store = new LateStore();
+  private FaultyStore store = new FaultyStore();
   private Outbox outbox;
   private long now;
 
   private Revision stamp() {
-    return store.find(Keys.STOPS).map(Entry::stamp).orElse(Revision.NONE);
+    return store.find(StoreKeys.RECENT_STOPS).map(Entry::revision).orElse(Revision.NONE);
   }
 
   private Optional<StoredValue.StopsRecord> record() {
-    return store.find(Keys.STOPS).map(entry -> (StoredValue.StopsRecord) entry.value());
+    return store.find(StoreKeys.RECENT_STOPS).map(entry -> (StoredValue.StopsRecord) entry.value());
   }
 
   private StopLedger leads() {
     outbox = new Outbox();
     Revision token =
-        store.put(Keys.LEADER, new StoredValue.LeaderRecord(new NodeId("n"), "a", "life"));
-    return new StopLedger(outbox, new Guard(Keys.LEADER, token), record(), this::stamp);
+        store.put(StoreKeys.LEADER, new StoredValue.LeaderRecord(new NodeId("n"), "a", "life"));
+    return new StopLedger(outbox, new Guard(StoreKeys.LEADER, token), record(), this::stamp);
   }
 
-  private void tick(StopLedger ledger, LateStore.Fate fate) {
+  private void tick(StopLedger ledger, FaultyStore.CommitOutcome fate) {
     now += 1100;
     ledger.tick(List.of(ONE, TWO), Map.of(), new Moment(now), WALL);
     store.serve(outbox, commit -> fate);
@@ -54,7 +54,7 @@
   private int stored(Budget budget) {
     return record()
         .map(record -> record.byBudget().get(budget.name()))
-        .map(stops -> stops.byTime().values().stream().mapToInt(Integer::intValue).sum())
+        .map(stops -> stops.grantedByInterval().values().stream().mapToInt(Integer::intValue).sum())
         .orElse(0);
   }
 
@@ -62,11 +62,11 @@
   void anOlderLedgerThatIsLateTakesNoStopBack() {
     StopLedger ledger = leads();
     ledger.has(ONE, 1);
-    tick(ledger, LateStore.Fate.LATE);
+    tick(ledger, FaultyStore.CommitOutcome.DELAYED);
     ledger.has(TWO, 2);
-    tick(ledger, LateStore.Fate.SERVED);
+    tick(ledger, FaultyStore.CommitOutcome.APPLIED);
     assertThat(ledger.has(TWO, 2)).isTrue();
-    store.carryOut(0);
+    store.applyDelayed(0);
     assertThat(stored(TWO)).isGreaterThanOrEqualTo(2);
   }
 
@@ -75,10 +75,10 @@
   void aLostAnswerHoldsNothingUpForLong() {
     StopLedger ledger = leads();
     ledger.has(ONE, 1);
-    tick(ledger, LateStore.Fate.ANSWER_LOST);
+    tick(ledger, FaultyStore.CommitOutcome.ANSWER_LOST);
     for (int i = 0; i < 3; i++) {
       ledger.has(ONE, 1);
-      tick(ledger, LateStore.Fate.SERVED);
+      tick(ledger, FaultyStore.CommitOutcome.APPLIED);
     }
     assertThat(ledger.has(ONE, 1)).isTrue();
   }
@@ -87,7 +87,7 @@
   @Test
   void whatWasMadeIsStored() {
     for (long seed = 1; seed <= 200; seed++) {
-      store = new LateStore();
+      store = new FaultyStore();
       UniformRandomProvider chance = RandomSource.XO_SHI_RO_256_PP.create(seed);
       Map<Budget, Integer> made = new HashMap<>(Map.of(ONE, 0, TWO, 0));
       StopLedger ledger = leads();
@@ -100,10 +100,10 @@
           ledger.use(budget);
           made.merge(budget, 1, Integer::sum);
         }
-        LateStore.Fate[] fates = LateStore.Fate.values();
+        FaultyStore.CommitOutcome[] fates = FaultyStore.CommitOutcome.values();
         tick(ledger, fates[chance.nextInt(fates.length)]);
-        if (store.waiting() > 0 && chance.nextInt(3) == 0) {
-          store.carryOut(chance.nextInt(store.waiting()));
+        if (store.delayedCount() > 0 && chance.nextInt(3) == 0) {
+          store.applyDelayed(chance.nextInt(store.delayedCount()));
         }
         made.forEach(
             (each, count) ->
--- a/src/test/java/org/oakwalk/core/fleet/FenceTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/FenceTest.java
@@ -33,9 +33,9 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Entry;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.KeyChange;
 import org.oakwalk.core.store.KnownJob;
-import org.oakwalk.core.store.News;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
@@ -59,7 +59,7 @@
 
   @BeforeEach
   void leadsWithOneMachine() {
-    view.listen(
+    view.setListener(
         new StoreView.Listener() {
           @Override
           public void leaderChanged(Moment at) {}
@@ -74,8 +74,8 @@
         ((Effect.Call) outbox.drain().get(0)).call(),
         new Answer.Page(
             List.of(
-                new Entry(Keys.job(new JobId("j-1")), record, new Revision(3)),
-                new Entry(Keys.LEADER, leader, new Revision(GRANTED.value()))),
+                new Entry(StoreKeys.job(new JobId("j-1")), record, new Revision(3)),
+                new Entry(StoreKeys.LEADER, leader, new Revision(GRANTED.value()))),
             false,
             new Revision(9)));
     watch = (Effect.Call) outbox.drain().get(0);
@@ -196,8 +196,9 @@
     outbox.answered(
         watch.call(),
         new Answer.Changes(
-            new Revision(30), List.of(new News(Keys.LEADER, Optional.empty(), new Revision(20)))));
-    assertThat(view.standsUntil(GRANTED)).isEqualTo(GRANTED);
+            new Revision(30),
+            List.of(new KeyChange(StoreKeys.LEADER, Optional.empty(), new Revision(20)))));
+    assertThat(view.latestTokenOf(GRANTED)).isEqualTo(GRANTED);
     report(GRANTED, ended(0, 20));
     cleared();
     assertThat(fleet.tokenOf(MACHINE)).isEqualTo(GRANTED);
--- a/src/test/java/org/oakwalk/core/fleet/RegistryTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/RegistryTest.java
@@ -53,7 +53,7 @@
           });
   private final Registry registry =
       new Registry(outbox, fleet, GUARD, new Settings.StateLimits(100, 100, 1, CHANGES));
-  private final Map<String, StoredValue.MachinesRecord> store = new HashMap<>();
+  private final Map<String, StoredValue.MachineListRecord> store = new HashMap<>();
   private final Map<String, Long> stamps = new HashMap<>(Map.of("leader", 1L));
   private long epoch = 1;
   private int changes;
@@ -82,7 +82,7 @@
   private Answer apply(Request.Commit commit) {
     assertThat(commit.changes()).hasSizeLessThanOrEqualTo(CHANGES);
     for (Guard guard : commit.guards()) {
-      if (stamps.getOrDefault(guard.key(), 0L) != guard.stamp().value()) {
+      if (stamps.getOrDefault(guard.key(), 0L) != guard.revision().value()) {
         return new Answer.Conflict(List.of(guard.key()));
       }
     }
@@ -90,7 +90,7 @@
     for (Change change : commit.changes()) {
       changes++;
       if (change instanceof Change.Put put) {
-        store.put(put.key(), (StoredValue.MachinesRecord) put.value());
+        store.put(put.key(), (StoredValue.MachineListRecord) put.value());
         stamps.put(put.key(), epoch);
       } else if (change instanceof Change.Remove remove) {
         store.remove(remove.key());
@@ -110,9 +110,9 @@
   @Test
   void machinesThatStandUnderTwoKeysLeaveTheSecond() {
     List<StoredValue.MachineRecord> twice = List.of(record(1), record(2));
-    store.put("machine/a", new StoredValue.MachinesRecord(twice));
-    store.put("machine/b", new StoredValue.MachinesRecord(twice));
-    store.put("machine/c", new StoredValue.MachinesRecord(List.of(record(2), record(3))));
+    store.put("machine/a", new StoredValue.MachineListRecord(twice));
+    store.put("machine/b", new StoredValue.MachineListRecord(twice));
+    store.put("machine/c", new StoredValue.MachineListRecord(List.of(record(2), record(3))));
     for (String key : List.of("machine/a", "machine/b", "machine/c")) {
       stamps.put(key, ++epoch);
       registry.found(key, new Revision(epoch), store.get(key).machines());
--- a/src/test/java/org/oakwalk/core/job/Arrays.java
+++ b/src/test/java/org/oakwalk/core/job/Arrays.java
@@ -5,9 +5,9 @@
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.WallTime;
+import org.oakwalk.core.store.FaultyStore;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
-import org.oakwalk.core.store.LateStore;
+import org.oakwalk.core.store.StoreKeys;
 
 /** Plain arrays of tasks for tests. */
 public final class Arrays {
@@ -40,7 +40,7 @@
   }
 
   /** Stores the record of such a job. */
-  public static void store(LateStore store, String id, int tasks, JobRecord.Phase phase) {
-    store.put(Keys.job(new JobId(id)), new JobRecord(spec(id, tasks), phase, new WallTime(0)));
+  public static void store(FaultyStore store, String id, int tasks, JobRecord.Phase phase) {
+    store.put(StoreKeys.job(new JobId(id)), new JobRecord(spec(id, tasks), phase, new WallTime(0)));
   }
 }
--- a/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
+++ b/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
@@ -21,13 +21,13 @@
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
-import org.oakwalk.core.store.DoneBits;
+import org.oakwalk.core.store.DoneBitmap;
 import org.oakwalk.core.store.Entry;
+import org.oakwalk.core.store.FaultyStore;
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
 import org.oakwalk.core.store.KnownJob;
-import org.oakwalk.core.store.LateStore;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
@@ -37,7 +37,7 @@
  */
 class ResultWriterTest {
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(100, 100, 4, 4);
-  private static final int LARGE = DoneBits.CHUNK + 5;
+  private static final int LARGE = DoneBitmap.TASKS_PER_CHUNK + 5;
 
   /** A leader with its copy of the store. */
   private static final class Leader {
@@ -48,17 +48,18 @@
     final ResultWriter results;
     private Moment now;
 
-    Leader(LateStore store, int number, Moment now) {
+    Leader(FaultyStore store, int number, Moment now) {
       this(store, number, now, LIMITS);
     }
 
-    Leader(LateStore store, int number, Moment now, Settings.StateLimits limits) {
+    Leader(FaultyStore store, int number, Moment now, Settings.StateLimits limits) {
       this.now = now;
       Revision token =
           store.put(
-              Keys.LEADER, new StoredValue.LeaderRecord(new NodeId("n"), "a", "life " + number));
-      guard = new Guard(Keys.LEADER, token);
-      view.listen(
+              StoreKeys.LEADER,
+              new StoredValue.LeaderRecord(new NodeId("n"), "a", "life " + number));
+      guard = new Guard(StoreKeys.LEADER, token);
+      view.setListener(
           new StoreView.Listener() {
             @Override
             public void leaderChanged(Moment at) {}
@@ -69,16 +70,18 @@
             }
           });
       view.tick(now);
-      store.serve(outbox, commit -> LateStore.Fate.SERVED);
+      store.serve(outbox, commit -> FaultyStore.CommitOutcome.APPLIED);
       jobs = new JobBook(view, new Token(token.value()), now);
       results = new ResultWriter(outbox, jobs, view, guard, limits);
-      for (Entry entry : store.below(Keys.DONE)) {
-        Keys.Part part = Keys.part(entry.key()).orElseThrow();
-        results.found(part.job(), entry.key(), entry.stamp());
-        BitSet done = DoneBits.decode(((StoredValue.DoneChunk) entry.value()).bits());
+      for (Entry entry : store.entriesBelow(StoreKeys.DONE_PREFIX)) {
+        StoreKeys.DoneChunkKey part = StoreKeys.parseDoneChunk(entry.key()).orElseThrow();
+        results.found(part.job(), entry.key(), entry.revision());
+        BitSet done = DoneBitmap.decode(((StoredValue.DoneChunk) entry.value()).bits());
         jobs.find(part.job())
             .ifPresent(
-                job -> done.stream().forEach(i -> job.restore(part.chunk() * DoneBits.CHUNK + i)));
+                job ->
+                    done.stream()
+                        .forEach(i -> job.restore(part.chunk() * DoneBitmap.TASKS_PER_CHUNK + i)));
       }
     }
 
@@ -92,9 +95,9 @@
       }
     }
 
-    void step(LateStore store, LateStore.Fates fates) {
+    void step(FaultyStore store, FaultyStore.CommitOutcomes fates) {
       now = now.plus(Span.millis(500));
-      view.clock(now);
+      view.setTime(now);
       view.tick(now);
       results.tick(now);
       store.serve(outbox, fates);
@@ -107,7 +110,7 @@
     }
   }
 
-  private final LateStore store = new LateStore();
+  private final FaultyStore store = new FaultyStore();
 
   private void accept(String id, int tasks) {
     Arrays.store(store, id, tasks, JobRecord.Phase.OPEN);
@@ -115,15 +118,17 @@
 
   private BitSet stored(String id) {
     BitSet all = new BitSet();
-    for (Entry entry : store.below(Keys.DONE + id + "/")) {
-      int from = Keys.part(entry.key()).orElseThrow().chunk() * DoneBits.CHUNK;
-      DoneBits.decode(((StoredValue.DoneChunk) entry.value()).bits()).stream()
+    for (Entry entry : store.entriesBelow(StoreKeys.DONE_PREFIX + id + "/")) {
+      int from =
+          StoreKeys.parseDoneChunk(entry.key()).orElseThrow().chunk() * DoneBitmap.TASKS_PER_CHUNK;
+      DoneBitmap.decode(((StoredValue.DoneChunk) entry.value()).bits()).stream()
           .forEach(bit -> all.set(from + bit));
     }
     return all;
   }
 
-  private static void steps(Leader leader, LateStore store, int count, LateStore.Fate fate) {
+  private static void steps(
+      Leader leader, FaultyStore store, int count, FaultyStore.CommitOutcome fate) {
     for (int i = 0; i < count; i++) {
       leader.step(store, commit -> fate);
     }
@@ -135,12 +140,12 @@
     accept("j-1", 3);
     Leader leader = new Leader(store, 1, new Moment(0));
     leader.complete("j-1", 0);
-    steps(leader, store, 1, LateStore.Fate.LATE);
+    steps(leader, store, 1, FaultyStore.CommitOutcome.DELAYED);
     leader.complete("j-1", 1);
-    steps(leader, store, 10, LateStore.Fate.SERVED);
+    steps(leader, store, 10, FaultyStore.CommitOutcome.APPLIED);
     assertThat(leader.jobs.find(new JobId("j-1")).orElseThrow().isStoredDone(1)).isTrue();
-    assertThat(store.waiting()).isEqualTo(1);
-    store.carryOut(0);
+    assertThat(store.delayedCount()).isEqualTo(1);
+    store.applyDelayed(0);
     assertThat(stored("j-1").stream()).containsExactly(0, 1);
     Leader next = new Leader(store, 2, new Moment(100_000));
     assertThat(next.jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isEqualTo(2);
@@ -152,14 +157,14 @@
     accept("j-1", 3);
     Leader leader = new Leader(store, 1, new Moment(0));
     leader.complete("j-1", 0);
-    steps(leader, store, 1, LateStore.Fate.LATE);
+    steps(leader, store, 1, FaultyStore.CommitOutcome.DELAYED);
     leader.complete("j-1", 1);
-    steps(leader, store, 10, LateStore.Fate.SERVED);
+    steps(leader, store, 10, FaultyStore.CommitOutcome.APPLIED);
     leader.complete("j-1", 2);
-    steps(leader, store, 10, LateStore.Fate.SERVED);
-    assertThat(store.below(Keys.DONE)).isEmpty();
-    store.carryOut(0);
-    assertThat(store.below(Keys.DONE)).isEmpty();
+    steps(leader, store, 10, FaultyStore.CommitOutcome.APPLIED);
+    assertThat(store.entriesBelow(StoreKeys.DONE_PREFIX)).isEmpty();
+    store.applyDelayed(0);
+    assertThat(store.entriesBelow(StoreKeys.DONE_PREFIX)).isEmpty();
   }
 
   /** What can't be written, for one job's record is damaged, holds up no other job. */
@@ -169,8 +174,8 @@
     accept("j-2", 3);
     accept("j-3", 1);
     Leader leader = new Leader(store, 1, new Moment(0));
-    store.put(Keys.job(new JobId("j-1")), new StoredValue.Unreadable("damaged"));
-    store.put(Keys.job(new JobId("j-3")), new StoredValue.Unreadable("damaged"));
+    store.put(StoreKeys.job(new JobId("j-1")), new StoredValue.Unreadable("damaged"));
+    store.put(StoreKeys.job(new JobId("j-3")), new StoredValue.Unreadable("damaged"));
     leader.complete("j-1", 0);
     leader.complete("j-2", 0);
     leader.complete("j-3", 0);
@@ -180,7 +185,7 @@
           store,
           commit -> {
             commits[0]++;
-            return LateStore.Fate.SERVED;
+            return FaultyStore.CommitOutcome.APPLIED;
           });
     }
     assertThat(stored("j-2").stream()).containsExactly(0);
@@ -206,14 +211,14 @@
           store,
           commit -> {
             commits[0]++;
-            return LateStore.Fate.REFUSED;
+            return FaultyStore.CommitOutcome.REFUSED;
           });
     }
     assertThat(commits[0]).as("tries in 20 s").isBetween(60, 50 + 45);
-    steps(leader, store, 2, LateStore.Fate.SERVED);
+    steps(leader, store, 2, FaultyStore.CommitOutcome.APPLIED);
     for (int job = 1; job <= 50; job++) {
       JobRecord record =
-          (JobRecord) store.find(Keys.job(new JobId("j-" + job))).orElseThrow().value();
+          (JobRecord) store.find(StoreKeys.job(new JobId("j-" + job))).orElseThrow().value();
       assertThat(record.phase()).isEqualTo(JobRecord.Phase.DONE);
     }
   }
@@ -224,13 +229,14 @@
     accept("j-1", 2);
     Leader leader = new Leader(store, 1, new Moment(0));
     leader.complete("j-1", 0);
-    steps(leader, store, 2, LateStore.Fate.ANSWER_LOST);
+    steps(leader, store, 2, FaultyStore.CommitOutcome.ANSWER_LOST);
     Leader next = new Leader(store, 2, new Moment(100_000));
     next.complete("j-1", 1);
-    steps(next, store, 10, LateStore.Fate.SERVED);
-    JobRecord record = (JobRecord) store.find(Keys.job(new JobId("j-1"))).orElseThrow().value();
+    steps(next, store, 10, FaultyStore.CommitOutcome.APPLIED);
+    JobRecord record =
+        (JobRecord) store.find(StoreKeys.job(new JobId("j-1"))).orElseThrow().value();
     assertThat(record.phase()).isEqualTo(JobRecord.Phase.DONE);
-    assertThat(store.below(Keys.DONE)).isEmpty();
+    assertThat(store.entriesBelow(StoreKeys.DONE_PREFIX)).isEmpty();
   }
 
   /** Parts of vast arrays are many and long; a transaction has 64 KiB, of which they take most. */
@@ -240,7 +246,7 @@
     Leader leader = new Leader(store, 1, new Moment(0), wide);
     List<String> ids = List.of("j-1", "j-2", "j-3");
     ids.forEach(id -> accept(id, JobSpec.MAX_TASKS));
-    steps(leader, store, 2, LateStore.Fate.SERVED);
+    steps(leader, store, 2, FaultyStore.CommitOutcome.APPLIED);
     int[] all = IntStream.range(1, JobSpec.MAX_TASKS).toArray();
     ids.forEach(id -> leader.complete(id, all));
     for (int i = 0; i < 20; i++) {
@@ -248,7 +254,7 @@
           store,
           commit -> {
             assertThat(bytes(commit)).isLessThan(60 * 1024);
-            return LateStore.Fate.SERVED;
+            return FaultyStore.CommitOutcome.APPLIED;
           });
     }
     ids.forEach(id -> assertThat(stored(id).cardinality()).isEqualTo(all.length));
@@ -268,12 +274,13 @@
   @Test
   void aJobOfWhichAllIsStoredEndsWithoutAnyReport() {
     accept("j-1", 2);
-    store.put(Keys.done(new JobId("j-1"), 0), new StoredValue.DoneChunk("03"));
+    store.put(StoreKeys.doneChunk(new JobId("j-1"), 0), new StoredValue.DoneChunk("03"));
     Leader leader = new Leader(store, 1, new Moment(0));
-    steps(leader, store, 5, LateStore.Fate.SERVED);
-    JobRecord record = (JobRecord) store.find(Keys.job(new JobId("j-1"))).orElseThrow().value();
+    steps(leader, store, 5, FaultyStore.CommitOutcome.APPLIED);
+    JobRecord record =
+        (JobRecord) store.find(StoreKeys.job(new JobId("j-1"))).orElseThrow().value();
     assertThat(record.phase()).isEqualTo(JobRecord.Phase.DONE);
-    assertThat(store.below(Keys.DONE)).isEmpty();
+    assertThat(store.entriesBelow(StoreKeys.DONE_PREFIX)).isEmpty();
   }
 
   /** Leaders that follow each other, with lost answers, refusals and late transactions. */
@@ -294,7 +301,7 @@
         Map.of("j-1", 2, "j-2", 3, "j-3", 40, "j-4", LARGE, "j-5", 3);
     private final UniformRandomProvider chance;
     private final Map<String, BitSet> forgotten = new HashMap<>();
-    private final LateStore own = new LateStore();
+    private final FaultyStore own = new FaultyStore();
     private Leader leader;
     private int leaders;
 
@@ -308,12 +315,12 @@
       leader = new Leader(own, ++leaders, new Moment(0));
     }
 
-    private LateStore.Fate fate() {
+    private FaultyStore.CommitOutcome fate() {
       return switch (chance.nextInt(8)) {
-        case 0 -> LateStore.Fate.REFUSED;
-        case 1 -> LateStore.Fate.ANSWER_LOST;
-        case 2, 3 -> LateStore.Fate.LATE;
-        default -> LateStore.Fate.SERVED;
+        case 0 -> FaultyStore.CommitOutcome.REFUSED;
+        case 1 -> FaultyStore.CommitOutcome.ANSWER_LOST;
+        case 2, 3 -> FaultyStore.CommitOutcome.DELAYED;
+        default -> FaultyStore.CommitOutcome.APPLIED;
       };
     }
 
@@ -322,8 +329,8 @@
         sizes.forEach((id, tasks) -> completeSome(id, tasks, chance.nextInt(12) == 0));
         leader.step(own, commit -> fate());
         remember();
-        if (own.waiting() > 0 && chance.nextInt(3) == 0) {
-          own.carryOut(chance.nextInt(own.waiting()));
+        if (own.delayedCount() > 0 && chance.nextInt(3) == 0) {
+          own.applyDelayed(chance.nextInt(own.delayedCount()));
         }
         if (chance.nextInt(25) == 0) {
           leader = new Leader(own, ++leaders, new Moment(step * 10_000L));
@@ -335,12 +342,12 @@
       }
       for (int step = 0; step < 40; step++) {
         sizes.forEach((id, tasks) -> completeSome(id, tasks, true));
-        leader.step(own, commit -> LateStore.Fate.SERVED);
+        leader.step(own, commit -> FaultyStore.CommitOutcome.APPLIED);
       }
-      while (own.waiting() > 0) {
-        own.carryOut(0);
+      while (own.delayedCount() > 0) {
+        own.applyDelayed(0);
       }
-      assertThat(own.below(Keys.DONE)).as("parts that are left").isEmpty();
+      assertThat(own.entriesBelow(StoreKeys.DONE_PREFIX)).as("parts that are left").isEmpty();
       sizes.keySet().forEach(id -> assertThat(phase(id).isFinal()).as(id).isTrue());
     }
 
@@ -355,7 +362,7 @@
     }
 
     private JobRecord.Phase phase(String id) {
-      return ((JobRecord) own.find(Keys.job(new JobId(id))).orElseThrow().value()).phase();
+      return ((JobRecord) own.find(StoreKeys.job(new JobId(id))).orElseThrow().value()).phase();
     }
 
     /** Tasks of which this leader would let workers forget the result. */
@@ -381,9 +388,11 @@
           (id, tasks) -> {
             if (!phase(id).isFinal()) {
               BitSet lost = (BitSet) forgotten.get(id).clone();
-              for (Entry entry : own.below(Keys.DONE + id + "/")) {
-                int from = Keys.part(entry.key()).orElseThrow().chunk() * DoneBits.CHUNK;
-                DoneBits.decode(((StoredValue.DoneChunk) entry.value()).bits()).stream()
+              for (Entry entry : own.entriesBelow(StoreKeys.DONE_PREFIX + id + "/")) {
+                int from =
+                    StoreKeys.parseDoneChunk(entry.key()).orElseThrow().chunk()
+                        * DoneBitmap.TASKS_PER_CHUNK;
+                DoneBitmap.decode(((StoredValue.DoneChunk) entry.value()).bits()).stream()
                     .forEach(bit -> lost.clear(from + bit));
               }
               assertThat(lost.cardinality()).as("tasks of %s that are lost", id).isZero();
--- a/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
+++ b/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
@@ -21,10 +21,10 @@
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Response;
 import org.oakwalk.core.port.UserRequest;
+import org.oakwalk.core.store.FaultyStore;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
 import org.oakwalk.core.store.KnownJob;
-import org.oakwalk.core.store.LateStore;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
@@ -38,7 +38,7 @@
 
   private static final Response UNAVAILABLE = Response.unavailable("out of reach", Span.seconds(1));
 
-  private final LateStore store = new LateStore();
+  private final FaultyStore store = new FaultyStore();
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 1);
   private final Map<String, Settings.Team> teams =
@@ -48,12 +48,12 @@
   private final UserRequestHandler userRequests =
       new UserRequestHandler(outbox, view, teams, new Admission(teams, view, 1000));
   private final List<JobRecord.Phase> seen = new ArrayList<>();
-  private LateStore.Fate fate = LateStore.Fate.SERVED;
+  private FaultyStore.CommitOutcome fate = FaultyStore.CommitOutcome.APPLIED;
   private Moment now = new Moment(1000);
 
   @BeforeEach
   void load() {
-    view.listen(
+    view.setListener(
         new StoreView.Listener() {
           @Override
           public void leaderChanged(Moment at) {}
@@ -78,7 +78,7 @@
   /** Asks, and serves what the node asks of the store for it; the copy is not brought up before. */
   private Response ask(UserRequest request) {
     now = now.plus(Span.seconds(1));
-    view.clock(now);
+    view.setTime(now);
     userRequests.clock(now, new WallTime(0));
     List<Response> answers = new ArrayList<>();
     userRequests.serve(request, answers::add);
@@ -199,7 +199,7 @@
       int status) {
     UserRequest request = submit(spec(shape, tasks, cpus, gpus, memory, team, bound));
     assertThat(code(ask(request))).isEqualTo(status);
-    assertThat(store.find(Keys.job(JOB)).isPresent()).isEqualTo(status == 201);
+    assertThat(store.find(StoreKeys.job(JOB)).isPresent()).isEqualTo(status == 201);
     // Repeated, it is known, or refused for the same reason.
     assertThat(code(ask(request))).isEqualTo(status == 201 ? 200 : status);
     assertThat(code(ask(QUERY))).isEqualTo(status == 201 ? 200 : 404);
@@ -220,7 +220,7 @@
     assertThat(code(ask(plain()))).isEqualTo(503);
     assertThat(code(ask(MALFORMED))).isEqualTo(400);
     assertThat(code(ask(submit(spec("array", 1, 1, 0, 1, "nobody", "any"))))).isEqualTo(422);
-    assertThat(store.find(Keys.job(JOB))).isEmpty();
+    assertThat(store.find(StoreKeys.job(JOB))).isEmpty();
     Arrays.store(store, JOB.value(), 2, JobRecord.Phase.OPEN);
     assertThat(code(ask(plain()))).isEqualTo(200);
   }
@@ -228,7 +228,7 @@
   @Test
   void ofARecordThatCannotBeReadNothingIsTold() {
     // In the first round the record is new to this node's copy, in the second the copy has it.
-    store.put(Keys.job(JOB), new StoredValue.Unreadable("damaged"));
+    store.put(StoreKeys.job(JOB), new StoredValue.Unreadable("damaged"));
     for (int round = 0; round < 2; round++) {
       assertThat(code(ask(plain()))).isEqualTo(503);
       assertThat(code(ask(MALFORMED))).isEqualTo(503);
@@ -243,7 +243,7 @@
   void ofARecordThatCannotBeReadAnyMoreNothingOlderIsTold() {
     Arrays.store(store, JOB.value(), 2, JobRecord.Phase.OPEN);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
-    store.put(Keys.job(JOB), new StoredValue.Unreadable("of a later version"));
+    store.put(StoreKeys.job(JOB), new StoredValue.Unreadable("of a later version"));
     assertThat(code(ask(plain()))).isEqualTo(503);
     assertThat(code(ask(QUERY))).isEqualTo(503);
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
@@ -252,21 +252,21 @@
 
   @Test
   void anAcceptanceWithoutAnAnswerIsNeitherPromisedNorDenied() {
-    fate = LateStore.Fate.ANSWER_LOST;
+    fate = FaultyStore.CommitOutcome.ANSWER_LOST;
     assertThat(code(ask(plain()))).isEqualTo(503);
-    fate = LateStore.Fate.SERVED;
+    fate = FaultyStore.CommitOutcome.APPLIED;
     assertThat(code(ask(plain()))).isEqualTo(200);
   }
 
   @Test
   void anAcceptanceCarriedOutLateIsFoundOrComesTooLate() {
-    fate = LateStore.Fate.LATE;
+    fate = FaultyStore.CommitOutcome.DELAYED;
     assertThat(code(ask(plain()))).isEqualTo(503);
     assertThat(code(ask(QUERY))).isEqualTo(404);
-    fate = LateStore.Fate.SERVED;
+    fate = FaultyStore.CommitOutcome.APPLIED;
     assertThat(code(ask(plain()))).isEqualTo(201);
     assertThat(state(ask(WITHDRAW))).isEqualTo(Response.JobState.CANCELLED);
-    store.carryOut(0);
+    store.applyDelayed(0);
     assertThat(state(ask(plain()))).isEqualTo(Response.JobState.CANCELLED);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.CANCELLED);
   }
@@ -274,15 +274,15 @@
   @Test
   void aWithdrawalWithoutAnAnswerIsNeitherConfirmedNorDenied() {
     assertThat(code(ask(plain()))).isEqualTo(201);
-    fate = LateStore.Fate.LATE;
+    fate = FaultyStore.CommitOutcome.DELAYED;
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
-    fate = LateStore.Fate.REFUSED;
+    fate = FaultyStore.CommitOutcome.REFUSED;
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
-    fate = LateStore.Fate.ANSWER_LOST;
+    fate = FaultyStore.CommitOutcome.ANSWER_LOST;
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
     assertThat(state(ask(WITHDRAW))).isEqualTo(Response.JobState.CANCELLED);
-    store.carryOut(0);
+    store.applyDelayed(0);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.CANCELLED);
   }
 
@@ -290,10 +290,10 @@
   void aWithdrawalThatMeetsTheEndTellsTheEnd() {
     assertThat(code(ask(plain()))).isEqualTo(201);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
-    fate = LateStore.Fate.LATE;
+    fate = FaultyStore.CommitOutcome.DELAYED;
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
     Arrays.store(store, JOB.value(), 2, JobRecord.Phase.DONE);
-    store.carryOut(0);
+    store.applyDelayed(0);
     assertThat(state(ask(WITHDRAW))).isEqualTo(Response.JobState.DONE);
     assertThat(state(ask(plain()))).isEqualTo(Response.JobState.DONE);
   }
@@ -326,13 +326,13 @@
     Arrays.store(store, JOB.value(), 2, phase);
     assertThat(state(ask(plain()))).isEqualTo(told);
     assertThat(seen).doesNotContain(JobRecord.Phase.OPEN);
-    assertThat(view.openJobs().all()).isZero();
+    assertThat(view.openJobs().total()).isZero();
   }
 
   /** What can't be kept in mind until the copy shows it is not told either. */
   @Test
   void aForwardedEndForWhichThereIsNoRoomIsNotPassedOn() {
-    for (int i = 0; i < StoreView.MOST_LEARNED_ENDS; i++) {
+    for (int i = 0; i < StoreView.MAX_LEARNED_ENDS; i++) {
       JobId job = new JobId("j-" + (100 + i));
       Response answer = new Response.JobStatus(false, job, Response.JobState.CANCELLED, 0, 0);
       assertThat(userRequests.passOn(answer, UNAVAILABLE)).isEqualTo(answer);
--- a/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
@@ -21,9 +21,9 @@
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Entry;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.KeyChange;
 import org.oakwalk.core.store.KnownJob;
-import org.oakwalk.core.store.News;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
@@ -57,7 +57,7 @@
               @Override
               public void falls(Token token, Moment at) {}
             });
-    view.listen(
+    view.setListener(
         new StoreView.Listener() {
           @Override
           public void leaderChanged(Moment at) {
@@ -91,10 +91,10 @@
     leadership.tick(now);
     Effect.Call removal = sent(Request.Commit.class).orElseThrow();
     Request.Commit commit = (Request.Commit) removal.request();
-    assertThat(commit.guards()).containsExactly(new Guard(Keys.LEADER, new Revision(7)));
-    assertThat(commit.changes()).containsExactly(new Change.Remove(Keys.LEADER));
+    assertThat(commit.guards()).containsExactly(new Guard(StoreKeys.LEADER, new Revision(7)));
+    assertThat(commit.changes()).containsExactly(new Change.Remove(StoreKeys.LEADER));
     outbox.answered(removal.call(), new Answer.Committed(new Revision(11)));
-    shows(new News(Keys.LEADER, Optional.empty(), new Revision(11)));
+    shows(new KeyChange(StoreKeys.LEADER, Optional.empty(), new Revision(11)));
     leadership.tick(now.plus(Span.millis(200)));
     assertThat(sent(Request.Grant.class)).isEmpty();
     leadership.tick(now.plus(Span.millis(300)));
@@ -113,7 +113,7 @@
   void aRenewalDoesNotLengthenTheTimeForWhichWorkersAreAnswered() {
     claims();
     showsOwnKey(12);
-    Moment read = view.contact();
+    Moment read = view.lastConfirmed();
     while (now.since(read).compareTo(Span.seconds(19.9)) < 0) {
       now = now.plus(Span.millis(100));
       leadership.tick(now);
@@ -132,7 +132,7 @@
   void aLeaderWhoseKeyIsRemovedFallsAtOnce() {
     claims();
     showsOwnKey(12);
-    shows(new News(Keys.LEADER, Optional.empty(), new Revision(15)));
+    shows(new KeyChange(StoreKeys.LEADER, Optional.empty(), new Revision(15)));
     assertThat(leadership.holdsToken()).isFalse();
     assertThat(sent(Request.Drop.class)).isPresent();
   }
@@ -142,7 +142,7 @@
     claims();
     showsOwnKey(12);
     Entry others = key(new NodeId("m"), "present", 15);
-    shows(new News(others.key(), Optional.of(others.value()), others.stamp()));
+    shows(new KeyChange(others.key(), Optional.of(others.value()), others.revision()));
     assertThat(leadership.holdsToken()).isFalse();
   }
 
@@ -177,10 +177,10 @@
     leadership.tick(now);
     assertThat(leadership.state()).isEqualTo(Leadership.State.FOLLOWING);
     assertThat(sent(Request.Drop.class)).isPresent();
-    shows(new News(Keys.TYPES, Optional.empty(), new Revision(11)));
-    shows(new News(Keys.TYPES, Optional.empty(), new Revision(11)));
+    shows(new KeyChange(StoreKeys.MACHINE_TYPES, Optional.empty(), new Revision(11)));
+    shows(new KeyChange(StoreKeys.MACHINE_TYPES, Optional.empty(), new Revision(11)));
     watchesAgain();
-    shows(new News(Keys.TYPES, Optional.empty(), new Revision(12)));
+    shows(new KeyChange(StoreKeys.MACHINE_TYPES, Optional.empty(), new Revision(12)));
     leadership.tick(now);
     outbox.answered(
         sent(Request.Grant.class).orElseThrow().call(), new Answer.Granted(new HoldId(2)));
@@ -188,7 +188,7 @@
     showsOwnKey(13);
     assertThat(rises).containsExactly(new Token(13));
     watchesAgain();
-    shows(new News(Keys.LEADER, Optional.empty(), new Revision(14)));
+    shows(new KeyChange(StoreKeys.LEADER, Optional.empty(), new Revision(14)));
     assertThat(leadership.holdsToken()).isFalse();
     watchesAgain();
     showsOwnKey(15);
@@ -197,13 +197,13 @@
     out.removeIf(call -> call.request() instanceof Request.Commit);
     leadership.tick(now);
     Request.Commit removal = (Request.Commit) sent(Request.Commit.class).orElseThrow().request();
-    assertThat(removal.guards()).containsExactly(new Guard(Keys.LEADER, new Revision(15)));
+    assertThat(removal.guards()).containsExactly(new Guard(StoreKeys.LEADER, new Revision(15)));
     assertThat(rises).hasSize(1);
   }
 
   private void watchesAgain() {
     now = now.plus(Span.millis(400));
-    view.clock(now);
+    view.setTime(now);
     view.tick(now);
   }
 
@@ -226,18 +226,20 @@
 
   private void showsOwnKey(long stamp) {
     Entry own = key(NODE, "present", stamp);
-    shows(new News(own.key(), Optional.of(own.value()), own.stamp()));
+    shows(new KeyChange(own.key(), Optional.of(own.value()), own.revision()));
   }
 
-  private void shows(News news) {
+  private void shows(KeyChange news) {
     outbox.answered(
         sent(Request.Watch.class).orElseThrow().call(),
-        new Answer.Changes(news.stamp(), List.of(news)));
+        new Answer.Changes(news.revision(), List.of(news)));
   }
 
   private static Entry key(NodeId node, String incarnation, long stamp) {
     return new Entry(
-        Keys.LEADER, new StoredValue.LeaderRecord(node, "z", incarnation), new Revision(stamp));
+        StoreKeys.LEADER,
+        new StoredValue.LeaderRecord(node, "z", incarnation),
+        new Revision(stamp));
   }
 
   private Optional<Effect.Call> sent(Class<? extends Request> kind) {
--- a/src/test/java/org/oakwalk/core/leadership/RelayTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/RelayTest.java
@@ -21,9 +21,9 @@
 import org.oakwalk.core.port.Effect;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.store.Entry;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.KeyChange;
 import org.oakwalk.core.store.KnownJob;
-import org.oakwalk.core.store.News;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
@@ -53,7 +53,7 @@
   /** The copy reaches revision 9, and the leader in the other zone is silent. */
   @BeforeEach
   void cutOffFromTheLeader() {
-    view.listen(
+    view.setListener(
         new StoreView.Listener() {
           @Override
           public void leaderChanged(Moment at) {}
@@ -66,7 +66,7 @@
     outbox.answered(
         ((Effect.Call) outbox.drain().get(0)).call(),
         new Answer.Page(
-            List.of(new Entry(Keys.LEADER, leader, new Revision(GRANTED.value()))),
+            List.of(new Entry(StoreKeys.LEADER, leader, new Revision(GRANTED.value()))),
             false,
             new Revision(9)));
     Effect.Call watch = (Effect.Call) outbox.drain().get(0);
@@ -77,7 +77,8 @@
         watch.call(),
         new Answer.Changes(
             new Revision(10),
-            List.of(new News(Keys.relay("b"), Optional.of(announced), new Revision(10)))));
+            List.of(
+                new KeyChange(StoreKeys.relay("b"), Optional.of(announced), new Revision(10)))));
   }
 
   private Optional<Token> answer(long shown) {
--- a/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
@@ -30,8 +30,8 @@
 import org.oakwalk.core.store.Entry;
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
 import org.oakwalk.core.store.KnownJob;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
@@ -39,7 +39,7 @@
 class RecoveryTest {
   private static final Moment ROSE = new Moment(1_000_000);
   private static final Token TOKEN = new Token(7);
-  private static final Guard GUARD = new Guard(Keys.LEADER, new Revision(7));
+  private static final Guard GUARD = new Guard(StoreKeys.LEADER, new Revision(7));
   private static final Map<String, MachineType> TYPES =
       Map.of(
           "t",
@@ -81,7 +81,7 @@
   private JobBook knowsOneJob() {
     JobSpec spec = Arrays.spec("j-1", 10);
     JobRecord record = new JobRecord(spec, JobRecord.Phase.OPEN, new WallTime(1));
-    view.listen(
+    view.setListener(
         new StoreView.Listener() {
           @Override
           public void leaderChanged(Moment at) {}
@@ -91,7 +91,7 @@
         });
     view.tick(ROSE);
     outbox.answered(
-        ((Effect.Call) outbox.drain().get(0)).call(), page(Keys.job(spec.id()), record));
+        ((Effect.Call) outbox.drain().get(0)).call(), page(StoreKeys.job(spec.id()), record));
     outbox.drain();
     return new JobBook(view, TOKEN, ROSE);
   }
@@ -114,14 +114,14 @@
   void resultsThatMakeNoSenseAreSetAside() {
     List<Answer> strange =
         List.of(
-            page(Keys.DONE + "j-1/0", new StoredValue.DoneChunk("no bits")),
-            page(Keys.DONE + "j-1/first", new StoredValue.DoneChunk("ff")),
-            page(Keys.DONE + "j-1/99999999999", new StoredValue.DoneChunk("ff")),
-            page(Keys.DONE + "j-1/300000", new StoredValue.DoneChunk("ff")),
-            page(Keys.DONE + "j-1/-1", new StoredValue.DoneChunk("ff")),
-            page(Keys.DONE + "x/0", new StoredValue.DoneChunk("ff")),
-            page(Keys.DONE + "j-1", new StoredValue.DoneChunk("ff")),
-            page(Keys.DONE + "j-1/0", new StoredValue.Unreadable("damaged")));
+            page(StoreKeys.DONE_PREFIX + "j-1/0", new StoredValue.DoneChunk("no bits")),
+            page(StoreKeys.DONE_PREFIX + "j-1/first", new StoredValue.DoneChunk("ff")),
+            page(StoreKeys.DONE_PREFIX + "j-1/99999999999", new StoredValue.DoneChunk("ff")),
+            page(StoreKeys.DONE_PREFIX + "j-1/300000", new StoredValue.DoneChunk("ff")),
+            page(StoreKeys.DONE_PREFIX + "j-1/-1", new StoredValue.DoneChunk("ff")),
+            page(StoreKeys.DONE_PREFIX + "x/0", new StoredValue.DoneChunk("ff")),
+            page(StoreKeys.DONE_PREFIX + "j-1", new StoredValue.DoneChunk("ff")),
+            page(StoreKeys.DONE_PREFIX + "j-1/0", new StoredValue.Unreadable("damaged")));
     for (Answer answer : strange) {
       Recovery fresh =
           new Recovery(
@@ -147,7 +147,8 @@
    */
   @Test
   void whatIsAnsweredBeforeReportsAreReadRenewsALease() {
-    outbox.answered(read(Keys.DONE).call(), new Answer.Page(List.of(), false, new Revision(9)));
+    outbox.answered(
+        read(StoreKeys.DONE_PREFIX).call(), new Answer.Page(List.of(), false, new Revision(9)));
     Effect.Call machines = (Effect.Call) outbox.drain().get(0);
     now = now.plus(Span.seconds(5));
     recovery.renewedUnread(now);
@@ -162,16 +163,18 @@
   void eachStepIsTriedUntilItIsAnswered() {
     for (Answer answer :
         List.of(new Answer.Nothing("lost"), new Answer.Refused(503, ""), new Answer.Ok())) {
-      outbox.answered(read(Keys.DONE).call(), answer);
+      outbox.answered(read(StoreKeys.DONE_PREFIX).call(), answer);
       assertThat(recovery.state()).isEqualTo(Recovery.State.READING_RESULTS);
     }
-    outbox.answered(read(Keys.DONE).call(), new Answer.Page(List.of(), false, new Revision(9)));
+    outbox.answered(
+        read(StoreKeys.DONE_PREFIX).call(), new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.state()).isEqualTo(Recovery.State.READING_MACHINES);
     Effect.Call machines = (Effect.Call) outbox.drain().get(0);
     outbox.answered(machines.call(), new Answer.Nothing("lost"));
-    outbox.answered(read(Keys.MACHINES).call(), new Answer.Refused(503, ""));
+    outbox.answered(read(StoreKeys.MACHINE_PREFIX).call(), new Answer.Refused(503, ""));
     assertThat(recovery.readsReports()).isFalse();
-    outbox.answered(read(Keys.MACHINES).call(), new Answer.Page(List.of(), false, new Revision(9)));
+    outbox.answered(
+        read(StoreKeys.MACHINE_PREFIX).call(), new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.state()).isEqualTo(Recovery.State.CONFIRMING);
     recovery.tick(TYPES, now);
     assertThat(recovery.complete()).isTrue();
--- a/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
@@ -31,11 +31,11 @@
 import org.oakwalk.core.job.ResultWriter;
 import org.oakwalk.core.job.Room;
 import org.oakwalk.core.port.Outbox;
+import org.oakwalk.core.store.FaultyStore;
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
 import org.oakwalk.core.store.KnownJob;
-import org.oakwalk.core.store.LateStore;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
@@ -46,7 +46,7 @@
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(100, 100, 4, 4);
 
   private final Outbox outbox = new Outbox();
-  private final LateStore store = new LateStore();
+  private final FaultyStore store = new FaultyStore();
   private final StoreView view = new StoreView(outbox, 200, 1);
   private final Moment now = new Moment(1000);
   private JobBook jobs;
@@ -57,11 +57,11 @@
   void store() {
     Arrays.store(store, "j-1", 3, JobRecord.Phase.OPEN);
     Arrays.store(store, "j-2", 3, JobRecord.Phase.OPEN);
-    store.put(Keys.job(new JobId("j-3")), new StoredValue.Unreadable("of a later form"));
+    store.put(StoreKeys.job(new JobId("j-3")), new StoredValue.Unreadable("of a later form"));
   }
 
   private void rises() {
-    view.listen(
+    view.setListener(
         new StoreView.Listener() {
           @Override
           public void leaderChanged(Moment at) {}
@@ -72,7 +72,7 @@
     view.tick(now);
     serve();
     Token token = new Token(100);
-    Guard guard = new Guard(Keys.LEADER, new Revision(100));
+    Guard guard = new Guard(StoreKeys.LEADER, new Revision(100));
     jobs = new JobBook(view, token, now);
     Settings.Workers timing =
         new Settings.Workers(Span.seconds(1), Span.seconds(10), Span.seconds(30));
@@ -111,17 +111,17 @@
   }
 
   private void serve() {
-    store.serve(outbox, commit -> LateStore.Fate.SERVED);
+    store.serve(outbox, commit -> FaultyStore.CommitOutcome.APPLIED);
   }
 
   /** Parts with names or bits that make no sense are left out, and hold up nothing. */
   @Test
   void partsThatMakeNoSenseAreLeftOut() {
-    store.put(Keys.DONE + "j-1/0", new StoredValue.DoneChunk("not hexadecimal"));
-    store.put(Keys.DONE + "j-1/99999999999", new StoredValue.DoneChunk("01"));
-    store.put(Keys.DONE + "j-1/262144", new StoredValue.DoneChunk("01"));
-    store.put(Keys.DONE + "nobody", new StoredValue.DoneChunk("01"));
-    store.put(Keys.DONE + "j-2/0", new StoredValue.DoneChunk("02"));
+    store.put(StoreKeys.DONE_PREFIX + "j-1/0", new StoredValue.DoneChunk("not hexadecimal"));
+    store.put(StoreKeys.DONE_PREFIX + "j-1/99999999999", new StoredValue.DoneChunk("01"));
+    store.put(StoreKeys.DONE_PREFIX + "j-1/262144", new StoredValue.DoneChunk("01"));
+    store.put(StoreKeys.DONE_PREFIX + "nobody", new StoredValue.DoneChunk("01"));
+    store.put(StoreKeys.DONE_PREFIX + "j-2/0", new StoredValue.DoneChunk("02"));
     rises();
     assertThat(recovery.complete()).isTrue();
     assertThat(jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isZero();
@@ -134,7 +134,7 @@
    */
   @Test
   void workersForgetOnlyWhatIsStoredOrAskedForByNobody() {
-    store.put(Keys.DONE + "j-2/0", new StoredValue.DoneChunk("02"));
+    store.put(StoreKeys.DONE_PREFIX + "j-2/0", new StoredValue.DoneChunk("02"));
     rises();
     List<Report.Piece> pieces = new ArrayList<>();
     for (String task : List.of("j-1/0", "j-2/1", "j-3/0", "j-4/0")) {
