--- a/src/test/java/org/oakwalk/core/shared/KeptRecordTest.java
+++ b/src/test/java/org/oakwalk/core/shared/StoredSharedRecordTest.java
@@ -22,7 +22,7 @@
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Entry;
 import org.oakwalk.core.store.Guard;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 
 /**
@@ -30,59 +30,60 @@
  * apply late, in drawn orders. Whoever reads sees one revision whole, never an older one than
  * somebody has relied on, and in the end what was wanted last.
  */
-class KeptRecordTest {
+class StoredSharedRecordTest {
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(100, 50, 1, 3);
   private static final int SEEDS = 1500;
   private static final int STEPS = 400;
   private static final int STEP_MILLIS = 100;
-  private static final int PAGE = 2;
+  private static final int PAGE_SIZE = 2;
 
   /** A row knows to which want it belongs, and how many that has. */
-  private record Row(int want, int index, int of) implements SharedRow {
+  private record Row(int writeNumber, int index, int rowCount) implements SharedRow {
     @Override
-    public int bytes() {
+    public int maxJsonBytes() {
       return 150 + 40 * (index % 4);
     }
   }
 
   /** A request that the store has yet to see; whom to answer, if anybody still waits. */
-  private record Sent(Leader from, CallId call, Request request, boolean waited) {}
+  private record PendingRequest(Leader from, CallId call, Request request, boolean awaited) {}
 
   private static final class Leader {
     final Outbox outbox = new Outbox();
-    final SharedState state;
+    final SharedRecords state;
     final SharedRecord<Row> record;
 
     Leader(Revision token) {
-      state = new SharedState(outbox, new Guard(Keys.LEADER, token), LIMITS);
-      record = state.record("rows", Row.class);
+      state = new SharedRecords(outbox, new Guard(StoreKeys.LEADER, token), LIMITS);
+      record = state.declare("rows", Row.class);
     }
   }
 
   /** One drawn run. */
-  private static final class Run {
-    private final UniformRandomProvider chance;
-    private final boolean guarded;
+  private static final class RandomRun {
+    private final UniformRandomProvider random;
+    private final boolean headGuardChecked;
     private final TreeMap<String, Entry> store = new TreeMap<>();
     private final List<Leader> leaders = new ArrayList<>();
-    private List<Sent> sent = new ArrayList<>();
+    private List<PendingRequest> pending = new ArrayList<>();
     private long epoch = 1;
-    private int wants;
-    private int lastWant;
+    private int writeCount;
+    private int lastWrite;
     private int confirmed;
     private int changes;
-    private boolean troubles = true;
+    private boolean faultsEnabled = true;
 
-    Run(long seed, boolean guarded) {
-      this.chance = RandomSource.XO_SHI_RO_256_PP.create(seed);
-      this.guarded = guarded;
-      lead();
+    RandomRun(long seed, boolean guarded) {
+      this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
+      this.headGuardChecked = guarded;
+      electLeader();
     }
 
-    private void lead() {
+    private void electLeader() {
       epoch++;
       store.put(
-          Keys.LEADER, new Entry(Keys.LEADER, new StoredValue.Unreadable(""), new Revision(epoch)));
+          StoreKeys.LEADER,
+          new Entry(StoreKeys.LEADER, new StoredValue.Unreadable(""), new Revision(epoch)));
       leaders.add(new Leader(new Revision(epoch)));
     }
 
@@ -93,59 +94,60 @@
     void play() {
       long now = 0;
       for (int step = 0; step < STEPS; step++, now += STEP_MILLIS) {
-        troubles = step < STEPS / 2;
+        faultsEnabled = step < STEPS / 2;
         step(step, new Moment(now));
       }
-      assertThat(last().record.settled()).as("settled").isTrue();
-      assertThat(seen()).as("what was wanted last").isEqualTo(lastWant);
+      assertThat(last().record.isUpToDate()).as("settled").isTrue();
+      assertThat(readAsNewLeader()).as("what was wanted last").isEqualTo(lastWrite);
       assertThat(changes)
           .as("a tenth of the changes, and a second's worth or a commit at once")
           .isLessThanOrEqualTo((int) (now / 1000 * LIMITS.writesPerSecond() / 10) + 10);
     }
 
     private void step(int step, Moment now) {
-      if (troubles && chance.nextInt(60) == 0) {
-        lead();
+      if (faultsEnabled && random.nextInt(60) == 0) {
+        electLeader();
       }
       boolean lastly = step == STEPS * 3 / 4;
-      if (lastly || troubles && last().record.known() && chance.nextInt(4) == 0) {
-        want(last());
+      if (lastly || faultsEnabled && last().record.isLoaded() && random.nextInt(4) == 0) {
+        requestWrite(last());
       }
       for (Leader leader : leaders.subList(Math.max(0, leaders.size() - 2), leaders.size())) {
         leader.state.tick(now);
         for (Effect effect : leader.outbox.drain()) {
           Effect.Call call = (Effect.Call) effect;
-          sent.add(new Sent(leader, call.call(), call.request(), true));
+          pending.add(new PendingRequest(leader, call.call(), call.request(), true));
         }
       }
-      List<Sent> here = sent;
-      sent = new ArrayList<>();
-      Collections.shuffle(here, new java.util.Random(chance.nextLong()));
-      here.forEach(this::arrives);
-      last().record.stored().stream().findFirst().ifPresent(row -> confirm(row.want()));
+      List<PendingRequest> here = pending;
+      pending = new ArrayList<>();
+      Collections.shuffle(here, new java.util.Random(random.nextLong()));
+      here.forEach(this::deliver);
+      last().record.storedRows().stream().findFirst().ifPresent(row -> confirm(row.writeNumber()));
     }
 
-    private void want(Leader leader) {
-      int want = ++wants;
-      int rows = 1 + chance.nextInt(chance.nextBoolean() ? 4 : 25);
-      leader.record.want(IntStream.range(0, rows).mapToObj(i -> new Row(want, i, rows)).toList());
-      lastWant = want;
+    private void requestWrite(Leader leader) {
+      int want = ++writeCount;
+      int rows = 1 + random.nextInt(random.nextBoolean() ? 4 : 25);
+      leader.record.requestWrite(
+          IntStream.range(0, rows).mapToObj(i -> new Row(want, i, rows)).toList());
+      lastWrite = want;
     }
 
-    private void arrives(Sent item) {
-      int fate = troubles ? chance.nextInt(10) : 9;
-      boolean lingers = troubles && !item.waited() && chance.nextInt(20) > 0;
+    private void deliver(PendingRequest item) {
+      int fate = faultsEnabled ? random.nextInt(10) : 9;
+      boolean lingers = faultsEnabled && !item.awaited() && random.nextInt(20) > 0;
       if (fate == 0 || lingers) {
-        sent.add(item);
-      } else if (fate == 1 && item.waited()) {
+        pending.add(item);
+      } else if (fate == 1 && item.awaited()) {
         // The answer is given up, the request is still on its way.
         item.from().outbox.answered(item.call(), new Answer.Nothing("lost"));
-        sent.add(new Sent(item.from(), item.call(), item.request(), false));
-      } else if (fate == 2 && item.waited()) {
+        pending.add(new PendingRequest(item.from(), item.call(), item.request(), false));
+      } else if (fate == 2 && item.awaited()) {
         item.from().outbox.answered(item.call(), new Answer.Refused(503, ""));
       } else {
         Answer answer = apply(item.request());
-        if (item.waited()) {
+        if (item.awaited()) {
           item.from().outbox.answered(item.call(), fate == 3 ? new Answer.Nothing("lost") : answer);
         }
       }
@@ -158,17 +160,17 @@
                 .filter(entry -> entry.key().startsWith(read.prefix()))
                 .filter(entry -> read.after().stream().allMatch(a -> entry.key().compareTo(a) > 0))
                 .toList();
-        List<Entry> page = all.subList(0, Math.min(PAGE, all.size()));
+        List<Entry> page = all.subList(0, Math.min(PAGE_SIZE, all.size()));
         return new Answer.Page(page, page.size() < all.size(), new Revision(epoch));
       }
       Request.Commit commit = (Request.Commit) request;
       assertThat(commit.changes().size()).isLessThanOrEqualTo(LIMITS.changesPerCommit());
       changes += commit.changes().size();
       for (Guard guard : commit.guards()) {
-        boolean looked = guarded || guard.key().equals(Keys.LEADER);
+        boolean looked = headGuardChecked || guard.key().equals(StoreKeys.LEADER);
         Revision stamp =
-            Optional.ofNullable(store.get(guard.key())).map(Entry::stamp).orElse(Revision.NONE);
-        if (looked && !stamp.equals(guard.stamp())) {
+            Optional.ofNullable(store.get(guard.key())).map(Entry::revision).orElse(Revision.NONE);
+        if (looked && !stamp.equals(guard.revision())) {
           return new Answer.Conflict(List.of(guard.key()));
         }
       }
@@ -177,31 +179,32 @@
         Change.Put put = (Change.Put) change;
         store.put(put.key(), new Entry(put.key(), put.value(), new Revision(epoch)));
       }
-      seen();
+      readAsNewLeader();
       return new Answer.Committed(new Revision(epoch));
     }
 
     private void confirm(int want) {
       confirmed = Math.max(confirmed, want);
-      seen();
+      readAsNewLeader();
     }
 
     /** What a new leader would find now. */
-    private int seen() {
+    private int readAsNewLeader() {
       Outbox outbox = new Outbox();
-      SharedState state = new SharedState(outbox, new Guard(Keys.LEADER, Revision.NONE), LIMITS);
-      SharedRecord<Row> record = state.record("rows", Row.class);
-      while (!state.known()) {
+      SharedRecords state =
+          new SharedRecords(outbox, new Guard(StoreKeys.LEADER, Revision.NONE), LIMITS);
+      SharedRecord<Row> record = state.declare("rows", Row.class);
+      while (!state.isLoaded()) {
         state.tick(new Moment(0));
         for (Effect effect : outbox.drain()) {
           Effect.Call call = (Effect.Call) effect;
           outbox.answered(call.call(), apply(call.request()));
         }
       }
-      assertThat(record.broken()).as("broken").isFalse();
-      List<Row> rows = record.stored();
-      int want = rows.isEmpty() ? 0 : rows.get(0).want();
-      int of = rows.isEmpty() ? 0 : rows.get(0).of();
+      assertThat(record.isUnusable()).as("broken").isFalse();
+      List<Row> rows = record.storedRows();
+      int want = rows.isEmpty() ? 0 : rows.get(0).writeNumber();
+      int of = rows.isEmpty() ? 0 : rows.get(0).rowCount();
       assertThat(rows)
           .as("whole")
           .isEqualTo(IntStream.range(0, of).mapToObj(i -> new Row(want, i, of)).toList());
@@ -211,10 +214,10 @@
   }
 
   @Test
-  void revisionsAreSeenWholeAndNeverOlderThanWhatWasReliedOn() {
+  void readersNeverSeePartialOrOutdatedRevisions() {
     for (int seed = 1; seed <= SEEDS; seed++) {
       try {
-        new Run(seed, true).play();
+        new RandomRun(seed, true).play();
       } catch (AssertionError | RuntimeException e) {
         throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
       }
@@ -223,11 +226,11 @@
 
   /** A store that does not look at the head's version lets late commits through, which shows. */
   @Test
-  void withoutTheHeadsGuardItWouldShow() {
+  void lateCommitsAreDetectedIfTheHeadGuardIsIgnored() {
     long found = 0;
     for (int seed = 1; seed <= 200; seed++) {
       try {
-        new Run(seed, false).play();
+        new RandomRun(seed, false).play();
       } catch (AssertionError e) {
         found++;
       }
@@ -236,43 +239,46 @@
   }
 
   @Test
-  void laterValuesAreWrittenInPlaceOfEarlierOnes() {
+  void laterWriteReplacesPendingWrite() {
     Leader leader = new Leader(new Revision(1));
     leader.state.tick(new Moment(0));
     answer(leader, new Answer.Page(List.of(), false, new Revision(1)));
-    long first = leader.record.want(List.of(new Row(1, 0, 1)));
+    long first = leader.record.requestWrite(List.of(new Row(1, 0, 1)));
     leader.state.tick(new Moment(1000));
     leader.state.tick(new Moment(2000));
-    leader.record.want(List.of(new Row(2, 0, 1)));
-    long last = leader.record.want(List.of(new Row(3, 0, 1)));
+    leader.record.requestWrite(List.of(new Row(2, 0, 1)));
+    long last = leader.record.requestWrite(List.of(new Row(3, 0, 1)));
     answer(leader, new Answer.Committed(new Revision(2)));
     assertThat(leader.record.revision()).isEqualTo(first);
     leader.state.tick(new Moment(3000));
     answer(leader, new Answer.Committed(new Revision(3)));
     assertThat(leader.record.revision()).isEqualTo(last);
-    assertThat(leader.record.stored()).containsExactly(new Row(3, 0, 1));
-    assertThat(leader.record.want(List.of(new Row(3, 0, 1)))).as("no change").isEqualTo(last);
-    assertThat(leader.record.settled()).isTrue();
+    assertThat(leader.record.storedRows()).containsExactly(new Row(3, 0, 1));
+    assertThat(leader.record.requestWrite(List.of(new Row(3, 0, 1))))
+        .as("no change")
+        .isEqualTo(last);
+    assertThat(leader.record.isUpToDate()).isTrue();
   }
 
   /** What can't be read is left as it is, and stops nothing else. */
   @Test
-  void aDamagedRecordIsBrokenAlone() {
+  void damagedRecordDoesNotAffectOtherRecords() {
     Leader leader = new Leader(new Revision(1));
-    SharedRecord<Row> other = leader.state.record("sound", Row.class);
+    SharedRecord<Row> other = leader.state.declare("sound", Row.class);
     leader.state.tick(new Moment(0));
     Entry damaged =
-        new Entry(Keys.sharedHead("rows"), new StoredValue.Unreadable("form 9"), new Revision(1));
+        new Entry(
+            StoreKeys.sharedHead("rows"), new StoredValue.Unreadable("form 9"), new Revision(1));
     answer(leader, new Answer.Page(List.of(damaged), false, new Revision(1)));
-    assertThat(leader.record.broken()).isTrue();
-    leader.record.want(List.of(new Row(1, 0, 1)));
+    assertThat(leader.record.isUnusable()).isTrue();
+    leader.record.requestWrite(List.of(new Row(1, 0, 1)));
     leader.state.tick(new Moment(1000));
     leader.state.tick(new Moment(2000));
     assertThat(leader.outbox.drain()).isEmpty();
-    other.want(List.of(new Row(1, 0, 1)));
+    other.requestWrite(List.of(new Row(1, 0, 1)));
     leader.state.tick(new Moment(3000));
     answer(leader, new Answer.Committed(new Revision(2)));
-    assertThat(other.settled()).isTrue();
+    assertThat(other.isUpToDate()).isTrue();
   }
 
   private static void answer(Leader leader, Answer answer) {
--- a/src/test/java/org/oakwalk/core/store/LateStore.java
+++ b/src/test/java/org/oakwalk/core/store/FaultyStore.java
@@ -11,24 +11,24 @@
 import org.oakwalk.core.port.Request;
 
 /** A state service that keeps values and may lose answers, or carry transactions out late. */
-public final class LateStore {
+public final class FaultyStore {
   /** What becomes of a transaction. */
-  public enum Fate {
-    SERVED,
+  public enum CommitOutcome {
+    APPLIED,
     REFUSED,
     ANSWER_LOST,
-    /** No answer; it is carried out when {@link #carryOut} says so. */
-    LATE
+    /** No answer; it is carried out when {@link #applyDelayed} says so. */
+    DELAYED
   }
 
   /** Whose transactions meet which fate. */
-  public interface Fates {
-    Fate of(Request.Commit commit);
+  public interface CommitOutcomes {
+    CommitOutcome outcomeOf(Request.Commit commit);
   }
 
   private final TreeMap<String, Entry> entries = new TreeMap<>();
-  private final List<News> history = new ArrayList<>();
-  private final List<Request.Commit> late = new ArrayList<>();
+  private final List<KeyChange> history = new ArrayList<>();
+  private final List<Request.Commit> delayed = new ArrayList<>();
   private long epoch = 1;
 
   /** Writes a value as somebody else would. */
@@ -42,24 +42,24 @@
     return Optional.ofNullable(entries.get(key));
   }
 
-  public List<Entry> below(String prefix) {
+  public List<Entry> entriesBelow(String prefix) {
     return entries.values().stream().filter(e -> e.key().startsWith(prefix)).toList();
   }
 
   /** How many transactions are still to be carried out. */
-  public int waiting() {
-    return late.size();
+  public int delayedCount() {
+    return delayed.size();
   }
 
   /** Carries out one that had no answer. */
-  public Answer carryOut(int index) {
-    return apply(late.remove(index));
+  public Answer applyDelayed(int index) {
+    return apply(delayed.remove(index));
   }
 
   /**
    * Serves all that a node has asked for, and what it asks for upon that, until nothing is left.
    */
-  public void serve(Outbox outbox, Fates fates) {
+  public void serve(Outbox outbox, CommitOutcomes fates) {
     for (List<Effect> effects = outbox.drain(); !effects.isEmpty(); effects = outbox.drain()) {
       for (Effect effect : effects) {
         if (effect instanceof Effect.Call call) {
@@ -69,28 +69,28 @@
     }
   }
 
-  private Answer answer(Request.State request, Fates fates) {
+  private Answer answer(Request.State request, CommitOutcomes fates) {
     if (request instanceof Request.ReadPage read) {
-      return new Answer.Page(below(read.prefix()), false, new Revision(epoch));
+      return new Answer.Page(entriesBelow(read.prefix()), false, new Revision(epoch));
     }
     if (request instanceof Request.Watch watch) {
       return new Answer.Changes(
           new Revision(epoch),
           history.stream()
-              .filter(news -> news.stamp().compareTo(watch.after()) > 0)
+              .filter(news -> news.revision().compareTo(watch.after()) > 0)
               .filter(news -> news.key().startsWith(watch.prefix()))
               .toList());
     }
     Request.Commit commit = (Request.Commit) request;
-    return switch (fates.of(commit)) {
-      case SERVED -> apply(commit);
+    return switch (fates.outcomeOf(commit)) {
+      case APPLIED -> apply(commit);
       case REFUSED -> new Answer.Refused(503, "");
       case ANSWER_LOST -> {
         apply(commit);
         yield new Answer.Nothing("lost");
       }
-      case LATE -> {
-        late.add(commit);
+      case DELAYED -> {
+        delayed.add(commit);
         yield new Answer.Nothing("late");
       }
     };
@@ -102,9 +102,9 @@
             .filter(
                 guard ->
                     !find(guard.key())
-                        .map(Entry::stamp)
+                        .map(Entry::revision)
                         .orElse(Revision.NONE)
-                        .equals(guard.stamp()))
+                        .equals(guard.revision()))
             .map(Guard::key)
             .toList();
     if (!failed.isEmpty()) {
@@ -119,9 +119,9 @@
     Revision at = new Revision(epoch);
     if (change instanceof Change.Put put) {
       entries.put(put.key(), new Entry(put.key(), put.value(), at));
-      history.add(new News(put.key(), Optional.of(put.value()), at));
+      history.add(new KeyChange(put.key(), Optional.of(put.value()), at));
     } else if (change instanceof Change.Remove remove && entries.remove(remove.key()) != null) {
-      history.add(new News(remove.key(), Optional.empty(), at));
+      history.add(new KeyChange(remove.key(), Optional.empty(), at));
     }
   }
 }
--- a/src/test/java/org/oakwalk/core/store/LimitedService.java
+++ b/src/test/java/org/oakwalk/core/store/RateLimitedService.java
@@ -16,10 +16,10 @@
 import org.oakwalk.core.port.Request;
 
 /** The state service's limits and its watches, in virtual time; it keeps no values. */
-final class LimitedService {
+final class RateLimitedService {
   static final int NODES = 7;
-  static final double REQUESTS = 250;
-  static final double WRITES = 50;
+  static final double REQUESTS_PER_SECOND = 250;
+  static final double WRITES_PER_SECOND = 50;
   private static final long ONE_WAY_MILLIS = 2;
 
   private record Event(long at, long number, Runnable action) {}
@@ -29,8 +29,8 @@
   private final PriorityQueue<Event> events =
       new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
   private final List<Watcher> watchers = new ArrayList<>();
-  private double requestTokens = REQUESTS;
-  private double writeTokens = WRITES;
+  private double requestTokens = REQUESTS_PER_SECOND;
+  private double writeTokens = WRITES_PER_SECOND;
   private long numbers;
   private long epoch = 1;
   long now;
@@ -46,7 +46,7 @@
         Map.of(),
         List.of(),
         new Settings.Workers(Span.seconds(1), Span.seconds(10), Span.seconds(30)),
-        new Settings.StateLimits(REQUESTS, WRITES, 4, 8),
+        new Settings.StateLimits(REQUESTS_PER_SECOND, WRITES_PER_SECOND, 4, 8),
         new Settings.CloudLimits(10, Span.seconds(1)),
         Span.millis(0));
   }
@@ -91,14 +91,14 @@
 
   private Answer changes() {
     return new Answer.Changes(
-        new Revision(epoch), List.of(new News("k", Optional.empty(), new Revision(epoch))));
+        new Revision(epoch), List.of(new KeyChange("k", Optional.empty(), new Revision(epoch))));
   }
 
   /** Goes on until then; the action is done each millisecond. */
   void run(long until, Runnable each) {
     for (; now < until; now++) {
-      requestTokens = Math.min(REQUESTS, requestTokens + REQUESTS / 1000);
-      writeTokens = Math.min(WRITES, writeTokens + WRITES / 1000);
+      requestTokens = Math.min(REQUESTS_PER_SECOND, requestTokens + REQUESTS_PER_SECOND / 1000);
+      writeTokens = Math.min(WRITES_PER_SECOND, writeTokens + WRITES_PER_SECOND / 1000);
       for (Watcher watcher : List.copyOf(watchers)) {
         if (watcher.until() <= now) {
           watchers.remove(watcher);
--- a/src/test/java/org/oakwalk/core/store/RequestQueueTest.java
+++ b/src/test/java/org/oakwalk/core/store/RequestQueueTest.java
@@ -16,16 +16,16 @@
 
 /** Several nodes that want more than the state service gives, in virtual time. */
 class RequestQueueTest {
-  private static final int NODES = LimitedService.NODES;
-  private static final double WRITES = LimitedService.WRITES;
+  private static final int NODES = RateLimitedService.NODES;
+  private static final double WRITES_PER_SECOND = RateLimitedService.WRITES_PER_SECOND;
 
-  private final LimitedService service = new LimitedService();
-  private final List<RequestQueue> lines = new ArrayList<>();
+  private final RateLimitedService service = new RateLimitedService();
+  private final List<RequestQueue> queues = new ArrayList<>();
   private final Map<Integer, Integer> written = new HashMap<>();
 
   RequestQueueTest() {
     for (int i = 0; i < NODES; i++) {
-      lines.add(new RequestQueue(LimitedService.settings(i), 0, service::serve));
+      queues.add(new RequestQueue(RateLimitedService.settings(i), 0, service::serve));
     }
   }
 
@@ -33,8 +33,8 @@
     service.run(
         until,
         () -> {
-          lines.forEach(line -> line.clock(service.now));
-          lines.forEach(line -> line.pump(service.now));
+          queues.forEach(line -> line.setTime(service.now));
+          queues.forEach(line -> line.sendDue(service.now));
         });
   }
 
@@ -44,25 +44,25 @@
   }
 
   /** Wants more and more, as users who repeat what was refused. */
-  private void floods(int node) {
-    lines
+  private void floodWithSubmissions(int node) {
+    queues
         .get(node)
-        .call(
+        .enqueue(
             write(Request.Urgency.ACCEPTANCE),
             service.now,
             answer -> {
               if (answer instanceof Answer.Committed) {
                 written.merge(node, 1, Integer::sum);
               }
-              service.after(1, () -> floods(node));
+              service.after(1, () -> floodWithSubmissions(node));
             });
   }
 
   @Test
-  void nodesThatFloodShareTheLimit() {
+  void floodingNodesShareTheWriteRate() {
     for (int node = 0; node < NODES; node++) {
       for (int i = 0; i < 100; i++) {
-        floods(node);
+        floodWithSubmissions(node);
       }
     }
     run(2_000);
@@ -70,35 +70,35 @@
     written.clear();
     run(32_000);
     int all = written.values().stream().mapToInt(Integer::intValue).sum();
-    assertThat(all).as("written").isGreaterThan((int) (30 * WRITES * 0.85));
+    assertThat(all).as("written").isGreaterThan((int) (30 * WRITES_PER_SECOND * 0.85));
     assertThat(service.refused).as("refused").isLessThan(all / 4);
     assertThat(written.values()).allMatch(count -> count > all / NODES * 0.6);
   }
 
   @Test
-  void oneAloneGetsNearlyAll() {
+  void singleBusyNodeGetsMostOfTheWriteRate() {
     for (int i = 0; i < 100; i++) {
-      floods(0);
+      floodWithSubmissions(0);
     }
     run(20_000);
     written.clear();
     run(30_000);
-    assertThat(written.get(0)).isGreaterThan((int) (10 * WRITES * 0.8));
+    assertThat(written.get(0)).isGreaterThan((int) (10 * WRITES_PER_SECOND * 0.8));
   }
 
   @Test
-  void renewalsGetThroughAFlood() {
+  void leaseRenewalsAreNotDelayedByAFlood() {
     for (int node = 0; node < NODES; node++) {
       for (int i = 0; i < 100; i++) {
-        floods(node);
+        floodWithSubmissions(node);
       }
     }
     long[] worst = new long[1];
     for (int round = 0; round < 40; round++) {
       run(service.now + 500);
-      for (RequestQueue line : lines) {
+      for (RequestQueue line : queues) {
         long begun = service.now;
-        line.call(
+        line.enqueue(
             new Request.Renew(new HoldId(1)),
             service.now,
             answer -> worst[0] = Math.max(worst[0], service.now - begun));
@@ -109,19 +109,19 @@
   }
 
   @Test
-  void theMoreUrgentLeavesFirst() {
+  void moreUrgentRequestIsSentFirst() {
     for (int i = 0; i < 100; i++) {
-      floods(0);
+      floodWithSubmissions(0);
     }
     run(1_000);
     long begun = service.now;
     long[] took = new long[2];
-    lines
+    queues
         .get(0)
-        .call(write(Request.Urgency.REST), service.now, answer -> took[1] = service.now - begun);
-    lines
+        .enqueue(write(Request.Urgency.REST), service.now, answer -> took[1] = service.now - begun);
+    queues
         .get(0)
-        .call(
+        .enqueue(
             write(Request.Urgency.ENROLMENT), service.now, answer -> took[0] = service.now - begun);
     run(begun + 5_000);
     assertThat(took[0]).isBetween(1L, 300L);
@@ -131,48 +131,48 @@
 
   /** What is less urgent than submissions gets half of the writes at most, however much waits. */
   @Test
-  void submissionsGetTheirHalf() {
+  void submissionsAndLessUrgentWritesShareEqually() {
     int[] rest = new int[1];
     for (int i = 0; i < 100; i++) {
-      floods(0);
-      floodsWith(Request.Urgency.REST, rest);
+      floodWithSubmissions(0);
+      floodWith(Request.Urgency.REST, rest);
     }
     run(10_000);
     written.clear();
     rest[0] = 0;
     run(20_000);
     int all = written.get(0) + rest[0];
-    assertThat(all).isGreaterThan((int) (10 * WRITES * 0.8));
+    assertThat(all).isGreaterThan((int) (10 * WRITES_PER_SECOND * 0.8));
     assertThat(written.get(0)).isBetween((int) (all * 0.45), (int) (all * 0.55));
   }
 
-  private void floodsWith(Request.Urgency urgency, int[] count) {
-    lines
+  private void floodWith(Request.Urgency urgency, int[] count) {
+    queues
         .get(0)
-        .call(
+        .enqueue(
             write(urgency),
             service.now,
             answer -> {
               count[0] += answer instanceof Answer.Committed ? 1 : 0;
-              service.after(1, () -> floodsWith(urgency, count));
+              service.after(1, () -> floodWith(urgency, count));
             });
   }
 
   /** As above, but whoever is refused waits a moment, so that a line full of them costs little. */
-  private void crowds(int node) {
-    lines
+  private void submitRepeatedly(int node) {
+    queues
         .get(node)
-        .call(
+        .enqueue(
             write(Request.Urgency.ACCEPTANCE),
             service.now,
-            answer -> service.after(40, () -> crowds(node)));
+            answer -> service.after(40, () -> submitRepeatedly(node)));
   }
 
   /** More submissions wait than there is room for, on one node alone and on all. */
-  private long[] worstInAFullLine(int nodes, Request.Urgency urgency) {
+  private long[] longestWaitInFullQueue(int nodes, Request.Urgency urgency) {
     for (int node = 0; node < nodes; node++) {
       for (int i = 0; i < 500; i++) {
-        crowds(node);
+        submitRepeatedly(node);
       }
     }
     run(1_000);
@@ -181,9 +181,9 @@
       run(service.now + 500);
       for (int node = 0; node < nodes; node++) {
         long begun = service.now;
-        lines
+        queues
             .get(node)
-            .call(
+            .enqueue(
                 write(urgency),
                 service.now,
                 answer -> {
@@ -197,38 +197,38 @@
   }
 
   @Test
-  void withdrawalsGetThroughAFullLine() {
-    long[] worst = worstInAFullLine(NODES, Request.Urgency.WITHDRAWAL);
+  void withdrawalsAreNotRefusedByAFullQueue() {
+    long[] worst = longestWaitInFullQueue(NODES, Request.Urgency.WITHDRAWAL);
     assertThat(worst[1]).as("refused").isZero();
     assertThat(worst[0]).as("longest, ms").isLessThan(1_000);
   }
 
   /** Else jobs would never be done, nor machines leave the list, for as long as users submit. */
   @Test
-  void endsOfJobsGetThroughAFullLine() {
-    long[] worst = worstInAFullLine(NODES, Request.Urgency.RESULT);
+  void resultsAreNotRefusedByAFullQueue() {
+    long[] worst = longestWaitInFullQueue(NODES, Request.Urgency.RESULT);
     assertThat(worst[1]).as("refused").isZero();
     assertThat(worst[0]).as("longest, ms").isLessThan(1_500);
   }
 
   @Test
-  void theLeastUrgentGetThroughAFullLine() {
-    long[] worst = worstInAFullLine(NODES, Request.Urgency.REST);
+  void leastUrgentWritesAreNotStarvedByAFullQueue() {
+    long[] worst = longestWaitInFullQueue(NODES, Request.Urgency.REST);
     assertThat(worst[1]).as("refused").isZero();
     assertThat(worst[0]).as("longest, ms").isLessThan(1_500);
   }
 
   @Test
-  void claimsGetThroughAFullLine() {
-    long[] worst = worstInAFullLine(1, Request.Urgency.LEADERSHIP);
+  void leadershipClaimsAreNotDelayedByAFullQueue() {
+    long[] worst = longestWaitInFullQueue(1, Request.Urgency.LEADERSHIP);
     assertThat(worst[1]).as("refused").isZero();
     assertThat(worst[0]).as("longest, ms").isLessThan(300);
   }
 
   @Test
-  void readsAndRenewalsGetThroughAFullLineOfWrites() {
+  void readsAndRenewalsAreNotBlockedByQueuedWrites() {
     for (int i = 0; i < 500; i++) {
-      crowds(0);
+      submitRepeatedly(0);
     }
     run(1_000);
     long[] worst = new long[2];
@@ -239,9 +239,9 @@
     for (int round = 0; round < 20; round++) {
       run(service.now + 250);
       long begun = service.now;
-      lines
+      queues
           .get(0)
-          .call(
+          .enqueue(
               asked.get(round % 2),
               service.now,
               answer -> {
@@ -255,15 +255,15 @@
   }
 
   @Test
-  void whatWaitsStaysBoundedAndTheLeastUrgentGivesWay() {
+  void queueLengthIsBoundedAndLeastUrgentRequestIsRefused() {
     int[] refused = new int[2];
     for (int i = 0; i < 5_000; i++) {
-      lines.get(0).call(write(Request.Urgency.REST), 0, answer -> refused[0]++);
+      queues.get(0).enqueue(write(Request.Urgency.REST), 0, answer -> refused[0]++);
     }
     int kept = 5_000 - refused[0];
     assertThat(kept).as("kept").isBetween(300, 500);
     for (int i = 0; i < 100; i++) {
-      lines.get(0).call(write(Request.Urgency.WITHDRAWAL), 0, answer -> refused[1]++);
+      queues.get(0).enqueue(write(Request.Urgency.WITHDRAWAL), 0, answer -> refused[1]++);
     }
     assertThat(refused[0]).isEqualTo(5_000 - kept + 100);
     assertThat(refused[1]).isZero();
--- a/src/test/java/org/oakwalk/core/store/QuestionsTest.java
+++ b/src/test/java/org/oakwalk/core/store/StatusReadRateTest.java
@@ -12,26 +12,27 @@
 import org.oakwalk.core.port.Request;
 
 /** What users ask on all nodes, while much is written, within the state service's rate. */
-class QuestionsTest {
+class StatusReadRateTest {
   private static final long TICK_MILLIS = 50;
   private static final int OPEN_JOBS = 10_000;
-  private static final long ASKED_EVERY_MILLIS = 5_000;
+  private static final long QUERY_INTERVAL_MILLIS = 5_000;
 
-  private final LimitedService service = new LimitedService();
-  private long worst;
+  private final RateLimitedService service = new RateLimitedService();
+  private long longestWaitMillis;
   private int answered;
-  private int inVain;
+  private int failed;
 
   /** A node's copy of the store with the line by which it reads. */
   private final class Node {
     final Outbox outbox = new Outbox();
-    final RequestQueue line;
+    final RequestQueue queue;
     final StoreView view;
 
     Node(int number) {
-      line = new RequestQueue(LimitedService.settings(number), service.now, service::serve);
-      view = new StoreView(outbox, LimitedService.REQUESTS, LimitedService.NODES);
-      view.listen(
+      queue = new RequestQueue(RateLimitedService.settings(number), service.now, service::serve);
+      view =
+          new StoreView(outbox, RateLimitedService.REQUESTS_PER_SECOND, RateLimitedService.NODES);
+      view.setListener(
           new StoreView.Listener() {
             @Override
             public void leaderChanged(Moment at) {}
@@ -39,48 +40,48 @@
             @Override
             public void jobChanged(KnownJob job, Moment at) {}
           });
-      view.leads(number == 0);
+      view.setLeading(number == 0);
     }
 
     void step() {
-      view.clock(new Moment(service.now));
+      view.setTime(new Moment(service.now));
       if (service.now % TICK_MILLIS == 0) {
         view.tick(new Moment(service.now));
       }
       send();
-      line.pump(service.now);
+      queue.sendDue(service.now);
     }
 
     private void send() {
       for (Effect effect : outbox.drain()) {
         Effect.Call call = (Effect.Call) effect;
-        line.call(
+        queue.enqueue(
             (Request.State) call.request(),
             service.now,
             answer -> {
-              line.clock(service.now);
+              queue.setTime(service.now);
               outbox.answered(call.call(), answer);
               send();
             });
       }
     }
 
-    void asks() {
+    void query() {
       long begun = service.now;
       view.catchUp(
           new Moment(begun),
           known -> {
             answered++;
-            inVain += known ? 0 : 1;
-            worst = Math.max(worst, service.now - begun);
+            failed += known ? 0 : 1;
+            longestWaitMillis = Math.max(longestWaitMillis, service.now - begun);
           });
     }
   }
 
   @Test
-  void tenThousandJobsAreAskedAboutRightAfterAllCameBack() {
+  void statusReadsOfManyJobsStayWithinTheRequestRate() {
     List<Node> nodes = new ArrayList<>();
-    for (int i = 0; i < LimitedService.NODES; i++) {
+    for (int i = 0; i < RateLimitedService.NODES; i++) {
       nodes.add(new Node(i));
     }
     int[] asked = new int[1];
@@ -90,19 +91,19 @@
         () -> {
           nodes.forEach(Node::step);
           if (service.now > 200) {
-            for (due[0] += (double) OPEN_JOBS / ASKED_EVERY_MILLIS; due[0] >= 1; due[0]--) {
-              nodes.get(asked[0]++ % nodes.size()).asks();
+            for (due[0] += (double) OPEN_JOBS / QUERY_INTERVAL_MILLIS; due[0] >= 1; due[0]--) {
+              nodes.get(asked[0]++ % nodes.size()).query();
             }
           }
           if (service.now % 25 == 0) {
             // Users submit and withdraw at four fifths of what the service takes.
             Node node = nodes.get((int) (service.now / 25 % nodes.size()));
-            node.line.call(write(), service.now, answer -> {});
+            node.queue.enqueue(write(), service.now, answer -> {});
           }
         });
     assertThat(answered).isGreaterThan(asked[0] - OPEN_JOBS / 5);
-    assertThat(inVain).isZero();
-    assertThat(worst).as("longest wait, ms").isLessThan(1_000);
+    assertThat(failed).isZero();
+    assertThat(longestWaitMillis).as("longest wait, ms").isLessThan(1_000);
     assertThat(service.refused).as("refused").isLessThan(service.requests / 100);
   }
 
--- a/src/test/java/org/oakwalk/core/store/StoreViewTest.java
+++ b/src/test/java/org/oakwalk/core/store/StoreViewTest.java
@@ -23,13 +23,13 @@
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
-  private final List<Effect.Call> out = new ArrayList<>();
-  private int histories;
+  private final List<Effect.Call> sentCalls = new ArrayList<>();
+  private int historyTruncations;
   private Moment now = new Moment(1_000_000);
 
   @BeforeEach
-  void begin() {
-    view.listen(
+  void setListener() {
+    view.setListener(
         new StoreView.Listener() {
           @Override
           public void leaderChanged(Moment at) {}
@@ -38,118 +38,118 @@
           public void jobChanged(KnownJob job, Moment at) {}
 
           @Override
-          public void historyLost(Moment at) {
-            histories++;
+          public void historyTruncated(Moment at) {
+            historyTruncations++;
           }
         });
   }
 
   @Test
-  void pagesThatTakeLongTellNothingNewerThanTheFirst() {
+  void slowLoadConfirmsOnlyTheTimeOfItsFirstPage() {
     Moment first = now;
     tick();
     answer(Request.ReadPage.class, page("a", true, 10));
     answer(Request.ReadPage.class, DOWN);
     for (int i = 0; i < 20; i++) {
-      later(500);
+      advance(500);
       answer(Request.ReadPage.class, DOWN);
     }
-    later(500);
+    advance(500);
     answer(Request.ReadPage.class, page("b", false, 90));
-    assertThat(view.contact()).isEqualTo(first);
-    assertThat(view.fresh(now)).isFalse();
+    assertThat(view.lastConfirmed()).isEqualTo(first);
+    assertThat(view.isFresh(now)).isFalse();
     Request.Watch next = (Request.Watch) sent(Request.Watch.class).orElseThrow().request();
     assertThat(next.after()).isEqualTo(new Revision(10));
     assertThat(next.hold()).isEqualTo(Span.millis(0));
   }
 
   @Test
-  void aFirstPageThatWasRefusedCountsFromItsRepetition() {
+  void refusedFirstPageIsNotCountedAsConfirmation() {
     tick();
     answer(Request.ReadPage.class, DOWN);
-    later(5000);
+    advance(5000);
     Moment second = now;
     answer(Request.ReadPage.class, page("a", false, 10));
-    assertThat(view.contact()).isEqualTo(second);
+    assertThat(view.lastConfirmed()).isEqualTo(second);
   }
 
   @Test
-  void anAnswerThatComesLateTellsNoMoreThanWhenItWasAskedFor() {
-    loaded();
+  void lateAnswerConfirmsOnlyTheTimeOfItsRequest() {
+    load();
     Moment asked = now;
     Effect.Call watch = sent(Request.Watch.class).orElseThrow();
-    later(2000);
+    advance(2000);
     outbox.answered(watch.call(), new Answer.Changes(new Revision(11), List.of()));
-    assertThat(view.contact()).isEqualTo(asked);
+    assertThat(view.lastConfirmed()).isEqualTo(asked);
   }
 
   @Test
-  void neitherRefusalsNorSilenceMoveIt() {
-    loaded();
-    Moment before = view.contact();
+  void failedReadsDoNotAdvanceTheConfirmedTime() {
+    load();
+    Moment before = view.lastConfirmed();
     answer(Request.Watch.class, DOWN);
-    later(500);
+    advance(500);
     answer(Request.Watch.class, new Answer.Nothing("timeout"));
-    later(500);
+    advance(500);
     answer(Request.Watch.class, new Answer.Refused(429, "too much"));
-    assertThat(view.contact()).isEqualTo(before);
+    assertThat(view.lastConfirmed()).isEqualTo(before);
   }
 
   /** Two requests may find that the history was cut off; the second begins nothing anew. */
   @Test
-  void readingAnewIsBegunOnce() {
-    loaded();
+  void secondHistoryTruncationDoesNotRestartTheLoad() {
+    load();
     view.catchUp(now, known -> {});
     Effect.Call watch = sent(Request.Watch.class).orElseThrow();
     Effect.Call read = sent(Request.Watch.class).orElseThrow();
     Answer gone = new Answer.Refused(410, "too old");
     outbox.answered(watch.call(), gone);
-    assertThat(histories).isEqualTo(1);
-    later(500);
+    assertThat(historyTruncations).isEqualTo(1);
+    advance(500);
     Moment first = now;
     answer(Request.ReadPage.class, page("a", true, 50));
     outbox.answered(read.call(), gone);
-    assertThat(histories).isEqualTo(1);
-    later(500);
+    assertThat(historyTruncations).isEqualTo(1);
+    advance(500);
     answer(Request.ReadPage.class, page("b", false, 60));
-    assertThat(view.contact()).isEqualTo(first);
+    assertThat(view.lastConfirmed()).isEqualTo(first);
     Request.Watch next = (Request.Watch) sent(Request.Watch.class).orElseThrow().request();
     assertThat(next.after()).isEqualTo(new Revision(50));
   }
 
   /** A copy that was refused while followers were announced can't tell how old that is. */
   @Test
-  void anAnnouncementIsAsOldAsTheLastReadThatDidNotShowIt() {
-    loaded();
-    Moment last = view.contact();
+  void relayAnnouncementAgeCountsFromTheLastReadWithoutIt() {
+    load();
+    Moment last = view.lastConfirmed();
     answer(Request.Watch.class, DOWN);
-    later(20_000);
+    advance(20_000);
     answer(
         Request.Watch.class,
         new Answer.Changes(
             new Revision(12),
             List.of(
-                new News(
-                    Keys.relay("b"),
+                new KeyChange(
+                    StoreKeys.relay("b"),
                     Optional.of(new StoredValue.RelayRecord("b", new Token(7))),
                     new Revision(12)))));
-    StoreView.Relayed relayed = view.relayed("b").orElseThrow();
-    assertThat(relayed.earliest()).isEqualTo(last);
-    assertThat(relayed.seen()).isEqualTo(now);
+    StoreView.RelayAnnouncement relayed = view.relays("b").orElseThrow();
+    assertThat(relayed.earliestWrite()).isEqualTo(last);
+    assertThat(relayed.seenAt()).isEqualTo(now);
   }
 
-  private void loaded() {
+  private void load() {
     tick();
     answer(Request.ReadPage.class, page("a", false, 10));
   }
 
-  private void later(long millis) {
+  private void advance(long millis) {
     now = now.plus(Span.millis(millis));
     tick();
   }
 
   private void tick() {
-    view.clock(now);
+    view.setTime(now);
     view.tick(now);
   }
 
@@ -160,18 +160,20 @@
   private static Answer page(String key, boolean more, long epoch) {
     StoredValue value = new StoredValue.LeaderRecord(new NodeId("n"), "z", "one");
     return new Answer.Page(
-        List.of(new Entry(Keys.WATCHED + key, value, new Revision(5))), more, new Revision(epoch));
+        List.of(new Entry(StoreKeys.WATCHED_PREFIX + key, value, new Revision(5))),
+        more,
+        new Revision(epoch));
   }
 
   private Optional<Effect.Call> sent(Class<? extends Request> kind) {
     for (Effect effect : outbox.drain()) {
       if (effect instanceof Effect.Call call) {
-        out.add(call);
+        sentCalls.add(call);
       }
     }
     Optional<Effect.Call> found =
-        out.stream().filter(call -> kind.isInstance(call.request())).findFirst();
-    found.ifPresent(out::remove);
+        sentCalls.stream().filter(call -> kind.isInstance(call.request())).findFirst();
+    found.ifPresent(sentCalls::remove);
     return found;
   }
 }
--- a/src/test/java/org/oakwalk/daemon/QuestionsLoadTest.java
+++ b/src/test/java/org/oakwalk/daemon/QuestionsLoadTest.java
@@ -32,7 +32,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.JobRecord;
-import org.oakwalk.core.store.Keys;
+import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.wire.StateCodec;
 
 /**
@@ -106,7 +106,7 @@
     try (StoreStandIn store = new StoreStandIn()) {
       for (int i = 0; i < JOBS; i++) {
         JobRecord record = new JobRecord(job(i), JobRecord.Phase.OPEN, new WallTime(0));
-        Change put = new Change.Put(Keys.job(record.spec().id()), record, Optional.empty());
+        Change put = new Change.Put(StoreKeys.job(record.spec().id()), record, Optional.empty());
         store.commit(
             StateCodec.encode(
                     new Request.Commit(List.of(), List.of(put), Request.Urgency.ACCEPTANCE))
--- a/src/test/java/org/oakwalk/wire/DrainCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/DrainCodecTest.java
@@ -49,7 +49,9 @@
     assertThat(StateCodec.value(new Fields(StateCodec.value(plan)))).isEqualTo(plan);
     StoredValue.StopsRecord stops =
         new StoredValue.StopsRecord(
-            Map.of("crew.search", new StoredValue.Stops(3, Map.of(5_900_000L, 12, 5_900_001L, 1))));
+            Map.of(
+                "crew.search",
+                new StoredValue.StopCounts(3, Map.of(5_900_000L, 12, 5_900_001L, 1))));
     assertThat(StateCodec.value(new Fields(StateCodec.value(stops)))).isEqualTo(stops);
   }
 
@@ -59,11 +61,11 @@
     Set<String> machines = new LinkedHashSet<>();
     IntStream.range(0, 100).forEach(i -> machines.add("host-" + (1_000_000 + i)));
     assertThat(StateCodec.value(record(machines)).toString().length()).isLessThan(SMALLEST_VALUE);
-    Map<String, StoredValue.Stops> budgets = new TreeMap<>();
+    Map<String, StoredValue.StopCounts> budgets = new TreeMap<>();
     for (int i = 0; i < 16; i++) {
       Map<Long, Integer> times = new TreeMap<>();
       IntStream.range(0, 13).forEach(t -> times.put(5_900_000L + t, 9999));
-      budgets.put("team-number-" + i, new StoredValue.Stops(9999, times));
+      budgets.put("team-number-" + i, new StoredValue.StopCounts(9999, times));
     }
     assertThat(StateCodec.value(new StoredValue.StopsRecord(budgets)).toString().length())
         .isLessThan(SMALLEST_VALUE);
--- a/src/test/java/org/oakwalk/wire/PlanCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/PlanCodecTest.java
@@ -46,7 +46,7 @@
   @MethodSource("rows")
   void comesBackAsItWasAndTakesNoMoreThanItSays(PlanRow row) throws Exception {
     assertThat(SharedCodec.row(Fields.of(SharedCodec.row(row)))).isEqualTo(row);
-    assertThat(SharedCodec.row(row).toString().length()).isLessThanOrEqualTo(row.bytes());
+    assertThat(SharedCodec.row(row).toString().length()).isLessThanOrEqualTo(row.maxJsonBytes());
     assertThatThrownBy(
             () -> SharedCodec.row(Fields.of(SharedCodec.row(row).put("k", "of a later form"))))
         .isInstanceOf(BadMessage.class);
--- a/src/test/java/org/oakwalk/wire/SharedCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/SharedCodecTest.java
@@ -56,7 +56,7 @@
     HeadroomRow row = row(name);
     int bytes =
         SharedCodec.row(row).toString().getBytes(java.nio.charset.StandardCharsets.UTF_8).length;
-    assertThat(row.bytes()).isGreaterThanOrEqualTo(bytes);
+    assertThat(row.maxJsonBytes()).isGreaterThanOrEqualTo(bytes);
   }
 
   @ParameterizedTest
--- a/src/test/java/org/oakwalk/wire/TakeCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/TakeCodecTest.java
@@ -45,7 +45,7 @@
   void takesNoMoreThanItSays() {
     assertThat(
             SharedCodec.row(example()).toString().getBytes(java.nio.charset.StandardCharsets.UTF_8))
-        .hasSizeLessThanOrEqualTo(example().bytes());
+        .hasSizeLessThanOrEqualTo(example().maxJsonBytes());
   }
 
   @ParameterizedTest
--- a/src/test/java/org/oakwalk/wire/WireTest.java
+++ b/src/test/java/org/oakwalk/wire/WireTest.java
@@ -260,8 +260,8 @@
 
   @Test
   void oneDamagedRecordLeavesTheOthersReadable() throws Exception {
-    StoredValue.TypesRecord types =
-        new StoredValue.TypesRecord(
+    StoredValue.MachineTypesRecord types =
+        new StoredValue.MachineTypesRecord(
             Map.of(
                 "g8",
                 new MachineType(
@@ -352,7 +352,7 @@
             new StoredValue.LeaderRecord(new NodeId("n"), "a", "x"),
             new StoredValue.RelayRecord("a", new Token(4)),
             new StoredValue.MachineRecord(new MachineId("h"), "1", "g8", "a", true),
-            new StoredValue.MachinesRecord(
+            new StoredValue.MachineListRecord(
                 List.of(new StoredValue.MachineRecord(new MachineId("h"), "1", "g8", "a", true))),
             new StoredValue.StopsRecord(Map.of()));
     List<String> strange =
@@ -391,7 +391,7 @@
             + "\"type\":\"g8\",\"zone\":\"a\",\"spot\":true}";
     String list =
         "{\"sort\":\"machines\",\"machines\":[[\"host-1\",\"10.1.0.1:9000\",\"g8\",\"a\",true]]}";
-    StoredValue.MachinesRecord record = new StoredValue.MachinesRecord(List.of(machine));
+    StoredValue.MachineListRecord record = new StoredValue.MachineListRecord(List.of(machine));
     assertThat(StateCodec.value(Fields.of(JSON.readTree(single)))).isEqualTo(machine);
     assertThat(StateCodec.value(Fields.of(JSON.readTree(list)))).isEqualTo(record);
     assertThat(StateCodec.value(record).toString()).isEqualTo(list);
