--- a/src/main/java/org/oakwalk/core/shared/SharedRecord.java
+++ b/src/main/java/org/oakwalk/core/shared/SharedRecord.java
@@ -3,37 +3,39 @@
 import java.util.List;
 
 /**
- * One named record that the leader keeps in the store, of which a revision becomes visible whole or
- * not at all. Callers say what should be stored; what is stored tells them what they may rely on.
+ * A named record that the leader keeps in the store for its successors. Each revision becomes
+ * visible atomically. Callers request writes and may rely only on what is confirmed as stored.
  *
- * @param <R> its rows
+ * @param <R> type of its rows
  */
 public interface SharedRecord<R extends SharedRow> {
 
-  /** Whether it has been read; until then nothing may rest on it. */
+  /** Returns true once the record has been read; before that, callers must not rely on it. */
   boolean isLoaded();
 
   /**
-   * Whether what is stored can't be made use of, being damaged or of a later form; its feature is
-   * off then, and nothing is written over it.
+   * Returns true if the stored record is damaged or of a newer format. The feature that depends on
+   * it is then disabled, and the stored record is not overwritten.
    */
   boolean isUnusable();
 
-  /** The rows that are surely stored, as last confirmed; empty if there are none. */
+  /** The rows last confirmed as stored; empty if there are none. */
   List<R> storedRows();
 
-  /** The revision that is surely stored; zero if none is. */
+  /**
+   * The revision of the record last confirmed as stored, counted per record; zero if there is none.
+   */
   long revision();
 
   /**
-   * Wants these rows stored in place of all others. What was wanted before and is not under way yet
-   * is left out.
+   * Requests that these rows replace all rows of the record. An earlier request whose write has not
+   * begun is dropped.
    *
-   * @return the revision that will hold them: once {@link #revision()} is at least that, they were
-   *     stored, or later ones were
+   * @return the revision that will hold the rows: once {@link #revision()} has reached it, these
+   *     rows or those of a later request are stored
    */
   long requestWrite(List<R> rows);
 
-  /** Whether nothing wanted is still to be stored. */
+  /** Returns true if no requested write is outstanding. */
   boolean isUpToDate();
 }
--- a/src/main/java/org/oakwalk/core/shared/SharedRecords.java
+++ b/src/main/java/org/oakwalk/core/shared/SharedRecords.java
@@ -22,15 +22,16 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The records that a leader keeps in the store for its successors: read whole once, then written by
- * this leader alone, under the guard of the leader key. All of them together use a stated share of
- * the state service's changes, so that acceptance, withdrawals and results always go before.
+ * The shared records that a leader keeps in the store for its successors. They are read once, and
+ * from then on written by this leader alone, guarded by the leader key. All records together are
+ * limited to a fixed share of the state service's write rate, so that job acceptance, withdrawals
+ * and results take precedence.
  */
 public final class SharedRecords {
   private static final Logger LOG = LoggerFactory.getLogger(SharedRecords.class);
   private static final Span READ_RETRY_DELAY = Span.millis(250);
 
-  /** Part of the state service's changes a second that all records together may use. */
+  /** Fraction of the state service's write rate that all records together may use. */
   private static final double WRITE_RATE_SHARE = 0.1;
 
   private final Outbox outbox;
@@ -48,21 +49,21 @@
   private Moment refilledAt;
 
   /**
-   * Nothing read yet.
+   * Creates the set of records; nothing is read before the first tick.
    *
-   * @param leaderGuard that this leader leads
+   * @param leaderGuard holds as long as this node is the leader
    */
-  public SharedRecords(Outbox outbox, Guard leader, Settings.StateLimits limits) {
+  public SharedRecords(Outbox outbox, Guard leaderGuard, Settings.StateLimits limits) {
     this.outbox = outbox;
-    this.leaderGuard = leader;
+    this.leaderGuard = leaderGuard;
     this.limits = limits;
   }
 
   /**
-   * Declares a record; to be called before the first tick.
+   * Declares a record; must be called before the first tick.
    *
-   * @param name tells it from others, letters only; part of its keys
-   * @param rows the rows it consists of; any others make it broken
+   * @param name unique name, letters only; part of the record's keys
+   * @param rows type of the rows; the record is unusable if a stored row is of another type
    */
   public <R extends SharedRow> SharedRecord<R> declare(String name, Class<R> rows) {
     StoredSharedRecord<R> record =
@@ -71,31 +72,33 @@
     return record;
   }
 
-  /** Whether all records are known. */
+  /** Returns true once all records have been read. */
   public boolean isLoaded() {
     return loaded;
   }
 
-  /** Reads the records once, then stores what is wanted, as far as the share allows. */
+  /** Reads the records once, then writes pending rows as far as the write rate share allows. */
   public void tick(Moment now) {
     if (!loaded) {
       read(now);
       return;
     }
     refill(now);
-    // Each time another one is asked first, so that none starves the others.
-    List<StoredSharedRecord<?>> inTurn = new ArrayList<>(records.values());
-    Collections.rotate(inTurn, -firstRecord);
-    for (StoredSharedRecord<?> record : inTurn) {
+    // Starts with another record each time, so that none starves the others.
+    List<StoredSharedRecord<?>> ordered = new ArrayList<>(records.values());
+    Collections.rotate(ordered, -firstRecord);
+    for (StoredSharedRecord<?> record : ordered) {
       if (writeTokens <= 0) {
         return;
       }
       writeTokens -= record.tick(now);
     }
-    firstRecord = inTurn.isEmpty() ? 0 : (firstRecord + 1) % inTurn.size();
+    firstRecord = ordered.isEmpty() ? 0 : (firstRecord + 1) % ordered.size();
   }
 
-  /** What was not used is not saved up beyond a second's worth, or what one commit takes. */
+  /**
+   * Refills the write tokens; they accumulate for one second at most, but to one change at least.
+   */
   private void refill(Moment now) {
     double perSecond = limits.writesPerSecond() * WRITE_RATE_SHARE;
     if (refilledAt != null) {
@@ -140,7 +143,7 @@
     loadedValues.clear();
     loadedRevisions.clear();
     if (!names.isEmpty()) {
-      LOG.info("shared records read: {}", String.join(", ", names));
+      LOG.info("shared records loaded: {}", String.join(", ", names));
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/shared/SharedRow.java
+++ b/src/main/java/org/oakwalk/core/shared/SharedRow.java
@@ -1,19 +1,19 @@
 package org.oakwalk.core.shared;
 
 /**
- * One line of a record that leaders keep for their successors. Rows are about groups and machines,
- * never about single tasks, so that the size of a record does not grow with the work.
+ * One row of a {@linkplain SharedRecord shared record}. Rows describe groups and machines, never
+ * single tasks, so that the size of a record does not grow with the number of tasks.
  */
 public interface SharedRow {
-  /** What a row without long names takes at most. */
+  /** Upper bound on the stored size of a row without long names. */
   int SHORT_ROW_BYTES = 256;
 
-  /** Bytes that it takes in the store, as JSON; never too few. */
+  /** Upper bound on the size of this row in the store, in bytes of JSON. */
   default int maxJsonBytes() {
     return SHORT_ROW_BYTES;
   }
 
-  /** Bytes that a text takes in JSON at most, its quotes and a comma included. */
+  /** Upper bound on the size of a text in JSON, in bytes, with its quotes and a comma. */
   static int maxJsonBytes(String text) {
     int bytes = 3;
     for (int i = 0; i < text.length(); i++) {
--- a/src/main/java/org/oakwalk/core/shared/StoredSharedRecord.java
+++ b/src/main/java/org/oakwalk/core/shared/StoredSharedRecord.java
@@ -19,13 +19,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A record in the store: a head, which names the revision that counts, and its parts, in one of two
- * slots by turns. Parts go first and the head last, so whoever reads sees a whole revision. Rows
- * that fit into the head need no parts.
+ * Reads and writes one shared record. The record consists of a head, which names the revision in
+ * force, and of parts, which alternate between two slots. Parts are written before the head, so
+ * readers always see a complete revision. Rows that fit into the head need no parts.
  *
- * <p>Each commit guards the leader key and the head's version. When an answer was lost, the head is
- * read and then written anew, which voids whatever may still be on its way, before anything else is
- * written.
+ * <p>Each commit is guarded by the leader key and by the store revision of the head. If the outcome
+ * of a commit is unknown, the head is read and rewritten unchanged before anything else is written:
+ * the rewrite makes the guard of any commit still in flight fail.
  */
 final class StoredSharedRecord<R extends SharedRow> implements SharedRecord<R> {
   private static final Logger LOG = LoggerFactory.getLogger(StoredSharedRecord.class);
@@ -34,21 +34,21 @@
   enum State {
     /** Not read yet. */
     UNREAD,
-    /** Nothing is under way. */
+    /** No write in progress. */
     IDLE,
-    /** Parts of a revision are being stored. */
+    /** Writing the parts of a revision. */
     WRITING_PARTS,
-    /** The head that makes it count is being stored. */
+    /** Writing the head, which puts the revision in force. */
     WRITING_HEAD,
-    /** An answer was lost: the head is being read. */
+    /** Reading the head, because the outcome of a commit is unknown. */
     READING_HEAD,
-    /** The head as it is, is written anew, which voids what may still be applied late. */
+    /** Rewriting the head unchanged, so that commits still in flight fail. */
     FENCING,
-    /** What is stored can't be made use of. */
+    /** The stored record can't be used. */
     UNUSABLE
   }
 
-  /** More than what stands around the rows of a value takes. */
+  /** Upper bound on the size of a value without its rows. */
   private static final int VALUE_OVERHEAD_BYTES = 256;
 
   private static final int SLOT_COUNT = 2;
@@ -79,11 +79,11 @@
   private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
 
   StoredSharedRecord(
-      String name, Class<R> type, Outbox outbox, Guard leader, Settings.StateLimits limits) {
+      String name, Class<R> type, Outbox outbox, Guard leaderGuard, Settings.StateLimits limits) {
     this.name = name;
     this.type = type;
     this.outbox = outbox;
-    this.leaderGuard = leader;
+    this.leaderGuard = leaderGuard;
     this.maxBytesPerPart = (int) (limits.valueKb() * 1024) - VALUE_OVERHEAD_BYTES;
     this.maxChangesPerCommit = Math.max(1, limits.changesPerCommit());
   }
@@ -125,14 +125,23 @@
     return pendingRows.isEmpty() && state == State.IDLE;
   }
 
+  /** Name, revision and row count for the log. */
   String summary() {
-    return name + (isUnusable() ? " broken" : " " + revision + " of " + storedRows.size());
+    return name
+        + (isUnusable()
+            ? " unusable"
+            : " revision " + revision + " with " + storedRows.size() + " rows");
   }
 
-  /** Takes over what was read of the store. */
-  void load(Map<String, StoredValue> found, Map<String, Revision> stamps) {
-    StoredValue value = found.get(StoreKeys.sharedHead(name));
-    headStoreRevision = stamps.getOrDefault(StoreKeys.sharedHead(name), Revision.NONE);
+  /**
+   * Takes the record from the values read from the store.
+   *
+   * @param values by key
+   * @param revisions store revisions by key
+   */
+  void load(Map<String, StoredValue> values, Map<String, Revision> revisions) {
+    StoredValue value = values.get(StoreKeys.sharedHead(name));
+    headStoreRevision = revisions.getOrDefault(StoreKeys.sharedHead(name), Revision.NONE);
     if (value == null) {
       enter(State.IDLE);
       return;
@@ -141,10 +150,11 @@
       StoredValue.SharedHead head = head(value);
       List<R> rows = new ArrayList<>(cast(head.rows()));
       for (int i = 0; i < head.partCount(); i++) {
-        if (!(found.get(StoreKeys.sharedPart(name, head.slot(), i))
+        if (!(values.get(StoreKeys.sharedPart(name, head.slot(), i))
                 instanceof StoredValue.SharedPart part)
             || part.revision() != head.revision()) {
-          throw new IllegalArgumentException("part " + i + " is missing");
+          throw new IllegalArgumentException(
+              "part " + i + " of " + head.partCount() + " is missing or of another revision");
         }
         rows.addAll(cast(part.rows()));
       }
@@ -154,7 +164,10 @@
       storedPartCount = head.partCount();
       enter(State.IDLE);
     } catch (IllegalArgumentException | ClassCastException e) {
-      LOG.error("shared record {} can't be used, its feature is off: {}", name, e.getMessage());
+      LOG.error(
+          "shared record {} is unusable, the feature that depends on it is disabled: {}",
+          name,
+          e.getMessage());
       storedRows = List.of();
       enter(State.UNUSABLE);
     }
@@ -165,14 +178,16 @@
       return head;
     }
     throw new IllegalArgumentException(
-        value instanceof StoredValue.Unreadable damaged ? damaged.reason() : "not a head");
+        value instanceof StoredValue.Unreadable damaged
+            ? damaged.reason()
+            : "value is not a shared record head");
   }
 
   private List<R> cast(List<SharedRow> rows) {
     return rows.stream().map(type::cast).toList();
   }
 
-  /** Goes on with what is to be stored; returns how many changes that asks for. */
+  /** Continues writing the pending rows; returns the number of changes it sent. */
   int tick(Moment now) {
     if (requestPending || nextTry.isAfter(now)) {
       return 0;
@@ -204,7 +219,7 @@
     return writeParts(now);
   }
 
-  /** Rows in as many parts as it takes; no part at all if they fit into the head. */
+  /** Splits rows into parts of limited size; returns no parts if the rows fit into the head. */
   private List<List<SharedRow>> split(List<R> rows) {
     List<List<SharedRow>> split = new ArrayList<>();
     List<SharedRow> part = new ArrayList<>();
@@ -258,31 +273,31 @@
     for (int i = partsWritten; i < parts.size(); i++) {
       changes.add(part(i));
     }
-    int to = parts.isEmpty() ? slot : otherSlot();
+    int headSlot = parts.isEmpty() ? slot : otherSlot();
     List<SharedRow> rows = parts.isEmpty() ? List.copyOf(writingRows) : List.of();
     changes.add(
         new Change.Put(
             StoreKeys.sharedHead(name),
-            new StoredValue.SharedHead(writingRevision, to, parts.size(), rows),
+            new StoredValue.SharedHead(writingRevision, headSlot, parts.size(), rows),
             Optional.empty()));
     commit(
         changes,
         now,
         () -> {
-          confirmWritten(to);
+          confirmWritten(headSlot);
           enter(State.IDLE);
         });
     return changes.size();
   }
 
-  private void confirmWritten(int to) {
+  private void confirmWritten(int headSlot) {
     storedRows = writingRows;
     revision = writingRevision;
-    slot = to;
+    slot = headSlot;
     storedPartCount = parts.size();
   }
 
-  private void commit(List<Change> changes, Moment now, Runnable then) {
+  private void commit(List<Change> changes, Moment now, Runnable onCommitted) {
     requestPending = true;
     outbox.call(
         new Request.Commit(
@@ -295,11 +310,12 @@
             retryDelay = MIN_RETRY_DELAY;
             boolean headWritten = state == State.WRITING_HEAD || state == State.FENCING;
             headStoreRevision = headWritten ? committed.epoch() : headStoreRevision;
-            then.run();
+            onCommitted.run();
           } else if (answer instanceof Answer.Refused) {
             backOff(now);
           } else {
-            // Applied, perhaps, or yet to be; or the head is not what it was taken for.
+            // The commit may have been applied or may still be, or the head is not the expected
+            // one.
             backOff(now);
             enter(State.READING_HEAD);
           }
@@ -337,7 +353,7 @@
         });
   }
 
-  /** Writes the head as it is: whatever was sent before this has a guard that fails from now on. */
+  /** Rewrites the head unchanged, so that the guards of commits sent earlier fail. */
   private int rewriteHead(Moment now) {
     List<SharedRow> rows = storedPartCount > 0 ? List.of() : List.copyOf(storedRows);
     commit(
@@ -357,7 +373,7 @@
     return 1;
   }
 
-  /** The one place where the state changes. */
+  /** Changes the state; the only place that does. */
   private void enter(State next) {
     boolean legal =
         switch (state) {
@@ -370,7 +386,8 @@
           case UNUSABLE -> false;
         };
     if (!legal) {
-      throw new IllegalStateException("record " + name + " from " + state + " to " + next);
+      throw new IllegalStateException(
+          "illegal transition of shared record " + name + " from " + state + " to " + next);
     }
     state = next;
   }
--- a/src/main/java/org/oakwalk/core/store/Change.java
+++ b/src/main/java/org/oakwalk/core/store/Change.java
@@ -3,9 +3,9 @@
 import java.util.Optional;
 import org.oakwalk.core.HoldId;
 
-/** One change in a transaction. */
+/** One change of a key in a {@linkplain org.oakwalk.core.port.Request.Commit transaction}. */
 public sealed interface Change {
-  /** Writes a key, bound to a lease if one is given. */
+  /** Writes a key; if a lease is given, the key is removed when the lease ends. */
   record Put(String key, StoredValue value, Optional<HoldId> lease) implements Change {}
 
   /** Removes a key. */
--- a/src/main/java/org/oakwalk/core/store/KnownJob.java
+++ b/src/main/java/org/oakwalk/core/store/KnownJob.java
@@ -6,8 +6,11 @@
 import org.oakwalk.core.job.JobSpec;
 
 /**
- * What this node knows of a stored job. The spec of a job that is done is dropped (null) to save
- * memory; that of a withdrawn one is kept, since its tasks may still be on machines.
+ * A stored job as this node knows it.
+ *
+ * @param revision of the stored record
+ * @param spec null if the job is done, to save memory; a withdrawn job keeps its spec, since its
+ *     tasks may still be on machines
  */
 public record KnownJob(
     JobId id,
@@ -17,17 +20,18 @@
     JobSpec spec,
     int tasks) {
 
-  static KnownJob of(JobRecord record, Revision stamp) {
-    JobSpec kept = record.phase() == JobRecord.Phase.DONE ? null : record.spec();
+  static KnownJob of(JobRecord record, Revision revision) {
+    JobSpec spec = record.phase() == JobRecord.Phase.DONE ? null : record.spec();
     return new KnownJob(
         record.spec().id(),
         record.phase(),
-        stamp,
+        revision,
         record.acceptedAt(),
-        kept,
+        spec,
         record.spec().tasks());
   }
 
+  /** Returns the job as a record to be stored; not usable if the spec was dropped. */
   public JobRecord record() {
     return new JobRecord(spec, phase, acceptedAt);
   }
--- a/src/main/java/org/oakwalk/core/store/KnownJobs.java
+++ b/src/main/java/org/oakwalk/core/store/KnownJobs.java
@@ -8,13 +8,14 @@
 import org.oakwalk.core.Revision;
 
 /**
- * The jobs of this node's copy of the store.
+ * The jobs in this node's copy of the store.
  *
- * <p>The end of a job may be learned from another controller before the copy shows it. Ends are
- * final, so it counts from then on, whatever older record of the job the copy is yet to show.
+ * <p>This node may learn from another controller that a job has ended, before its copy shows it.
+ * Ends are final, so a learned end takes effect at once and overrides any older record of the job
+ * that the copy receives later.
  */
 final class KnownJobs {
-  /** How many ends may be known ahead of the copy; each is kept until the copy shows it. */
+  /** Maximum number of ends known ahead of the copy. Each is kept until the copy shows it. */
   static final int MAX_LEARNED_ENDS = 10_000;
 
   private final Map<JobId, KnownJob> jobs = new HashMap<>();
@@ -33,20 +34,20 @@
     return open;
   }
 
-  /** Takes over a stored record; returns the job if the record is newer than what was known. */
-  Optional<KnownJob> applyStored(JobRecord record, Revision stamp) {
+  /** Applies a stored record; returns the job if the record is newer than the known one. */
+  Optional<KnownJob> applyStored(JobRecord record, Revision revision) {
     JobId id = record.spec().id();
     KnownJob before = jobs.get(id);
-    if (before != null && before.revision().compareTo(stamp) >= 0) {
+    if (before != null && before.revision().compareTo(revision) >= 0) {
       return Optional.empty();
     }
-    return Optional.of(put(before, KnownJob.of(withLearnedEnd(record), stamp), record));
+    return Optional.of(put(before, KnownJob.of(withLearnedEnd(record), revision), record));
   }
 
   /**
-   * Takes over that a job is over, as another controller has told.
+   * Records that a job has ended, as reported by another controller.
    *
-   * @return whether that is known from here on; false if there is no room for it
+   * @return false if there is no room to keep it until the copy shows it
    */
   boolean learnEnd(JobId id, JobRecord.Phase end) {
     if (find(id).filter(job -> job.phase().isFinal()).isPresent()) {
@@ -59,7 +60,7 @@
     return true;
   }
 
-  /** The job as it is now if its end was learned but does not count in it yet. */
+  /** Applies a learned end to the known job; returns the changed job, or empty if none changed. */
   Optional<KnownJob> applyLearnedEnd(JobId id) {
     KnownJob before = jobs.get(id);
     JobRecord.Phase end = learnedEnds.get(id);
--- a/src/main/java/org/oakwalk/core/store/RequestQueue.java
+++ b/src/main/java/org/oakwalk/core/store/RequestQueue.java
@@ -15,17 +15,17 @@
 import org.oakwalk.core.port.Request;
 
 /**
- * Where this node's requests to the state service wait for its rates, the most urgent first and
- * reads apart from writes, which are limited on their own. What the service refuses as too much
- * waits here again, in its old place.
+ * Queues this node's requests to the state service until its request rate and write rate allow
+ * them, most urgent first. Reads and writes have separate queues, since writes also have a limit of
+ * their own. A request that the service refuses as over its rate returns to its place in the queue.
  */
 public final class RequestQueue {
-  /** Longer than this nobody waits for an answer, or would rather ask another node. */
+  /** After this time the caller has usually given up or would do better to ask another node. */
   private static final long MAX_WAIT_MILLIS = 2_500;
 
   private static final long SWEEP_INTERVAL_MILLIS = 200;
 
-  /** So many wait at most, of reads and of writes. */
+  /** Maximum number of queued requests, for reads and for writes each. */
   private static final int MAX_QUEUE_LENGTH = 400;
 
   private static final int HTTP_TOO_MANY_REQUESTS = 429;
@@ -46,7 +46,10 @@
       return rank() > Request.Urgency.ACCEPTANCE.ordinal();
     }
 
-    /** A few small ones without which nobody leads: they wait for no budget. */
+    /**
+     * Returns true for lease calls and commits of leader election. They are few and small, and no
+     * leader can be elected without them, so they are sent without waiting for a token.
+     */
     boolean bypassesRates() {
       return request.urgency() == Request.Urgency.LEADERSHIP
           && !(request instanceof Request.Watch)
@@ -65,16 +68,19 @@
   private final SplittableRandom jitter;
   private long lastSequence;
 
-  /** How much has been written for submissions since something less urgent began to wait. */
+  /**
+   * Number of changes written for submissions, ahead of those for less urgent writes, since a less
+   * urgent write began to wait.
+   */
   private int submissionLead;
 
   private long clock;
   private long nextSweep;
 
   /**
-   * An empty line.
+   * Creates an empty queue.
    *
-   * @param sender takes what is due, and answers each exactly once
+   * @param sender sends a request and answers it exactly once
    * @param now milliseconds of the steady clock
    */
   public RequestQueue(
@@ -90,33 +96,41 @@
     this.clock = now;
   }
 
-  /** Nodes that were refused together must not come back together. */
+  /** Seeds the jitter per node, so that nodes refused at the same time do not retry together. */
   private static long seed(NodeId node) {
     return node.value().hashCode();
   }
 
-  /** Takes a request; it is sent as soon as its turn comes and the rates allow. */
-  public void enqueue(Request.State request, long now, Consumer<Answer> then) {
-    PriorityQueue<QueuedRequest> line = queueFor(request);
-    line.add(new QueuedRequest(request, ++lastSequence, now, then));
-    if (line.size() > MAX_QUEUE_LENGTH) {
-      // The last of whatever floods the line gives way: submissions must not keep out the few
-      // withdrawals, claims and ends of jobs. Reads have a line of their own.
-      QueuedRequest last = lastOfLargestClass(line);
-      line.removeIf(waiting -> waiting == last);
-      last.callback().accept(new Answer.Refused(HTTP_TOO_MANY_REQUESTS, "queue is full"));
+  /**
+   * Queues a request, which is sent once it is first in order and the rates allow.
+   *
+   * @param callback receives the service's answer, or a refusal if the queue is full or the request
+   *     has waited too long
+   */
+  public void enqueue(Request.State request, long now, Consumer<Answer> callback) {
+    PriorityQueue<QueuedRequest> queue = queueFor(request);
+    queue.add(new QueuedRequest(request, ++lastSequence, now, callback));
+    if (queue.size() > MAX_QUEUE_LENGTH) {
+      // Drops the last request of the urgency class that fills the queue, so that submissions do
+      // not displace the few withdrawals, leadership claims and results. Reads are queued apart.
+      QueuedRequest last = lastOfLargestClass(queue);
+      queue.removeIf(queued -> queued == last);
+      last.callback().accept(new Answer.Refused(HTTP_TOO_MANY_REQUESTS, "request queue is full"));
     }
     sendDue(now);
   }
 
-  /** Of the kind of which most wait, the one that came last. */
-  private static QueuedRequest lastOfLargestClass(PriorityQueue<QueuedRequest> line) {
-    Map<Request.Urgency, List<QueuedRequest>> kinds = new EnumMap<>(Request.Urgency.class);
-    line.forEach(
-        one -> kinds.computeIfAbsent(one.request().urgency(), u -> new ArrayList<>()).add(one));
-    return kinds.values().stream()
+  /** Returns the last request of the urgency class with the most queued requests. */
+  private static QueuedRequest lastOfLargestClass(PriorityQueue<QueuedRequest> queue) {
+    Map<Request.Urgency, List<QueuedRequest>> byUrgency = new EnumMap<>(Request.Urgency.class);
+    queue.forEach(
+        queued ->
+            byUrgency
+                .computeIfAbsent(queued.request().urgency(), u -> new ArrayList<>())
+                .add(queued));
+    return byUrgency.values().stream()
         .max(Comparator.comparingInt(List::size))
-        .flatMap(most -> most.stream().max(ORDER))
+        .flatMap(largest -> largest.stream().max(ORDER))
         .orElseThrow();
   }
 
@@ -124,7 +138,7 @@
     return request.writes() > 0 ? writing : reading;
   }
 
-  /** Sends what the rates allow by now. */
+  /** Refuses requests that have waited too long and sends those that the rates now allow. */
   public void sendDue(long now) {
     clock = now;
     if (now >= nextSweep) {
@@ -134,11 +148,11 @@
     }
     for (QueuedRequest next = nextDue(now); next != null; next = nextDue(now)) {
       QueuedRequest sent = next;
-      PriorityQueue<QueuedRequest> line = queueFor(sent.request());
-      if (line.peek() == sent) {
-        line.poll();
+      PriorityQueue<QueuedRequest> queue = queueFor(sent.request());
+      if (queue.peek() == sent) {
+        queue.poll();
       } else {
-        line.removeIf(waiting -> waiting == sent);
+        queue.removeIf(queued -> queued == sent);
       }
       requestRate.consume(1);
       writeRate.consume(sent.request().writes());
@@ -147,20 +161,28 @@
     }
   }
 
-  /** Gives up what has waited for too long, also behind others that go on coming. */
-  private static void refuseExpired(PriorityQueue<QueuedRequest> line, long now) {
-    List<QueuedRequest> late = new ArrayList<>();
-    for (QueuedRequest waiting : line) {
-      if (now - waiting.queuedAt() > MAX_WAIT_MILLIS) {
-        late.add(waiting);
+  /**
+   * Refuses requests that have waited too long, including those that never reach the head of the
+   * queue because more urgent ones keep arriving.
+   */
+  private static void refuseExpired(PriorityQueue<QueuedRequest> queue, long now) {
+    List<QueuedRequest> expired = new ArrayList<>();
+    for (QueuedRequest queued : queue) {
+      if (now - queued.queuedAt() > MAX_WAIT_MILLIS) {
+        expired.add(queued);
       }
     }
-    line.removeAll(late);
-    late.forEach(
-        waiting -> waiting.callback().accept(new Answer.Refused(HTTP_TOO_MANY_REQUESTS, "late")));
+    queue.removeAll(expired);
+    expired.forEach(
+        queued ->
+            queued
+                .callback()
+                .accept(
+                    new Answer.Refused(
+                        HTTP_TOO_MANY_REQUESTS, "waited too long in the request queue")));
   }
 
-  /** What is to leave the line next, or null if nothing may now. */
+  /** Returns the request to send next, or null if the rates allow none now. */
   private QueuedRequest nextDue(long now) {
     QueuedRequest write = ifAllowed(nextWrite(), now);
     QueuedRequest read = ifAllowed(reading.peek(), now);
@@ -171,10 +193,10 @@
   }
 
   /**
-   * The write that comes next. Users submit without end, while everything else is bounded by what
-   * was accepted or is there. So what is less urgent gets as much as submissions do once it waits:
-   * else no job would be done, nor any result safe, for as long as more is submitted than the
-   * service takes.
+   * Returns the write that is next in order. Submissions are unbounded, while all other writes are
+   * bounded by the accepted jobs and the existing machines. Waiting writes that are less urgent
+   * than submissions therefore get as many changes as submissions. Otherwise no job would be
+   * completed and no result stored while users submit more than the service can take.
    */
   private QueuedRequest nextWrite() {
     QueuedRequest first = writing.peek();
@@ -182,12 +204,14 @@
       return first;
     }
     return writing.stream()
-        .filter(one -> one.lessUrgentThanSubmissions() && one.request().writes() <= submissionLead)
+        .filter(
+            queued ->
+                queued.lessUrgentThanSubmissions() && queued.request().writes() <= submissionLead)
         .min(Comparator.comparingLong(QueuedRequest::sequence))
         .orElse(first);
   }
 
-  /** Counts how much submissions are ahead of what is less urgent. */
+  /** Updates the number of changes by which submissions are ahead of less urgent writes. */
   private void updateSubmissionLead(QueuedRequest sent) {
     int cost = sent.request().writes();
     if (cost == 0) {
@@ -202,6 +226,7 @@
     }
   }
 
+  /** Returns the request if the rates allow it now, otherwise null. */
   private QueuedRequest ifAllowed(QueuedRequest first, long now) {
     if (first == null) {
       return null;
@@ -217,7 +242,8 @@
 
   private void onAnswer(QueuedRequest sent, Answer answer) {
     if (answer instanceof Answer.Refused refused && refused.status() == HTTP_TOO_MANY_REQUESTS) {
-      // Which of the two limits it was is not told. Writes are far fewer, so it is mostly theirs.
+      // The service does not say which limit was exceeded. The write limit is far lower than the
+      // request limit, so for a write it is most likely that one.
       AdaptiveTokenBucket exceeded = sent.request().writes() > 0 ? writeRate : requestRate;
       exceeded.onRefused(clock, jitter.nextInt(MIN_PAUSE_MILLIS, MAX_PAUSE_MILLIS));
       queueFor(sent.request()).add(sent);
@@ -226,7 +252,7 @@
     sent.callback().accept(answer);
   }
 
-  /** The time by which answers are handled. */
+  /** Sets the current time, in milliseconds of the steady clock, used when answers arrive. */
   public void setTime(long now) {
     clock = now;
   }
--- a/src/main/java/org/oakwalk/core/store/StoreKeys.java
+++ b/src/main/java/org/oakwalk/core/store/StoreKeys.java
@@ -6,33 +6,42 @@
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.Token;
 
-/** Names of the keys in the state service. */
+/** Names of the keys in the state service. A prefix ends in a slash. */
 public final class StoreKeys {
   /**
-   * One watch covers everything below: the leader key, the jobs, and what else all nodes follow.
+   * Prefix of the keys that every node follows with a single watch: the leader key, the jobs, and
+   * other state that all nodes need.
    */
   public static final String WATCHED_PREFIX = "oak/a/";
 
-  /** The cloud's machine types, for nodes that can't ask the cloud. */
+  /** The cloud's machine types, for nodes that can't reach the cloud. */
   public static final String MACHINE_TYPES = WATCHED_PREFIX + "types";
 
+  /** The elected leader. Its revision is the fencing token of the term. */
   public static final String LEADER = WATCHED_PREFIX + "leader";
+
+  /** Announcements, one per zone, that followers may renew the leases of workers there. */
   public static final String RELAY_PREFIX = WATCHED_PREFIX + "relay/";
 
-  /** Plans to empty machines. */
+  /** Drain plans. */
   public static final String DRAIN_PREFIX = WATCHED_PREFIX + "drain/";
 
-  /** Stops that were granted of late. */
+  /** Recent task stops that were granted under disruption budgets. */
   public static final String RECENT_STOPS = WATCHED_PREFIX + "stops";
 
-  /** What operators declare of dawns, headroom and exchanges. */
+  /** Terms that operators declare for dawns, headroom and exchanges. */
   public static final String PRODUCT_TERMS = WATCHED_PREFIX + "product";
 
-  /** Records that leaders keep for their successors; nobody watches them. */
+  /** Shared records: state that a leader keeps for its successors. They are not watched. */
   public static final String SHARED_PREFIX = "oak/shared/";
 
+  /** Job records. */
   public static final String JOB_PREFIX = WATCHED_PREFIX + "job/";
+
+  /** Finished tasks of each job, in chunks. */
   public static final String DONE_PREFIX = "oak/done/";
+
+  /** Machines that may have been sent commands, singly or in lists. */
   public static final String MACHINE_PREFIX = "oak/machine/";
 
   private static final Pattern DONE_CHUNK_PATTERN =
@@ -40,47 +49,58 @@
 
   private StoreKeys() {}
 
+  /** Key of the lease relay announcement for a zone. */
   public static String relay(String zone) {
     return RELAY_PREFIX + zone;
   }
 
+  /** Key of the drain plan with this name. */
   public static String drain(String name) {
     return DRAIN_PREFIX + name;
   }
 
-  /** Which revision of a shared record counts. */
+  /** Key of a shared record's head, which names the revision in force. */
   public static String sharedHead(String name) {
     return SHARED_PREFIX + name + "/head";
   }
 
-  /** A part of a shared record's revision. */
+  /** Key of one part of a shared record's revision. */
   public static String sharedPart(String name, int slot, int index) {
     return SHARED_PREFIX + name + "/" + slot + "/" + index;
   }
 
+  /** Key of the record of a job. */
   public static String job(JobId id) {
     return JOB_PREFIX + id.value();
   }
 
-  /** The so manieth list of machines that was stored under a token; none has this name again. */
+  /**
+   * Key of a list of machines.
+   *
+   * @param token of the leader that stores the list
+   * @param number counts the lists stored under this token, so that no key is used twice
+   */
   public static String machineList(Token token, long number) {
     return MACHINE_PREFIX + token + "/" + number;
   }
 
-  /** Whether a key below {@link #MACHINE_PREFIX} is that of a list rather than of one machine. */
+  /** Returns true if a key below {@link #MACHINE_PREFIX} holds a list and not a single machine. */
   public static boolean isMachineList(String key) {
     return key.indexOf('/', MACHINE_PREFIX.length()) >= 0;
   }
 
-  /** Finished tasks of the job from {@code chunk} times the chunk size on. */
+  /**
+   * Key of a chunk of finished tasks, which begins at task {@code chunk} times {@link
+   * DoneBitmap#TASKS_PER_CHUNK}.
+   */
   public static String doneChunk(JobId id, int chunk) {
     return DONE_PREFIX + id.value() + "/" + chunk;
   }
 
-  /** Which part of which job's results stands under a key. */
+  /** The job and the chunk number that a chunk key names. */
   public record DoneChunkKey(JobId job, int chunk) {}
 
-  /** Reads the name of a part of results; empty if it is none. */
+  /** Parses the key of a chunk of finished tasks; empty if the key is not one. */
   public static Optional<DoneChunkKey> parseDoneChunk(String key) {
     Matcher matcher = DONE_CHUNK_PATTERN.matcher(key);
     return matcher.matches() && JobId.wellFormed(matcher.group(1))
--- a/src/main/java/org/oakwalk/core/store/StoreView.java
+++ b/src/main/java/org/oakwalk/core/store/StoreView.java
@@ -23,40 +23,46 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * This node's copy of the leader key and of all jobs, kept current by one watch.
+ * This node's copy of the watched keys, among them the leader key and all jobs, kept current by a
+ * single watch.
  *
- * <p>Every change is applied in the order of its revision, so a job that was stored after a change
- * of leader is never seen before that change. {@link #catchUp} gives callers the certainty that the
- * copy holds everything that was stored before they asked.
+ * <p>Changes are applied in the order of their revisions, so a job that was stored after a change
+ * of leader is never seen before that change. {@link #catchUp} tells callers when the copy holds
+ * everything that was stored before their call.
  */
 public final class StoreView {
   private static final Logger LOG = LoggerFactory.getLogger(StoreView.class);
 
-  /** How much of the store is known. */
+  /** State of the copy. */
   public enum State {
+    /** The watched keys are being read page by page. */
     LOADING,
+    /** The copy is complete and follows the watch. */
     LIVE
   }
 
-  /** Told of each change after it was applied. */
+  /** Is called for each change after it was applied. */
   public interface Listener {
+    /** The leader key was written or removed. */
     void leaderChanged(Moment now);
 
+    /** A job was added or changed. */
     void jobChanged(KnownJob job, Moment now);
 
-    /** Changes were missed, and all is read anew. */
+    /** The service's history no longer reaches back to this copy; everything is read again. */
     default void historyTruncated(Moment now) {}
   }
 
-  /** The leader key as last seen. */
+  /** The leader key as last seen; the token is the revision at which it was written. */
   public record Leader(StoredValue.LeaderRecord record, Token token) {}
 
   /**
-   * An announcement that followers may keep leases alive in a zone.
+   * An announcement that followers may renew workers' leases in a zone.
    *
-   * @param seen when it came to be known here, so no earlier than it was made
-   * @param earliest begin of the last read that did not show it, so it was made later
-   * @param watched whether it was seen as it was made, so that its age is known
+   * @param seen time at which this node first saw it; it was written at that time or before
+   * @param earliest start of the last read that did not show it; it was written after that
+   * @param watched true if it arrived while the copy was live and not by a load, so that its age is
+   *     known
    */
   public record RelayAnnouncement(
       StoredValue.RelayRecord record,
@@ -65,23 +71,27 @@
       Moment earliestWrite,
       boolean seenByWatch) {}
 
-  /** How many ends of jobs may be known ahead of this copy. */
+  /** Maximum number of job ends that may be known ahead of this copy. */
   public static final int MAX_LEARNED_ENDS = KnownJobs.MAX_LEARNED_ENDS;
 
+  /** Time for which the service holds a watch open if nothing changes. */
   private static final Span WATCH_HOLD = Span.millis(1000);
+
   private static final Span RETRY_DELAY = Span.millis(250);
 
-  /** Part of the rate that all nodes' reads may take together, and all nodes' watches likewise. */
+  /** Fraction of the request rate for the reads of all nodes, and again for their watches. */
   private static final double RATE_SHARE = 0.4;
 
+  /** Age of the last confirmation after which the copy is no longer fresh. */
   private static final Span STALE_AFTER = Span.millis(1800);
 
-  /** By how much a copy that is fresh may lag behind the store, with a margin. */
+  /** Upper bound, with a margin, on the lag of a fresh copy behind the store. */
   public static final Span MAX_LAG = Span.millis(2000);
 
-  /** Bursts and clocks that differ; a rate that is a good deal higher than the settings say. */
+  /** Margin for bursts and for differing clocks. */
   private static final double BURST_MARGIN_SECONDS = 60;
 
+  /** Margin for a service rate well above the one in the settings. */
   private static final double RATE_MARGIN_FACTOR = 10;
 
   private final Outbox outbox;
@@ -102,7 +112,7 @@
   private Map<String, MachineType> machineTypes = Map.of();
   private final Deque<Consumer<Boolean>> catchUpCallbacks = new ArrayDeque<>();
 
-  /** How many there ever were, so that each knows which reads began after it. */
+  /** Number of catch-ups ever requested; tells which of them a read was started after. */
   private long catchUpCount;
 
   private Listener listener;
@@ -110,10 +120,10 @@
   private Optional<Leader> leader = Optional.empty();
   private Revision leaderRevision = new Revision(0);
 
-  /** When each node that led was seen to lead no more. */
+  /** When this copy last saw each former leader replaced or gone. */
   private final Map<NodeId, Moment> ledUntil = new HashMap<>();
 
-  /** Since when there has been no leader key, as far as was seen here. */
+  /** When this copy last saw the leader key removed; null if never. */
   private Moment leaderMissingSince;
 
   private Moment liveSince;
@@ -133,9 +143,10 @@
   private Moment clock = new Moment(0);
 
   /**
-   * A copy that is empty as yet.
+   * Creates an empty copy.
    *
-   * @param nodes how many nodes share the state service's rate
+   * @param requestsPerSecond request rate limit of the state service, for all nodes together
+   * @param nodes number of nodes that share that rate
    */
   public StoreView(Outbox outbox, double requestsPerSecond, int nodes) {
     this.outbox = outbox;
@@ -145,22 +156,24 @@
     this.leaderWatchInterval = Span.millis(Math.max(1, Math.round(4000 / requestsPerSecond)));
   }
 
-  /** Whether this node leads, so that new jobs should be seen at once. */
-  public void setLeading(boolean on) {
-    leading = on;
+  /** Sets whether this node is the leader, which watches more often to see new jobs at once. */
+  public void setLeading(boolean leading) {
+    this.leading = leading;
   }
 
-  public void setListener(Listener to) {
-    this.listener = to;
+  /** Sets the listener; must be called before the first tick. */
+  public void setListener(Listener listener) {
+    this.listener = listener;
   }
 
+  /** The current leader; empty if there is none or its record can't be read. */
   public Optional<Leader> leader() {
     return leader;
   }
 
   /**
-   * Nodes that may have led at some time within this span, the present leader apart; empty if this
-   * copy has not followed the leader key without a gap for so long.
+   * Nodes other than the current leader that may have led within the given past span; empty if this
+   * copy has not followed the leader key without a gap for that long.
    */
   public Optional<Set<NodeId>> recentLeaders(Span span, Moment now) {
     if (state != State.LIVE || !now.past(liveSince, span)) {
@@ -176,122 +189,127 @@
     return Optional.of(nodes);
   }
 
-  /** When the leader key was last seen to be gone; empty if never. */
+  /** When this copy last saw the leader key removed; empty if never. */
   public Optional<Moment> leaderMissingSince() {
     return Optional.ofNullable(leaderMissingSince);
   }
 
+  /** The job with this id, if this copy holds it. */
   public Optional<KnownJob> job(JobId id) {
     return jobs.find(id);
   }
 
+  /** All jobs of this copy, those that have ended included. */
   public Collection<KnownJob> jobs() {
     return jobs.all();
   }
 
-  /** How many jobs are not over. */
+  /** Number of jobs that have not ended. */
   public OpenJobCounts openJobs() {
     return jobs.open();
   }
 
-  /** What is known of followers that keep leases alive in a zone. */
+  /** The announcement that followers may renew workers' leases in a zone, if there is one. */
   public Optional<RelayAnnouncement> relays(String zone) {
     return Optional.ofNullable(relays.get(StoreKeys.relay(zone)));
   }
 
-  /** All that is known of this kind. */
+  /** The lease relay announcements of all zones. */
   public Collection<RelayAnnouncement> relays() {
     return relays.values();
   }
 
-  /** Plans to empty machines. */
+  /** The drain plans. */
   public StoredDrainPlans drainPlans() {
     return drainPlans;
   }
 
-  /** What is in force of dawns, headroom and exchanges. */
+  /** The terms in force for dawns, headroom and exchanges. */
   public StoredProductTerms productTerms() {
     return productTerms;
   }
 
-  /** Stops that leaders were granted of late. */
+  /** Recent task stops that were granted under disruption budgets. */
   public Optional<StoredValue.StopsRecord> recentStops() {
     return recentStops;
   }
 
-  /** When they were stored; none if they are not. */
+  /** Revision of the recent stops; {@link Revision#NONE} if none are stored. */
   public Revision recentStopsRevision() {
     return recentStopsRevision;
   }
 
-  /** The machine types as a leader last stored them; empty if none did. */
+  /** The machine types last stored by a leader; empty if there are none. */
   public Map<String, MachineType> machineTypes() {
     return machineTypes;
   }
 
-  /** When the types were stored; none if they are not. */
+  /** Revision of the machine types; {@link Revision#NONE} if none are stored. */
   public Revision machineTypesRevision() {
     return machineTypesRevision;
   }
 
-  /** Whether there is a record of the job that can't be read. */
+  /** Returns true if the job has a stored record that can't be read. */
   public boolean isUnreadable(JobId id) {
     return unreadable.contains(StoreKeys.job(id));
   }
 
-  /** The time by which changes are applied. */
+  /** Sets the current time, used when answers arrive. */
   public void setTime(Moment now) {
     clock = now;
   }
 
-  /** Whether everything has been read once. */
+  /** Returns true once the copy has been complete. */
   public boolean isLoaded() {
     return loadedOnce;
   }
 
-  /** Whether the copy is complete and was confirmed a short time ago. */
+  /** Returns true if the copy is complete and was confirmed recently. */
   public boolean isFresh(Moment now) {
     return state == State.LIVE && !now.past(lastConfirmed, STALE_AFTER);
   }
 
-  /** Begin of the last read that succeeded: everything stored before it is known here. */
+  /** Start of the last successful read: the copy holds everything stored before that time. */
   public Moment lastConfirmed() {
     return lastConfirmed;
   }
 
-  /** Up to which revision this copy holds everything that was stored. */
+  /** Revision up to which this copy is complete. */
   public Revision position() {
     return position;
   }
 
-  /** Whether this copy holds everything that was stored up to the revision of this token. */
+  /** Returns true if this copy is complete up to the revision of this token. */
   public boolean covers(Token token) {
     return position.value() >= token.value();
   }
 
   /**
-   * The highest revision at which the key of the leader with this token is known to have stood. A
-   * later claim needs the key to be gone, so each later token is higher.
+   * Returns the highest revision at which the leader key written under this token is known to have
+   * been still in place, as a token. A later leader can claim the key only after it was removed, so
+   * every later token is higher.
    */
   public Token latestTokenOf(Token granted) {
-    boolean stands =
-        state == State.LIVE && leader.filter(last -> last.token().equals(granted)).isPresent();
-    return stands && covers(granted) ? new Token(position.value()) : granted;
+    boolean inPlace =
+        state == State.LIVE
+            && leader.filter(current -> current.token().equals(granted)).isPresent();
+    return inPlace && covers(granted) ? new Token(position.value()) : granted;
   }
 
   /**
-   * Whether nobody can have been granted this token yet: each change is a request, and the service
-   * takes no more of them in the time since this copy was last confirmed.
+   * Returns true if the store can't have reached the revision of this token yet, so that no leader
+   * can hold it: each change takes a request, and the service can't have served that many since
+   * this copy was last confirmed.
    */
   public boolean isImplausible(Token token, Moment now) {
-    double most =
+    double maxChanges =
         (now.since(lastConfirmed).asSeconds() + BURST_MARGIN_SECONDS)
             * requestsPerSecond
             * RATE_MARGIN_FACTOR;
-    return state == State.LIVE && token.value() - position.value() > most;
+    return state == State.LIVE && token.value() - position.value() > maxChanges;
   }
 
-  /** Keeps the watch and the reads going. */
+  /** Starts the next load, watch or read that is due. */
   public void tick(Moment now) {
     clock = now;
     if (!loadOrWatchPending && !nextLoadOrWatch.isAfter(now)) {
@@ -305,38 +323,39 @@
   }
 
   /**
-   * Calls back with true once everything that was stored before this call is known, or with false
-   * if that can't be had now. Requests that come together share one read.
+   * Calls back with true once this copy holds everything that was stored before this call, or with
+   * false if that can't be confirmed now. Concurrent calls share one read.
    */
-  public void catchUp(Moment now, Consumer<Boolean> then) {
+  public void catchUp(Moment now, Consumer<Boolean> callback) {
     if (state != State.LIVE || (failing && !isFresh(now))) {
-      then.accept(false);
+      callback.accept(false);
       return;
     }
-    catchUpCallbacks.add(then);
+    catchUpCallbacks.add(callback);
     catchUpCount++;
     read(now);
   }
 
   /**
-   * This node's own write of a job was applied. It counts here at once: the watch may bring it a
-   * good while after others were told of it.
+   * Applies a job record that this node itself has written. It takes effect here at once, since the
+   * watch may deliver it only long after the user or other nodes have been answered.
    */
-  public void applyOwnWrite(JobRecord record, Revision stamp) {
-    apply(StoreKeys.job(record.spec().id()), Optional.of(record), stamp);
+  public void applyOwnWrite(JobRecord record, Revision revision) {
+    apply(StoreKeys.job(record.spec().id()), Optional.of(record), revision);
   }
 
   /**
-   * Another controller has told that a job is over, in answer to a request that this node forwarded
-   * to it. It counts here at once, like a write of this node's own: the copy may show it a good
-   * while later, and until then this node could start what it has told its user is cancelled.
+   * Applies the end of a job, as reported by another controller in answer to a request that this
+   * node forwarded to it. It takes effect at once, like this node's own writes: the copy may show
+   * the end only much later, and until then this node could start tasks of a job that it has
+   * reported to its user as cancelled.
    *
-   * @return whether it counts from here on; if not, the answer must not be passed on
+   * @return false if the end could not be recorded; the answer must then not be passed on
    */
   public boolean learnEnd(JobId id, JobRecord.Phase end) {
-    boolean counts = jobs.learnEnd(id, end);
+    boolean recorded = jobs.learnEnd(id, end);
     jobs.applyLearnedEnd(id).ifPresent(job -> listener.jobChanged(job, clock));
-    return counts;
+    return recorded;
   }
 
   private void read(Moment now) {
@@ -345,7 +364,7 @@
     }
     readPending = true;
     nextRead = now.plus(readInterval);
-    long before = catchUpCount;
+    long startCount = catchUpCount;
     Request.Watch request =
         new Request.Watch(
             StoreKeys.WATCHED_PREFIX, position, Span.millis(0), Request.Urgency.ACCEPTANCE);
@@ -358,25 +377,31 @@
               && !leading
               && !loadOrWatchPending
               && now.plus(readInterval).isAfter(nextLoadOrWatch)) {
-            // As long as questions are read for, a watch beside them would tell nothing sooner.
+            // While reads for catch-ups are going on, a watch beside them would show nothing
+            // sooner.
             nextLoadOrWatch = now.plus(readInterval.times(1.5));
           }
-          completeCatchUps(before, current);
+          completeCatchUps(startCount, current);
         });
   }
 
-  /** Answers those who asked before a read began, unless one that began later has done so. */
-  private void completeCatchUps(long before, boolean current) {
+  /**
+   * Completes the catch-ups requested before a read started, except those already completed by a
+   * read that started later.
+   *
+   * @param startCount value of {@link #catchUpCount} when the read started
+   */
+  private void completeCatchUps(long startCount, boolean current) {
     long first = catchUpCount - catchUpCallbacks.size();
-    for (long number = first; number < before; number++) {
+    for (long number = first; number < startCount; number++) {
       catchUpCallbacks.poll().accept(current);
     }
   }
 
   private void watch(Moment now) {
     loadOrWatchPending = true;
-    long before = catchUpCount;
-    // Right after pages that took long to read, what they lag behind by is asked for at once.
+    long startCount = catchUpCount;
+    // After a load that took long, the changes made in the meantime are requested without waiting.
     Span hold = now.past(lastConfirmed, STALE_AFTER) && !failing ? Span.millis(0) : WATCH_HOLD;
     outbox.call(
         new Request.Watch(StoreKeys.WATCHED_PREFIX, position, hold, Request.Urgency.LEADERSHIP),
@@ -385,21 +410,26 @@
           if (!applyChanges(answer, now)) {
             nextLoadOrWatch = clock.plus(RETRY_DELAY);
           } else {
-            // Each change ends every node's watch. Opened again at once they would take more than
-            // the whole rate when much is written.
+            // Each change completes the watch of every node. Under many writes, reopening them at
+            // once would exceed the whole request rate.
             nextLoadOrWatch = now.plus(leading ? leaderWatchInterval : readInterval);
-            completeCatchUps(before, true);
+            completeCatchUps(startCount, true);
             tick(clock);
           }
         });
   }
 
-  /** Applies the answer to a watch; false if it told nothing. */
+  /**
+   * Applies the answer to a watch.
+   *
+   * @param begun time at which the watch was sent
+   * @return false if the answer holds no changes list
+   */
   private boolean applyChanges(Answer answer, Moment begun) {
     if (answer instanceof Answer.Changes changes) {
-      for (KeyChange news : changes.news()) {
-        if (news.revision().compareTo(position) > 0) {
-          apply(news.key(), news.value(), news.revision());
+      for (KeyChange change : changes.news()) {
+        if (change.revision().compareTo(position) > 0) {
+          apply(change.key(), change.value(), change.revision());
         }
       }
       if (changes.epoch().compareTo(position) > 0) {
@@ -409,7 +439,8 @@
       return true;
     }
     if (answer instanceof Answer.Refused refused && refused.status() == 410) {
-      // The history was cut off behind us: read everything again, unless that has begun.
+      // The service's history no longer reaches back to this copy's position: reads everything
+      // again, unless that has already begun.
       if (state == State.LIVE) {
         enter(State.LOADING);
         listener.historyTruncated(clock);
@@ -454,7 +485,7 @@
             relays.keySet().retainAll(loadedRelays);
             position = loadRevision;
             enter(State.LIVE);
-            // What changed on the first page after it was read is yet to be seen.
+            // Changes made to the first page after it was read have not been seen yet.
             confirmed(loadStartedAt);
           }
           tick(clock);
@@ -479,7 +510,7 @@
       loadedOnce = true;
       liveSince = clock;
       LOG.info(
-          "copy of the store is complete: {} jobs of {} pages in {}",
+          "local copy of the store loaded: {} jobs, {} pages in {}",
           jobs.all().size(),
           loadedPages,
           clock.since(loadStartedAt));
@@ -487,55 +518,58 @@
     }
   }
 
-  private void apply(String key, Optional<StoredValue> stored, Revision stamp) {
+  private void apply(String key, Optional<StoredValue> stored, Revision revision) {
     Optional<StoredValue> value = stored;
     if (stored.isPresent()
         && stored.get() instanceof JobRecord record
         && !key.equals(StoreKeys.job(record.spec().id()))) {
-      // Taken for what it says, it would make up a job that nobody submitted.
-      value = Optional.of(new StoredValue.Unreadable("record of job " + record.spec().id()));
+      // A record stored under the key of another job would create a job that was never submitted.
+      value =
+          Optional.of(
+              new StoredValue.Unreadable(
+                  "record of job " + record.spec().id() + " under the key of another job"));
     }
     if (key.equals(StoreKeys.RECENT_STOPS)) {
-      recentStopsRevision = value.isPresent() ? stamp : Revision.NONE;
+      recentStopsRevision = value.isPresent() ? revision : Revision.NONE;
     } else if (key.equals(StoreKeys.MACHINE_TYPES)) {
-      machineTypesRevision = value.isPresent() ? stamp : Revision.NONE;
+      machineTypesRevision = value.isPresent() ? revision : Revision.NONE;
     }
     if (key.equals(StoreKeys.LEADER)) {
-      if (stamp.compareTo(leaderRevision) <= 0) {
+      if (revision.compareTo(leaderRevision) <= 0) {
         return;
       }
-      leaderRevision = stamp;
+      leaderRevision = revision;
       leader.ifPresent(last -> ledUntil.put(last.record().node(), clock));
       leader =
           value
               .filter(StoredValue.LeaderRecord.class::isInstance)
-              .map(v -> new Leader((StoredValue.LeaderRecord) v, new Token(stamp.value())));
+              .map(v -> new Leader((StoredValue.LeaderRecord) v, new Token(revision.value())));
       if (leader.isEmpty()) {
         leaderMissingSince = clock;
       }
       listener.leaderChanged(clock);
     } else if (key.equals(StoreKeys.PRODUCT_TERMS)) {
-      productTerms.put(value, stamp);
+      productTerms.put(value, revision);
     } else if (value.isPresent() && value.get() instanceof StoredValue.Unreadable damaged) {
       drainPlans.markUnreadable(key);
       if (unreadable.add(key)) {
-        LOG.error("{} can't be read: {}", key, damaged.reason());
+        LOG.error("stored value of {} can't be read: {}", key, damaged.reason());
       }
     } else if (value.isPresent() && value.get() instanceof StoredValue.MachineTypesRecord record) {
       machineTypes = record.types();
     } else if (value.isPresent() && value.get() instanceof StoredValue.DrainRecord record) {
-      drainPlans.put(key, record, stamp);
+      drainPlans.put(key, record, revision);
     } else if (value.isPresent() && value.get() instanceof StoredValue.StopsRecord record) {
       recentStops = Optional.of(record);
     } else if (key.startsWith(StoreKeys.RELAY_PREFIX)) {
       relays.remove(key);
       if (value.isPresent() && value.get() instanceof StoredValue.RelayRecord relay) {
         relays.put(
-            key, new RelayAnnouncement(relay, stamp, clock, lastConfirmed, state == State.LIVE));
+            key, new RelayAnnouncement(relay, revision, clock, lastConfirmed, state == State.LIVE));
       }
     } else if (value.isPresent() && value.get() instanceof JobRecord record) {
       unreadable.remove(key);
-      jobs.applyStored(record, stamp).ifPresent(job -> listener.jobChanged(job, clock));
+      jobs.applyStored(record, revision).ifPresent(job -> listener.jobChanged(job, clock));
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/store/StoredDrainPlans.java
+++ b/src/main/java/org/oakwalk/core/store/StoredDrainPlans.java
@@ -8,15 +8,15 @@
 import java.util.TreeMap;
 import org.oakwalk.core.Revision;
 
-/** The copy of the plans to empty machines, by name. */
+/** The drain plans in this node's copy of the store. */
 public final class StoredDrainPlans {
   private record StoredDrainPlan(StoredValue.DrainRecord record, Revision revision) {}
 
   private final Map<String, StoredDrainPlan> plans = new TreeMap<>();
   private final Set<String> unreadable = new HashSet<>();
 
-  void put(String key, StoredValue.DrainRecord record, Revision stamp) {
-    plans.put(key, new StoredDrainPlan(record, stamp));
+  void put(String key, StoredValue.DrainRecord record, Revision revision) {
+    plans.put(key, new StoredDrainPlan(record, revision));
     unreadable.remove(key);
   }
 
@@ -27,23 +27,23 @@
     }
   }
 
-  /** All that can be read. */
+  /** All readable plans, ordered by name. */
   public Collection<StoredValue.DrainRecord> all() {
     return plans.values().stream().map(StoredDrainPlan::record).toList();
   }
 
-  /** The plan of this name. */
+  /** The plan with this name, if it exists and can be read. */
   public Optional<StoredValue.DrainRecord> find(String name) {
     return Optional.ofNullable(plans.get(StoreKeys.drain(name))).map(StoredDrainPlan::record);
   }
 
-  /** When the plan of this name was stored; none if there is no such plan. */
+  /** Revision at which the plan was stored; {@link Revision#NONE} if there is no readable plan. */
   public Revision revision(String name) {
     StoredDrainPlan plan = plans.get(StoreKeys.drain(name));
     return plan == null ? Revision.NONE : plan.revision();
   }
 
-  /** Whether there is a plan of this name that can't be read. */
+  /** Returns true if a plan with this name is stored but can't be read. */
   public boolean isUnreadable(String name) {
     return unreadable.contains(StoreKeys.drain(name));
   }
--- a/src/main/java/org/oakwalk/core/store/StoredProductTerms.java
+++ b/src/main/java/org/oakwalk/core/store/StoredProductTerms.java
@@ -4,14 +4,14 @@
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.product.ProductTerms;
 
-/** The copy of the terms of dawns, headroom and exchanges. */
+/** The terms of dawns, headroom and exchanges in this node's copy of the store. */
 public final class StoredProductTerms {
   private ProductTerms terms = ProductTerms.NONE;
   private Revision revision = Revision.NONE;
   private boolean unreadable;
 
-  void put(Optional<StoredValue> value, Revision at) {
-    revision = value.isPresent() ? at : Revision.NONE;
+  void put(Optional<StoredValue> value, Revision storedAt) {
+    revision = value.isPresent() ? storedAt : Revision.NONE;
     unreadable = value.filter(StoredValue.Unreadable.class::isInstance).isPresent();
     terms =
         value
@@ -20,17 +20,17 @@
             .orElse(ProductTerms.NONE);
   }
 
-  /** The terms in force; none if nothing is stored or it can't be read. */
+  /** The terms in force; {@link ProductTerms#NONE} if none are stored or they can't be read. */
   public ProductTerms terms() {
     return terms;
   }
 
-  /** When they were stored. */
+  /** Revision at which they were stored; {@link Revision#NONE} if none are stored. */
   public Revision revision() {
     return revision;
   }
 
-  /** Whether what is stored can't be read. */
+  /** Returns true if terms are stored but can't be read. */
   public boolean isUnreadable() {
     return unreadable;
   }
--- a/src/main/java/org/oakwalk/core/store/StoredValue.java
+++ b/src/main/java/org/oakwalk/core/store/StoredValue.java
@@ -10,7 +10,7 @@
 import org.oakwalk.core.product.ProductTerms;
 import org.oakwalk.core.shared.SharedRow;
 
-/** A value that this project keeps in the state service. */
+/** A value stored in the state service. */
 public sealed interface StoredValue
     permits JobRecord,
         StoredValue.LeaderRecord,
@@ -26,62 +26,70 @@
         StoredValue.SharedPart,
         StoredValue.Unreadable {
 
-  /** Who leads, and from which zone. The incarnation tells two lives of one node apart. */
+  /**
+   * The elected leader.
+   *
+   * @param zone the zone in which the node runs
+   * @param incarnation differs each time the node starts
+   */
   record LeaderRecord(NodeId node, String zone, String incarnation) implements StoredValue {}
 
-  /** Followers may keep workers' leases alive in a zone under a leader's token for a while. */
+  /** Allows followers to renew workers' leases in a zone, under the leader's token, for a while. */
   record RelayRecord(String zone, Token token) implements StoredValue {}
 
-  /** The cloud's machine types as a leader read them. */
+  /** The cloud's machine types, as last read by a leader. */
   record MachineTypesRecord(Map<String, MachineType> types) implements StoredValue {}
 
   /**
-   * A plan in force.
+   * A drain plan in force.
    *
-   * @param newest name of the newest machine when it was stored
-   * @param selected how many machines it was about then
+   * @param newestMachine the newest machine when the plan was stored
+   * @param selectedMachines number of machines that the plan selected at that time
    */
   record DrainRecord(DrainPlan plan, MachineId newestMachine, int selectedMachines)
       implements StoredValue {}
 
   /**
-   * Stops that were granted under one budget.
+   * Task stops granted under one disruption budget.
    *
-   * @param open at most so many tasks were stopped and did not run again when this was written
-   * @param byTime granted stops by stretch of time, numbered from the epoch on
+   * @param notRestarted upper bound on the tasks that were stopped and not yet running again when
+   *     this was written
+   * @param grantedByInterval number of granted stops by time interval; intervals are numbered from
+   *     the epoch
    */
   record StopCounts(int notRestarted, Map<Long, Integer> grantedByInterval) {
     public static final StopCounts NONE = new StopCounts(0, Map.of());
   }
 
-  /** Stops that were granted, by the names of their budgets. */
+  /** Recently granted task stops by budget name. */
   record StopsRecord(Map<String, StopCounts> byBudget) implements StoredValue {}
 
-  /** What operators declare of dawns, headroom and exchanges, as it is in force. */
+  /** The terms in force that operators declare for dawns, headroom and exchanges. */
   record ProductRecord(ProductTerms terms) implements StoredValue {}
 
   /**
-   * Which revision of a record that leaders keep counts.
+   * Head of a shared record, which names the revision in force.
    *
-   * @param slot where its parts are
-   * @param rows all its rows, if there are no parts
+   * @param revision number of the record's revision, counted per record
+   * @param slot which of the two sets of part keys holds its parts
+   * @param rows all rows if there are no parts, otherwise empty
    */
   record SharedHead(long revision, int slot, int partCount, List<SharedRow> rows)
       implements StoredValue {}
 
-  /** A part of a revision of such a record. */
+  /** A part of one revision of a shared record. */
   record SharedPart(long revision, List<SharedRow> rows) implements StoredValue {}
 
-  /** A value that this version can't read, and why. */
+  /** A value that this version of the software can't read, with the reason. */
   record Unreadable(String reason) implements StoredValue {}
 
-  /** Finished tasks of a part of a job, one bit each, as hexadecimal text. */
+  /** Finished tasks of one chunk of a job, encoded by {@link DoneBitmap}. */
   record DoneChunk(String bits) implements StoredValue {}
 
   /** A machine that may have been sent commands. */
   record MachineRecord(MachineId id, String address, String type, String zone, boolean spot)
       implements StoredValue {}
 
-  /** Machines that may have been sent commands and were written together. */
+  /** Machines that may have been sent commands, stored under one key to save changes. */
   record MachineListRecord(List<MachineRecord> machines) implements StoredValue {}
 }
