--- a/src/main/java/org/oakwalk/core/shared/SharedRecords.java
+++ b/src/main/java/org/oakwalk/core/shared/SharedRecords.java
@@ -97,7 +97,8 @@
   }
 
   /**
-   * Refills the write tokens; they accumulate for one second at most, but to one change at least.
+   * Refills the write tokens, up to one second's worth but at least one. A commit may overdraw
+   * them.
    */
   private void refill(Moment now) {
     double perSecond = limits.writesPerSecond() * WRITE_RATE_SHARE;
--- a/src/main/java/org/oakwalk/core/store/StoreView.java
+++ b/src/main/java/org/oakwalk/core/store/StoreView.java
@@ -59,10 +59,10 @@
   /**
    * An announcement that followers may renew workers' leases in a zone.
    *
-   * @param seen time at which this node first saw it; it was written at that time or before
-   * @param earliest start of the last read that did not show it; it was written after that
-   * @param watched true if it arrived while the copy was live and not by a load, so that its age is
-   *     known
+   * @param seenAt time at which this node first saw it; it was written at that time or before
+   * @param earliestWrite start of the last read that did not show it; it was written after that
+   * @param seenByWatch true if it arrived while the copy was live and not by a load, so that its
+   *     age is known
    */
   public record RelayAnnouncement(
       StoredValue.RelayRecord record,
@@ -423,7 +423,7 @@
    * Applies the answer to a watch.
    *
    * @param begun time at which the watch was sent
-   * @return false if the answer holds no changes list
+   * @return false if the watch failed
    */
   private boolean applyChanges(Answer answer, Moment begun) {
     if (answer instanceof Answer.Changes changes) {
--- a/src/test/java/org/oakwalk/core/shared/StoredSharedRecordTest.java
+++ b/src/test/java/org/oakwalk/core/shared/StoredSharedRecordTest.java
@@ -26,9 +26,9 @@
 import org.oakwalk.core.store.StoredValue;
 
 /**
- * Leaders that follow each other write one record while answers are lost, commits are refused, or
- * apply late, in drawn orders. Whoever reads sees one revision whole, never an older one than
- * somebody has relied on, and in the end what was wanted last.
+ * Successive leaders write one record while answers are lost and commits are refused or applied
+ * late, in random order. Readers must always see a complete revision, never one older than a
+ * confirmed one, and finally the rows requested last.
  */
 class StoredSharedRecordTest {
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(100, 50, 1, 3);
@@ -37,7 +37,7 @@
   private static final int STEP_MILLIS = 100;
   private static final int PAGE_SIZE = 2;
 
-  /** A row knows to which want it belongs, and how many that has. */
+  /** A row that carries the number of its write request and the number of rows in it. */
   private record Row(int writeNumber, int index, int rowCount) implements SharedRow {
     @Override
     public int maxJsonBytes() {
@@ -45,7 +45,7 @@
     }
   }
 
-  /** A request that the store has yet to see; whom to answer, if anybody still waits. */
+  /** A request that has not reached the store yet; awaited if its sender still waits. */
   private record PendingRequest(Leader from, CallId call, Request request, boolean awaited) {}
 
   private static final class Leader {
@@ -59,35 +59,35 @@
     }
   }
 
-  /** One drawn run. */
+  /** One run with a random sequence of events. */
   private static final class RandomRun {
     private final UniformRandomProvider random;
     private final boolean headGuardChecked;
     private final TreeMap<String, Entry> store = new TreeMap<>();
     private final List<Leader> leaders = new ArrayList<>();
     private List<PendingRequest> pending = new ArrayList<>();
-    private long epoch = 1;
+    private long revision = 1;
     private int writeCount;
     private int lastWrite;
     private int confirmed;
     private int changes;
     private boolean faultsEnabled = true;
 
-    RandomRun(long seed, boolean guarded) {
+    RandomRun(long seed, boolean headGuardChecked) {
       this.random = RandomSource.XO_SHI_RO_256_PP.create(seed);
-      this.headGuardChecked = guarded;
+      this.headGuardChecked = headGuardChecked;
       electLeader();
     }
 
     private void electLeader() {
-      epoch++;
+      revision++;
       store.put(
           StoreKeys.LEADER,
-          new Entry(StoreKeys.LEADER, new StoredValue.Unreadable(""), new Revision(epoch)));
-      leaders.add(new Leader(new Revision(epoch)));
+          new Entry(StoreKeys.LEADER, new StoredValue.Unreadable(""), new Revision(revision)));
+      leaders.add(new Leader(new Revision(revision)));
     }
 
-    private Leader last() {
+    private Leader currentLeader() {
       return leaders.get(leaders.size() - 1);
     }
 
@@ -97,10 +97,10 @@
         faultsEnabled = step < STEPS / 2;
         step(step, new Moment(now));
       }
-      assertThat(last().record.isUpToDate()).as("settled").isTrue();
-      assertThat(readAsNewLeader()).as("what was wanted last").isEqualTo(lastWrite);
+      assertThat(currentLeader().record.isUpToDate()).as("up to date").isTrue();
+      assertThat(readAsNewLeader()).as("number of the last write request").isEqualTo(lastWrite);
       assertThat(changes)
-          .as("a tenth of the changes, and a second's worth or a commit at once")
+          .as("changes: a tenth of the write rate, plus a burst of one second or one commit")
           .isLessThanOrEqualTo((int) (now / 1000 * LIMITS.writesPerSecond() / 10) + 10);
     }
 
@@ -108,9 +108,10 @@
       if (faultsEnabled && random.nextInt(60) == 0) {
         electLeader();
       }
-      boolean lastly = step == STEPS * 3 / 4;
-      if (lastly || faultsEnabled && last().record.isLoaded() && random.nextInt(4) == 0) {
-        requestWrite(last());
+      boolean finalWrite = step == STEPS * 3 / 4;
+      if (finalWrite
+          || faultsEnabled && currentLeader().record.isLoaded() && random.nextInt(4) == 0) {
+        requestWrite(currentLeader());
       }
       for (Leader leader : leaders.subList(Math.max(0, leaders.size() - 2), leaders.size())) {
         leader.state.tick(now);
@@ -119,36 +120,40 @@
           pending.add(new PendingRequest(leader, call.call(), call.request(), true));
         }
       }
-      List<PendingRequest> here = pending;
+      List<PendingRequest> arriving = pending;
       pending = new ArrayList<>();
-      Collections.shuffle(here, new java.util.Random(random.nextLong()));
-      here.forEach(this::deliver);
-      last().record.storedRows().stream().findFirst().ifPresent(row -> confirm(row.writeNumber()));
+      Collections.shuffle(arriving, new java.util.Random(random.nextLong()));
+      arriving.forEach(this::deliver);
+      currentLeader().record.storedRows().stream()
+          .findFirst()
+          .ifPresent(row -> confirm(row.writeNumber()));
     }
 
     private void requestWrite(Leader leader) {
-      int want = ++writeCount;
+      int number = ++writeCount;
       int rows = 1 + random.nextInt(random.nextBoolean() ? 4 : 25);
       leader.record.requestWrite(
-          IntStream.range(0, rows).mapToObj(i -> new Row(want, i, rows)).toList());
-      lastWrite = want;
+          IntStream.range(0, rows).mapToObj(i -> new Row(number, i, rows)).toList());
+      lastWrite = number;
     }
 
     private void deliver(PendingRequest item) {
-      int fate = faultsEnabled ? random.nextInt(10) : 9;
-      boolean lingers = faultsEnabled && !item.awaited() && random.nextInt(20) > 0;
-      if (fate == 0 || lingers) {
+      int event = faultsEnabled ? random.nextInt(10) : 9;
+      boolean staysInFlight = faultsEnabled && !item.awaited() && random.nextInt(20) > 0;
+      if (event == 0 || staysInFlight) {
         pending.add(item);
-      } else if (fate == 1 && item.awaited()) {
-        // The answer is given up, the request is still on its way.
+      } else if (event == 1 && item.awaited()) {
+        // The sender stops waiting for an answer while the request is still in flight.
         item.from().outbox.answered(item.call(), new Answer.Nothing("lost"));
         pending.add(new PendingRequest(item.from(), item.call(), item.request(), false));
-      } else if (fate == 2 && item.awaited()) {
+      } else if (event == 2 && item.awaited()) {
         item.from().outbox.answered(item.call(), new Answer.Refused(503, ""));
       } else {
         Answer answer = apply(item.request());
         if (item.awaited()) {
-          item.from().outbox.answered(item.call(), fate == 3 ? new Answer.Nothing("lost") : answer);
+          item.from()
+              .outbox
+              .answered(item.call(), event == 3 ? new Answer.Nothing("lost") : answer);
         }
       }
     }
@@ -161,34 +166,34 @@
                 .filter(entry -> read.after().stream().allMatch(a -> entry.key().compareTo(a) > 0))
                 .toList();
         List<Entry> page = all.subList(0, Math.min(PAGE_SIZE, all.size()));
-        return new Answer.Page(page, page.size() < all.size(), new Revision(epoch));
+        return new Answer.Page(page, page.size() < all.size(), new Revision(revision));
       }
       Request.Commit commit = (Request.Commit) request;
       assertThat(commit.changes().size()).isLessThanOrEqualTo(LIMITS.changesPerCommit());
       changes += commit.changes().size();
       for (Guard guard : commit.guards()) {
-        boolean looked = headGuardChecked || guard.key().equals(StoreKeys.LEADER);
-        Revision stamp =
+        boolean checked = headGuardChecked || guard.key().equals(StoreKeys.LEADER);
+        Revision stored =
             Optional.ofNullable(store.get(guard.key())).map(Entry::revision).orElse(Revision.NONE);
-        if (looked && !stamp.equals(guard.revision())) {
+        if (checked && !stored.equals(guard.revision())) {
           return new Answer.Conflict(List.of(guard.key()));
         }
       }
-      epoch++;
+      revision++;
       for (Change change : commit.changes()) {
         Change.Put put = (Change.Put) change;
-        store.put(put.key(), new Entry(put.key(), put.value(), new Revision(epoch)));
+        store.put(put.key(), new Entry(put.key(), put.value(), new Revision(revision)));
       }
       readAsNewLeader();
-      return new Answer.Committed(new Revision(epoch));
+      return new Answer.Committed(new Revision(revision));
     }
 
-    private void confirm(int want) {
-      confirmed = Math.max(confirmed, want);
+    private void confirm(int number) {
+      confirmed = Math.max(confirmed, number);
       readAsNewLeader();
     }
 
-    /** What a new leader would find now. */
+    /** Reads the record as a new leader would now; returns the number of its write request. */
     private int readAsNewLeader() {
       Outbox outbox = new Outbox();
       SharedRecords state =
@@ -201,15 +206,16 @@
           outbox.answered(call.call(), apply(call.request()));
         }
       }
-      assertThat(record.isUnusable()).as("broken").isFalse();
+      assertThat(record.isUnusable()).as("unusable").isFalse();
       List<Row> rows = record.storedRows();
-      int want = rows.isEmpty() ? 0 : rows.get(0).writeNumber();
-      int of = rows.isEmpty() ? 0 : rows.get(0).rowCount();
+      int number = rows.isEmpty() ? 0 : rows.get(0).writeNumber();
+      int rowCount = rows.isEmpty() ? 0 : rows.get(0).rowCount();
       assertThat(rows)
-          .as("whole")
-          .isEqualTo(IntStream.range(0, of).mapToObj(i -> new Row(want, i, of)).toList());
-      assertThat(want).as("not older than what was relied on").isGreaterThanOrEqualTo(confirmed);
-      return want;
+          .as("complete")
+          .isEqualTo(
+              IntStream.range(0, rowCount).mapToObj(i -> new Row(number, i, rowCount)).toList());
+      assertThat(number).as("not older than the confirmed write").isGreaterThanOrEqualTo(confirmed);
+      return number;
     }
   }
 
@@ -224,18 +230,20 @@
     }
   }
 
-  /** A store that does not look at the head's version lets late commits through, which shows. */
+  /**
+   * If the store ignores the guard on the head, late commits are applied and the test must fail.
+   */
   @Test
   void lateCommitsAreDetectedIfTheHeadGuardIsIgnored() {
-    long found = 0;
+    long failures = 0;
     for (int seed = 1; seed <= 200; seed++) {
       try {
         new RandomRun(seed, false).play();
       } catch (AssertionError e) {
-        found++;
+        failures++;
       }
     }
-    assertThat(found).isGreaterThan(20);
+    assertThat(failures).isGreaterThan(20);
   }
 
   @Test
@@ -260,7 +268,7 @@
     assertThat(leader.record.isUpToDate()).isTrue();
   }
 
-  /** What can't be read is left as it is, and stops nothing else. */
+  /** An unreadable record is not overwritten, and other records are still written. */
   @Test
   void damagedRecordDoesNotAffectOtherRecords() {
     Leader leader = new Leader(new Revision(1));
--- a/src/test/java/org/oakwalk/core/store/FaultyStore.java
+++ b/src/test/java/org/oakwalk/core/store/FaultyStore.java
@@ -10,18 +10,19 @@
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
 
-/** A state service that keeps values and may lose answers, or carry transactions out late. */
+/** In-memory state service that can refuse transactions, lose answers or apply commits late. */
 public final class FaultyStore {
-  /** What becomes of a transaction. */
+  /** Outcome of a transaction. */
   public enum CommitOutcome {
     APPLIED,
     REFUSED,
+    /** Applied, but the caller gets no answer. */
     ANSWER_LOST,
-    /** No answer; it is carried out when {@link #applyDelayed} says so. */
+    /** No answer; the transaction is applied by {@link #applyDelayed}. */
     DELAYED
   }
 
-  /** Whose transactions meet which fate. */
+  /** Chooses the outcome of each transaction. */
   public interface CommitOutcomes {
     CommitOutcome outcomeOf(Request.Commit commit);
   }
@@ -29,60 +30,59 @@
   private final TreeMap<String, Entry> entries = new TreeMap<>();
   private final List<KeyChange> history = new ArrayList<>();
   private final List<Request.Commit> delayed = new ArrayList<>();
-  private long epoch = 1;
+  private long revision = 1;
 
-  /** Writes a value as somebody else would. */
+  /** Writes a value as another client of the store. */
   public Revision put(String key, StoredValue value) {
-    epoch++;
+    revision++;
     change(new Change.Put(key, value, Optional.empty()));
-    return new Revision(epoch);
+    return new Revision(revision);
   }
 
   public Optional<Entry> find(String key) {
     return Optional.ofNullable(entries.get(key));
   }
 
+  /** All entries whose key begins with a prefix. */
   public List<Entry> entriesBelow(String prefix) {
-    return entries.values().stream().filter(e -> e.key().startsWith(prefix)).toList();
+    return entries.values().stream().filter(entry -> entry.key().startsWith(prefix)).toList();
   }
 
-  /** How many transactions are still to be carried out. */
+  /** Number of transactions that are delayed and not applied yet. */
   public int delayedCount() {
     return delayed.size();
   }
 
-  /** Carries out one that had no answer. */
+  /** Applies a delayed transaction and returns the answer that its caller never got. */
   public Answer applyDelayed(int index) {
     return apply(delayed.remove(index));
   }
 
-  /**
-   * Serves all that a node has asked for, and what it asks for upon that, until nothing is left.
-   */
-  public void serve(Outbox outbox, CommitOutcomes fates) {
+  /** Serves all requests of a node, including those that its answers cause, until none is left. */
+  public void serve(Outbox outbox, CommitOutcomes outcomes) {
     for (List<Effect> effects = outbox.drain(); !effects.isEmpty(); effects = outbox.drain()) {
       for (Effect effect : effects) {
         if (effect instanceof Effect.Call call) {
-          outbox.answered(call.call(), answer((Request.State) call.request(), fates));
+          outbox.answered(call.call(), answer((Request.State) call.request(), outcomes));
         }
       }
     }
   }
 
-  private Answer answer(Request.State request, CommitOutcomes fates) {
+  private Answer answer(Request.State request, CommitOutcomes outcomes) {
     if (request instanceof Request.ReadPage read) {
-      return new Answer.Page(entriesBelow(read.prefix()), false, new Revision(epoch));
+      return new Answer.Page(entriesBelow(read.prefix()), false, new Revision(revision));
     }
     if (request instanceof Request.Watch watch) {
       return new Answer.Changes(
-          new Revision(epoch),
+          new Revision(revision),
           history.stream()
-              .filter(news -> news.revision().compareTo(watch.after()) > 0)
-              .filter(news -> news.key().startsWith(watch.prefix()))
+              .filter(change -> change.revision().compareTo(watch.after()) > 0)
+              .filter(change -> change.key().startsWith(watch.prefix()))
               .toList());
     }
     Request.Commit commit = (Request.Commit) request;
-    return switch (fates.outcomeOf(commit)) {
+    return switch (outcomes.outcomeOf(commit)) {
       case APPLIED -> apply(commit);
       case REFUSED -> new Answer.Refused(503, "");
       case ANSWER_LOST -> {
@@ -110,13 +110,13 @@
     if (!failed.isEmpty()) {
       return new Answer.Conflict(failed);
     }
-    epoch++;
+    revision++;
     commit.changes().forEach(this::change);
-    return new Answer.Committed(new Revision(epoch));
+    return new Answer.Committed(new Revision(revision));
   }
 
   private void change(Change change) {
-    Revision at = new Revision(epoch);
+    Revision at = new Revision(revision);
     if (change instanceof Change.Put put) {
       entries.put(put.key(), new Entry(put.key(), put.value(), at));
       history.add(new KeyChange(put.key(), Optional.of(put.value()), at));
--- a/src/test/java/org/oakwalk/core/store/RateLimitedService.java
+++ b/src/test/java/org/oakwalk/core/store/RateLimitedService.java
@@ -15,24 +15,24 @@
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 
-/** The state service's limits and its watches, in virtual time; it keeps no values. */
+/** State service with rate limits and watches, in virtual time. It stores no values. */
 final class RateLimitedService {
   static final int NODES = 7;
   static final double REQUESTS_PER_SECOND = 250;
   static final double WRITES_PER_SECOND = 50;
   private static final long ONE_WAY_MILLIS = 2;
 
-  private record Event(long at, long number, Runnable action) {}
+  private record Event(long at, long sequence, Runnable action) {}
 
-  private record Watcher(Request.Watch watch, long until, Consumer<Answer> then) {}
+  private record Watcher(Request.Watch watch, long until, Consumer<Answer> callback) {}
 
   private final PriorityQueue<Event> events =
-      new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::number));
+      new PriorityQueue<>(Comparator.comparingLong(Event::at).thenComparingLong(Event::sequence));
   private final List<Watcher> watchers = new ArrayList<>();
   private double requestTokens = REQUESTS_PER_SECOND;
   private double writeTokens = WRITES_PER_SECOND;
-  private long numbers;
-  private long epoch = 1;
+  private long lastSequence;
+  private long revision = 1;
   long now;
   int requests;
   int refused;
@@ -52,63 +52,65 @@
   }
 
   void after(long millis, Runnable action) {
-    events.add(new Event(now + millis, ++numbers, action));
+    events.add(new Event(now + millis, ++lastSequence, action));
   }
 
-  /** As its page says: both limits allow bursts of one second's worth. */
-  void serve(Request.State request, Consumer<Answer> then) {
-    after(ONE_WAY_MILLIS, () -> arrived(request, answer -> after(2, () -> then.accept(answer))));
+  /** Both limits allow bursts of one second's worth, as the real service does. */
+  void serve(Request.State request, Consumer<Answer> callback) {
+    after(
+        ONE_WAY_MILLIS, () -> receive(request, answer -> after(2, () -> callback.accept(answer))));
   }
 
-  private void arrived(Request.State request, Consumer<Answer> then) {
+  private void receive(Request.State request, Consumer<Answer> callback) {
     requests++;
     int writes = request.writes();
     if (requestTokens < 1 || writeTokens < writes) {
       refused++;
-      then.accept(new Answer.Refused(429, ""));
+      callback.accept(new Answer.Refused(429, ""));
       return;
     }
     requestTokens -= 1;
     writeTokens -= writes;
     if (request instanceof Request.Commit) {
-      epoch++;
-      then.accept(new Answer.Committed(new Revision(epoch)));
-      List<Watcher> woken = List.copyOf(watchers);
+      revision++;
+      callback.accept(new Answer.Committed(new Revision(revision)));
+      List<Watcher> notified = List.copyOf(watchers);
       watchers.clear();
-      woken.forEach(watcher -> watcher.then().accept(changes()));
+      notified.forEach(watcher -> watcher.callback().accept(changes()));
     } else if (request instanceof Request.Watch watch) {
-      if (watch.hold().millis() == 0 || watch.after().value() < epoch) {
-        then.accept(changes());
+      if (watch.hold().millis() == 0 || watch.after().value() < revision) {
+        callback.accept(changes());
       } else {
-        watchers.add(new Watcher(watch, now + watch.hold().millis(), then));
+        watchers.add(new Watcher(watch, now + watch.hold().millis(), callback));
       }
     } else if (request instanceof Request.ReadPage) {
-      then.accept(new Answer.Page(List.of(), false, new Revision(epoch)));
+      callback.accept(new Answer.Page(List.of(), false, new Revision(revision)));
     } else {
-      then.accept(new Answer.Ok());
+      callback.accept(new Answer.Ok());
     }
   }
 
   private Answer changes() {
     return new Answer.Changes(
-        new Revision(epoch), List.of(new KeyChange("k", Optional.empty(), new Revision(epoch))));
+        new Revision(revision),
+        List.of(new KeyChange("k", Optional.empty(), new Revision(revision))));
   }
 
-  /** Goes on until then; the action is done each millisecond. */
-  void run(long until, Runnable each) {
+  /** Advances the time to {@code until} and runs an action each millisecond. */
+  void run(long until, Runnable everyMillisecond) {
     for (; now < until; now++) {
       requestTokens = Math.min(REQUESTS_PER_SECOND, requestTokens + REQUESTS_PER_SECOND / 1000);
       writeTokens = Math.min(WRITES_PER_SECOND, writeTokens + WRITES_PER_SECOND / 1000);
       for (Watcher watcher : List.copyOf(watchers)) {
         if (watcher.until() <= now) {
           watchers.remove(watcher);
-          watcher.then().accept(new Answer.Changes(new Revision(epoch), List.of()));
+          watcher.callback().accept(new Answer.Changes(new Revision(revision), List.of()));
         }
       }
       while (!events.isEmpty() && events.peek().at() <= now) {
         events.poll().action().run();
       }
-      each.run();
+      everyMillisecond.run();
     }
   }
 }
--- a/src/test/java/org/oakwalk/core/store/RequestQueueTest.java
+++ b/src/test/java/org/oakwalk/core/store/RequestQueueTest.java
@@ -14,7 +14,7 @@
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 
-/** Several nodes that want more than the state service gives, in virtual time. */
+/** Nodes whose demand exceeds the rate limits of the state service, in virtual time. */
 class RequestQueueTest {
   private static final int NODES = RateLimitedService.NODES;
   private static final double WRITES_PER_SECOND = RateLimitedService.WRITES_PER_SECOND;
@@ -33,8 +33,8 @@
     service.run(
         until,
         () -> {
-          queues.forEach(line -> line.setTime(service.now));
-          queues.forEach(line -> line.sendDue(service.now));
+          queues.forEach(queue -> queue.setTime(service.now));
+          queues.forEach(queue -> queue.sendDue(service.now));
         });
   }
 
@@ -43,7 +43,7 @@
         List.of(), List.of(new Change.Put("k", null, Optional.empty())), urgency);
   }
 
-  /** Wants more and more, as users who repeat what was refused. */
+  /** Sends submissions without end, each one as soon as the one before was answered. */
   private void floodWithSubmissions(int node) {
     queues
         .get(node)
@@ -96,12 +96,12 @@
     long[] worst = new long[1];
     for (int round = 0; round < 40; round++) {
       run(service.now + 500);
-      for (RequestQueue line : queues) {
-        long begun = service.now;
-        line.enqueue(
+      for (RequestQueue queue : queues) {
+        long startedAt = service.now;
+        queue.enqueue(
             new Request.Renew(new HoldId(1)),
             service.now,
-            answer -> worst[0] = Math.max(worst[0], service.now - begun));
+            answer -> worst[0] = Math.max(worst[0], service.now - startedAt));
       }
     }
     run(service.now + 2_000);
@@ -114,51 +114,62 @@
       floodWithSubmissions(0);
     }
     run(1_000);
-    long begun = service.now;
-    long[] took = new long[2];
+    long startedAt = service.now;
+    long[] waitMillis = new long[2];
     queues
         .get(0)
-        .enqueue(write(Request.Urgency.REST), service.now, answer -> took[1] = service.now - begun);
+        .enqueue(
+            write(Request.Urgency.REST),
+            service.now,
+            answer -> waitMillis[1] = service.now - startedAt);
     queues
         .get(0)
         .enqueue(
-            write(Request.Urgency.ENROLMENT), service.now, answer -> took[0] = service.now - begun);
-    run(begun + 5_000);
-    assertThat(took[0]).isBetween(1L, 300L);
-    // It came first, but waits for submissions to have had as much.
-    assertThat(took[1]).isGreaterThan(took[0]);
+            write(Request.Urgency.ENROLMENT),
+            service.now,
+            answer -> waitMillis[0] = service.now - startedAt);
+    run(startedAt + 5_000);
+    assertThat(waitMillis[0]).isBetween(1L, 300L);
+    // This write was queued first but has to wait until submissions have had as many changes.
+    assertThat(waitMillis[1]).isGreaterThan(waitMillis[0]);
   }
 
-  /** What is less urgent than submissions gets half of the writes at most, however much waits. */
+  /**
+   * Writes that are less urgent than submissions get at most half of the write rate, however many
+   * of them are queued.
+   */
   @Test
   void submissionsAndLessUrgentWritesShareEqually() {
-    int[] rest = new int[1];
+    int[] committed = new int[1];
     for (int i = 0; i < 100; i++) {
       floodWithSubmissions(0);
-      floodWith(Request.Urgency.REST, rest);
+      floodWith(Request.Urgency.REST, committed);
     }
     run(10_000);
     written.clear();
-    rest[0] = 0;
+    committed[0] = 0;
     run(20_000);
-    int all = written.get(0) + rest[0];
+    int all = written.get(0) + committed[0];
     assertThat(all).isGreaterThan((int) (10 * WRITES_PER_SECOND * 0.8));
     assertThat(written.get(0)).isBetween((int) (all * 0.45), (int) (all * 0.55));
   }
 
-  private void floodWith(Request.Urgency urgency, int[] count) {
+  private void floodWith(Request.Urgency urgency, int[] committed) {
     queues
         .get(0)
         .enqueue(
             write(urgency),
             service.now,
             answer -> {
-              count[0] += answer instanceof Answer.Committed ? 1 : 0;
-              service.after(1, () -> floodWith(urgency, count));
+              committed[0] += answer instanceof Answer.Committed ? 1 : 0;
+              service.after(1, () -> floodWith(urgency, committed));
             });
   }
 
-  /** As above, but whoever is refused waits a moment, so that a line full of them costs little. */
+  /**
+   * Sends submissions without end, with a pause after each answer, so that a full queue of them is
+   * cheap to simulate.
+   */
   private void submitRepeatedly(int node) {
     queues
         .get(node)
@@ -168,7 +179,12 @@
             answer -> service.after(40, () -> submitRepeatedly(node)));
   }
 
-  /** More submissions wait than there is room for, on one node alone and on all. */
+  /**
+   * Fills the queues of the given nodes with more submissions than they can hold, then sends single
+   * requests of an urgency.
+   *
+   * @return the longest wait in milliseconds, and the number of requests that were not committed
+   */
   private long[] longestWaitInFullQueue(int nodes, Request.Urgency urgency) {
     for (int node = 0; node < nodes; node++) {
       for (int i = 0; i < 500; i++) {
@@ -180,14 +196,14 @@
     for (int round = 0; round < 10; round++) {
       run(service.now + 500);
       for (int node = 0; node < nodes; node++) {
-        long begun = service.now;
+        long startedAt = service.now;
         queues
             .get(node)
             .enqueue(
                 write(urgency),
                 service.now,
                 answer -> {
-                  worst[0] = Math.max(worst[0], service.now - begun);
+                  worst[0] = Math.max(worst[0], service.now - startedAt);
                   worst[1] += answer instanceof Answer.Committed ? 0 : 1;
                 });
       }
@@ -203,7 +219,10 @@
     assertThat(worst[0]).as("longest, ms").isLessThan(1_000);
   }
 
-  /** Else jobs would never be done, nor machines leave the list, for as long as users submit. */
+  /**
+   * If results did not get through, no job would be completed and no machine would leave the list
+   * while users keep submitting.
+   */
   @Test
   void resultsAreNotRefusedByAFullQueue() {
     long[] worst = longestWaitInFullQueue(NODES, Request.Urgency.RESULT);
@@ -232,20 +251,20 @@
     }
     run(1_000);
     long[] worst = new long[2];
-    List<Request.State> asked =
+    List<Request.State> requests =
         List.of(
             new Request.Renew(new HoldId(1)),
             new Request.Watch("k", Revision.NONE, Span.millis(0), Request.Urgency.ACCEPTANCE));
     for (int round = 0; round < 20; round++) {
       run(service.now + 250);
-      long begun = service.now;
+      long startedAt = service.now;
       queues
           .get(0)
           .enqueue(
-              asked.get(round % 2),
+              requests.get(round % 2),
               service.now,
               answer -> {
-                worst[0] = Math.max(worst[0], service.now - begun);
+                worst[0] = Math.max(worst[0], service.now - startedAt);
                 worst[1] += answer instanceof Answer.Refused ? 1 : 0;
               });
     }
--- a/src/test/java/org/oakwalk/core/store/StatusReadRateTest.java
+++ b/src/test/java/org/oakwalk/core/store/StatusReadRateTest.java
@@ -11,7 +11,11 @@
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
 
-/** What users ask on all nodes, while much is written, within the state service's rate. */
+/**
+ * Status queries for many jobs on all nodes, under a high write load. Unless nodes share reads and
+ * space them out, the reads and watches exceed the state service's request rate, and queries are
+ * refused or time out.
+ */
 class StatusReadRateTest {
   private static final long TICK_MILLIS = 50;
   private static final int OPEN_JOBS = 10_000;
@@ -22,7 +26,7 @@
   private int answered;
   private int failed;
 
-  /** A node's copy of the store with the line by which it reads. */
+  /** A node's copy of the store and the request queue through which it reads. */
   private final class Node {
     final Outbox outbox = new Outbox();
     final RequestQueue queue;
@@ -67,13 +71,13 @@
     }
 
     void query() {
-      long begun = service.now;
+      long startedAt = service.now;
       view.catchUp(
-          new Moment(begun),
-          known -> {
+          new Moment(startedAt),
+          current -> {
             answered++;
-            failed += known ? 0 : 1;
-            longestWaitMillis = Math.max(longestWaitMillis, service.now - begun);
+            failed += current ? 0 : 1;
+            longestWaitMillis = Math.max(longestWaitMillis, service.now - startedAt);
           });
     }
   }
@@ -84,7 +88,7 @@
     for (int i = 0; i < RateLimitedService.NODES; i++) {
       nodes.add(new Node(i));
     }
-    int[] asked = new int[1];
+    int[] queries = new int[1];
     double[] due = new double[1];
     service.run(
         30_000,
@@ -92,16 +96,16 @@
           nodes.forEach(Node::step);
           if (service.now > 200) {
             for (due[0] += (double) OPEN_JOBS / QUERY_INTERVAL_MILLIS; due[0] >= 1; due[0]--) {
-              nodes.get(asked[0]++ % nodes.size()).query();
+              nodes.get(queries[0]++ % nodes.size()).query();
             }
           }
           if (service.now % 25 == 0) {
-            // Users submit and withdraw at four fifths of what the service takes.
+            // Users submit and withdraw at four fifths of the write rate.
             Node node = nodes.get((int) (service.now / 25 % nodes.size()));
             node.queue.enqueue(write(), service.now, answer -> {});
           }
         });
-    assertThat(answered).isGreaterThan(asked[0] - OPEN_JOBS / 5);
+    assertThat(answered).isGreaterThan(queries[0] - OPEN_JOBS / 5);
     assertThat(failed).isZero();
     assertThat(longestWaitMillis).as("longest wait, ms").isLessThan(1_000);
     assertThat(service.refused).as("refused").isLessThan(service.requests / 100);
--- a/src/test/java/org/oakwalk/core/store/StoreViewTest.java
+++ b/src/test/java/org/oakwalk/core/store/StoreViewTest.java
@@ -17,7 +17,10 @@
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
 
-/** Up to which moment everything stored is known: leaders answer workers by it. */
+/**
+ * The time up to which the copy is known to hold everything stored. Leaders rely on it when they
+ * answer workers, so it must never be later than the start of the last successful read.
+ */
 class StoreViewTest {
   private static final Answer DOWN = new Answer.Refused(503, "down");
 
@@ -46,7 +49,7 @@
 
   @Test
   void slowLoadConfirmsOnlyTheTimeOfItsFirstPage() {
-    Moment first = now;
+    Moment firstPageSent = now;
     tick();
     answer(Request.ReadPage.class, page("a", true, 10));
     answer(Request.ReadPage.class, DOWN);
@@ -56,9 +59,9 @@
     }
     advance(500);
     answer(Request.ReadPage.class, page("b", false, 90));
-    assertThat(view.lastConfirmed()).isEqualTo(first);
+    assertThat(view.lastConfirmed()).isEqualTo(firstPageSent);
     assertThat(view.isFresh(now)).isFalse();
-    Request.Watch next = (Request.Watch) sent(Request.Watch.class).orElseThrow().request();
+    Request.Watch next = (Request.Watch) takeSent(Request.Watch.class).orElseThrow().request();
     assertThat(next.after()).isEqualTo(new Revision(10));
     assertThat(next.hold()).isEqualTo(Span.millis(0));
   }
@@ -68,19 +71,19 @@
     tick();
     answer(Request.ReadPage.class, DOWN);
     advance(5000);
-    Moment second = now;
+    Moment secondTry = now;
     answer(Request.ReadPage.class, page("a", false, 10));
-    assertThat(view.lastConfirmed()).isEqualTo(second);
+    assertThat(view.lastConfirmed()).isEqualTo(secondTry);
   }
 
   @Test
   void lateAnswerConfirmsOnlyTheTimeOfItsRequest() {
     load();
-    Moment asked = now;
-    Effect.Call watch = sent(Request.Watch.class).orElseThrow();
+    Moment watchSent = now;
+    Effect.Call watch = takeSent(Request.Watch.class).orElseThrow();
     advance(2000);
     outbox.answered(watch.call(), new Answer.Changes(new Revision(11), List.of()));
-    assertThat(view.lastConfirmed()).isEqualTo(asked);
+    assertThat(view.lastConfirmed()).isEqualTo(watchSent);
   }
 
   @Test
@@ -95,33 +98,33 @@
     assertThat(view.lastConfirmed()).isEqualTo(before);
   }
 
-  /** Two requests may find that the history was cut off; the second begins nothing anew. */
+  /** A watch and a read may both find the history truncated; only the first starts a new load. */
   @Test
   void secondHistoryTruncationDoesNotRestartTheLoad() {
     load();
-    view.catchUp(now, known -> {});
-    Effect.Call watch = sent(Request.Watch.class).orElseThrow();
-    Effect.Call read = sent(Request.Watch.class).orElseThrow();
+    view.catchUp(now, current -> {});
+    Effect.Call watch = takeSent(Request.Watch.class).orElseThrow();
+    Effect.Call read = takeSent(Request.Watch.class).orElseThrow();
     Answer gone = new Answer.Refused(410, "too old");
     outbox.answered(watch.call(), gone);
     assertThat(historyTruncations).isEqualTo(1);
     advance(500);
-    Moment first = now;
+    Moment firstPageSent = now;
     answer(Request.ReadPage.class, page("a", true, 50));
     outbox.answered(read.call(), gone);
     assertThat(historyTruncations).isEqualTo(1);
     advance(500);
     answer(Request.ReadPage.class, page("b", false, 60));
-    assertThat(view.lastConfirmed()).isEqualTo(first);
-    Request.Watch next = (Request.Watch) sent(Request.Watch.class).orElseThrow().request();
+    assertThat(view.lastConfirmed()).isEqualTo(firstPageSent);
+    Request.Watch next = (Request.Watch) takeSent(Request.Watch.class).orElseThrow().request();
     assertThat(next.after()).isEqualTo(new Revision(50));
   }
 
-  /** A copy that was refused while followers were announced can't tell how old that is. */
+  /** A copy that could not read when an announcement was written can't tell its exact age. */
   @Test
   void relayAnnouncementAgeCountsFromTheLastReadWithoutIt() {
     load();
-    Moment last = view.lastConfirmed();
+    Moment lastRead = view.lastConfirmed();
     answer(Request.Watch.class, DOWN);
     advance(20_000);
     answer(
@@ -133,9 +136,9 @@
                     StoreKeys.relay("b"),
                     Optional.of(new StoredValue.RelayRecord("b", new Token(7))),
                     new Revision(12)))));
-    StoreView.RelayAnnouncement relayed = view.relays("b").orElseThrow();
-    assertThat(relayed.earliestWrite()).isEqualTo(last);
-    assertThat(relayed.seenAt()).isEqualTo(now);
+    StoreView.RelayAnnouncement announcement = view.relays("b").orElseThrow();
+    assertThat(announcement.earliestWrite()).isEqualTo(lastRead);
+    assertThat(announcement.seenAt()).isEqualTo(now);
   }
 
   private void load() {
@@ -154,18 +157,18 @@
   }
 
   private void answer(Class<? extends Request> kind, Answer answer) {
-    outbox.answered(sent(kind).orElseThrow().call(), answer);
+    outbox.answered(takeSent(kind).orElseThrow().call(), answer);
   }
 
-  private static Answer page(String key, boolean more, long epoch) {
+  private static Answer page(String key, boolean more, long revision) {
     StoredValue value = new StoredValue.LeaderRecord(new NodeId("n"), "z", "one");
     return new Answer.Page(
         List.of(new Entry(StoreKeys.WATCHED_PREFIX + key, value, new Revision(5))),
         more,
-        new Revision(epoch));
+        new Revision(revision));
   }
 
-  private Optional<Effect.Call> sent(Class<? extends Request> kind) {
+  private Optional<Effect.Call> takeSent(Class<? extends Request> kind) {
     for (Effect effect : outbox.drain()) {
       if (effect instanceof Effect.Call call) {
         sentCalls.add(call);
