--- a/src/main/java/org/oakwalk/core/store/KnownJobs.java
+++ b/src/main/java/org/oakwalk/core/store/KnownJobs.java
@@ -8,18 +8,19 @@
 import org.oakwalk.core.Revision;
 
 /**
- * The jobs of this node's copy of the store.
+ * The jobs in this node's copy of the store.
  *
- * <p>The end of a job may be learned from another controller before the copy shows it. Ends are
- * final, so it counts from then on, whatever older record of the job the copy is yet to show.
+ * <p>This node may learn from another controller that a job has ended, before its copy shows it.
+ * Ends are final, so a learned end takes effect at once and overrides any older record of the job
+ * that the copy receives later.
  */
 final class KnownJobs {
-  /** How many ends may be known ahead of the copy; each is kept until the copy shows it. */
-  static final int MOST_LEARNED = 10_000;
+  /** Maximum number of ends known ahead of the copy. Each is kept until the copy shows it. */
+  static final int MAX_LEARNED_ENDS = 10_000;
 
   private final Map<JobId, KnownJob> jobs = new HashMap<>();
-  private final Map<JobId, JobRecord.Phase> learned = new HashMap<>();
-  private final OpenJobs open = new OpenJobs();
+  private final Map<JobId, JobRecord.Phase> learnedEnds = new HashMap<>();
+  private final OpenJobCounts open = new OpenJobCounts();
 
   Optional<KnownJob> find(JobId id) {
     return Optional.ofNullable(jobs.get(id));
@@ -29,59 +30,59 @@
     return jobs.values();
   }
 
-  OpenJobs open() {
+  OpenJobCounts open() {
     return open;
   }
 
-  /** Takes over a stored record; returns the job if the record is newer than what was known. */
-  Optional<KnownJob> stored(JobRecord record, Revision stamp) {
+  /** Applies a stored record; returns the job if the record is newer than the known one. */
+  Optional<KnownJob> applyStored(JobRecord record, Revision revision) {
     JobId id = record.spec().id();
     KnownJob before = jobs.get(id);
-    if (before != null && before.stamp().compareTo(stamp) >= 0) {
+    if (before != null && before.revision().compareTo(revision) >= 0) {
       return Optional.empty();
     }
-    return Optional.of(put(before, KnownJob.of(withLearnedEnd(record), stamp), record));
+    return Optional.of(put(before, KnownJob.of(withLearnedEnd(record), revision), record));
   }
 
   /**
-   * Takes over that a job is over, as another controller has told.
+   * Records that a job has ended, as reported by another controller.
    *
-   * @return whether that is known from here on; false if there is no room for it
+   * @return false if there is no room to keep it until the copy shows it
    */
-  boolean learn(JobId id, JobRecord.Phase end) {
+  boolean learnEnd(JobId id, JobRecord.Phase end) {
     if (find(id).filter(job -> job.phase().isFinal()).isPresent()) {
       return true;
     }
-    if (learned.size() >= MOST_LEARNED && !learned.containsKey(id)) {
+    if (learnedEnds.size() >= MAX_LEARNED_ENDS && !learnedEnds.containsKey(id)) {
       return false;
     }
-    learned.put(id, end);
+    learnedEnds.put(id, end);
     return true;
   }
 
-  /** The job as it is now if its end was learned but does not count in it yet. */
-  Optional<KnownJob> applyLearned(JobId id) {
+  /** Applies a learned end to the known job; returns the changed job, or empty if none changed. */
+  Optional<KnownJob> applyLearnedEnd(JobId id) {
     KnownJob before = jobs.get(id);
-    JobRecord.Phase end = learned.get(id);
+    JobRecord.Phase end = learnedEnds.get(id);
     if (before == null || end == null || before.phase().isFinal()) {
       return Optional.empty();
     }
-    JobRecord record = before.record().in(end);
-    return Optional.of(put(before, KnownJob.of(record, before.stamp()), record));
+    JobRecord record = before.record().withPhase(end);
+    return Optional.of(put(before, KnownJob.of(record, before.revision()), record));
   }
 
   private JobRecord withLearnedEnd(JobRecord record) {
     if (record.phase().isFinal()) {
-      learned.remove(record.spec().id());
+      learnedEnds.remove(record.spec().id());
       return record;
     }
-    JobRecord.Phase end = learned.get(record.spec().id());
-    return end == null ? record : record.in(end);
+    JobRecord.Phase end = learnedEnds.get(record.spec().id());
+    return end == null ? record : record.withPhase(end);
   }
 
   private KnownJob put(KnownJob before, KnownJob job, JobRecord record) {
     jobs.put(job.id(), job);
-    open.count(record.spec().team(), before, job);
+    open.update(record.spec().team(), before, job);
     return job;
   }
 }
--- a/src/test/java/org/oakwalk/core/store/StoreViewTest.java
+++ b/src/test/java/org/oakwalk/core/store/StoreViewTest.java
@@ -17,19 +17,22 @@
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
 
-/** Up to which moment everything stored is known: leaders answer workers by it. */
+/**
+ * The time up to which the copy is known to hold everything stored. Leaders rely on it when they
+ * answer workers, so it must never be later than the start of the last successful read.
+ */
 class StoreViewTest {
   private static final Answer DOWN = new Answer.Refused(503, "down");
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
-  private final List<Effect.Call> out = new ArrayList<>();
-  private int histories;
+  private final List<Effect.Call> sentCalls = new ArrayList<>();
+  private int historyTruncations;
   private Moment now = new Moment(1_000_000);
 
   @BeforeEach
-  void begin() {
-    view.listen(
+  void setListener() {
+    view.setListener(
         new StoreView.Listener() {
           @Override
           public void leaderChanged(Moment at) {}
@@ -38,140 +41,142 @@
           public void jobChanged(KnownJob job, Moment at) {}
 
           @Override
-          public void historyLost(Moment at) {
-            histories++;
+          public void historyTruncated(Moment at) {
+            historyTruncations++;
           }
         });
   }
 
   @Test
-  void pagesThatTakeLongTellNothingNewerThanTheFirst() {
-    Moment first = now;
+  void slowLoadConfirmsOnlyTheTimeOfItsFirstPage() {
+    Moment firstPageSent = now;
     tick();
     answer(Request.ReadPage.class, page("a", true, 10));
     answer(Request.ReadPage.class, DOWN);
     for (int i = 0; i < 20; i++) {
-      later(500);
+      advance(500);
       answer(Request.ReadPage.class, DOWN);
     }
-    later(500);
+    advance(500);
     answer(Request.ReadPage.class, page("b", false, 90));
-    assertThat(view.contact()).isEqualTo(first);
-    assertThat(view.fresh(now)).isFalse();
-    Request.Watch next = (Request.Watch) sent(Request.Watch.class).orElseThrow().request();
+    assertThat(view.lastConfirmed()).isEqualTo(firstPageSent);
+    assertThat(view.isFresh(now)).isFalse();
+    Request.Watch next = (Request.Watch) takeSent(Request.Watch.class).orElseThrow().request();
     assertThat(next.after()).isEqualTo(new Revision(10));
     assertThat(next.hold()).isEqualTo(Span.millis(0));
   }
 
   @Test
-  void aFirstPageThatWasRefusedCountsFromItsRepetition() {
+  void refusedFirstPageIsNotCountedAsConfirmation() {
     tick();
     answer(Request.ReadPage.class, DOWN);
-    later(5000);
-    Moment second = now;
+    advance(5000);
+    Moment secondTry = now;
     answer(Request.ReadPage.class, page("a", false, 10));
-    assertThat(view.contact()).isEqualTo(second);
+    assertThat(view.lastConfirmed()).isEqualTo(secondTry);
   }
 
   @Test
-  void anAnswerThatComesLateTellsNoMoreThanWhenItWasAskedFor() {
-    loaded();
-    Moment asked = now;
-    Effect.Call watch = sent(Request.Watch.class).orElseThrow();
-    later(2000);
+  void lateAnswerConfirmsOnlyTheTimeOfItsRequest() {
+    load();
+    Moment watchSent = now;
+    Effect.Call watch = takeSent(Request.Watch.class).orElseThrow();
+    advance(2000);
     outbox.answered(watch.call(), new Answer.Changes(new Revision(11), List.of()));
-    assertThat(view.contact()).isEqualTo(asked);
+    assertThat(view.lastConfirmed()).isEqualTo(watchSent);
   }
 
   @Test
-  void neitherRefusalsNorSilenceMoveIt() {
-    loaded();
-    Moment before = view.contact();
+  void failedReadsDoNotAdvanceTheConfirmedTime() {
+    load();
+    Moment before = view.lastConfirmed();
     answer(Request.Watch.class, DOWN);
-    later(500);
+    advance(500);
     answer(Request.Watch.class, new Answer.Nothing("timeout"));
-    later(500);
+    advance(500);
     answer(Request.Watch.class, new Answer.Refused(429, "too much"));
-    assertThat(view.contact()).isEqualTo(before);
+    assertThat(view.lastConfirmed()).isEqualTo(before);
   }
 
-  /** Two requests may find that the history was cut off; the second begins nothing anew. */
+  /** A watch and a read may both find the history truncated; only the first starts a new load. */
   @Test
-  void readingAnewIsBegunOnce() {
-    loaded();
-    view.catchUp(now, known -> {});
-    Effect.Call watch = sent(Request.Watch.class).orElseThrow();
-    Effect.Call read = sent(Request.Watch.class).orElseThrow();
+  void secondHistoryTruncationDoesNotRestartTheLoad() {
+    load();
+    view.catchUp(now, current -> {});
+    Effect.Call watch = takeSent(Request.Watch.class).orElseThrow();
+    Effect.Call read = takeSent(Request.Watch.class).orElseThrow();
     Answer gone = new Answer.Refused(410, "too old");
     outbox.answered(watch.call(), gone);
-    assertThat(histories).isEqualTo(1);
-    later(500);
-    Moment first = now;
+    assertThat(historyTruncations).isEqualTo(1);
+    advance(500);
+    Moment firstPageSent = now;
     answer(Request.ReadPage.class, page("a", true, 50));
     outbox.answered(read.call(), gone);
-    assertThat(histories).isEqualTo(1);
-    later(500);
+    assertThat(historyTruncations).isEqualTo(1);
+    advance(500);
     answer(Request.ReadPage.class, page("b", false, 60));
-    assertThat(view.contact()).isEqualTo(first);
-    Request.Watch next = (Request.Watch) sent(Request.Watch.class).orElseThrow().request();
+    assertThat(view.lastConfirmed()).isEqualTo(firstPageSent);
+    Request.Watch next = (Request.Watch) takeSent(Request.Watch.class).orElseThrow().request();
     assertThat(next.after()).isEqualTo(new Revision(50));
   }
 
-  /** A copy that was refused while followers were announced can't tell how old that is. */
+  /** A copy that could not read when an announcement was written can't tell its exact age. */
   @Test
-  void anAnnouncementIsAsOldAsTheLastReadThatDidNotShowIt() {
-    loaded();
-    Moment last = view.contact();
+  void relayAnnouncementAgeCountsFromTheLastReadWithoutIt() {
+    load();
+    Moment lastRead = view.lastConfirmed();
     answer(Request.Watch.class, DOWN);
-    later(20_000);
+    advance(20_000);
     answer(
         Request.Watch.class,
         new Answer.Changes(
             new Revision(12),
             List.of(
-                new News(
-                    Keys.relay("b"),
+                new KeyChange(
+                    StoreKeys.relay("b"),
                     Optional.of(new StoredValue.RelayRecord("b", new Token(7))),
                     new Revision(12)))));
-    StoreView.Relayed relayed = view.relayed("b").orElseThrow();
-    assertThat(relayed.earliest()).isEqualTo(last);
-    assertThat(relayed.seen()).isEqualTo(now);
+    StoreView.RelayAnnouncement announcement = view.relays("b").orElseThrow();
+    assertThat(announcement.earliestWrite()).isEqualTo(lastRead);
+    assertThat(announcement.seenAt()).isEqualTo(now);
   }
 
-  private void loaded() {
+  private void load() {
     tick();
     answer(Request.ReadPage.class, page("a", false, 10));
   }
 
-  private void later(long millis) {
+  private void advance(long millis) {
     now = now.plus(Span.millis(millis));
     tick();
   }
 
   private void tick() {
-    view.clock(now);
+    view.setTime(now);
     view.tick(now);
   }
 
   private void answer(Class<? extends Request> kind, Answer answer) {
-    outbox.answered(sent(kind).orElseThrow().call(), answer);
+    outbox.answered(takeSent(kind).orElseThrow().call(), answer);
   }
 
-  private static Answer page(String key, boolean more, long epoch) {
+  private static Answer page(String key, boolean more, long revision) {
     StoredValue value = new StoredValue.LeaderRecord(new NodeId("n"), "z", "one");
     return new Answer.Page(
-        List.of(new Entry(Keys.WATCHED + key, value, new Revision(5))), more, new Revision(epoch));
+        List.of(new Entry(StoreKeys.WATCHED_PREFIX + key, value, new Revision(5))),
+        more,
+        new Revision(revision));
   }
 
-  private Optional<Effect.Call> sent(Class<? extends Request> kind) {
+  private Optional<Effect.Call> takeSent(Class<? extends Request> kind) {
     for (Effect effect : outbox.drain()) {
       if (effect instanceof Effect.Call call) {
-        out.add(call);
+        sentCalls.add(call);
       }
     }
     Optional<Effect.Call> found =
-        out.stream().filter(call -> kind.isInstance(call.request())).findFirst();
-    found.ifPresent(out::remove);
+        sentCalls.stream().filter(call -> kind.isInstance(call.request())).findFirst();
+    found.ifPresent(sentCalls::remove);
     return found;
   }
 }
