--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -5,8 +5,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.capacity.Catalogue;
-import org.oakwalk.core.job.Admission;
-import org.oakwalk.core.job.OpenQuestions;
+import org.oakwalk.core.job.AdmissionControl;
+import org.oakwalk.core.job.PendingUserRequests;
 import org.oakwalk.core.job.UserRequestHandler;
 import org.oakwalk.core.leadership.Leadership;
 import org.oakwalk.core.leadership.Relay;
@@ -52,7 +52,7 @@
   private final WorkerRedirects redirects = new WorkerRedirects();
   private final UserRequestHandler userRequests;
   private final WithdrawalHalts halts;
-  private final OpenQuestions questions = new OpenQuestions();
+  private final PendingUserRequests questions = new PendingUserRequests();
   private final Catalogue catalogue;
   private Optional<LeaderTerm> term = Optional.empty();
   private Moment nextDigest = new Moment(Long.MIN_VALUE / 2);
@@ -118,7 +118,7 @@
             outbox,
             view,
             settings.teams(),
-            new Admission(settings.teams(), view, policy.mostOpenJobs()));
+            new AdmissionControl(settings.teams(), view, policy.mostOpenJobs()));
     this.catalogue = new Catalogue(outbox);
     view.listen(
         new StoreView.Listener() {
@@ -225,13 +225,13 @@
 
   private void tick() {
     view.tick(now);
-    for (ExchangeId late : questions.late(now)) {
+    for (ExchangeId late : questions.expire(now)) {
       outbox.respond(late, Response.unavailable("no answer in time", SOON));
     }
     leadership.tick(now);
     relay.tick(leadership.holdsToken(), now);
     catalogue.tick(leadership.holdsToken(), view.types(), now);
-    userRequests.types(catalogue.types());
+    userRequests.machineTypes(catalogue.types());
     if (term.isPresent()
         && leadership.mayStepAside(now)
         && term.get().blind(redirects.anyHost(now), now)) {
@@ -260,7 +260,7 @@
 
   private void digest(LeaderTerm current) {
     Map<JobId, PeerMessage.Counts> counts = current.counts();
-    userRequests.counts(counts);
+    userRequests.taskCounts(counts);
     PeerMessage message =
         new PeerMessage.Digest(
             settings.node(), current.token(), view.fresh(now), counts, current.suspects());
@@ -320,7 +320,7 @@
    * the leader has lost it as well, and the user is sent away at once.
    */
   private void serve(Event.UserAsks asks) {
-    questions.asked(asks.exchange(), asks.request(), now);
+    questions.add(asks.exchange(), asks.request(), now);
     userRequests.serve(
         asks.request(),
         response -> {
@@ -334,7 +334,7 @@
   }
 
   private void answer(Event.UserAsks asks, Response response) {
-    if (questions.answered(asks.exchange())) {
+    if (questions.markAnswered(asks.exchange())) {
       outbox.respond(asks.exchange(), response);
     }
   }
@@ -352,7 +352,10 @@
               forwarded,
               view.position());
           answer(
-              asks, forwarded.map(told -> userRequests.passOn(told, otherwise)).orElse(otherwise));
+              asks,
+              forwarded
+                  .map(told -> userRequests.resolveForwarded(told, otherwise))
+                  .orElse(otherwise));
         });
   }
 
@@ -369,7 +372,7 @@
 
   private Response health() {
     boolean reaches = !now.past(view.contact(), READY_WITHOUT_CONTACT) || servingPeer().isPresent();
-    boolean serves = view.loaded() && userRequests.knowsTypes() && reaches;
+    boolean serves = view.loaded() && userRequests.hasMachineTypes() && reaches;
     return serves ? new Response.Ready() : Response.unavailable("not ready", SOON);
   }
 
@@ -388,7 +391,7 @@
         forwarding.heard(digest.from(), digest.token(), now);
       }
       if (term.isEmpty()) {
-        userRequests.counts(digest.counts());
+        userRequests.taskCounts(digest.counts());
         suspects = digest.suspects();
         if (digest.serves()) {
           digestFrom = Optional.of(digest.from());
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -25,7 +25,7 @@
 import org.oakwalk.core.fleet.Registry;
 import org.oakwalk.core.headroom.Headroom;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.ResultWriter;
 import org.oakwalk.core.leadership.RelayEnds;
 import org.oakwalk.core.placement.Pace;
@@ -55,7 +55,7 @@
   private final Outbox outbox;
   private final StoreView view;
   private final Policy policy;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final RelayEnds relays;
   private final Fleet fleet;
   private final CommandDispatcher dispatcher;
@@ -103,7 +103,7 @@
     this.nextRegular = now;
     Guard guard = new Guard(Keys.LEADER, new Revision(token.value()));
     Span suspectAfter = settings.workers().suspectAfter();
-    this.jobs = new JobBook(view, token, now);
+    this.jobs = new JobRegistry(view, token, now);
     this.relays = new RelayEnds(outbox, view, guard, token, settings.workers());
     this.fleet = new Fleet(token, jobs, view, relays, settings.workers(), this);
     this.dispatcher =
@@ -177,7 +177,7 @@
             planner,
             suspectAfter,
             sort -> bars(view, sort),
-            spec -> quota.placesLeft(spec.team(), spec.room()));
+            spec -> quota.placesLeft(spec.team(), spec.resources()));
     capacity.keeps(headroom::kept);
     this.drainer =
         new Drainer(
@@ -222,10 +222,10 @@
 
   /** A job was stored, finished or withdrawn. */
   void jobChanged(KnownJob known, Moment now) {
-    Optional<Job> withdrawn = jobs.changed(known, now);
+    Optional<Job> withdrawn = jobs.applyStoredChange(known, now);
     withdrawn.ifPresent(this::haltAll);
     if (known.phase().isFinal()) {
-      jobs.find(known.id()).ifPresent(results::ended);
+      jobs.find(known.id()).ifPresent(results::jobEnded);
     }
     roundDue = true;
   }
@@ -279,7 +279,7 @@
           placement.runningSince() == null ? 0 : now.since(placement.runningSince()).asSeconds();
       boolean endsInTime = !placement.job().spec().service() && expected.asSeconds() - ran < left;
       if (!placement.halting() && !endsInTime) {
-        fleet.halt(placement, placement.job().spec().saveTime(), Fleet.Why.RECLAIMED);
+        fleet.halt(placement, placement.job().spec().checkpointDuration(), Fleet.Why.RECLAIMED);
       }
     }
   }
@@ -332,7 +332,7 @@
       }
     }
     dispatcher.flush(now);
-    jobs.sweep().forEach(job -> runTimes.forget(job.id()));
+    jobs.removeEnded().forEach(job -> runTimes.forget(job.id()));
   }
 
   /**
@@ -371,7 +371,7 @@
   /** How far the open jobs are. */
   Map<JobId, PeerMessage.Counts> counts() {
     Map<JobId, PeerMessage.Counts> counts = new HashMap<>();
-    for (Job job : jobs.begun()) {
+    for (Job job : jobs.inProgress()) {
       counts.put(job.id(), new PeerMessage.Counts(job.doneCount(), job.runningCount()));
     }
     return counts;
@@ -379,13 +379,13 @@
 
   /** Jobs that an earlier leader found to fail everywhere. */
   void suspected(Set<JobId> ids) {
-    ids.forEach(id -> jobs.find(id).ifPresent(Job::suspected));
+    ids.forEach(id -> jobs.find(id).ifPresent(Job::markSuspect));
   }
 
   /** Open jobs that fail everywhere. */
   Set<JobId> suspects() {
     return jobs.all().stream()
-        .filter(job -> job.open() && job.suspect())
+        .filter(job -> job.isOpen() && job.isSuspect())
         .map(Job::id)
         .collect(Collectors.toSet());
   }
@@ -395,9 +395,9 @@
     int pending = 0;
     int active = 0;
     for (Job job : jobs.all()) {
-      if (job.open()) {
+      if (job.isOpen()) {
         pending += job.pendingCount();
-        active += job.activeCount();
+        active += job.assignedCount();
       }
     }
     Map<Machine.State, Integer> states = new EnumMap<>(Machine.State.class);
--- a/src/main/java/org/oakwalk/core/Products.java
+++ b/src/main/java/org/oakwalk/core/Products.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.headroom.Headroom;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.placement.Quota;
 import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.placement.RunTimes;
@@ -36,7 +36,7 @@
   /** What the parts work on. */
   record Ground(
       Fleet fleet,
-      JobBook jobs,
+      JobRegistry jobs,
       Quota quota,
       Gate gate,
       RunTimes runTimes,
--- a/src/main/java/org/oakwalk/core/capacity/BoundWork.java
+++ b/src/main/java/org/oakwalk/core/capacity/BoundWork.java
@@ -14,7 +14,7 @@
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.JobSpec;
 
 /**
@@ -29,7 +29,7 @@
   private static final int MOST_LOOKED_AT = 100;
 
   private final Fleet fleet;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final Demand demand;
   private final ToIntFunction<JobSpec> placesLeft;
 
@@ -38,7 +38,7 @@
    *
    * @param placesLeft for how many tasks more of a job its team's limit leaves room
    */
-  BoundWork(Fleet fleet, JobBook jobs, Demand demand, ToIntFunction<JobSpec> placesLeft) {
+  BoundWork(Fleet fleet, JobRegistry jobs, Demand demand, ToIntFunction<JobSpec> placesLeft) {
     this.fleet = fleet;
     this.jobs = jobs;
     this.demand = demand;
@@ -56,8 +56,8 @@
     for (Job job : jobs.all()) {
       JobSpec spec = job.spec();
       boolean waits =
-          job.open() && job.pendingCount() > 0 && now.past(job.waitingSince(), PATIENCE);
-      if (!waits || spec.zone().isEmpty() && !(spec.oneZone() && job.activeCount() > 0)) {
+          job.isOpen() && job.pendingCount() > 0 && now.past(job.waitingSince(), PATIENCE);
+      if (!waits || spec.zone().isEmpty() && !(spec.oneZone() && job.assignedCount() > 0)) {
         continue;
       }
       if (spec.zone().isEmpty() && begunIn == null) {
@@ -69,7 +69,7 @@
         continue;
       }
       int within = placesLeft.applyAsInt(spec) - granted.getOrDefault(spec.team(), 0);
-      int wanted = (int) Math.ceil(demand.slots(job, type, wall)) - job.activeCount();
+      int wanted = (int) Math.ceil(demand.slots(job, type, wall)) - job.assignedCount();
       int tasks = Math.min(Math.min(wanted, job.pendingCount()), within);
       if (tasks <= 0 || spec.gang() && tasks < job.pendingCount()) {
         continue;
@@ -80,7 +80,7 @@
       granted.merge(spec.team(), tasks, Integer::sum);
       // What one job finds room on, or will, is not there for the next one.
       double used = claimed.getOrDefault(zone, 0.0);
-      int each = type.room().count(spec.room());
+      int each = type.room().capacityFor(spec.resources());
       int free = (int) Math.max(0, places(spec, zone, suspectAfter, now) - used * each);
       int found = Math.min(free, tasks);
       claimed.put(zone, used + (double) found / each);
@@ -102,10 +102,12 @@
     for (Machine machine : fleet.machines()) {
       if (machine.zone().equals(zone) && spec.allows(machine.type().name(), zone, machine.spot())) {
         switch (machine.state()) {
-          case BOOTING, ENROLLING -> places += machine.type().room().count(spec.room());
+          case BOOTING, ENROLLING -> places += machine.type().room().capacityFor(spec.resources());
           case UP ->
               places +=
-                  machine.takesTasks(now, suspectAfter) ? machine.free().count(spec.room()) : 0;
+                  machine.takesTasks(now, suspectAfter)
+                      ? machine.free().capacityFor(spec.resources())
+                      : 0;
           case UNCONFIRMED, LAPSED, RETURNING, GONE -> {}
         }
       }
--- a/src/main/java/org/oakwalk/core/capacity/Capacity.java
+++ b/src/main/java/org/oakwalk/core/capacity/Capacity.java
@@ -24,7 +24,7 @@
 import org.oakwalk.core.fleet.Registry;
 import org.oakwalk.core.fleet.Rental;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.placement.Deadlines;
 import org.oakwalk.core.placement.RunTimes;
@@ -48,7 +48,7 @@
 
   private final Outbox outbox;
   private final Fleet fleet;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final Registry registry;
   private final Policy.Capacity policy;
   private final Settings.CloudLimits limits;
@@ -85,7 +85,7 @@
   public Capacity(
       Outbox outbox,
       Fleet fleet,
-      JobBook jobs,
+      JobRegistry jobs,
       Registry registry,
       Policy.Capacity policy,
       Settings settings,
@@ -243,10 +243,11 @@
   private void plan(Moment now, WallTime wall) {
     Map<String, Need> needs = new HashMap<>();
     for (Job job : jobs.all()) {
-      if (job.open()) {
+      if (job.isOpen()) {
         MachineType type = Demand.cheapest(job.spec(), types.values());
         if (type != null) {
-          double machines = Demand.machines(job.spec().room(), demand.slots(job, type, wall), type);
+          double machines =
+              Demand.machines(job.spec().resources(), demand.slots(job, type, wall), type);
           boolean spot = job.spec().spotAllowed();
           needs.merge(
               type.name(),
@@ -258,7 +259,7 @@
     for (JobSpec spec : kept.get()) {
       MachineType type = Demand.cheapest(spec, types.values());
       if (type != null) {
-        double machines = Demand.machines(spec.room(), spec.tasks(), type);
+        double machines = Demand.machines(spec.resources(), spec.tasks(), type);
         needs.merge(
             type.name(),
             new Need(machines, spec.spotAllowed() ? 0 : machines, machines),
--- a/src/main/java/org/oakwalk/core/capacity/Demand.java
+++ b/src/main/java/org/oakwalk/core/capacity/Demand.java
@@ -10,7 +10,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.placement.Deadlines;
 import org.oakwalk.core.placement.RunTimes;
 
@@ -50,12 +50,12 @@
     if (spec.service() || spec.gang()) {
       return open;
     }
-    if (job.suspect()) {
-      return Math.max(1, job.activeCount());
+    if (job.isSuspect()) {
+      return Math.max(1, job.assignedCount());
     }
     double run = Math.max(1, runTimes.expected(spec).asSeconds());
     Optional<Span> dawn = planned.ends(job, now);
-    if (dawn.isPresent() && !urgent(spec, now.since(job.accepted()), dawn.get())) {
+    if (dawn.isPresent() && !urgent(spec, now.since(job.acceptedAt()), dawn.get())) {
       // All groups of a plan share the machines one after the other, so parts of places add up.
       double time = dawn.get().minus(type.fetch(spec.imageGb())).asSeconds() * EARLY;
       return open / Math.max(1, Math.floor(time / run));
@@ -64,10 +64,10 @@
       // It fills what is idle anyhow, so what it uses at present is no measure of what to rent.
       return Math.min(open, Math.ceil(open * run / IDLE_SPREAD.asSeconds()));
     }
-    double left = target(spec).minus(now.since(job.accepted())).asSeconds() * 0.8;
+    double left = target(spec).minus(now.since(job.acceptedAt())).asSeconds() * 0.8;
     left -= type.fetch(spec.imageGb()).asSeconds();
     double waves = Math.max(1, Math.floor(left / run));
-    return Math.min(open, Math.max(Math.ceil(open / waves), job.activeCount()));
+    return Math.min(open, Math.max(Math.ceil(open / waves), job.assignedCount()));
   }
 
   /**
@@ -80,7 +80,7 @@
       return true;
     }
     Optional<Span> dawn = planned.ends(job, now);
-    if (idle(spec) || dawn.isPresent() && !urgent(spec, now.since(job.accepted()), dawn.get())) {
+    if (idle(spec) || dawn.isPresent() && !urgent(spec, now.since(job.acceptedAt()), dawn.get())) {
       return false;
     }
     Span slack = target(spec).minus(runTimes.expected(spec)).minus(type.fetch(spec.imageGb()));
@@ -90,7 +90,7 @@
   /** Whether nobody waits for the job: it is of the lowest priority, and no time is set for it. */
   private boolean idle(JobSpec spec) {
     return spec.priority() == Priority.LOW
-        && spec.due().isEmpty()
+        && spec.deadline().isEmpty()
         && objectives.stream()
             .noneMatch(o -> o.kind().equals("finished") && o.jobClass().equals(spec.jobClass()));
   }
@@ -102,11 +102,11 @@
 
   private Span target(JobSpec spec) {
     Span own = own(spec).orElse(DEFAULT_TARGET);
-    return spec.due().isEmpty() && own.compareTo(DEFAULT_TARGET) > 0 ? DEFAULT_TARGET : own;
+    return spec.deadline().isEmpty() && own.compareTo(DEFAULT_TARGET) > 0 ? DEFAULT_TARGET : own;
   }
 
   private Optional<Span> own(JobSpec spec) {
-    Span target = spec.due().orElse(NEVER);
+    Span target = spec.deadline().orElse(NEVER);
     for (Settings.Objective objective : objectives) {
       if (objective.jobClass().equals(spec.jobClass()) && objective.kind().equals("finished")) {
         Span within = Span.seconds(objective.withinSeconds());
@@ -123,7 +123,7 @@
     for (MachineType type : types) {
       boolean allowed =
           type.zones().stream().anyMatch(zone -> spec.allows(type.name(), zone, false));
-      int each = type.room().count(spec.room());
+      int each = type.room().capacityFor(spec.resources());
       if (allowed && each > 0 && type.price() / each < least) {
         least = type.price() / each;
         best = type;
@@ -133,8 +133,8 @@
   }
 
   /** Room for that many tasks, as a number of machines of a type. */
-  static double machines(Room task, double slots, MachineType type) {
-    int each = type.room().count(task);
+  static double machines(Resources task, double slots, MachineType type) {
+    int each = type.room().capacityFor(task);
     return each <= 0 ? 0 : slots / each;
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/Caution.java
+++ b/src/main/java/org/oakwalk/core/drain/Caution.java
@@ -9,7 +9,7 @@
 import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.store.StoreView;
 
@@ -29,12 +29,12 @@
   private final Fleet fleet;
   private final StoreView view;
   private final Capacity capacity;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final Mover mover;
   private String reason = "";
   private Moment seen = new Moment(Long.MIN_VALUE / 2);
 
-  Caution(Fleet fleet, StoreView view, Capacity capacity, JobBook jobs, Mover mover) {
+  Caution(Fleet fleet, StoreView view, Capacity capacity, JobRegistry jobs, Mover mover) {
     this.fleet = fleet;
     this.view = view;
     this.capacity = capacity;
@@ -93,9 +93,9 @@
   }
 
   private boolean waits(Job job, Span mayWait, Moment now) {
-    if (!job.open()
+    if (!job.isOpen()
         || job.pendingCount() <= 0
-        || job.suspect()
+        || job.isSuspect()
         || job.spec().priority() == Priority.LOW) {
       return false;
     }
--- a/src/main/java/org/oakwalk/core/drain/Drainer.java
+++ b/src/main/java/org/oakwalk/core/drain/Drainer.java
@@ -15,7 +15,7 @@
 import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 import org.slf4j.Logger;
@@ -86,7 +86,7 @@
 
   public Drainer(
       Fleet fleet,
-      JobBook jobs,
+      JobRegistry jobs,
       StoreView view,
       Capacity capacity,
       PlanKeeper keeper,
--- a/src/main/java/org/oakwalk/core/drain/Evictor.java
+++ b/src/main/java/org/oakwalk/core/drain/Evictor.java
@@ -51,7 +51,7 @@
         }
       } else if (impatient) {
         if (gate.allows(List.of(placement))) {
-          fleet.halt(placement, placement.job().spec().saveTime(), Fleet.Why.DRAINED);
+          fleet.halt(placement, placement.job().spec().checkpointDuration(), Fleet.Why.DRAINED);
         } else {
           held = Optional.of("budget of " + placement.job().spec().team());
         }
@@ -62,7 +62,7 @@
 
   /** Seconds of work that a stop would lose; what saves loses none. */
   private static double loss(Placement placement, Moment now) {
-    if (placement.job().spec().checkpointEvery().millis() > 0) {
+    if (placement.job().spec().checkpointInterval().millis() > 0) {
       return 0;
     }
     Moment running = placement.runningSince();
@@ -74,7 +74,7 @@
     List<Placement> tasks = fleet.placementsOf(job);
     int room = 0;
     for (Machine machine : fleet.machines()) {
-      room += stays(machine) ? mover.free(machine).count(job.spec().room()) : 0;
+      room += stays(machine) ? mover.free(machine).capacityFor(job.spec().resources()) : 0;
     }
     for (Placement task : tasks) {
       room += stays(task.machine()) ? 1 : 0;
@@ -85,7 +85,7 @@
     if (!gate.allows(tasks)) {
       return Optional.of("budget of " + job.spec().team());
     }
-    Span grace = job.spec().saveTime();
+    Span grace = job.spec().checkpointDuration();
     tasks.forEach(task -> fleet.halt(task, grace, Fleet.Why.DRAINED));
     return Optional.empty();
   }
--- a/src/main/java/org/oakwalk/core/drain/Gate.java
+++ b/src/main/java/org/oakwalk/core/drain/Gate.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 
 /**
  * Asked before each stop that could as well be left: whether the budgets of those who lose by it
@@ -32,7 +32,7 @@
   private final List<Budget> budgets;
   private final StopLedger ledger;
   private final Fleet fleet;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final Span suspectAfter;
   private final Map<Budget, Account> accounts = new LinkedHashMap<>();
   private boolean surveyed;
@@ -43,7 +43,7 @@
    * @param suspectAfter after what silence of a machine its tasks count as down
    */
   public Gate(
-      List<Budget> budgets, StopLedger ledger, Fleet fleet, JobBook jobs, Span suspectAfter) {
+      List<Budget> budgets, StopLedger ledger, Fleet fleet, JobRegistry jobs, Span suspectAfter) {
     this.budgets = budgets;
     this.ledger = ledger;
     this.fleet = fleet;
@@ -80,8 +80,8 @@
     Map<Budget, Integer> open = new HashMap<>();
     accounts.forEach(
         (budget, account) -> {
-          for (Job job : jobs.ofTeam(budget.team())) {
-            if (job.open() && budget.covers(job.spec())) {
+          for (Job job : jobs.unfinishedOfTeam(budget.team())) {
+            if (job.isOpen() && budget.covers(job.spec())) {
               count(job, up.getOrDefault(job, 0), account);
             }
           }
@@ -94,7 +94,7 @@
   private static void count(Job job, int up, Account account) {
     boolean service = job.spec().service();
     // What an older leader's service had running is not known, so all of it is taken to have run.
-    int begun = service && job.inherited() ? job.spec().tasks() : job.begunCount();
+    int begun = service && job.inherited() ? job.spec().tasks() : job.startedCount();
     account.expected += begun;
     account.down += Math.max(0, begun - up);
     if (!service) {
@@ -130,7 +130,7 @@
         (budget, account) -> {
           if (budget.covers(placement.job().spec())) {
             // Also of one that no report has shown to run yet: by the next survey it is down.
-            placement.job().mayHaveBegun(placement.task().index());
+            placement.job().markPossiblyStarted(placement.task().index());
             account.down++;
             if (why.voluntary()) {
               ledger.use(budget);
--- a/src/main/java/org/oakwalk/core/drain/Mover.java
+++ b/src/main/java/org/oakwalk/core/drain/Mover.java
@@ -12,7 +12,7 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.placement.Quota;
 import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.port.Effect;
@@ -101,10 +101,10 @@
     if (to == null || !gate.allows(List.of(placement))) {
       return false;
     }
-    to.promise(placement.job().spec().room());
+    to.promise(placement.job().spec().resources());
     moves.put(placement.task(), new Move(placement, to, now));
     LOG.info("task {} moves from {} to {}", placement.task(), placement.machine().id(), to.id());
-    fleet.halt(placement, placement.job().spec().saveTime(), Fleet.Why.MOVED);
+    fleet.halt(placement, placement.job().spec().checkpointDuration(), Fleet.Why.MOVED);
     return true;
   }
 
@@ -124,13 +124,13 @@
             Comparator.comparingInt((Machine machine) -> machine.leavesSoon() ? 1 : 0)
                 .thenComparingInt(machine -> machine.hasImage(spec.image()) ? 0 : 1)
                 .thenComparingInt(machine -> machine.zone().equals(from.zone()) ? 0 : 1)
-                .thenComparingDouble(machine -> machine.used().share(machine.type().room()))
+                .thenComparingDouble(machine -> machine.used().dominantShare(machine.type().room()))
                 .thenComparing(Machine::id))
         .orElse(null);
   }
 
   /** What is free on a machine for what is moved: nothing of what is kept for others. */
-  Room free(Machine machine) {
+  Resources free(Machine machine) {
     return reserve.beyond(machine);
   }
 
@@ -138,7 +138,7 @@
   private boolean takes(Machine machine, JobSpec spec, Moment now) {
     return machine.duty() == Duty.IN_USE
         && machine.takesTasks(now, suspectAfter)
-        && spec.room().fits(free(machine));
+        && spec.resources().fitsInto(free(machine));
   }
 
   /** An attempt is surely on its machine no more: if it is moved, it starts at its next host. */
@@ -148,10 +148,10 @@
       return;
     }
     JobSpec spec = placement.job().spec();
-    move.to.promiseEnds(spec.room());
+    move.to.promiseEnds(spec.resources());
     boolean starts =
-        placement.job().open()
-            && placement.job().isFree(placement.task().index())
+        placement.job().isOpen()
+            && placement.job().isUnassigned(placement.task().index())
             && takes(move.to, spec, now)
             && !move.to.remembers(placement.task())
             && quota.allows(placement.job(), 1);
@@ -177,12 +177,12 @@
               if (move.state == State.STOPPING) {
                 if (at == move.from && !move.to.takesTasks(now, suspectAfter)) {
                   // It hangs, died or is taken back: another place is found when the task is gone.
-                  move.to.promiseEnds(move.from.job().spec().room());
+                  move.to.promiseEnds(move.from.job().spec().resources());
                   move.enter(State.HOMELESS);
                 }
                 return false;
               }
-              if (!move.from.job().open()) {
+              if (!move.from.job().isOpen()) {
                 return true;
               }
               if (at != null && at != move.from && at.state() == Placement.State.RUNNING) {
--- a/src/main/java/org/oakwalk/core/exchange/Exchange.java
+++ b/src/main/java/org/oakwalk/core/exchange/Exchange.java
@@ -14,8 +14,8 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.JobRegistry;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.placement.Quota;
 import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.placement.RunTimes;
@@ -39,7 +39,7 @@
 
   private final List<ExchangeTerms> terms;
   private final Fleet fleet;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final Quota quota;
   private final Gate gate;
   private final Token token;
@@ -60,7 +60,7 @@
       List<ExchangeTerms> terms,
       SharedRecord<Take> record,
       Fleet fleet,
-      JobBook jobs,
+      JobRegistry jobs,
       Quota quota,
       Gate gate,
       RunTimes runTimes,
@@ -152,7 +152,7 @@
   private int level(ExchangeTerms each) {
     int level = 1;
     for (Job other : jobs.all()) {
-      level += other.open() && each.takes(other.spec()) ? other.activeCount() : 0;
+      level += other.isOpen() && each.takes(other.spec()) ? other.assignedCount() : 0;
     }
     for (Live live : open.all()) {
       level += live.take.underWay() && live.take.exchange().equals(each.name()) ? 1 : 0;
@@ -171,7 +171,7 @@
             plan.giver().spec().team(),
             plan.victims().size(),
             job.id(),
-            job.spec().room(),
+            job.spec().resources(),
             plan.machine().id(),
             level,
             wall);
@@ -263,22 +263,24 @@
   }
 
   private boolean waits(Job job, Live live) {
-    return job.open() && job.pendingCount() > 0 && job.spec().room().fits(live.take.room());
+    return job.isOpen()
+        && job.pendingCount() > 0
+        && job.spec().resources().fitsInto(live.take.room());
   }
 
   private void order(Live live, Job taker, Moment now) {
     List<Placement> victims = new ArrayList<>();
     if (live.victims.isEmpty()) {
       // An older leader intended it: the giver's tasks that are still there.
-      Room free = live.keeps.free().plus(live.take.room());
+      Resources free = live.keeps.free().plus(live.take.room());
       for (Placement placement : live.keeps.placements()) {
         boolean gives =
             placement.job().id().equals(live.take.giver()) && toll.mayGive(placement, taker);
         if (placement.halting()) {
-          free = free.plus(placement.job().spec().room());
-        } else if (gives && !live.take.room().fits(free)) {
+          free = free.plus(placement.job().spec().resources());
+        } else if (gives && !live.take.room().fitsInto(free)) {
           victims.add(placement);
-          free = free.plus(placement.job().spec().room());
+          free = free.plus(placement.job().spec().resources());
         }
       }
     } else {
@@ -290,7 +292,8 @@
     if (!victims.isEmpty() && !gate.allows(victims)) {
       return;
     }
-    victims.forEach(victim -> fleet.halt(victim, victim.job().spec().saveTime(), Fleet.Why.TAKEN));
+    victims.forEach(
+        victim -> fleet.halt(victim, victim.job().spec().checkpointDuration(), Fleet.Why.TAKEN));
     open.change(live, live.take.stopping(), now);
   }
 
@@ -353,7 +356,7 @@
 
   /** The giver goes on in the room that is kept for it, or wherever there is room. */
   private void repay(Live live, Moment now) {
-    Optional<Job> giver = jobs.find(live.take.giver()).filter(Job::open);
+    Optional<Job> giver = jobs.find(live.take.giver()).filter(Job::isOpen);
     if (giver.isEmpty() || giver.get().pendingCount() <= 0 || !patient(live, now)) {
       LOG.info(
           "take {}: {} {}",
--- a/src/main/java/org/oakwalk/core/exchange/Live.java
+++ b/src/main/java/org/oakwalk/core/exchange/Live.java
@@ -42,6 +42,6 @@
 
   /** Whether its room is free, apart from what is kept for itself. */
   boolean roomIsFree() {
-    return take.room().fits(keeps.free().plus(take.room()));
+    return take.room().fitsInto(keeps.free().plus(take.room()));
   }
 }
--- a/src/main/java/org/oakwalk/core/exchange/Needs.java
+++ b/src/main/java/org/oakwalk/core/exchange/Needs.java
@@ -6,7 +6,7 @@
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.product.ExchangeTerms;
 
 /** How much serving needs, and how much of what was taken is due because that has fallen. */
@@ -19,11 +19,11 @@
   }
 
   private final List<ExchangeTerms> terms;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final Map<String, Need> needs = new HashMap<>();
   private Moment nextCount = new Moment(Long.MIN_VALUE / 2);
 
-  Needs(List<ExchangeTerms> terms, JobBook jobs) {
+  Needs(List<ExchangeTerms> terms, JobRegistry jobs) {
     this.terms = terms;
     this.jobs = jobs;
     terms.forEach(each -> needs.put(each.name(), new Need()));
@@ -37,7 +37,7 @@
     nextCount = now.plus(COUNT_EVERY);
     needs.values().forEach(need -> need.replicas = 0);
     for (Job job : jobs.all()) {
-      if (job.open() && job.spec().service()) {
+      if (job.isOpen() && job.spec().service()) {
         terms.stream()
             .filter(each -> each.takes(job.spec()))
             .findFirst()
--- a/src/main/java/org/oakwalk/core/exchange/Starts.java
+++ b/src/main/java/org/oakwalk/core/exchange/Starts.java
@@ -44,7 +44,7 @@
     int placed = 0;
     int index = job.nextPending(0, now);
     while (placed < tasks
-        && job.spec().room().fits(reserve.free(job.spec(), machine))
+        && job.spec().resources().fitsInto(reserve.free(job.spec(), machine))
         && may(job, index, machine, now)) {
       place(job, index, machine, now);
       placed++;
@@ -61,7 +61,7 @@
         .filter(
             machine ->
                 job.spec().allows(machine.type().name(), machine.zone(), machine.spot())
-                    && job.spec().room().fits(reserve.free(job.spec(), machine)))
+                    && job.spec().resources().fitsInto(reserve.free(job.spec(), machine)))
         .max(Comparator.comparing((Machine m) -> m.hasImage(job.spec().image())))
         .orElse(null);
   }
--- a/src/main/java/org/oakwalk/core/exchange/Take.java
+++ b/src/main/java/org/oakwalk/core/exchange/Take.java
@@ -8,7 +8,7 @@
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.shared.SharedRow;
 
 /**
@@ -35,7 +35,7 @@
     String giverTeam,
     int tasks,
     JobId taker,
-    Room room,
+    Resources room,
     MachineId machine,
     int level,
     WallTime since)
--- a/src/main/java/org/oakwalk/core/exchange/Toll.java
+++ b/src/main/java/org/oakwalk/core/exchange/Toll.java
@@ -16,7 +16,7 @@
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.placement.Quota;
 import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.product.ExchangeTerms;
@@ -86,12 +86,12 @@
       ExchangeTerms terms,
       Map<Job, List<Placement>> gangs,
       Moment now) {
-    Room asked = taker.spec().room();
-    Room free = reserve.free(taker.spec(), machine);
+    Resources asked = taker.spec().resources();
+    Resources free = reserve.free(taker.spec(), machine);
     List<Placement> able = new ArrayList<>();
     for (Placement placement : machine.placements()) {
       if (placement.halting()) {
-        free = free.plus(placement.job().spec().room());
+        free = free.plus(placement.job().spec().resources());
       } else if (terms.gives(placement.job().spec()) && mayGive(placement, taker)) {
         able.add(placement);
       }
@@ -101,13 +101,13 @@
     able.sort(Comparator.comparingDouble((Placement p) -> losses.get(p)).thenComparing(TASK));
     List<Placement> chosen = new ArrayList<>();
     for (Placement placement : able) {
-      if (asked.fits(free)) {
+      if (asked.fitsInto(free)) {
         break;
       }
       chosen.add(placement);
-      free = free.plus(placement.job().spec().room());
+      free = free.plus(placement.job().spec().resources());
     }
-    if (chosen.isEmpty() || !asked.fits(free)) {
+    if (chosen.isEmpty() || !asked.fitsInto(free)) {
       return null;
     }
     free = spare(chosen, free, asked);
@@ -126,11 +126,11 @@
       Comparator.comparing((Placement p) -> p.task().toString());
 
   /** Spares those that turn out not to be needed, the dearest first. */
-  private static Room spare(List<Placement> chosen, Room free, Room asked) {
-    Room left = free;
+  private static Resources spare(List<Placement> chosen, Resources free, Resources asked) {
+    Resources left = free;
     for (int i = chosen.size() - 1; i >= 0 && chosen.size() > 1; i--) {
-      Room without = left.minus(chosen.get(i).job().spec().room());
-      if (asked.fits(without)) {
+      Resources without = left.minus(chosen.get(i).job().spec().resources());
+      if (asked.fitsInto(without)) {
         chosen.remove(i);
         left = without;
       }
@@ -163,8 +163,8 @@
 
   private static double lost(Placement placement, Moment now) {
     JobSpec spec = placement.job().spec();
-    if (spec.checkpointEvery().millis() > 0) {
-      return spec.saveTime().asSeconds();
+    if (spec.checkpointInterval().millis() > 0) {
+      return spec.checkpointDuration().asSeconds();
     }
     Moment since = placement.runningSince();
     Span ran = since == null ? Span.millis(0) : now.since(since);
--- a/src/main/java/org/oakwalk/core/fleet/Conduct.java
+++ b/src/main/java/org/oakwalk/core/fleet/Conduct.java
@@ -26,7 +26,7 @@
     int jobs = 0;
     boolean elsewhere = false;
     for (Map.Entry<Job, Integer> entry : errors.entrySet()) {
-      jobs += entry.getKey().suspect() ? 0 : 1;
+      jobs += entry.getKey().isSuspect() ? 0 : 1;
       elsewhere |= entry.getValue() >= MANY_ERRORS && entry.getKey().doneCount() > 0;
     }
     return jobs >= SEVERAL_JOBS || elsewhere;
--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -20,8 +20,8 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.JobRegistry;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.leadership.RelayEnds;
 import org.oakwalk.core.store.JobRecord;
 import org.oakwalk.core.store.StoreView;
@@ -98,14 +98,14 @@
   }
 
   private final Token token;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final StoreView view;
   private final RelayEnds relays;
   private final Settings.Workers timing;
   private final Listener listener;
   private final Map<MachineId, Machine> machines = new LinkedHashMap<>();
   private final Map<TaskId, Placement> byTask = new HashMap<>();
-  private final Map<String, Room> teamUse = new HashMap<>();
+  private final Map<String, Resources> teamUse = new HashMap<>();
   private Map<String, MachineType> types = Map.of();
   private final Set<MachineId> gone = new HashSet<>();
   private final Set<Machine> toCommand = new LinkedHashSet<>();
@@ -117,11 +117,11 @@
   private Moment foreignRenewal;
 
   /** Asked for with every task that is placed, so it is kept until a machine's doubt changes. */
-  private Room inDoubt;
+  private Resources inDoubt;
 
   public Fleet(
       Token token,
-      JobBook jobs,
+      JobRegistry jobs,
       StoreView view,
       RelayEnds relays,
       Settings.Workers timing,
@@ -148,8 +148,8 @@
   }
 
   /** What a team's tasks take, placements that may yet start included. */
-  public Room use(String team) {
-    return teamUse.getOrDefault(team, Room.NONE);
+  public Resources use(String team) {
+    return teamUse.getOrDefault(team, Resources.NONE);
   }
 
   /** What there is that could be stopped for others. */
@@ -161,9 +161,9 @@
    * Room of which it is not known whose tasks take it: machines that have not told what runs there,
    * and tasks that no placement stands for, such as those of a job whose record can't be read.
    */
-  public Room roomInDoubt() {
+  public Resources roomInDoubt() {
     if (inDoubt == null) {
-      inDoubt = Room.NONE;
+      inDoubt = Resources.NONE;
       for (Machine machine : machines.values()) {
         inDoubt =
             inDoubt.plus(
@@ -223,7 +223,7 @@
    * there fits, which makes quotas err on the safe side; new tasks it gets none.
    */
   private static MachineType withoutBounds(String name) {
-    Room all = new Room(Double.MAX_VALUE, Double.MAX_VALUE, Double.MAX_VALUE);
+    Resources all = new Resources(Double.MAX_VALUE, Double.MAX_VALUE, Double.MAX_VALUE);
     return new MachineType(name, all, 0, 0, 0, 0, Span.seconds(0), List.of());
   }
 
@@ -239,12 +239,12 @@
 
   Placement hold(
       Job job, TaskId task, Attempt attempt, Machine machine, Span expected, Moment now) {
-    job.take(task.index());
+    job.assign(task.index());
     Placement placement = new Placement(job, task, attempt, machine, now, expected);
     machine.add(placement);
     byTask.put(task, placement);
     stoppable.held(placement);
-    teamUse.merge(job.spec().team(), job.spec().room(), Room::plus);
+    teamUse.merge(job.spec().team(), job.spec().resources(), Resources::plus);
     return placement;
   }
 
@@ -344,8 +344,8 @@
     placement.enter(Placement.State.OVER, now);
     placement.machine().remove(placement, now);
     byTask.remove(placement.task(), placement);
-    placement.job().release(placement.task().index(), now);
-    Room room = placement.job().spec().room();
+    placement.job().unassign(placement.task().index(), now);
+    Resources room = placement.job().spec().resources();
     teamUse.computeIfPresent(placement.job().spec().team(), (team, use) -> use.minus(room));
     listener.left(placement, now);
     listener.roomChanged();
@@ -468,7 +468,7 @@
 
   private boolean settled(TaskId task) {
     Optional<Job> job = jobs.find(task.job());
-    if (job.isPresent() && job.get().open()) {
+    if (job.isPresent() && job.get().isOpen()) {
       return job.get().isStoredDone(task.index());
     }
     // Of a job whose record can't be read nobody knows whether it still asks for the result.
--- a/src/main/java/org/oakwalk/core/fleet/Leftovers.java
+++ b/src/main/java/org/oakwalk/core/fleet/Leftovers.java
@@ -7,21 +7,21 @@
 import java.util.Map;
 import java.util.Set;
 import org.oakwalk.core.TaskId;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** What a machine's last report showed that no placement stands for. */
 final class Leftovers {
   private final Map<Machine.Try, Boolean> uncleared = new LinkedHashMap<>();
   private final Set<TaskId> unclearedTasks = new HashSet<>();
   private final List<Machine.Try> strays = new ArrayList<>();
-  private Room strayRoom = Room.NONE;
+  private Resources strayRoom = Resources.NONE;
 
   /** Begins to take over the pieces of a new report. */
   void clear() {
     uncleared.clear();
     unclearedTasks.clear();
     strays.clear();
-    strayRoom = Room.NONE;
+    strayRoom = Resources.NONE;
   }
 
   /** An ended attempt is still reported; {@code done} tells whether it completed. */
@@ -39,7 +39,7 @@
   }
 
   /** A task that should not be here, and takes this room if that is known. */
-  void stray(Machine.Try attempt, Room room) {
+  void stray(Machine.Try attempt, Resources room) {
     strays.add(attempt);
     strayRoom = strayRoom.plus(room);
   }
@@ -48,7 +48,7 @@
     return strays;
   }
 
-  Room strayRoom() {
+  Resources strayRoom() {
     return strayRoom;
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/Machine.java
+++ b/src/main/java/org/oakwalk/core/fleet/Machine.java
@@ -18,7 +18,7 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** A machine as one leader knows it. */
 public final class Machine {
@@ -76,12 +76,12 @@
   private Duty duty = Duty.IN_USE;
   private boolean leavesSoon;
   private final Conduct conduct = new Conduct();
-  private Room promised = Room.NONE;
-  private Room used = Room.NONE;
-  private Room free;
-  private Room freeOfUsed;
-  private Room freeOfStray;
-  private Room freeOfPromised;
+  private Resources promised = Resources.NONE;
+  private Resources used = Resources.NONE;
+  private Resources free;
+  private Resources freeOfUsed;
+  private Resources freeOfStray;
+  private Resources freeOfPromised;
   private int replicas;
   private Moment emptyBy = new Moment(Long.MIN_VALUE / 2);
   private final Map<TaskId, Placement> placements = new LinkedHashMap<>();
@@ -239,13 +239,13 @@
     return reclaimedAt;
   }
 
-  public Room used() {
+  public Resources used() {
     return used;
   }
 
   /** What is free; asked for by every search of a round, so it is kept until something changes. */
-  public Room free() {
-    Room stray = leftovers.strayRoom();
+  public Resources free() {
+    Resources stray = leftovers.strayRoom();
     if (freeOfUsed != used || freeOfStray != stray || freeOfPromised != promised) {
       freeOfUsed = used;
       freeOfStray = stray;
@@ -256,12 +256,12 @@
   }
 
   /** Keeps room for a task that is on its way here from another machine. */
-  public void promise(Room room) {
+  public void promise(Resources room) {
     promised = promised.plus(room);
   }
 
   /** The task has come, or will not come. */
-  public void promiseEnds(Room room) {
+  public void promiseEnds(Resources room) {
     promised = promised.minus(room);
   }
 
@@ -418,7 +418,7 @@
     placements.put(placement.task(), placement);
     replicas += placement.job().spec().service() ? 1 : 0;
     emptyBy = later(emptyBy, placement.endsBy());
-    used = used.plus(placement.job().spec().room());
+    used = used.plus(placement.job().spec().resources());
     images.use(placement.job().spec().image(), placement.job().spec().imageGb());
   }
 
@@ -429,7 +429,7 @@
       for (Placement left : placements.values()) {
         emptyBy = later(emptyBy, left.endsBy());
       }
-      used = placements.isEmpty() ? Room.NONE : used.minus(placement.job().spec().room());
+      used = placements.isEmpty() ? Resources.NONE : used.minus(placement.job().spec().resources());
       if (placements.isEmpty()) {
         idleSince = now;
       }
@@ -500,7 +500,7 @@
    */
   boolean mustLapse(Moment now, Span limit) {
     for (Placement placement : placements.values()) {
-      Moment withdrawn = placement.job().withdrawnAfter();
+      Moment withdrawn = placement.job().earliestWithdrawalNotice();
       if (withdrawn != null
           && now.past(withdrawn, limit)
           && openRuns.inCommand(new Try(placement.task(), placement.attempt()))) {
--- a/src/main/java/org/oakwalk/core/fleet/MachineType.java
+++ b/src/main/java/org/oakwalk/core/fleet/MachineType.java
@@ -2,12 +2,12 @@
 
 import java.util.List;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** A kind of machine that the cloud rents, with its current prices per hour. */
 public record MachineType(
     String name,
-    Room room,
+    Resources room,
     double cacheGb,
     double fetchGbPerSecond,
     double price,
--- a/src/main/java/org/oakwalk/core/fleet/Placement.java
+++ b/src/main/java/org/oakwalk/core/fleet/Placement.java
@@ -153,10 +153,10 @@
       throw new IllegalStateException(task + " try " + attempt + " from " + state + " to " + next);
     }
     if (state == State.RUNNING) {
-      job.running(task.index(), false, now);
+      job.setRunning(task.index(), false, now);
     }
     if (next == State.RUNNING) {
-      job.running(task.index(), true, now);
+      job.setRunning(task.index(), true, now);
       runningSince = runningSince == null ? now : runningSince;
     }
     state = next;
--- a/src/main/java/org/oakwalk/core/fleet/Reconciler.java
+++ b/src/main/java/org/oakwalk/core/fleet/Reconciler.java
@@ -8,8 +8,8 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.JobRegistry;
+import org.oakwalk.core.job.Resources;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -24,11 +24,11 @@
   private static final Span LEAST_WAIT = Span.seconds(3);
 
   private final Fleet fleet;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final Settings.Workers timing;
   private final Fleet.Listener listener;
 
-  Reconciler(Fleet fleet, JobBook jobs, Settings.Workers timing, Fleet.Listener listener) {
+  Reconciler(Fleet fleet, JobRegistry jobs, Settings.Workers timing, Fleet.Listener listener) {
     this.fleet = fleet;
     this.jobs = jobs;
     this.timing = timing;
@@ -171,7 +171,7 @@
   }
 
   private void reconcile(Machine machine, Report report, Moment now) {
-    Room strayed = machine.leftovers().strayRoom();
+    Resources strayed = machine.leftovers().strayRoom();
     machine.leftovers().clear();
     List<Placement> missing = machine.placementsCopy();
     for (Report.Piece piece : report.pieces()) {
@@ -238,15 +238,15 @@
       }
       case ERROR -> {
         LOG.info("task {} failed on {}", placement.task(), machine.id());
-        job.failedOn(machine.id(), now);
+        job.recordFailure(machine.id(), now);
         machine.failed(job);
-        job.pause(index, true, now);
+        job.backOff(index, true, now);
       }
       case NO_ROOM -> {
         machine.blockedUntil(now.plus(Span.seconds(2)));
-        job.pause(index, false, now);
+        job.backOff(index, false, now);
       }
-      case BUSY, UNKNOWN -> job.pause(index, false, now);
+      case BUSY, UNKNOWN -> job.backOff(index, false, now);
       case HALTED, OTHER -> {}
     }
     fleet.lose(placement, now);
@@ -278,15 +278,15 @@
       return;
     }
     supersede(job, piece, now);
-    if (!job.isFree(index)) {
+    if (!job.isUnassigned(index)) {
       LOG.info("task {} try {} is on {} astray", piece.task(), piece.attempt(), machine.id());
-      machine.leftovers().stray(attempt, job.spec().room());
+      machine.leftovers().stray(attempt, job.spec().resources());
       return;
     }
     Placement adopted =
-        fleet.hold(job, piece.task(), piece.attempt(), machine, job.spec().guess(), now);
+        fleet.hold(job, piece.task(), piece.attempt(), machine, job.spec().estimatedRunTime(), now);
     observe(adopted, piece, now);
-    if (!job.open()) {
+    if (!job.isOpen()) {
       fleet.halt(adopted, Span.millis(0), Fleet.Why.WITHDRAWN);
     }
   }
--- a/src/main/java/org/oakwalk/core/fleet/Stoppable.java
+++ b/src/main/java/org/oakwalk/core/fleet/Stoppable.java
@@ -26,7 +26,7 @@
           spec.jobClass(),
           spec.priority(),
           spec.service(),
-          spec.checkpointEvery().millis() > 0);
+          spec.checkpointInterval().millis() > 0);
     }
 
     // Asked for each task of the fleet when stops are planned; a record's own are ten times slower.
--- a/src/main/java/org/oakwalk/core/headroom/Amounts.java
+++ b/src/main/java/org/oakwalk/core/headroom/Amounts.java
@@ -15,7 +15,7 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.placement.Quota;
 import org.oakwalk.core.product.HeadroomTerms;
 
@@ -75,7 +75,7 @@
       Set<String> live,
       boolean doubt,
       Moment now) {
-    claims.removeIf(job -> !job.open() || job.pendingCount() <= 0 || !quota.guarantees(job));
+    claims.removeIf(job -> !job.isOpen() || job.pendingCount() <= 0 || !quota.guarantees(job));
     Map<HeadroomRow.Key, Asked> asked = asked(terms, jobs);
     fade(rows, asked, now);
     Map<HeadroomRow.Key, HeadroomRow> target = new LinkedHashMap<>();
@@ -125,7 +125,7 @@
       List<HeadroomTerms> terms, Collection<Job> jobs) {
     Map<HeadroomRow.Key, Asked> asked = new LinkedHashMap<>();
     for (Job job : jobs) {
-      if (!job.spec().service() || !job.open() || job.suspect()) {
+      if (!job.spec().service() || !job.isOpen() || job.isSuspect()) {
         continue;
       }
       JobSpec spec = job.spec();
@@ -136,7 +136,7 @@
               found -> {
                 HeadroomRow.Key key =
                     new HeadroomRow.Key(
-                        found.name(), spec.team(), spec.jobClass(), spec.room(), spec.zone());
+                        found.name(), spec.team(), spec.jobClass(), spec.resources(), spec.zone());
                 Asked of = asked.computeIfAbsent(key, k -> new Asked());
                 of.replicas += spec.tasks();
                 if (of.largest == null || of.largest.spec().tasks() < spec.tasks()) {
@@ -173,7 +173,7 @@
         spec.priority(),
         spec.image(),
         spec.imageGb(),
-        spec.types(),
+        spec.machineTypes(),
         spec.spotAllowed(),
         old == null ? 0 : old.peak(),
         old == null ? Map.of() : old.places());
@@ -212,7 +212,7 @@
   private Map<HeadroomRow.Key, Integer> yields(Collection<HeadroomRow> rows) {
     Map<HeadroomRow.Key, Integer> yields = new HashMap<>();
     for (Job job : claims) {
-      Room needed = job.spec().room().times(job.pendingCount());
+      Resources needed = job.spec().resources().times(job.pendingCount());
       for (HeadroomRow row : rows) {
         if (!row.key().team().equals(job.spec().team())) {
           yields.merge(row.key(), (int) Math.ceil(places(needed, row.key().room())), Integer::sum);
@@ -223,7 +223,7 @@
   }
 
   /** So many places of a shape hold this room. */
-  private static double places(Room needed, Room shape) {
+  private static double places(Resources needed, Resources shape) {
     return Math.max(
         Math.max(part(needed.cpus(), shape.cpus()), part(needed.gpus(), shape.gpus())),
         part(needed.memoryGb(), shape.memoryGb()));
--- a/src/main/java/org/oakwalk/core/headroom/Headroom.java
+++ b/src/main/java/org/oakwalk/core/headroom/Headroom.java
@@ -18,9 +18,9 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.placement.Quota;
 import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.product.HeadroomTerms;
@@ -47,7 +47,7 @@
   private static final double STRAIN = 4;
 
   private final Fleet fleet;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final Quota quota;
   private final Span suspectAfter;
   private final Amounts amounts;
@@ -70,7 +70,7 @@
    */
   public Headroom(
       Fleet fleet,
-      JobBook jobs,
+      JobRegistry jobs,
       Quota quota,
       Settings settings,
       Predicate<List<Placement>> mayStop) {
@@ -233,12 +233,12 @@
   }
 
   @Override
-  public Room free(JobSpec spec, Machine machine) {
+  public Resources free(JobSpec spec, Machine machine) {
     return inForce.isEmpty() ? machine.free() : rooms.free(keyOf(spec), machine);
   }
 
   @Override
-  public Room beyond(Machine machine) {
+  public Resources beyond(Machine machine) {
     return rooms.beyond(machine);
   }
 
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomRow.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomRow.java
@@ -7,7 +7,7 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.shared.SharedRow;
 
 /**
@@ -41,14 +41,15 @@
    * @param room a replica's
    * @param zone the only zone that the replicas may use, if there is one
    */
-  public record Key(String name, String team, String jobClass, Room room, Optional<String> zone) {
+  public record Key(
+      String name, String team, String jobClass, Resources room, Optional<String> zone) {
 
     /** Whether a job's replicas have this shape. */
     boolean covers(JobSpec spec) {
       return spec.service()
           && spec.team().equals(team)
           && spec.jobClass().equals(jobClass)
-          && spec.room().equals(room)
+          && spec.resources().equals(room)
           && spec.zone().equals(zone);
     }
 
--- a/src/main/java/org/oakwalk/core/headroom/Refill.java
+++ b/src/main/java/org/oakwalk/core/headroom/Refill.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -68,7 +68,9 @@
           || !spec.allows(machine.type().name(), zone, machine.spot())) {
         continue;
       }
-      coming += soon(machine, rooms).count(spec.room()) - rooms.beyond(machine).count(spec.room());
+      coming +=
+          soon(machine, rooms).capacityFor(spec.resources())
+              - rooms.beyond(machine).capacityFor(spec.resources());
       Span patience = machine.type().boot().times(BOOTS).plus(WAIT);
       Plan plan = now.past(since, patience) ? plan(machine, row, rooms, now) : null;
       if (plan != null && (best == null || cost(plan, row) < cost(best, row))) {
@@ -85,7 +87,7 @@
             zone,
             stop.task(),
             best.machine().id());
-        fleet.halt(stop, stop.job().spec().saveTime(), Fleet.Why.PREEMPTED);
+        fleet.halt(stop, stop.job().spec().checkpointDuration(), Fleet.Why.PREEMPTED);
       }
     }
   }
@@ -96,19 +98,19 @@
   }
 
   /** What is free once all that is told to stop has stopped. */
-  private static Room soon(Machine machine, Rooms rooms) {
-    Room free = rooms.beyond(machine);
+  private static Resources soon(Machine machine, Rooms rooms) {
+    Resources free = rooms.beyond(machine);
     for (Placement placement : machine.placements()) {
       if (placement.halting()) {
-        free = free.plus(placement.job().spec().room());
+        free = free.plus(placement.job().spec().resources());
       }
     }
     return free;
   }
 
   private static Plan plan(Machine machine, HeadroomRow row, Rooms rooms, Moment now) {
-    Room free = soon(machine, rooms);
-    if (!row.key().room().fits(machine.type().room()) || row.key().room().fits(free)) {
+    Resources free = soon(machine, rooms);
+    if (!row.key().room().fitsInto(machine.type().room()) || row.key().room().fitsInto(free)) {
       return null;
     }
     List<Placement> candidates = new ArrayList<>();
@@ -125,8 +127,8 @@
     List<Placement> stops = new ArrayList<>();
     for (Placement candidate : candidates) {
       stops.add(candidate);
-      free = free.plus(candidate.job().spec().room());
-      if (row.key().room().fits(free)) {
+      free = free.plus(candidate.job().spec().resources());
+      if (row.key().room().fitsInto(free)) {
         return new Plan(machine, stops);
       }
       if (stops.size() == MOST_STOPS) {
@@ -139,7 +141,7 @@
   /** Seconds of work that a stop would lose; what saves loses none. */
   private static double loss(Placement placement, Moment now) {
     Moment running = placement.runningSince();
-    boolean saves = placement.job().spec().checkpointEvery().millis() > 0;
+    boolean saves = placement.job().spec().checkpointInterval().millis() > 0;
     return saves || running == null ? 0 : now.since(running).asSeconds();
   }
 }
--- a/src/main/java/org/oakwalk/core/headroom/Rooms.java
+++ b/src/main/java/org/oakwalk/core/headroom/Rooms.java
@@ -10,7 +10,7 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /**
  * On which machines the places of a round are kept. Amounts alone are promised, so this is found
@@ -19,7 +19,7 @@
 final class Rooms {
   /** What is kept on one machine. */
   private static final class Kept {
-    Room room = Room.NONE;
+    Resources room = Resources.NONE;
     final Map<HeadroomRow.Key, Integer> places = new HashMap<>(2);
     final List<String> images = new ArrayList<>(1);
   }
@@ -105,12 +105,12 @@
     if (!spec.allows(machine.type().name(), machine.zone(), machine.spot())) {
       return 0;
     }
-    Room free = beyond(machine);
+    Resources free = beyond(machine);
     Job holder = held.get(machine);
     if (holder != null && holder.spec().service() && !row.key().covers(holder.spec())) {
-      free = free.minus(holder.spec().room());
+      free = free.minus(holder.spec().resources());
     }
-    int places = Math.min(most, free.count(row.key().room()));
+    int places = Math.min(most, free.capacityFor(row.key().room()));
     if (places > 0) {
       Kept here = kept.computeIfAbsent(machine, m -> new Kept());
       here.room = here.room.plus(row.key().room().times(places));
@@ -127,18 +127,18 @@
   }
 
   /** What is free on a machine beyond all that is kept. */
-  Room beyond(Machine machine) {
+  Resources beyond(Machine machine) {
     Kept here = kept.get(machine);
     return here == null ? machine.free() : machine.free().minus(here.room);
   }
 
   /** What is free on a machine for replicas of a shape, or for any other task if there is none. */
-  Room free(HeadroomRow.Key key, Machine machine) {
+  Resources free(HeadroomRow.Key key, Machine machine) {
     Kept here = kept.get(machine);
     if (here == null) {
       return machine.free();
     }
-    Room free = machine.free().minus(here.room);
+    Resources free = machine.free().minus(here.room);
     int places = key == null ? 0 : here.places.getOrDefault(key, 0);
     return places == 0 ? free : free.plus(key.room().times(places));
   }
--- a/src/main/java/org/oakwalk/core/job/Admission.java
+++ b/src/main/java/org/oakwalk/core/job/AdmissionControl.java
@@ -10,29 +10,29 @@
  * fill it; beyond it may use what others leave, but for a part of their shares that is kept for
  * them. So one team's flood is refused while the others go on being accepted.
  */
-public final class Admission {
+public final class AdmissionControl {
   /** Part of each team's share that nobody else may use. */
-  private static final double KEPT = 0.25;
+  private static final double RESERVED_FRACTION = 0.25;
 
   private final Map<String, Settings.Team> teams;
   private final StoreView view;
-  private final int mostOpen;
+  private final int maxOpenJobs;
 
   /**
    * A gate before new jobs.
    *
-   * @param mostOpen about how many jobs may be open; when all teams come to fill their shares after
-   *     one has used more than its own it can be up to {@code 1 + (1 - KEPT)} times that
+   * @param maxOpenJobs about how many jobs may be open; when all teams come to fill their shares
+   *     after one has used more than its own it can be up to {@code 1 + (1 - KEPT)} times that
    */
-  public Admission(Map<String, Settings.Team> teams, StoreView view, int mostOpen) {
+  public AdmissionControl(Map<String, Settings.Team> teams, StoreView view, int mostOpen) {
     this.teams = teams;
     this.view = view;
-    this.mostOpen = mostOpen;
+    this.maxOpenJobs = mostOpen;
   }
 
   /** Whether the team may submit another job now. */
   public boolean admits(String team) {
-    if (view.openJobs().all() < mostOpen * KEPT / Math.max(1, teams.size())) {
+    if (view.openJobs().all() < maxOpenJobs * RESERVED_FRACTION / Math.max(1, teams.size())) {
       return true;
     }
     double guarantees = teams.values().stream().mapToDouble(Settings.Team::cpus).sum();
@@ -42,15 +42,17 @@
     double held = view.openJobs().all();
     for (Settings.Team other : teams.values()) {
       if (!other.name().equals(team)) {
-        held += Math.max(0, KEPT * share(other, guarantees) - view.openJobs().of(other.name()));
+        held +=
+            Math.max(
+                0, RESERVED_FRACTION * share(other, guarantees) - view.openJobs().of(other.name()));
       }
     }
-    return held < mostOpen;
+    return held < maxOpenJobs;
   }
 
   private double share(Settings.Team team, double guarantees) {
     double alike = 1.0 / teams.size();
     double guaranteed = guarantees <= 0 ? alike : team.cpus() / guarantees;
-    return mostOpen * (alike + guaranteed) / 2;
+    return maxOpenJobs * (alike + guaranteed) / 2;
   }
 }
--- a/src/main/java/org/oakwalk/core/job/Job.java
+++ b/src/main/java/org/oakwalk/core/job/Job.java
@@ -25,31 +25,31 @@
     WITHDRAWN
   }
 
-  private static final Span FIRST_PAUSE = Span.seconds(1);
-  private static final Span LONGEST_PAUSE = Span.seconds(60);
+  private static final Span MIN_BACKOFF = Span.seconds(1);
+  private static final Span MAX_BACKOFF = Span.seconds(60);
 
   private final JobSpec spec;
-  private final WallTime accepted;
+  private final WallTime acceptedAt;
   private final boolean inherited;
-  private final Moment seen;
+  private final Moment firstSeen;
   private final BitSet done = new BitSet();
-  private final BitSet stored = new BitSet();
-  private final BitSet taken = new BitSet();
-  private final BitSet begun = new BitSet();
+  private final BitSet storedDone = new BitSet();
+  private final BitSet assigned = new BitSet();
+  private final BitSet started = new BitSet();
   private final Map<Integer, Moment> notBefore = new HashMap<>();
   private final Map<Integer, Integer> failures = new HashMap<>();
-  private final Suspicion suspicion = new Suspicion();
+  private final JobFaultDetector faultDetector = new JobFaultDetector();
   private State state = State.OPEN;
-  private Revision stamp;
+  private Revision revision;
   private int doneCount;
-  private int active;
-  private int running;
-  private int errors;
+  private int assignedCount;
+  private int runningCount;
+  private int errorCount;
   private Moment waitingSince;
   private Moment dirtySince;
-  private Moment withdrawnAfter;
-  private final Consumer<Job> touched;
-  private int rankedFrom = -1;
+  private Moment earliestWithdrawalNotice;
+  private final Consumer<Job> changeListener;
+  private int unplacedSinceRound = -1;
 
   /** A job of which nobody keeps track. */
   public Job(JobSpec spec, Revision stamp, WallTime accepted, boolean inherited, Moment seen) {
@@ -59,8 +59,8 @@
   /**
    * A job that is not over.
    *
-   * @param touched told after each change, so that what is known of many jobs is kept up to date
-   *     rather than found out anew
+   * @param changeListener told after each change, so that what is known of many jobs is kept up to
+   *     date rather than found out anew
    */
   Job(
       JobSpec spec,
@@ -69,12 +69,12 @@
       boolean inherited,
       Moment seen,
       Consumer<Job> touched) {
-    this.touched = touched;
+    this.changeListener = touched;
     this.spec = spec;
-    this.stamp = stamp;
-    this.accepted = accepted;
+    this.revision = stamp;
+    this.acceptedAt = accepted;
     this.inherited = inherited;
-    this.seen = seen;
+    this.firstSeen = seen;
     this.waitingSince = seen;
   }
 
@@ -90,21 +90,21 @@
     return state;
   }
 
-  public boolean open() {
+  public boolean isOpen() {
     return state == State.OPEN;
   }
 
   /** Whether it is stored as done or withdrawn. */
-  public boolean over() {
+  public boolean isEnded() {
     return state == State.DONE || state == State.WITHDRAWN;
   }
 
-  public Revision stamp() {
-    return stamp;
+  public Revision revision() {
+    return revision;
   }
 
-  public WallTime accepted() {
-    return accepted;
+  public WallTime acceptedAt() {
+    return acceptedAt;
   }
 
   /** Whether the job was stored before this leader rose, so that others may have started it. */
@@ -113,8 +113,8 @@
   }
 
   /** When this leader first knew of it. */
-  public Moment seen() {
-    return seen;
+  public Moment firstSeen() {
+    return firstSeen;
   }
 
   /** Since when some task has been waiting; a failed task starts its wait afresh. */
@@ -127,15 +127,15 @@
   }
 
   public int runningCount() {
-    return running;
+    return runningCount;
   }
 
-  public int activeCount() {
-    return active;
+  public int assignedCount() {
+    return assignedCount;
   }
 
   public int pendingCount() {
-    return spec.tasks() - doneCount - active;
+    return spec.tasks() - doneCount - assignedCount;
   }
 
   public boolean isDone(int index) {
@@ -143,76 +143,76 @@
   }
 
   public boolean isStoredDone(int index) {
-    return state == State.DONE || stored.get(index);
+    return state == State.DONE || storedDone.get(index);
   }
 
   /** Whether the task is neither done nor on a machine. */
-  public boolean isFree(int index) {
-    return !taken.get(index);
+  public boolean isUnassigned(int index) {
+    return !assigned.get(index);
   }
 
   /** The first task from {@code from} on that may be placed now, or -1. */
   public int nextPending(int from, Moment now) {
-    suspicion.weigh(now);
-    if (suspect() && (active > 0 || !suspicion.probes(now))) {
+    faultDetector.clearAfterHealthyRun(now);
+    if (isSuspect() && (assignedCount > 0 || !faultDetector.mayProbe(now))) {
       return -1;
     }
-    int index = taken.nextClearBit(from);
+    int index = assigned.nextClearBit(from);
     while (index < spec.tasks()) {
       Moment pause = notBefore.get(index);
       if (pause == null || !pause.isAfter(now)) {
         return index;
       }
-      index = taken.nextClearBit(index + 1);
+      index = assigned.nextClearBit(index + 1);
     }
     return -1;
   }
 
   /** A task is put on a machine. */
-  public void take(int index) {
-    if (taken.get(index)) {
+  public void assign(int index) {
+    if (assigned.get(index)) {
       throw new IllegalStateException(id() + "/" + index + " is taken already");
     }
-    taken.set(index);
-    active++;
+    assigned.set(index);
+    assignedCount++;
     notBefore.remove(index);
-    touched.accept(this);
+    changeListener.accept(this);
   }
 
   /** A task is surely on no machine any more and waits again. */
-  public void release(int index, Moment now) {
-    active--;
+  public void unassign(int index, Moment now) {
+    assignedCount--;
     if (!done.get(index)) {
-      taken.clear(index);
+      assigned.clear(index);
       waitingSince = now;
     }
-    touched.accept(this);
+    changeListener.accept(this);
   }
 
   /** A task ended with an error or was refused: it waits, longer each time. */
-  public void pause(int index, boolean error, Moment now) {
+  public void backOff(int index, boolean error, Moment now) {
     int count = failures.merge(index, 1, Integer::sum);
-    errors += error ? 1 : 0;
-    int shift = Math.min(6, Math.max(count - 1, error ? Math.min(5, errors / 8) : 0));
-    Span pause = Span.millis(FIRST_PAUSE.millis() << shift);
-    notBefore.put(index, now.plus(pause.compareTo(LONGEST_PAUSE) > 0 ? LONGEST_PAUSE : pause));
+    errorCount += error ? 1 : 0;
+    int shift = Math.min(6, Math.max(count - 1, error ? Math.min(5, errorCount / 8) : 0));
+    Span pause = Span.millis(MIN_BACKOFF.millis() << shift);
+    notBefore.put(index, now.plus(pause.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : pause));
   }
 
   /** A task has failed on this machine. */
-  public void failedOn(MachineId machine, Moment now) {
-    suspicion.failed(machine, now);
-    touched.accept(this);
+  public void recordFailure(MachineId machine, Moment now) {
+    faultDetector.recordFailure(machine, now);
+    changeListener.accept(this);
   }
 
   /** An earlier leader found that the job is at fault. */
-  public void suspected() {
-    suspicion.told();
-    touched.accept(this);
+  public void markSuspect() {
+    faultDetector.markSuspect();
+    changeListener.accept(this);
   }
 
   /** Whether the job itself, rather than any machine, must be to blame for its errors. */
-  public boolean suspect() {
-    return doneCount == 0 && suspicion.holds();
+  public boolean isSuspect() {
+    return doneCount == 0 && faultDetector.isSuspect();
   }
 
   /** A task has completed, on whichever attempt. */
@@ -220,41 +220,41 @@
     if (!done.get(index)) {
       done.set(index);
       doneCount++;
-      taken.set(index);
+      assigned.set(index);
       if (dirtySince == null) {
         dirtySince = now;
       }
-      touched.accept(this);
+      changeListener.accept(this);
     }
   }
 
   /** A task was found done in the store. */
-  public void restore(int index) {
+  public void restoreDone(int index) {
     doneCount += done.get(index) ? 0 : 1;
     done.set(index);
-    stored.set(index);
-    taken.set(index);
-    touched.accept(this);
+    storedDone.set(index);
+    assigned.set(index);
+    changeListener.accept(this);
   }
 
   /** A task has begun to run, or does not run any more. */
-  public void running(int index, boolean on, Moment now) {
-    running += on ? 1 : -1;
+  public void setRunning(int index, boolean on, Moment now) {
+    runningCount += on ? 1 : -1;
     if (on) {
-      begun.set(index);
+      started.set(index);
     }
-    suspicion.runs(running > 0, now);
-    touched.accept(this);
+    faultDetector.setRunning(runningCount > 0, now);
+    changeListener.accept(this);
   }
 
   /** A task that is told to stop may have begun to run since its machine's last report. */
-  public void mayHaveBegun(int index) {
-    begun.set(index);
+  public void markPossiblyStarted(int index) {
+    started.set(index);
   }
 
   /** Tasks that have run, or may have, under this leader and are not done. */
-  public int begunCount() {
-    BitSet open = (BitSet) begun.clone();
+  public int startedCount() {
+    BitSet open = (BitSet) started.clone();
     open.andNot(done);
     return open.cardinality();
   }
@@ -273,57 +273,57 @@
     return (BitSet) done.clone();
   }
 
-  public boolean hasUnstored(int from, int to) {
+  public boolean hasUnstoredResults(int from, int to) {
     BitSet fresh = done.get(from, to);
-    fresh.andNot(stored.get(from, to));
+    fresh.andNot(storedDone.get(from, to));
     return !fresh.isEmpty();
   }
 
   /** The tasks of {@code snapshot} from {@code from} to {@code to} are stored as done. */
-  public void stored(BitSet snapshot, int from, int to, Moment now) {
+  public void markStored(BitSet snapshot, int from, int to, Moment now) {
     BitSet part = (BitSet) snapshot.clone();
     part.clear(0, from);
     part.clear(to, Math.max(to, part.length()));
-    stored.or(part);
-    dirtySince = hasUnstored(0, spec.tasks()) ? now : null;
-    touched.accept(this);
+    storedDone.or(part);
+    dirtySince = hasUnstoredResults(0, spec.tasks()) ? now : null;
+    changeListener.accept(this);
   }
 
   /** The regular round since which its waiting tasks have found no place; -1 if none was played. */
-  public int rankedFrom() {
-    return rankedFrom;
+  public int unplacedSinceRound() {
+    return unplacedSinceRound;
   }
 
-  public void rankedFrom(int round) {
-    rankedFrom = round;
+  public void unplacedSinceRound(int round) {
+    unplacedSinceRound = round;
   }
 
-  public void finishing() {
-    enter(State.FINISHING);
+  public void markFinishing() {
+    changeState(State.FINISHING);
   }
 
   /** Storing the end failed; it is tried again. */
-  public void notFinished() {
-    enter(State.OPEN);
+  public void reopen() {
+    changeState(State.OPEN);
   }
 
-  public void ended(boolean withdrawn, Revision at) {
-    stamp = at;
-    enter(withdrawn ? State.WITHDRAWN : State.DONE);
+  public void markEnded(boolean withdrawn, Revision at) {
+    revision = at;
+    changeState(withdrawn ? State.WITHDRAWN : State.DONE);
   }
 
   /** Its user was told of the withdrawal at this moment or later. */
-  void withdrawnAfter(Moment earliest) {
-    withdrawnAfter = earliest;
+  void earliestWithdrawalNotice(Moment earliest) {
+    earliestWithdrawalNotice = earliest;
   }
 
   /** No user was told of a withdrawal before this; null if there is none that was seen coming. */
-  public Moment withdrawnAfter() {
-    return withdrawnAfter;
+  public Moment earliestWithdrawalNotice() {
+    return earliestWithdrawalNotice;
   }
 
   /** The one place where the state changes. */
-  private void enter(State next) {
+  private void changeState(State next) {
     boolean legal =
         switch (state) {
           case OPEN -> next != State.OPEN;
@@ -334,6 +334,6 @@
       throw new IllegalStateException("job " + id() + " from " + state + " to " + next);
     }
     state = next;
-    touched.accept(this);
+    changeListener.accept(this);
   }
 }
--- a/src/main/java/org/oakwalk/core/job/JobBook.java
+++ b/src/main/java/org/oakwalk/core/job/JobRegistry.java
@@ -22,22 +22,22 @@
  * them ask for something is kept with every change of a job: looked for anew many times a second,
  * it would cost the more the longer the queue is.
  */
-public final class JobBook {
+public final class JobRegistry {
   private final StoreView view;
   private final Token token;
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
 
   /** Jobs that are not over, in the order in which they were stored. */
-  private final Map<String, Set<Job>> byTeam = new HashMap<>();
+  private final Map<String, Set<Job>> unfinishedByTeam = new HashMap<>();
 
-  private final Set<Job> touched = new LinkedHashSet<>();
-  private final Set<Job> complete = new LinkedHashSet<>();
-  private final Set<Job> unstored = new LinkedHashSet<>();
-  private final Set<Job> begun = new LinkedHashSet<>();
-  private final Set<Job> over = new LinkedHashSet<>();
-  private Optional<Consumer<Job>> follower = Optional.empty();
+  private final Set<Job> changed = new LinkedHashSet<>();
+  private final Set<Job> readyToFinish = new LinkedHashSet<>();
+  private final Set<Job> withUnstoredResults = new LinkedHashSet<>();
+  private final Set<Job> inProgress = new LinkedHashSet<>();
+  private final Set<Job> ended = new LinkedHashSet<>();
+  private Optional<Consumer<Job>> changeListener = Optional.empty();
 
-  public JobBook(StoreView view, Token token, Moment now) {
+  public JobRegistry(StoreView view, Token token, Moment now) {
     this.view = view;
     this.token = token;
     List<KnownJob> open = new ArrayList<>();
@@ -71,7 +71,7 @@
   }
 
   /** Takes over a stored change; returns the job if it has just been withdrawn. */
-  public Optional<Job> changed(KnownJob known, Moment now) {
+  public Optional<Job> applyStoredChange(KnownJob known, Moment now) {
     Job job = jobs.get(known.id());
     if (job == null) {
       if (!known.phase().isFinal()) {
@@ -83,67 +83,68 @@
       return Optional.empty();
     }
     boolean withdrawn = known.phase() == JobRecord.Phase.WITHDRAWN;
-    job.ended(withdrawn, known.stamp());
+    job.markEnded(withdrawn, known.stamp());
     if (withdrawn) {
       // What was stored before the last read began was known, and this was not.
-      job.withdrawnAfter(view.contact());
+      job.earliestWithdrawalNotice(view.contact());
     }
     return withdrawn ? Optional.of(job) : Optional.empty();
   }
 
   /** Tells of each job that comes or changes from now on, at once; there is one to be told. */
-  public void follow(Consumer<Job> told) {
-    follower = Optional.of(told);
+  public void setChangeListener(Consumer<Job> told) {
+    changeListener = Optional.of(told);
   }
 
   /** A team's jobs that are not over, first stored first. */
-  public Collection<Job> ofTeam(String team) {
-    return byTeam.getOrDefault(team, Set.of());
+  public Collection<Job> unfinishedOfTeam(String team) {
+    return unfinishedByTeam.getOrDefault(team, Set.of());
   }
 
   /** Jobs that have changed since this was asked last, new ones included. */
-  public List<Job> takeTouched() {
-    List<Job> taken = List.copyOf(touched);
-    touched.clear();
+  public List<Job> takeChanged() {
+    List<Job> taken = List.copyOf(changed);
+    changed.clear();
     return taken;
   }
 
   /** Open jobs of which all tasks are done. */
-  public List<Job> complete() {
-    return List.copyOf(complete);
+  public List<Job> readyToFinish() {
+    return List.copyOf(readyToFinish);
   }
 
   /** Open jobs with finished tasks that are not stored, but not all tasks. */
-  public List<Job> unstored() {
-    return new ArrayList<>(unstored);
+  public List<Job> withUnstoredResults() {
+    return new ArrayList<>(withUnstoredResults);
   }
 
   /** Open jobs of which a task runs or is done. */
-  public Collection<Job> begun() {
-    return begun;
+  public Collection<Job> inProgress() {
+    return inProgress;
   }
 
   /** Forgets ended jobs of which nothing is left on any machine, and returns them. */
-  public List<Job> sweep() {
+  public List<Job> removeEnded() {
     List<Job> swept = new ArrayList<>();
-    for (Job job : over) {
-      if (job.activeCount() == 0 && jobs.remove(job.id(), job)) {
+    for (Job job : ended) {
+      if (job.assignedCount() == 0 && jobs.remove(job.id(), job)) {
         swept.add(job);
       }
     }
-    over.removeAll(swept);
+    ended.removeAll(swept);
     return swept;
   }
 
-  private void touched(Job job) {
-    touched.add(job);
-    follower.ifPresent(told -> told.accept(job));
-    keep(complete, job, job.open() && job.allDone());
-    keep(unstored, job, job.open() && !job.allDone() && job.dirtySince() != null);
-    keep(begun, job, job.open() && (job.doneCount() > 0 || job.runningCount() > 0));
-    if (job.over()) {
-      over.add(job);
-      byTeam.computeIfPresent(
+  private void jobChanged(Job job) {
+    changed.add(job);
+    changeListener.ifPresent(told -> told.accept(job));
+    setMembership(readyToFinish, job, job.isOpen() && job.allDone());
+    setMembership(
+        withUnstoredResults, job, job.isOpen() && !job.allDone() && job.dirtySince() != null);
+    setMembership(inProgress, job, job.isOpen() && (job.doneCount() > 0 || job.runningCount() > 0));
+    if (job.isEnded()) {
+      ended.add(job);
+      unfinishedByTeam.computeIfPresent(
           job.spec().team(),
           (team, open) -> {
             open.remove(job);
@@ -152,7 +153,7 @@
     }
   }
 
-  private static void keep(Set<Job> set, Job job, boolean in) {
+  private static void setMembership(Set<Job> set, Job job, boolean in) {
     if (in) {
       set.add(job);
     } else {
@@ -162,14 +163,15 @@
 
   private Job add(KnownJob known, Moment now) {
     boolean inherited = known.stamp().value() < token.value();
-    Job job = new Job(known.spec(), known.stamp(), known.accepted(), inherited, now, this::touched);
+    Job job =
+        new Job(known.spec(), known.stamp(), known.accepted(), inherited, now, this::jobChanged);
     jobs.put(job.id(), job);
     if (known.phase() == JobRecord.Phase.WITHDRAWN) {
-      job.ended(true, known.stamp());
+      job.markEnded(true, known.stamp());
     } else {
-      byTeam.computeIfAbsent(job.spec().team(), team -> new LinkedHashSet<>()).add(job);
-      touched.add(job);
-      follower.ifPresent(told -> told.accept(job));
+      unfinishedByTeam.computeIfAbsent(job.spec().team(), team -> new LinkedHashSet<>()).add(job);
+      changed.add(job);
+      changeListener.ifPresent(told -> told.accept(job));
     }
     return job;
   }
--- a/src/main/java/org/oakwalk/core/job/JobSpec.java
+++ b/src/main/java/org/oakwalk/core/job/JobSpec.java
@@ -13,18 +13,18 @@
     Shape shape,
     Priority priority,
     int tasks,
-    Room room,
-    Set<String> types,
+    Resources resources,
+    Set<String> machineTypes,
     Optional<String> zone,
     boolean oneZone,
     boolean spread,
     boolean spotAllowed,
     String image,
     double imageGb,
-    Span guess,
-    Span checkpointEvery,
-    Span saveTime,
-    Optional<Span> due) {
+    Span estimatedRunTime,
+    Span checkpointInterval,
+    Span checkpointDuration,
+    Optional<Span> deadline) {
 
   /** Largest number of tasks a job may have. */
   public static final int MAX_TASKS = 100_000;
@@ -46,13 +46,13 @@
 
   /** Whether the job may run on a machine of this type, zone and kind. */
   public boolean allows(String type, String machineZone, boolean spot) {
-    return (types.isEmpty() || types.contains(type))
+    return (machineTypes.isEmpty() || machineTypes.contains(type))
         && (zone.isEmpty() || zone.get().equals(machineZone))
         && (!spot || spotAllowed);
   }
 
   /** The most tasks that one zone may hold. */
-  public int zoneLimit() {
+  public int maxTasksPerZone() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
 }
--- a/src/main/java/org/oakwalk/core/job/OpenQuestions.java
+++ b/src/main/java/org/oakwalk/core/job/PendingUserRequests.java
@@ -17,40 +17,40 @@
  * waits. So whoever is not answered by then is refused, in time to hear of it and ask again, and
  * nothing is kept for those who have gone.
  */
-public final class OpenQuestions {
+public final class PendingUserRequests {
   /** Users wait 2 s for the answer to a poll, and 5 s for others; the way takes its part. */
-  private static final Span POLL = Span.millis(1_700);
+  private static final Span QUERY_TIMEOUT = Span.millis(1_700);
 
-  private static final Span OTHER = Span.millis(4_500);
+  private static final Span CHANGE_TIMEOUT = Span.millis(4_500);
 
-  private record Asked(ExchangeId exchange, Moment due) {}
+  private record PendingRequest(ExchangeId exchange, Moment deadline) {}
 
-  private final Deque<Asked> polls = new ArrayDeque<>();
-  private final Deque<Asked> others = new ArrayDeque<>();
-  private final Set<ExchangeId> open = new HashSet<>();
+  private final Deque<PendingRequest> queries = new ArrayDeque<>();
+  private final Deque<PendingRequest> changes = new ArrayDeque<>();
+  private final Set<ExchangeId> unanswered = new HashSet<>();
 
   /** A user asks. */
-  public void asked(ExchangeId exchange, UserRequest request, Moment now) {
-    open.add(exchange);
+  public void add(ExchangeId exchange, UserRequest request, Moment now) {
+    unanswered.add(exchange);
     if (request instanceof UserRequest.Query) {
-      polls.add(new Asked(exchange, now.plus(POLL)));
+      queries.add(new PendingRequest(exchange, now.plus(QUERY_TIMEOUT)));
     } else {
-      others.add(new Asked(exchange, now.plus(OTHER)));
+      changes.add(new PendingRequest(exchange, now.plus(CHANGE_TIMEOUT)));
     }
   }
 
   /** There is an answer; false if its user has been answered before. */
-  public boolean answered(ExchangeId exchange) {
-    return open.remove(exchange);
+  public boolean markAnswered(ExchangeId exchange) {
+    return unanswered.remove(exchange);
   }
 
   /** Those who can't wait any longer; they count as answered. */
-  public List<ExchangeId> late(Moment now) {
+  public List<ExchangeId> expire(Moment now) {
     List<ExchangeId> late = new ArrayList<>();
-    for (Deque<Asked> asked : List.of(polls, others)) {
-      while (!asked.isEmpty() && !asked.peek().due().isAfter(now)) {
+    for (Deque<PendingRequest> asked : List.of(queries, changes)) {
+      while (!asked.isEmpty() && !asked.peek().deadline().isAfter(now)) {
         ExchangeId exchange = asked.poll().exchange();
-        if (open.remove(exchange)) {
+        if (unanswered.remove(exchange)) {
           late.add(exchange);
         }
       }
--- a/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
+++ b/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
@@ -35,44 +35,44 @@
  */
 public final class UserRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(UserRequestHandler.class);
-  private static final Span SOON = Span.seconds(1);
-  private static final Span FULL = Span.seconds(10);
-  private static final int MOST_TRIES = 4;
+  private static final Span RETRY_DELAY = Span.seconds(1);
+  private static final Span OVERLOAD_RETRY_DELAY = Span.seconds(10);
+  private static final int MAX_WITHDRAWAL_ATTEMPTS = 4;
 
   private final Outbox outbox;
   private final StoreView view;
   private final Map<String, Settings.Team> teams;
-  private final Admission admission;
-  private Map<String, MachineType> types = Map.of();
-  private Map<JobId, PeerMessage.Counts> counts = new HashMap<>();
+  private final AdmissionControl admission;
+  private Map<String, MachineType> machineTypes = Map.of();
+  private Map<JobId, PeerMessage.Counts> taskCounts = new HashMap<>();
   private Moment now = new Moment(0);
-  private WallTime wall = new WallTime(0);
+  private WallTime wallTime = new WallTime(0);
 
   public UserRequestHandler(
-      Outbox outbox, StoreView view, Map<String, Settings.Team> teams, Admission admission) {
+      Outbox outbox, StoreView view, Map<String, Settings.Team> teams, AdmissionControl admission) {
     this.admission = admission;
     this.outbox = outbox;
     this.view = view;
     this.teams = teams;
   }
 
-  public void types(Map<String, MachineType> known) {
-    types = known;
+  public void machineTypes(Map<String, MachineType> known) {
+    machineTypes = known;
   }
 
   /** How far the open jobs are, as the leader last said. */
-  public void counts(Map<JobId, PeerMessage.Counts> current) {
-    counts = current;
+  public void taskCounts(Map<JobId, PeerMessage.Counts> current) {
+    taskCounts = current;
   }
 
   public void clock(Moment steady, WallTime dayTime) {
     now = steady;
-    wall = dayTime;
+    wallTime = dayTime;
   }
 
   /** Whether submissions can be judged. */
-  public boolean knowsTypes() {
-    return !types.isEmpty();
+  public boolean hasMachineTypes() {
+    return !machineTypes.isEmpty();
   }
 
   /** Serves a request; the answer is given exactly once. */
@@ -85,21 +85,22 @@
     if (request instanceof UserRequest.Submit submit) {
       submit(submit, answer);
     } else if (request instanceof UserRequest.Withdraw) {
-      withdraw(request.job(), MOST_TRIES, answer);
+      withdraw(request.job(), MAX_WITHDRAWAL_ATTEMPTS, answer);
     } else {
-      current(request.job(), answer, job -> answer.accept(status(job)), 404);
+      readCurrent(request.job(), answer, job -> answer.accept(status(job)), 404);
     }
   }
 
   /** Looks a job up in a copy that is surely current; {@code absent} answers for an unknown one. */
-  private void current(JobId id, Consumer<Response> answer, Consumer<KnownJob> then, int absent) {
+  private void readCurrent(
+      JobId id, Consumer<Response> answer, Consumer<KnownJob> then, int absent) {
     view.catchUp(
         now,
         known -> {
           if (!known) {
-            answer.accept(Response.unavailable("state service out of reach", SOON));
+            answer.accept(Response.unavailable("state service out of reach", RETRY_DELAY));
           } else if (view.unreadable(id)) {
-            answer.accept(Response.unavailable("record of the job can't be read", SOON));
+            answer.accept(Response.unavailable("record of the job can't be read", RETRY_DELAY));
           } else if (view.job(id).isEmpty()) {
             answer.accept(Response.refusal(absent, "no such job"));
           } else {
@@ -109,7 +110,7 @@
   }
 
   private void submit(UserRequest.Submit request, Consumer<Response> answer) {
-    Response verdict = verdict(request);
+    Response verdict = validate(request);
     if (verdict == null && view.job(request.job()).isEmpty()) {
       create(request.spec().orElseThrow(), answer);
       return;
@@ -120,11 +121,11 @@
         known -> {
           Optional<KnownJob> job = view.job(request.job());
           if (!known) {
-            answer.accept(Response.unavailable("state service out of reach", SOON));
+            answer.accept(Response.unavailable("state service out of reach", RETRY_DELAY));
           } else if (view.unreadable(request.job())) {
             // It may have been accepted, so nobody may be told that it can't be; and what was read
             // of it before may be older than what others have told.
-            answer.accept(Response.unavailable("record of the job can't be read", SOON));
+            answer.accept(Response.unavailable("record of the job can't be read", RETRY_DELAY));
           } else if (job.isPresent()) {
             answer.accept(status(job.get()));
           } else if (verdict != null) {
@@ -136,7 +137,7 @@
   }
 
   /** Why a submission can't be taken, or null. */
-  private Response verdict(UserRequest.Submit request) {
+  private Response validate(UserRequest.Submit request) {
     if (request.spec().isEmpty()) {
       return Response.refusal(400, request.problem());
     }
@@ -146,12 +147,12 @@
       return Response.refusal(422, "unknown team " + spec.team());
     }
     int most = spec.shape() == JobSpec.Shape.ARRAY ? 1 : spec.tasks();
-    if (team.cpusMax() > 0 && spec.room().cpus() * most > team.cpusMax() + 1e-6
-        || team.gpusMax() > 0 && spec.room().gpus() * most > team.gpusMax() + 1e-6) {
+    if (team.cpusMax() > 0 && spec.resources().cpus() * most > team.cpusMax() + 1e-6
+        || team.gpusMax() > 0 && spec.resources().gpus() * most > team.gpusMax() + 1e-6) {
       return Response.refusal(422, "more than the limit of team " + spec.team());
     }
-    if (types.isEmpty()) {
-      return Response.unavailable("machine types not known yet", SOON);
+    if (machineTypes.isEmpty()) {
+      return Response.unavailable("machine types not known yet", RETRY_DELAY);
     }
     Set<String> zones = zonesFor(spec);
     if (zones.isEmpty()) {
@@ -159,7 +160,7 @@
     }
     // An array's tasks may go one after the other; those of others have to be there at once.
     int zonesAtOnce = spec.oneZone() ? 1 : zones.size();
-    if (most > 1 && zonesAtOnce * spec.zoneLimit() < spec.tasks()) {
+    if (most > 1 && zonesAtOnce * spec.maxTasksPerZone() < spec.tasks()) {
       return Response.refusal(422, "tasks are to be spread, and may be in one zone only");
     }
     return null;
@@ -168,8 +169,8 @@
   /** Zones in which a task fits a machine type that the job allows. */
   private Set<String> zonesFor(JobSpec spec) {
     Set<String> zones = new HashSet<>();
-    for (MachineType type : types.values()) {
-      if (spec.room().fits(type.room())) {
+    for (MachineType type : machineTypes.values()) {
+      if (spec.resources().fitsInto(type.room())) {
         type.zones().stream()
             .filter(zone -> spec.allows(type.name(), zone, false))
             .forEach(zones::add);
@@ -180,11 +181,12 @@
 
   private void create(JobSpec spec, Consumer<Response> answer) {
     if (!admission.admits(spec.team())) {
-      answer.accept(Response.tooMany("too many open jobs of team " + spec.team(), FULL));
+      answer.accept(
+          Response.tooMany("too many open jobs of team " + spec.team(), OVERLOAD_RETRY_DELAY));
       return;
     }
     String key = Keys.job(spec.id());
-    JobRecord record = new JobRecord(spec, JobRecord.Phase.OPEN, wall);
+    JobRecord record = new JobRecord(spec, JobRecord.Phase.OPEN, wallTime);
     outbox.call(
         new Request.Commit(
             List.of(new Guard(key, Revision.NONE)),
@@ -195,23 +197,23 @@
             LOG.info("job {} accepted, {} tasks", spec.id(), spec.tasks());
             answer.accept(new Response.JobStatus(true, spec.id(), Response.JobState.QUEUED, 0, 0));
           } else if (reply instanceof Answer.Conflict) {
-            current(spec.id(), answer, job -> answer.accept(status(job)), 503);
+            readCurrent(spec.id(), answer, job -> answer.accept(status(job)), 503);
           } else {
             // Perhaps stored, perhaps not, perhaps later: the user asks again.
-            answer.accept(Response.unavailable("state service out of reach", SOON));
+            answer.accept(Response.unavailable("state service out of reach", RETRY_DELAY));
           }
         });
   }
 
   private void withdraw(JobId id, int tries, Consumer<Response> answer) {
-    current(
+    readCurrent(
         id,
         answer,
         job -> {
           if (job.phase().isFinal()) {
             answer.accept(status(job));
           } else if (tries <= 0) {
-            answer.accept(Response.unavailable("job is changing", SOON));
+            answer.accept(Response.unavailable("job is changing", RETRY_DELAY));
           } else {
             storeWithdrawal(job, tries, answer);
           }
@@ -237,7 +239,7 @@
           } else if (reply instanceof Answer.Conflict) {
             withdraw(job.id(), tries - 1, answer);
           } else {
-            answer.accept(Response.unavailable("state service out of reach", SOON));
+            answer.accept(Response.unavailable("state service out of reach", RETRY_DELAY));
           }
         });
   }
@@ -247,7 +249,7 @@
    * counts for this node before its user hears of it; and what is older than an end that this node
    * knows by now is not told any more.
    */
-  public Response passOn(Response told, Response otherwise) {
+  public Response resolveForwarded(Response told, Response otherwise) {
     if (!(told instanceof Response.JobStatus job)) {
       return told;
     }
@@ -263,7 +265,7 @@
   }
 
   private Response status(KnownJob job) {
-    PeerMessage.Counts count = counts.getOrDefault(job.id(), new PeerMessage.Counts(0, 0));
+    PeerMessage.Counts count = taskCounts.getOrDefault(job.id(), new PeerMessage.Counts(0, 0));
     return switch (job.phase()) {
       case DONE -> new Response.JobStatus(false, job.id(), Response.JobState.DONE, job.tasks(), 0);
       case WITHDRAWN ->
--- a/src/main/java/org/oakwalk/core/placement/Candidates.java
+++ b/src/main/java/org/oakwalk/core/placement/Candidates.java
@@ -17,7 +17,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** The machines that take tasks in a round, and which of them a job may use. */
 final class Candidates {
@@ -58,7 +58,7 @@
       if (machine.takesTasks(now, suspectAfter)) {
         all.add(machine);
         kinds.merge(machine.type(), 1, Integer::sum);
-        Room free = machine.free();
+        Resources free = machine.free();
         if (free.cpus() > 0 && free.memoryGb() > 0) {
           roomy.add(machine);
         }
@@ -66,9 +66,9 @@
     }
     if (!reserved.isEmpty()) {
       reserved.keySet().retainAll(new HashSet<>(all));
-      reserved.values().removeIf(job -> !job.open() || job.pendingCount() <= 0);
+      reserved.values().removeIf(job -> !job.isOpen() || job.pendingCount() <= 0);
     }
-    awaited.keySet().removeIf(job -> !job.open() || job.activeCount() > 0);
+    awaited.keySet().removeIf(job -> !job.isOpen() || job.assignedCount() > 0);
     reserve.survey(all, reserved);
   }
 
@@ -103,7 +103,7 @@
     Set<String> full = new HashSet<>();
     zones.forEach(
         (zone, count) -> {
-          if (spec.spread() && count >= spec.zoneLimit()) {
+          if (spec.spread() && count >= spec.maxTasksPerZone()) {
             full.add(zone);
           }
         });
@@ -200,7 +200,7 @@
     Map<String, Integer> room = new HashMap<>();
     for (Machine machine : all) {
       if (spec.allows(machine.type().name(), machine.zone(), machine.spot())) {
-        room.merge(machine.zone(), machine.free().count(spec.room()), Integer::sum);
+        room.merge(machine.zone(), machine.free().capacityFor(spec.resources()), Integer::sum);
       }
     }
     return room.entrySet().stream()
--- a/src/main/java/org/oakwalk/core/placement/GangKeeper.java
+++ b/src/main/java/org/oakwalk/core/placement/GangKeeper.java
@@ -14,7 +14,7 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /**
  * Keeps machines, and what is free of team limits, for a gang that waits. A gang starts whole, and
@@ -59,7 +59,7 @@
       new TreeSet<>(
           Comparator.comparing((Job job) -> job.spec().priority())
               .reversed()
-              .thenComparing(job -> job.accepted().millis())
+              .thenComparing(job -> job.acceptedAt().millis())
               .thenComparing(job -> job.id().value()));
 
   /** What this keeps, until the next regular round. */
@@ -92,7 +92,7 @@
     if (!job.spec().gang()) {
       return;
     }
-    if (job.open() && job.activeCount() == 0 && job.pendingCount() > 0 && !job.suspect()) {
+    if (job.isOpen() && job.assignedCount() == 0 && job.pendingCount() > 0 && !job.isSuspect()) {
       waiting.add(job);
     } else {
       waiting.remove(job);
@@ -121,7 +121,8 @@
     order.sort(Comparator.comparing((Job gang) -> !presses(gang, wall)));
     for (Job gang : order) {
       int patience = preemption.helps(gang) ? 0 : tried;
-      boolean inVain = gang.rankedFrom() >= 0 && regularRounds - gang.rankedFrom() >= patience;
+      boolean inVain =
+          gang.unplacedSinceRound() >= 0 && regularRounds - gang.unplacedSinceRound() >= patience;
       if (!inVain || resting.containsKey(gang) || gang.nextPending(0, now) < 0) {
         continue;
       }
@@ -138,7 +139,7 @@
 
   /** Whether it is among the largest and has waited for long. */
   private boolean presses(Job gang, WallTime wall) {
-    return wall.since(gang.accepted()).compareTo(Largest.PATIENCE) >= 0
+    return wall.since(gang.acceptedAt()).compareTo(Largest.PATIENCE) >= 0
         && (largest.large(gang) || servedShares.behind(ServedShares.Key.of(gang)));
   }
 
@@ -171,9 +172,9 @@
 
   /** When its team's limit should have room for all of a gang, if nothing else of it starts. */
   private Moment allowedFrom(Job gang, Moment now) {
-    Room needed = gang.spec().room().times(gang.pendingCount());
-    Room rest = quota.rest(gang.spec().team());
-    if (needed.fits(rest)) {
+    Resources needed = gang.spec().resources().times(gang.pendingCount());
+    Resources rest = quota.rest(gang.spec().team());
+    if (needed.fitsInto(rest)) {
       return now;
     }
     List<Placement> own = new ArrayList<>();
@@ -187,8 +188,8 @@
     }
     own.sort(Comparator.comparing(Placement::endsBy));
     for (Placement placement : own) {
-      rest = rest.plus(placement.job().spec().room());
-      if (needed.fits(rest)) {
+      rest = rest.plus(placement.job().spec().resources());
+      if (needed.fitsInto(rest)) {
         return placement.endsBy().isAfter(now) ? placement.endsBy() : now;
       }
     }
@@ -213,13 +214,13 @@
 
   /** When how much of a machine comes free. */
   private void openings(Machine machine, Job gang, Moment now, List<Opening> openings) {
-    Room task = gang.spec().room();
-    Room free = reserve.free(gang.spec(), machine);
-    int count = free.count(task);
+    Resources task = gang.spec().resources();
+    Resources free = reserve.free(gang.spec(), machine);
+    int count = free.capacityFor(task);
     if (count > 0) {
       openings.add(new Opening(now, machine, count));
     }
-    if (!task.fits(machine.type().room())) {
+    if (!task.fitsInto(machine.type().room())) {
       return;
     }
     List<Placement> ending = new ArrayList<>();
@@ -233,8 +234,8 @@
     }
     ending.sort(Comparator.comparing(ends::get));
     for (Placement placement : ending) {
-      free = free.plus(placement.job().spec().room());
-      int then = free.count(task);
+      free = free.plus(placement.job().spec().resources());
+      int then = free.capacityFor(task);
       if (then > count) {
         openings.add(new Opening(ends.get(placement), machine, then - count));
         count = then;
@@ -244,7 +245,7 @@
 
   private Moment end(Placement placement, Job gang, Moment now) {
     if (placement.halting() || preemption.yields(placement, gang)) {
-      return now.plus(placement.job().spec().saveTime());
+      return now.plus(placement.job().spec().checkpointDuration());
     }
     if (placement.job().spec().service()) {
       return NEVER;
@@ -297,7 +298,7 @@
     /** Takes as many of these places as the zone's share allows; returns how many. */
     int take(Machine machine, int places) {
       int before = taken.getOrDefault(machine.zone(), 0);
-      int most = gang.spec().spread() ? gang.spec().zoneLimit() - before : places;
+      int most = gang.spec().spread() ? gang.spec().maxTasksPerZone() - before : places;
       int share = Math.max(0, Math.min(places, most));
       taken.put(machine.zone(), before + share);
       all += share;
--- a/src/main/java/org/oakwalk/core/placement/IdealHost.java
+++ b/src/main/java/org/oakwalk/core/placement/IdealHost.java
@@ -6,7 +6,7 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /**
  * How far a machine is from an ideal one, which has the lowest use of each resource seen on any
@@ -55,12 +55,12 @@
 
   /** Whether the task fits under the mark. */
   public boolean fits(JobSpec spec, Machine machine) {
-    Room room = spec.room();
-    Room free = reserve.free(spec, machine);
-    if (!room.fits(free)) {
+    Resources room = spec.resources();
+    Resources free = reserve.free(spec, machine);
+    if (!room.fitsInto(free)) {
       return false;
     }
-    Room whole = machine.type().room();
+    Resources whole = machine.type().room();
     return underMark(room.cpus(), free.cpus(), whole.cpus())
         && underMark(room.memoryGb(), free.memoryGb(), whole.memoryGb());
   }
--- a/src/main/java/org/oakwalk/core/placement/Largest.java
+++ b/src/main/java/org/oakwalk/core/placement/Largest.java
@@ -68,7 +68,7 @@
   private static final int HALVES_IN_SECONDS = 120;
 
   private static final Comparator<Part> OLDEST_FIRST =
-      Comparator.comparing((Part part) -> part.job.accepted().millis())
+      Comparator.comparing((Part part) -> part.job.acceptedAt().millis())
           .thenComparing(part -> part.job.id().value());
 
   /** What is known of a job. */
@@ -143,7 +143,7 @@
 
   /** A job has come, changed or ended. */
   void touched(Job job) {
-    boolean counts = !job.over() && !job.suspect() && concerns(job);
+    boolean counts = !job.isEnded() && !job.isSuspect() && concerns(job);
     Part part = parts.get(job);
     if (part == null) {
       if (!counts) {
@@ -189,7 +189,8 @@
   /** Lets time pass, and finds out which jobs are favoured in this round. */
   void round(Moment now, WallTime wall) {
     fade(now);
-    while (!unrated.isEmpty() && now.past(unrated.peek().job.seen(), ServedShares.RIPE_AFTER)) {
+    while (!unrated.isEmpty()
+        && now.past(unrated.peek().job.firstSeen(), ServedShares.RIPE_AFTER)) {
       rate(unrated.poll());
     }
     favours.clear();
@@ -222,7 +223,7 @@
 
   private void favour(ServedShares.Key key, Account account, WallTime wall) {
     if (account.waiting.isEmpty()
-        || wall.since(account.waiting.first().job.accepted()).compareTo(PATIENCE) < 0) {
+        || wall.since(account.waiting.first().job.acceptedAt()).compareTo(PATIENCE) < 0) {
       return;
     }
     boolean first = placedFirst <= SHARE_OF_FIRST * placed;
@@ -232,7 +233,7 @@
     int met = 0;
     int late = 0;
     for (Part part : account.waiting) {
-      Span age = wall.since(part.job.accepted());
+      Span age = wall.since(part.job.acceptedAt());
       if (age.compareTo(PATIENCE) < 0 || met >= MOST_A_ROUND) {
         break;
       }
@@ -264,7 +265,7 @@
 
   /** How many tasks of a job are done or on machines. */
   private static int started(Job job) {
-    return job.doneCount() + job.activeCount();
+    return job.doneCount() + job.assignedCount();
   }
 
   /** Whether a plan says when its tasks start; what else would start now may break its promises. */
--- a/src/main/java/org/oakwalk/core/placement/Placer.java
+++ b/src/main/java/org/oakwalk/core/placement/Placer.java
@@ -18,7 +18,7 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
 
@@ -34,7 +34,7 @@
   private final Fleet fleet;
   private final Policy policy;
   private final Quota quota;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final RunTimes runTimes;
   private final IdealHost hosts;
   private final Candidates candidates;
@@ -66,7 +66,7 @@
    */
   public Placer(
       Fleet fleet,
-      JobBook jobs,
+      JobRegistry jobs,
       Policy policy,
       Targets targets,
       Quota quota,
@@ -124,14 +124,14 @@
       servedShares.touched(job);
       largest.touched(job);
       gangs.touched(job);
-      if (job.rankedFrom() < 0) {
-        job.rankedFrom(regular ? regularRounds - 1 : regularRounds);
+      if (job.unplacedSinceRound() < 0) {
+        job.unplacedSinceRound(regular ? regularRounds - 1 : regularRounds);
       }
       if (job.spec().service()) {
         fresh.add(job);
       }
     }
-    fresh.removeIf(job -> !job.open() || job.pendingCount() <= 0 || !RoomMaker.mayWarm(job, now));
+    fresh.removeIf(job -> !job.isOpen() || job.pendingCount() <= 0 || !RoomMaker.mayWarm(job, now));
     largest.round(now, wall);
     if (regular && inheritedToo) {
       gangs.keep(regularRounds, policy.hosts().reserveAfterRounds(), now, wall);
@@ -195,7 +195,7 @@
         return Verdict.GO_ON;
       }
       case LIMITED -> {
-        if (!job.spec().gang() || job.activeCount() > 0) {
+        if (!job.spec().gang() || job.assignedCount() > 0) {
           settled(job);
         }
         return Verdict.ALL_ALIKE;
@@ -210,7 +210,7 @@
           return Verdict.ALL_ALIKE;
         }
         boolean stopped = roomMaker.stop(job);
-        if (regularRounds - job.rankedFrom() >= policy.hosts().reserveAfterRounds()
+        if (regularRounds - job.unplacedSinceRound() >= policy.hosts().reserveAfterRounds()
             && !roomMaker.reserve(job)) {
           return stopped ? Verdict.GO_ON : Verdict.ALL_ALIKE;
         }
@@ -224,7 +224,7 @@
   }
 
   private void settled(Job job) {
-    job.rankedFrom(regularRounds);
+    job.unplacedSinceRound(regularRounds);
     roomMaker.settled(job);
   }
 
@@ -283,7 +283,7 @@
 
   /** How many tasks of a job could run at once if nothing else did. */
   private int atOnce(JobSpec spec) {
-    return Math.min(quota.limitOf(spec), Ranking.places(candidates.kinds(), spec.room()));
+    return Math.min(quota.limitOf(spec), Ranking.places(candidates.kinds(), spec.resources()));
   }
 
   private HostSearch search(Job job, Map<String, Integer> zones) {
@@ -295,7 +295,7 @@
   /** All tasks of a gang find a place in one round, or none is placed. */
   private Outcome placeGang(Job job, Map<String, Integer> zones) {
     int missing = job.pendingCount();
-    if (job.activeCount() > 0) {
+    if (job.assignedCount() > 0) {
       // What is left of a broken gang ends first; then all start again together.
       disband(job);
       return Outcome.LIMITED;
@@ -311,7 +311,8 @@
     for (Machine machine : machines) {
       int room =
           Math.min(
-              missing - found.taken(), reserve.free(job.spec(), machine).count(job.spec().room()));
+              missing - found.taken(),
+              reserve.free(job.spec(), machine).capacityFor(job.spec().resources()));
       int share = room > 0 ? found.take(machine, room) : 0;
       if (share > 0) {
         shares.put(machine, share);
@@ -337,7 +338,7 @@
   private void disband(Job job) {
     for (Placement placement : fleet.placementsOf(job)) {
       if (!placement.halting()) {
-        fleet.halt(placement, job.spec().saveTime(), Fleet.Why.GANG);
+        fleet.halt(placement, job.spec().checkpointDuration(), Fleet.Why.GANG);
       }
     }
   }
--- a/src/main/java/org/oakwalk/core/placement/Preemption.java
+++ b/src/main/java/org/oakwalk/core/placement/Preemption.java
@@ -14,7 +14,7 @@
 import org.oakwalk.core.fleet.Stoppable;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** Finds tasks that may be stopped to make room for a more urgent one, at the least loss. */
 final class Preemption {
@@ -75,14 +75,14 @@
     boolean claims = quota.guarantees(job);
     Set<Stoppable.Sort> yielding = stoppable.sorts(sort -> yields(sort, job, claims));
     Set<Machine> concerned = stoppable.concerned(yielding);
-    Room asked = job.spec().room();
+    Resources asked = job.spec().resources();
     for (Machine machine : machines) {
       if (concerned.contains(machine)) {
         Plan plan = on(machine, job, asked, yielding, now, wall);
         if (plan != null) {
           plans.add(plan);
         }
-      } else if (asked.fits(machine.free())) {
+      } else if (asked.fitsInto(machine.free())) {
         plans.add(new Plan(machine, List.of(), imageCost(job, machine)));
       }
     }
@@ -97,7 +97,7 @@
   }
 
   /** Tasks on a machine whose end would make this much room; none if too few may be stopped. */
-  List<Placement> victims(Machine machine, Job job, Room asked, Moment now, WallTime wall) {
+  List<Placement> victims(Machine machine, Job job, Resources asked, Moment now, WallTime wall) {
     boolean claims = quota.guarantees(job);
     Set<Stoppable.Sort> yielding = stoppable.sorts(sort -> yields(sort, job, claims));
     Plan plan = on(machine, job, asked, yielding, now, wall);
@@ -112,28 +112,28 @@
   private Plan on(
       Machine machine,
       Job job,
-      Room asked,
+      Resources asked,
       Set<Stoppable.Sort> yielding,
       Moment now,
       WallTime wall) {
     looks++;
-    Room free = reserve.free(job.spec(), machine);
+    Resources free = reserve.free(job.spec(), machine);
     List<Placement> candidates = new ArrayList<>();
-    Room most = free;
+    Resources most = free;
     for (Placement placement : machine.placements()) {
       if (placement.halting()) {
         // Its room comes free without another stop.
-        free = free.plus(placement.job().spec().room());
-        most = most.plus(placement.job().spec().room());
+        free = free.plus(placement.job().spec().resources());
+        most = most.plus(placement.job().spec().resources());
       } else if (yielding.contains(placement.sort()) && !takes.spares(job, placement)) {
         candidates.add(placement);
-        most = most.plus(placement.job().spec().room());
+        most = most.plus(placement.job().spec().resources());
       }
     }
-    if (!asked.fits(most)) {
+    if (!asked.fitsInto(most)) {
       return null;
     }
-    if (asked.fits(free)) {
+    if (asked.fitsInto(free)) {
       return new Plan(machine, List.of(), imageCost(job, machine));
     }
     List<Loss> losses = new ArrayList<>();
@@ -142,14 +142,14 @@
     List<Placement> victims = new ArrayList<>();
     double cost = imageCost(job, machine);
     for (Loss loss : losses) {
-      if (asked.fits(free)) {
+      if (asked.fitsInto(free)) {
         break;
       }
       victims.add(loss.placement());
       cost += 1 + loss.seconds();
-      free = free.plus(loss.placement().job().spec().room());
+      free = free.plus(loss.placement().job().spec().resources());
     }
-    return asked.fits(free) ? new Plan(machine, victims, cost) : null;
+    return asked.fitsInto(free) ? new Plan(machine, victims, cost) : null;
   }
 
   private static double imageCost(Job job, Machine machine) {
@@ -192,8 +192,8 @@
     Job job = placement.job();
     long slack = slacks.computeIfAbsent(job, each -> slack(each, wall));
     // With one task of a gang all are lost, and the only task of a large job is its beginning.
-    boolean first = job.doneCount() == 0 && job.activeCount() == 1 && job.spec().tasks() > 1;
-    int lost = job.spec().gang() ? Math.max(1, job.activeCount()) : 1;
+    boolean first = job.doneCount() == 0 && job.assignedCount() == 1 && job.spec().tasks() > 1;
+    int lost = job.spec().gang() ? Math.max(1, job.assignedCount()) : 1;
     return lost * ran.asSeconds() + (ran.millis() >= slack || first ? LATENESS : 0);
   }
 
@@ -202,7 +202,7 @@
    * same target as the present one. Kept for a round: all tasks that could be stopped are asked.
    */
   private long slack(Job job, WallTime wall) {
-    Span afterARun = wall.since(job.accepted()).plus(runTimes.expected(job.spec()));
+    Span afterARun = wall.since(job.acceptedAt()).plus(runTimes.expected(job.spec()));
     return targets
         .lastBefore(job.spec(), afterARun)
         .map(missed -> afterARun.minus(missed).millis())
--- a/src/main/java/org/oakwalk/core/placement/Quota.java
+++ b/src/main/java/org/oakwalk/core/placement/Quota.java
@@ -10,10 +10,10 @@
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** Teams' guarantees and limits against what they use. */
 public final class Quota {
@@ -38,19 +38,19 @@
     if (team == null) {
       return false;
     }
-    Room use =
+    Resources use =
         fleet
             .use(team.name())
             .plus(fleet.roomInDoubt())
-            .plus(job.spec().room().times(count))
+            .plus(job.spec().resources().times(count))
             .plus(keptFrom(job));
     return (team.cpusMax() <= 0 || use.cpus() <= team.cpusMax() + 1e-6)
         && (team.gpusMax() <= 0 || use.gpus() <= team.gpusMax() + 1e-6);
   }
 
   /** How many places of this room the team's limit leaves, beside what it uses or may use. */
-  public int placesLeft(String name, Room room) {
-    return Math.max(0, rest(name).count(room));
+  public int placesLeft(String name, Resources room) {
+    return Math.max(0, rest(name).capacityFor(room));
   }
 
   /** How many tasks of this job its team's limit allows at once. */
@@ -59,7 +59,7 @@
     if (team == null) {
       return 0;
     }
-    return left(team, Room.NONE).count(spec.room());
+    return left(team, Resources.NONE).capacityFor(spec.resources());
   }
 
   /** Keeps what is free of their teams' limits for these gangs from now on, and for no others. */
@@ -69,27 +69,27 @@
   }
 
   /** What batch work of a team has to leave of its limit; services start all the same. */
-  private Room keptFrom(Job job) {
+  private Resources keptFrom(Job job) {
     Job gang = awaited.get(job.spec().team());
-    boolean waits = gang != null && gang.open() && gang.activeCount() == 0;
+    boolean waits = gang != null && gang.isOpen() && gang.assignedCount() == 0;
     return waits && gang != job && job.spec().priority().compareTo(Priority.HIGH) < 0
-        ? gang.spec().room().times(gang.pendingCount())
-        : Room.NONE;
+        ? gang.spec().resources().times(gang.pendingCount())
+        : Resources.NONE;
   }
 
   /** The rest of a team's limit, without regard to what is kept; negative where it is exceeded. */
-  Room rest(String name) {
+  Resources rest(String name) {
     Settings.Team team = teams.get(name);
     if (team == null) {
       // The settings name it no more; what it has waits.
-      return Room.NONE;
+      return Resources.NONE;
     }
     return left(team, fleet.use(name).plus(fleet.roomInDoubt()));
   }
 
   /** What a team's limit leaves beside this use; a limit of zero is none. */
-  private static Room left(Settings.Team team, Room use) {
-    return new Room(
+  private static Resources left(Settings.Team team, Resources use) {
+    return new Resources(
         team.cpusMax() <= 0 ? Double.MAX_VALUE : team.cpusMax() - use.cpus(),
         team.gpusMax() <= 0 ? Double.MAX_VALUE : team.gpusMax() - use.gpus(),
         Double.MAX_VALUE);
@@ -102,12 +102,12 @@
    *
    * @return the jobs that are within a guarantee now and were not before, or the other way round
    */
-  public List<Job> survey(JobBook jobs) {
+  public List<Job> survey(JobRegistry jobs) {
     Set<Job> before = guaranteed;
     guaranteed = new LinkedHashSet<>();
     for (Settings.Team team : teams.values()) {
       if (team.cpus() > 0 || team.gpus() > 0) {
-        survey(team, jobs.ofTeam(team.name()));
+        survey(team, jobs.unfinishedOfTeam(team.name()));
       }
     }
     List<Job> changed = new ArrayList<>();
@@ -117,10 +117,10 @@
   }
 
   private void survey(Settings.Team team, Collection<Job> inOrder) {
-    Room sum = Room.NONE;
+    Resources sum = Resources.NONE;
     for (Job job : inOrder) {
-      if (job.open()) {
-        Room asked = job.spec().room().times(job.spec().tasks() - job.doneCount());
+      if (job.isOpen()) {
+        Resources asked = job.spec().resources().times(job.spec().tasks() - job.doneCount());
         sum = sum.plus(asked);
         if (sum.cpus() > team.cpus() + 1e-6) {
           return;
@@ -143,7 +143,7 @@
    */
   public boolean borrows(String name) {
     Settings.Team team = teams.get(name);
-    Room use = fleet.use(name);
+    Resources use = fleet.use(name);
     return team != null && (use.cpus() > team.cpus() + 1e-6 || use.gpus() > team.gpus() + 1e-6);
   }
 }
--- a/src/main/java/org/oakwalk/core/placement/Ranking.java
+++ b/src/main/java/org/oakwalk/core/placement/Ranking.java
@@ -21,10 +21,10 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /**
  * The jobs with waiting tasks, each kind in the order of their scores. The order is kept rather
@@ -53,7 +53,7 @@
       String jobClass,
       JobSpec.Shape shape,
       Priority priority,
-      Room room,
+      Resources room,
       Set<String> types,
       Optional<String> zone,
       boolean spotAllowed,
@@ -67,14 +67,14 @@
     static Kind of(Job job, boolean guaranteed) {
       JobSpec spec = job.spec();
       boolean bound = spec.gang() || spec.oneZone() || spec.spread();
-      boolean single = bound && job.activeCount() > 0 || job.suspect();
+      boolean single = bound && job.assignedCount() > 0 || job.isSuspect();
       return new Kind(
           spec.team(),
           spec.jobClass(),
           spec.shape(),
           spec.priority(),
-          spec.room(),
-          spec.types(),
+          spec.resources(),
+          spec.machineTypes(),
           spec.zone(),
           spec.spotAllowed(),
           job.inherited(),
@@ -105,7 +105,7 @@
     }
   }
 
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final RunTimes runTimes;
   private final Score score;
   private final Quota quota;
@@ -118,12 +118,12 @@
   private final TreeSet<Entry> byExpiry =
       new TreeSet<>(Comparator.comparing(Entry::expires).thenComparing(FIRST_COME));
   private Map<MachineType, Integer> kinds = Map.of();
-  private Room largest = new Room(1, 1, 1);
+  private Resources largest = new Resources(1, 1, 1);
   private Moment now = new Moment(0);
   private WallTime wall = new WallTime(0);
   private long evaluations;
 
-  Ranking(JobBook jobs, RunTimes runTimes, Score score, Quota quota) {
+  Ranking(JobRegistry jobs, RunTimes runTimes, Score score, Quota quota) {
     this.jobs = jobs;
     this.runTimes = runTimes;
     this.score = score;
@@ -147,8 +147,8 @@
     kinds = machines;
     now = at;
     wall = dayTime;
-    List<Job> touched = jobs.takeTouched();
-    Room before = largest;
+    List<Job> touched = jobs.takeChanged();
+    Resources before = largest;
     largest = largest();
     if (!largest.equals(before)) {
       List.copyOf(byJob.keySet()).forEach(this::place);
@@ -163,12 +163,12 @@
     return touched;
   }
 
-  private Room largest() {
-    Room most = new Room(1, 1, 1);
+  private Resources largest() {
+    Resources most = new Resources(1, 1, 1);
     for (MachineType type : kinds.keySet()) {
-      Room room = type.room();
+      Resources room = type.room();
       most =
-          new Room(
+          new Resources(
               Math.max(most.cpus(), room.cpus()),
               Math.max(most.gpus(), room.gpus()),
               Math.max(most.memoryGb(), room.memoryGb()));
@@ -213,7 +213,7 @@
         byExpiry.remove(old);
       }
     }
-    if (!job.open() || job.pendingCount() <= 0) {
+    if (!job.isOpen() || job.pendingCount() <= 0) {
       forgetIfEmpty(old);
       return;
     }
@@ -225,7 +225,7 @@
         score.of(job, remaining, Span.millis(0), largest, kind.guaranteed(), wall)
             - score.waited(job.waitingSince());
     Span holds = score.holdsFor(job, remaining, wall);
-    Entry entry = new Entry(job, kind, key, job.stamp(), holds == null ? null : now.plus(holds));
+    Entry entry = new Entry(job, kind, key, job.revision(), holds == null ? null : now.plus(holds));
     byJob.put(job, entry);
     group.entries.add(entry);
     if (holds != null) {
@@ -250,15 +250,15 @@
     return run.plus(run.times(job.pendingCount() / Math.max(1, group.places)));
   }
 
-  private double places(Room task) {
+  private double places(Resources task) {
     return places(kinds, task);
   }
 
   /** How many tasks of this room so many machines of these types hold when they are empty. */
-  static int places(Map<MachineType, Integer> machines, Room task) {
+  static int places(Map<MachineType, Integer> machines, Resources task) {
     int places = 0;
     for (Map.Entry<MachineType, Integer> kind : machines.entrySet()) {
-      places += kind.getValue() * kind.getKey().room().count(task);
+      places += kind.getValue() * kind.getKey().room().capacityFor(task);
     }
     return places;
   }
--- a/src/main/java/org/oakwalk/core/placement/Reserve.java
+++ b/src/main/java/org/oakwalk/core/placement/Reserve.java
@@ -5,7 +5,7 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** Room that is kept for some jobs, so that others see less of it. Nothing is kept by default. */
 public interface Reserve {
@@ -21,12 +21,12 @@
   default void survey(Collection<Machine> taking, Map<Machine, Job> held) {}
 
   /** What is free on a machine for tasks of this kind. */
-  default Room free(JobSpec spec, Machine machine) {
+  default Resources free(JobSpec spec, Machine machine) {
     return machine.free();
   }
 
   /** What is free on a machine beyond all that is kept there. */
-  default Room beyond(Machine machine) {
+  default Resources beyond(Machine machine) {
     return machine.free();
   }
 
--- a/src/main/java/org/oakwalk/core/placement/RoomMaker.java
+++ b/src/main/java/org/oakwalk/core/placement/RoomMaker.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** Makes room for a job that found none: stops less urgent tasks, or keeps a machine for it. */
 final class RoomMaker {
@@ -66,7 +66,7 @@
   boolean stop(Job job) {
     boolean stops = job.spec().priority().compareTo(Priority.NORMAL) > 0 || quota.guarantees(job);
     boolean displaces = job.spec().priority() == Priority.NORMAL;
-    if (job.suspect()
+    if (job.isSuspect()
         || !(stops || displaces)
         || stopped >= MOST_PREEMPTIONS
         || !preemption.helps(job)
@@ -92,12 +92,13 @@
    * room there.
    */
   void stopFor(Job gang, Machine machine, int tasks) {
-    Room needed = gang.spec().room().times(tasks);
-    if (stopped < MOST_PREEMPTIONS && !gang.suspect() && !reserve.withholds(gang)) {
+    Resources needed = gang.spec().resources().times(tasks);
+    if (stopped < MOST_PREEMPTIONS && !gang.isSuspect() && !reserve.withholds(gang)) {
       List<Placement> victims = preemption.victims(machine, gang, needed, now, wall);
       if (!victims.isEmpty() && mayStop.test(victims)) {
         victims.forEach(
-            victim -> fleet.halt(victim, victim.job().spec().saveTime(), Fleet.Why.PREEMPTED));
+            victim ->
+                fleet.halt(victim, victim.job().spec().checkpointDuration(), Fleet.Why.PREEMPTED));
         stopped += victims.size();
       }
     }
@@ -108,7 +109,7 @@
       return false;
     }
     for (Placement victim : plan.victims()) {
-      fleet.halt(victim, victim.job().spec().saveTime(), Fleet.Why.PREEMPTED);
+      fleet.halt(victim, victim.job().spec().checkpointDuration(), Fleet.Why.PREEMPTED);
     }
     stopped += plan.victims().size();
     candidates.reserved().put(plan.machine(), job);
@@ -176,9 +177,9 @@
     Machine nearest = null;
     double least = Double.MAX_VALUE;
     for (Machine machine : candidates.of(job, candidates.zoneUse(job))) {
-      Room lack = job.spec().room().minus(machine.free());
-      double shortage = lack.share(machine.type().room());
-      if (job.spec().room().fits(machine.type().room()) && shortage < least) {
+      Resources lack = job.spec().resources().minus(machine.free());
+      double shortage = lack.dominantShare(machine.type().room());
+      if (job.spec().resources().fitsInto(machine.type().room()) && shortage < least) {
         least = shortage;
         nearest = machine;
       }
--- a/src/main/java/org/oakwalk/core/placement/RunTimes.java
+++ b/src/main/java/org/oakwalk/core/placement/RunTimes.java
@@ -32,7 +32,7 @@
 
   /** A task of this job took this long. */
   public void learn(Job job, Span ran) {
-    double guess = job.spec().guess().asSeconds();
+    double guess = job.spec().estimatedRunTime().asSeconds();
     if (guess > 0) {
       double ratio = Math.min(MOST, Math.max(LEAST, ran.asSeconds() / guess));
       byClass.computeIfAbsent(job.spec().jobClass(), c -> new Ratio()).add(ratio);
@@ -48,7 +48,7 @@
   /** The same, where guesses for the job's class are taken to be off by this factor. */
   Span expected(JobSpec spec, double classFactor) {
     Ratio job = byJob.get(spec.id());
-    return spec.guess().times(job != null && job.seen >= 2 ? job.mean : classFactor);
+    return spec.estimatedRunTime().times(job != null && job.seen >= 2 ? job.mean : classFactor);
   }
 
   /** By how much guesses for this class are off. */
@@ -62,7 +62,7 @@
     Ratio job = byJob.get(spec.id());
     return job == null || job.seen < ENOUGH
         ? Optional.empty()
-        : Optional.of(spec.guess().times(job.mean));
+        : Optional.of(spec.estimatedRunTime().times(job.mean));
   }
 
   /** Forgets a job that is over. */
--- a/src/main/java/org/oakwalk/core/placement/Score.java
+++ b/src/main/java/org/oakwalk/core/placement/Score.java
@@ -7,7 +7,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /**
  * The order in which tasks leave the queue: alpha times importance plus the rest of alpha times
@@ -40,8 +40,9 @@
    * @param guaranteed whether the job is within its team's guarantee
    */
   public double of(
-      Job job, Span remaining, Span wait, Room largest, boolean guaranteed, WallTime now) {
-    double importance = value(job.spec().priority()) * job.spec().room().share(largest);
+      Job job, Span remaining, Span wait, Resources largest, boolean guaranteed, WallTime now) {
+    double importance =
+        value(job.spec().priority()) * job.spec().resources().dominantShare(largest);
     double urgency =
         weights.deadlineWeight() * nearness(job, remaining, now)
             + weights.remainingWeight() * shortness(remaining)
@@ -56,7 +57,7 @@
    * one that can't be in time any more: its hurry would only make others late.
    */
   private double nearness(Job job, Span remaining, WallTime now) {
-    Span age = now.since(job.accepted());
+    Span age = now.since(job.acceptedAt());
     double own =
         targets
             .next(job.spec(), age.plus(remaining))
@@ -79,7 +80,7 @@
    * apart, which grows alike for all; null if for good.
    */
   Span holdsFor(Job job, Span remaining, WallTime now) {
-    Span age = now.since(job.accepted());
+    Span age = now.since(job.acceptedAt());
     Span due = targets.next(job.spec(), age.plus(remaining)).orElse(null);
     Span planned =
         targets
--- a/src/main/java/org/oakwalk/core/placement/ServedShares.java
+++ b/src/main/java/org/oakwalk/core/placement/ServedShares.java
@@ -61,7 +61,7 @@
   /** A job has come, changed or ended. */
   void touched(Job job) {
     Part part = parts.get(job);
-    boolean counts = !job.over() && !job.suspect();
+    boolean counts = !job.isEnded() && !job.isSuspect();
     Account account = accounts.computeIfAbsent(Key.of(job), key -> new Account());
     if (part == null) {
       if (counts) {
@@ -72,7 +72,7 @@
         return;
       }
     }
-    int served = counts ? job.doneCount() + job.activeCount() : 0;
+    int served = counts ? job.doneCount() + job.assignedCount() : 0;
     account.served += served - part.served;
     part.served = served;
     if (!counts) {
@@ -87,7 +87,7 @@
 
   /** Lets time pass. */
   void round(Moment now) {
-    while (!unripe.isEmpty() && now.past(unripe.peek().job.seen(), RIPE_AFTER)) {
+    while (!unripe.isEmpty() && now.past(unripe.peek().job.firstSeen(), RIPE_AFTER)) {
       Part part = unripe.poll();
       if (parts.get(part.job) == part) {
         part.ripe = true;
--- a/src/main/java/org/oakwalk/core/placement/Sizes.java
+++ b/src/main/java/org/oakwalk/core/placement/Sizes.java
@@ -1,7 +1,7 @@
 package org.oakwalk.core.placement;
 
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /**
  * How large the jobs of a class are, by tasks times room, in steps of a fifth. It tells the larger
@@ -18,14 +18,14 @@
   private static final int ONE = 32;
 
   /** What counts as one: sizes are compared within a class, so any measure will do. */
-  private static final Room UNIT = new Room(1, 1, 4);
+  private static final Resources UNIT = new Resources(1, 1, 4);
 
   private final int[] counts = new int[STEPS];
   private int all;
 
   /** Tasks times room. */
   static double of(JobSpec spec) {
-    return spec.tasks() * spec.room().share(UNIT);
+    return spec.tasks() * spec.resources().dominantShare(UNIT);
   }
 
   private static int step(double size) {
--- a/src/main/java/org/oakwalk/core/placement/Targets.java
+++ b/src/main/java/org/oakwalk/core/placement/Targets.java
@@ -32,7 +32,7 @@
    * @param earliest when it could be complete at the earliest, measured from the submission
    */
   public Optional<Span> next(JobSpec spec, Span earliest) {
-    Span best = spec.due().orElse(null);
+    Span best = spec.deadline().orElse(null);
     if (best != null && best.compareTo(earliest) < 0) {
       best = null;
     }
@@ -51,7 +51,7 @@
 
   /** The latest target of a job, measured from the submission, that lies before this; or none. */
   Optional<Span> lastBefore(JobSpec spec, Span bound) {
-    Span best = spec.due().filter(due -> due.compareTo(bound) < 0).orElse(null);
+    Span best = spec.deadline().filter(due -> due.compareTo(bound) < 0).orElse(null);
     for (Settings.Objective objective : objectives) {
       if (objective.jobClass().equals(spec.jobClass())) {
         Span target = target(objective, spec);
@@ -68,7 +68,7 @@
   private static Span target(Settings.Objective objective, JobSpec spec) {
     return switch (objective.kind()) {
       case "finished" -> Span.seconds(objective.withinSeconds());
-      case "deadline" -> spec.due().map(due -> due.times(objective.times())).orElse(null);
+      case "deadline" -> spec.deadline().map(due -> due.times(objective.times())).orElse(null);
       default -> null;
     };
   }
--- a/src/main/java/org/oakwalk/core/planner/Coming.java
+++ b/src/main/java/org/oakwalk/core/planner/Coming.java
@@ -6,7 +6,7 @@
 import java.util.TreeMap;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.product.DawnTerms;
 
 /**
@@ -21,14 +21,14 @@
   record Source(String team, String jobClass) {}
 
   /** Work that is expected: so many tasks a slice from this one on. */
-  record Expected(Source source, Room room, double run, Map<Integer, Double> tasksBySlice) {}
+  record Expected(Source source, Resources room, double run, Map<Integer, Double> tasksBySlice) {}
 
   private static final class Account {
     final long[] bySlice = new long[Window.SLICES];
     long slice = -1;
     long sum;
     double run;
-    Room room = Room.NONE;
+    Resources room = Resources.NONE;
 
     Account() {
       java.util.Arrays.fill(bySlice, -1);
@@ -69,10 +69,10 @@
     }
     Account account = accounts.computeIfAbsent(source, key -> new Account());
     account.roll(terms, now);
-    double run = spec.guess().asSeconds();
+    double run = spec.estimatedRunTime().asSeconds();
     account.sum += Math.round(run * spec.tasks());
     account.run += (account.run == 0 ? 1 : 0.1) * (run - account.run);
-    account.room = spec.room();
+    account.room = spec.resources();
   }
 
   /** What is still to come in the parts of the time that lie ahead, this one's rest included. */
--- a/src/main/java/org/oakwalk/core/planner/GroupKey.java
+++ b/src/main/java/org/oakwalk/core/planner/GroupKey.java
@@ -15,7 +15,7 @@
   private static final int MOST = 9;
 
   public static GroupKey of(JobSpec spec) {
-    double seconds = Math.max(1, spec.guess().asSeconds());
+    double seconds = Math.max(1, spec.estimatedRunTime().asSeconds());
     return new GroupKey(
         spec.team(),
         spec.jobClass(),
--- a/src/main/java/org/oakwalk/core/planner/Groups.java
+++ b/src/main/java/org/oakwalk/core/planner/Groups.java
@@ -10,7 +10,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /**
  * Sums of the open jobs by group, kept up to date with each change of a job, so that a plan looks
@@ -56,7 +56,7 @@
     }
 
     double guess() {
-      return open <= 0 ? sample.guess().asSeconds() : seconds / open;
+      return open <= 0 ? sample.estimatedRunTime().asSeconds() : seconds / open;
     }
 
     int done() {
@@ -73,7 +73,7 @@
     Group group;
     int open;
     int waiting;
-    Room other = Room.NONE;
+    Resources other = Resources.NONE;
 
     /** Tasks that were done before the window opened. */
     int before;
@@ -83,8 +83,8 @@
 
   private final Map<GroupKey, Group> groups = new LinkedHashMap<>();
   private final Map<Job, Part> parts = new IdentityHashMap<>();
-  private final Map<String, Room> others = new HashMap<>();
-  private Room services = Room.NONE;
+  private final Map<String, Resources> others = new HashMap<>();
+  private Resources services = Resources.NONE;
 
   Collection<Group> all() {
     return groups.values();
@@ -101,13 +101,13 @@
   }
 
   /** Room that open services ask for and have not got. */
-  Room servicesWaiting() {
+  Resources servicesWaiting() {
     return services;
   }
 
   /** Room that a team's other work, which no dawn is set for, asks for. */
-  Room others(String team) {
-    return others.getOrDefault(team, Room.NONE);
+  Resources others(String team) {
+    return others.getOrDefault(team, Resources.NONE);
   }
 
   /**
@@ -119,7 +119,7 @@
   Group touched(Job job, boolean covered) {
     Part part = parts.get(job);
     if (part == null) {
-      if (job.over()) {
+      if (job.isEnded()) {
         return null;
       }
       part = new Part();
@@ -129,7 +129,8 @@
         part.group = groups.computeIfAbsent(key, k -> new Group(k, job.spec()));
         part.group.jobs.add(job);
         part.group.sample = job.spec();
-        part.group.longest = Math.max(part.group.longest, job.spec().guess().asSeconds());
+        part.group.longest =
+            Math.max(part.group.longest, job.spec().estimatedRunTime().asSeconds());
         part.group.widest = Math.max(part.group.widest, job.spec().gang() ? job.spec().tasks() : 1);
       }
     }
@@ -139,19 +140,19 @@
     }
     Group group = part.group;
     // What fails everywhere is no measure of the night, and nothing is promised for it.
-    boolean counts = job.open() && !job.suspect();
+    boolean counts = job.isOpen() && !job.isSuspect();
     int open = counts ? job.spec().tasks() - job.doneCount() : 0;
     int waiting = counts ? job.pendingCount() : 0;
     group.open += open - part.open;
     group.waiting += waiting - part.waiting;
-    group.seconds += (open - part.open) * job.spec().guess().asSeconds();
+    group.seconds += (open - part.open) * job.spec().estimatedRunTime().asSeconds();
     part.open = open;
     part.waiting = waiting;
-    boolean lost = job.state() == Job.State.WITHDRAWN || job.suspect();
+    boolean lost = job.state() == Job.State.WITHDRAWN || job.isSuspect();
     int came = (lost ? job.doneCount() : job.spec().tasks()) - part.before;
     group.came += came - part.came;
     part.came = came;
-    if (job.over()) {
+    if (job.isEnded()) {
       parts.remove(job);
       group.jobs.remove(job);
     }
@@ -161,14 +162,14 @@
   private void other(Job job, Part part) {
     JobSpec spec = job.spec();
     int tasks = spec.service() ? job.pendingCount() : spec.tasks() - job.doneCount();
-    Room asked = job.open() ? spec.room().times(tasks) : Room.NONE;
+    Resources asked = job.isOpen() ? spec.resources().times(tasks) : Resources.NONE;
     if (spec.service()) {
       services = services.plus(asked).minus(part.other);
     } else {
-      others.merge(spec.team(), asked.minus(part.other), Room::plus);
+      others.merge(spec.team(), asked.minus(part.other), Resources::plus);
     }
     part.other = asked;
-    if (job.over()) {
+    if (job.isEnded()) {
       parts.remove(job);
     }
   }
@@ -188,7 +189,7 @@
   static int acceptedBy(Group group, WallTime by) {
     int tasks = 0;
     for (Job job : group.jobs) {
-      tasks += job.accepted().millis() <= by.millis() ? job.spec().tasks() : 0;
+      tasks += job.acceptedAt().millis() <= by.millis() ? job.spec().tasks() : 0;
     }
     return tasks;
   }
--- a/src/main/java/org/oakwalk/core/planner/Learned.java
+++ b/src/main/java/org/oakwalk/core/planner/Learned.java
@@ -33,7 +33,7 @@
 
   /** A job has changed; one that this leader saw come counts once. */
   void touched(Job job, WallTime now) {
-    boolean fresh = job.open() && !job.inherited() && job.doneCount() + job.activeCount() == 0;
+    boolean fresh = job.isOpen() && !job.inherited() && job.doneCount() + job.assignedCount() == 0;
     if (fresh && counted.add(job.id())) {
       for (DawnTerms dawn : dawns) {
         if (dawn.covers(job.spec())) {
@@ -41,7 +41,7 @@
         }
       }
     }
-    if (job.over()) {
+    if (job.isEnded()) {
       runs.forget(job.id());
       counted.remove(job.id());
     }
--- a/src/main/java/org/oakwalk/core/planner/NightWork.java
+++ b/src/main/java/org/oakwalk/core/planner/NightWork.java
@@ -16,7 +16,7 @@
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.product.DawnTerms;
 
 /** Puts together what is to be done by dawn and what room there is, and has a plan made of it. */
@@ -127,17 +127,17 @@
    * Services that wait, headroom, and what teams without a part in the night are guaranteed and ask
    * for.
    */
-  private Room taken(Night night, Fleet fleet) {
-    Room waiting = night.groups().servicesWaiting();
+  private Resources taken(Night night, Fleet fleet) {
+    Resources waiting = night.groups().servicesWaiting();
     for (JobSpec spec : kept.get()) {
-      waiting = waiting.plus(spec.room().times(spec.tasks()));
+      waiting = waiting.plus(spec.resources().times(spec.tasks()));
     }
     for (Settings.Team team : settings.teams().values()) {
-      Room asked = night.groups().others(team.name());
-      Room use = fleet.use(team.name());
+      Resources asked = night.groups().others(team.name());
+      Resources use = fleet.use(team.name());
       double cpus = Math.min(team.cpus(), asked.cpus()) - use.cpus();
       double gpus = Math.min(team.gpus(), asked.gpus()) - use.gpus();
-      waiting = waiting.plus(new Room(Math.max(0, cpus), Math.max(0, gpus), 0));
+      waiting = waiting.plus(new Resources(Math.max(0, cpus), Math.max(0, gpus), 0));
     }
     return waiting;
   }
@@ -150,7 +150,7 @@
       for (Placement placement : machine.placements()) {
         if (placement.endsBy() == null) {
           JobSpec spec = placement.job().spec();
-          left.merge(spec.team(), -ofLimit(spec.team(), spec.room()), Double::sum);
+          left.merge(spec.team(), -ofLimit(spec.team(), spec.resources()), Double::sum);
         }
       }
     }
@@ -158,7 +158,7 @@
   }
 
   /** What part of its team's limit a task takes; zero if there is none. */
-  private double ofLimit(String name, Room room) {
+  private double ofLimit(String name, Resources room) {
     Settings.Team team = settings.teams().get(name);
     if (team == null) {
       return 0;
@@ -229,7 +229,7 @@
     for (Machine machine : fleet.machines()) {
       places +=
           machine.state() == Machine.State.UP
-              ? machine.type().room().count(part.group().sample.room())
+              ? machine.type().room().capacityFor(part.group().sample.resources())
               : 0;
     }
     return width <= 1 || places <= 0 ? 0 : longest * Math.min(1, 4 * width / places);
@@ -262,7 +262,7 @@
             use(sample, sorts),
             part.group().widest,
             sample.team(),
-            ofLimit(sample.team(), sample.room()));
+            ofLimit(sample.team(), sample.resources()));
     return new PlanMaker.Load(
         work, part.seen(), part.seen() - part.group().waiting, part.promised());
   }
@@ -274,14 +274,14 @@
       RoomForecast.Sort sort = sorts.get(i).sort();
       use[i] =
           spec.allows(sort.type(), sort.zone(), sort.spot())
-              ? part(spec.room(), sorts.get(i).type())
+              ? part(spec.resources(), sorts.get(i).type())
               : 0;
     }
     return use;
   }
 
-  private static double part(Room room, MachineType type) {
-    int each = type.room().count(room);
+  private static double part(Resources room, MachineType type) {
+    int each = type.room().capacityFor(room);
     return each <= 0 ? 0 : 1.0 / each;
   }
 
--- a/src/main/java/org/oakwalk/core/planner/PlanRow.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanRow.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.shared.SharedRow;
 
 /** A line of the record that leaders keep of their plans and of what these rest on. */
@@ -95,7 +95,7 @@
       long slice,
       long sum,
       double run,
-      Room room,
+      Resources room,
       List<Long> bySlice)
       implements PlanRow {
     @Override
--- a/src/main/java/org/oakwalk/core/planner/Planner.java
+++ b/src/main/java/org/oakwalk/core/planner/Planner.java
@@ -16,7 +16,7 @@
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.placement.Deadlines;
 import org.oakwalk.core.product.DawnTerms;
@@ -39,7 +39,7 @@
   private static final Span SHORTEST_LOOK = Span.seconds(2);
   private static final Span LONGEST_LOOK = Span.seconds(30);
   private final Fleet fleet;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final Settings settings;
   private final Span floor;
   private final NightWork work;
@@ -67,7 +67,7 @@
    * @param kept what room is kept for beside the open jobs
    */
   public Planner(
-      Fleet fleet, JobBook jobs, Settings settings, Span floor, Supplier<List<JobSpec>> kept) {
+      Fleet fleet, JobRegistry jobs, Settings settings, Span floor, Supplier<List<JobSpec>> kept) {
     this.fleet = fleet;
     this.jobs = jobs;
     this.settings = settings;
@@ -150,7 +150,7 @@
     groups = new Groups();
     learned.follow(dawns);
     jobs.all().forEach(job -> groups.touched(job, covered(job.spec())));
-    jobs.follow(this::touched);
+    jobs.setChangeListener(this::touched);
     moved.addAll(jobs.all());
   }
 
@@ -409,7 +409,8 @@
     if (group == null || group.ends == null) {
       return Optional.empty();
     }
-    return Optional.of(group.ends.since(now).minus(job.spec().guess().times(group.strays)))
+    return Optional.of(
+            group.ends.since(now).minus(job.spec().estimatedRunTime().times(group.strays)))
         .filter(left -> left.millis() > 0);
   }
 
--- a/src/main/java/org/oakwalk/core/planner/RoomForecast.java
+++ b/src/main/java/org/oakwalk/core/planner/RoomForecast.java
@@ -14,7 +14,7 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /**
  * What room there will be until dawn, by sort of machine: what is held, less what runs there; what
@@ -113,7 +113,7 @@
   List<Outlook> outlook(
       Iterable<Machine> machines,
       Map<String, MachineType> types,
-      Room waiting,
+      Resources waiting,
       Span until,
       Moment now) {
     double slot = until.asSeconds() / Schedule.SLOTS;
@@ -140,7 +140,12 @@
             placement.endsBy() == null
                 ? until.asSeconds()
                 : Math.max(slot, placement.endsBy().since(now).asSeconds());
-        add(free, 0, end, slot, -placement.job().spec().room().share(machine.type().room()));
+        add(
+            free,
+            0,
+            end,
+            slot,
+            -placement.job().spec().resources().dominantShare(machine.type().room()));
       }
     }
     List<Outlook> outlooks = new ArrayList<>();
@@ -171,14 +176,14 @@
   }
 
   /** Spreads what others will take over all machines alike. */
-  private static void lessWaiting(List<Outlook> outlooks, Room waiting) {
+  private static void lessWaiting(List<Outlook> outlooks, Resources waiting) {
     double cpus =
         outlooks.stream().mapToDouble(o -> o.pool().held()[0] * o.type().room().cpus()).sum();
     for (Outlook outlook : outlooks) {
       double[] free = outlook.pool().held();
       double part =
           cpus <= 0 ? 0 : Math.min(1, Math.max(0, free[0]) * outlook.type().room().cpus() / cpus);
-      double taken = waiting.times(part).share(outlook.type().room());
+      double taken = waiting.times(part).dominantShare(outlook.type().room());
       for (int k = 0; k < free.length; k++) {
         free[k] -= taken;
       }
--- a/src/main/java/org/oakwalk/core/planner/RunSpread.java
+++ b/src/main/java/org/oakwalk/core/planner/RunSpread.java
@@ -38,7 +38,7 @@
 
   /** A task of this job took this long. */
   void learn(Job job, Span ran) {
-    double guess = job.spec().guess().asSeconds();
+    double guess = job.spec().estimatedRunTime().asSeconds();
     if (guess <= 0 || counted.merge(job.id(), 1, Integer::sum) > OF_A_JOB) {
       return;
     }
--- a/src/main/java/org/oakwalk/core/recovery/Recovery.java
+++ b/src/main/java/org/oakwalk/core/recovery/Recovery.java
@@ -17,7 +17,7 @@
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Registry;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.ResultWriter;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
@@ -50,7 +50,7 @@
 
   private final Outbox outbox;
   private final Fleet fleet;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final ResultWriter results;
   private final Registry registry;
   private final Moment rose;
@@ -70,7 +70,7 @@
   public Recovery(
       Outbox outbox,
       Fleet fleet,
-      JobBook jobs,
+      JobRegistry jobs,
       ResultWriter results,
       Registry registry,
       Set<NodeId> mayHoldGrace,
@@ -216,7 +216,7 @@
       return;
     }
     JobId id = part.get().job();
-    results.found(id, entry.key(), entry.stamp());
+    results.addStoredChunk(id, entry.key(), entry.stamp());
     jobs.find(id).ifPresent(job -> restore(job, part.get().chunk(), entry));
   }
 
@@ -229,7 +229,7 @@
       long from = (long) chunk * DoneBits.CHUNK;
       DoneBits.decode(done.bits()).stream()
           .filter(bit -> from + bit < job.spec().tasks())
-          .forEach(bit -> job.restore((int) from + bit));
+          .forEach(bit -> job.restoreDone((int) from + bit));
     } catch (IllegalArgumentException e) {
       LOG.error("{} can't be read: {}", entry.key(), e.getMessage());
     }
--- a/src/main/java/org/oakwalk/model/CanRun.java
+++ b/src/main/java/org/oakwalk/model/CanRun.java
@@ -36,8 +36,8 @@
     }
     int atOnce = spec.shape() == JobSpec.Shape.ARRAY ? 1 : spec.tasks();
     boolean within =
-        within(team.cpusMax(), spec.room().cpus() * atOnce)
-            && within(team.gpusMax(), spec.room().gpus() * atOnce);
+        within(team.cpusMax(), spec.resources().cpus() * atOnce)
+            && within(team.gpusMax(), spec.resources().gpus() * atOnce);
     if (!within) {
       return Optional.of("needs more than its team's limit");
     }
@@ -47,7 +47,7 @@
   }
 
   private static boolean fits(JobSpec spec, MachineType type) {
-    return spec.room().fits(type.room())
+    return spec.resources().fitsInto(type.room())
         && type.zones().stream().anyMatch(zone -> spec.allows(type.name(), zone, false));
   }
 
--- a/src/main/java/org/oakwalk/model/CrowdedRule.java
+++ b/src/main/java/org/oakwalk/model/CrowdedRule.java
@@ -12,7 +12,7 @@
 import org.oakwalk.core.headroom.Headroom;
 import org.oakwalk.core.headroom.HeadroomRow;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.shared.SharedRow;
 import org.oakwalk.core.store.Keys;
 import org.oakwalk.core.store.StoredValue;
@@ -126,7 +126,7 @@
                 account.recount(world.time.now(), window());
                 for (SimWorker worker : world.workers.values()) {
                   if (takes(row, zone, worker)) {
-                    account.places(worker, free(worker).count(row.key().room()));
+                    account.places(worker, free(worker).capacityFor(row.key().room()));
                   }
                 }
                 account.sample(world.time.now(), amount, window());
@@ -139,7 +139,7 @@
     return world.settings.workers().lease().millis() + BEYOND_THE_LEASE;
   }
 
-  private static Room free(SimWorker worker) {
+  private static Resources free(SimWorker worker) {
     return worker.type.room().minus(worker.used());
   }
 
@@ -153,16 +153,16 @@
   /** A worker has room again. */
   void freesRoom(SimWorker worker) {
     if (!accounts.isEmpty()) {
-      look(worker, Room.NONE, false);
+      look(worker, Resources.NONE, false);
     }
   }
 
   /** A worker is about to give room to a task; returns what is broken by it. */
   Optional<String> takesRoom(SimWorker worker, JobSpec spec) {
-    return accounts.isEmpty() ? Optional.empty() : look(worker, spec.room(), !spec.service());
+    return accounts.isEmpty() ? Optional.empty() : look(worker, spec.resources(), !spec.service());
   }
 
-  private Optional<String> look(SimWorker worker, Room taken, boolean batch) {
+  private Optional<String> look(SimWorker worker, Resources taken, boolean batch) {
     Optional<String> breach = Optional.empty();
     String zone = worker.market.zone();
     long now = world.time.now();
@@ -171,9 +171,9 @@
       if (account == null || !takes(row, zone, worker)) {
         continue;
       }
-      Room free = free(worker);
-      int before = free.count(row.key().room());
-      int after = free.minus(taken).count(row.key().room());
+      Resources free = free(worker);
+      int before = free.capacityFor(row.key().room());
+      int after = free.minus(taken).capacityFor(row.key().room());
       account.places(worker, before);
       account.sample(now, row.places().getOrDefault(zone, 0), window());
       account.places(worker, after);
--- a/src/main/java/org/oakwalk/model/ExchangeRule.java
+++ b/src/main/java/org/oakwalk/model/ExchangeRule.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.exchange.Take;
 import org.oakwalk.core.exchange.TakeId;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.store.JobRecord;
 import org.oakwalk.core.store.Keys;
@@ -113,11 +113,11 @@
   private void survey() {
     Set<JobId> within = new HashSet<>();
     for (Settings.Team team : world.settings.teams().values()) {
-      Room sum = Room.NONE;
+      Resources sum = Resources.NONE;
       for (JobId id : world.rules.acceptedInOrder()) {
         JobSpec spec = world.specs.get(id);
         if (spec.team().equals(team.name()) && !world.rules.over(id)) {
-          sum = sum.plus(spec.room().times(spec.tasks()));
+          sum = sum.plus(spec.resources().times(spec.tasks()));
           if (sum.cpus() > team.cpus() + 1e-6 || sum.gpus() > team.gpus() + 1e-6) {
             break;
           }
--- a/src/main/java/org/oakwalk/model/Figures.java
+++ b/src/main/java/org/oakwalk/model/Figures.java
@@ -87,7 +87,7 @@
 
   /** When the job should be done, from its submission on, or null. */
   private Double due(JobSpec spec) {
-    Double best = spec.due().map(Span::asSeconds).orElse(null);
+    Double best = spec.deadline().map(Span::asSeconds).orElse(null);
     for (Settings.Objective objective : world.settings.objectives()) {
       if (objective.kind().equals("finished") && objective.jobClass().equals(spec.jobClass())) {
         best = best == null ? objective.withinSeconds() : Math.min(best, objective.withinSeconds());
--- a/src/main/java/org/oakwalk/model/Largest.java
+++ b/src/main/java/org/oakwalk/model/Largest.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /**
  * Whether the largest jobs of each class begin in time. They are the top tenth by tasks times room,
@@ -85,13 +85,13 @@
 
   /** Tasks times room, in the largest machines of each resource. */
   private double size(JobSpec spec) {
-    Room most =
-        new Room(
+    Resources most =
+        new Resources(
             most(room -> room.cpus()), most(room -> room.gpus()), most(room -> room.memoryGb()));
-    return spec.tasks() * spec.room().share(most);
+    return spec.tasks() * spec.resources().dominantShare(most);
   }
 
-  private double most(ToDoubleFunction<Room> resource) {
+  private double most(ToDoubleFunction<Resources> resource) {
     return world.cloud.types.values().stream()
         .map(MachineType::room)
         .mapToDouble(resource)
@@ -145,8 +145,8 @@
 
   private int atOnce(JobSpec spec) {
     Settings.Team team = world.settings.teams().get(spec.team());
-    Room limit =
-        new Room(
+    Resources limit =
+        new Resources(
             team.cpusMax() > 0 ? team.cpusMax() : Double.MAX_VALUE,
             team.gpusMax() > 0 ? team.gpusMax() : Double.MAX_VALUE,
             Double.MAX_VALUE);
@@ -154,10 +154,10 @@
     for (Map.Entry<SimCloud.Market, Integer> part : fleet.entrySet()) {
       SimCloud.Market market = part.getKey();
       if (spec.allows(market.type(), market.zone(), market.spot())) {
-        Room room = world.cloud.types.get(market.type()).room();
-        places += part.getValue() * room.count(spec.room());
+        Resources room = world.cloud.types.get(market.type()).room();
+        places += part.getValue() * room.capacityFor(spec.resources());
       }
     }
-    return Math.min(spec.tasks(), Math.min(places, limit.count(spec.room())));
+    return Math.min(spec.tasks(), Math.min(places, limit.capacityFor(spec.resources())));
   }
 }
--- a/src/main/java/org/oakwalk/model/OddRequests.java
+++ b/src/main/java/org/oakwalk/model/OddRequests.java
@@ -8,7 +8,7 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Response;
 import org.oakwalk.core.port.UserRequest;
 
@@ -127,15 +127,15 @@
   private JobSpec tooLarge(JobId id) {
     double cpus =
         world.cloud.types.values().stream().mapToDouble(type -> type.room().cpus()).max().orElse(0);
-    return job(id, firstTeam(), JobSpec.Shape.SERVICE, 1, new Room(cpus + 1, 0, 1), Set.of());
+    return job(id, firstTeam(), JobSpec.Shape.SERVICE, 1, new Resources(cpus + 1, 0, 1), Set.of());
   }
 
   private JobSpec ofTeam(JobId id, String team, int tasks) {
-    return job(id, team, JobSpec.Shape.SERVICE, tasks, new Room(1, 0, 1), Set.of());
+    return job(id, team, JobSpec.Shape.SERVICE, tasks, new Resources(1, 0, 1), Set.of());
   }
 
   private JobSpec ofType(JobId id, Set<String> types) {
-    return job(id, firstTeam(), JobSpec.Shape.ARRAY, 1, new Room(1, 0, 1), types);
+    return job(id, firstTeam(), JobSpec.Shape.ARRAY, 1, new Resources(1, 0, 1), types);
   }
 
   /** A service that needs more than its team may use; none if no team has a limit. */
@@ -151,7 +151,7 @@
   }
 
   private static JobSpec job(
-      JobId id, String team, JobSpec.Shape shape, int tasks, Room room, Set<String> types) {
+      JobId id, String team, JobSpec.Shape shape, int tasks, Resources room, Set<String> types) {
     return new JobSpec(
         id,
         "odd",
--- a/src/main/java/org/oakwalk/model/Rules.java
+++ b/src/main/java/org/oakwalk/model/Rules.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Response;
 import org.oakwalk.core.store.JobRecord;
 
@@ -34,7 +34,7 @@
   private final WaitingRule waiting;
   private final CanRun canRun;
   private final Map<TaskId, List<Place>> places = new HashMap<>();
-  private final Map<String, Room> teamUse = new HashMap<>();
+  private final Map<String, Resources> teamUse = new HashMap<>();
   private final Map<TaskId, Integer> starts = new HashMap<>();
   private final Map<TaskId, Double> firstStart = new HashMap<>();
   private final Set<TaskId> completed = new HashSet<>();
@@ -135,7 +135,7 @@
       breaks("ran_twice", task + " on " + machine.id + " and " + here.get(0).machine().id);
     }
     here.add(new Place(machine, spec));
-    teamUse.merge(spec.team(), spec.room(), Room::plus);
+    teamUse.merge(spec.team(), spec.resources(), Resources::plus);
     world.figures.started(task, spec);
     budgets.started(task, spec);
     starts.merge(task, 1, Integer::sum);
@@ -185,7 +185,7 @@
     if (spec.oneZone() && zones.size() > 1) {
       breaks("wrong_place", task + " is in a second zone");
     }
-    if (zones.getOrDefault(machine.market.zone(), 0) > spec.zoneLimit()) {
+    if (zones.getOrDefault(machine.market.zone(), 0) > spec.maxTasksPerZone()) {
       breaks("wrong_place", task + " is one too many in its zone");
     }
   }
@@ -195,7 +195,7 @@
     if (team.cpusMax() <= 0 && team.gpusMax() <= 0) {
       return;
     }
-    Room use = teamUse.getOrDefault(name, Room.NONE);
+    Resources use = teamUse.getOrDefault(name, Resources.NONE);
     if (team.cpusMax() > 0 && use.cpus() > team.cpusMax() + 1e-6
         || team.gpusMax() > 0 && use.gpus() > team.gpusMax() + 1e-6) {
       breaks("quota", name + " uses " + use);
@@ -225,7 +225,7 @@
         }
         world.figures.left(task, place.spec());
         teamUse.computeIfPresent(
-            place.spec().team(), (team, use) -> use.minus(place.spec().room()));
+            place.spec().team(), (team, use) -> use.minus(place.spec().resources()));
       }
     }
   }
--- a/src/main/java/org/oakwalk/model/Scenario.java
+++ b/src/main/java/org/oakwalk/model/Scenario.java
@@ -25,7 +25,7 @@
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.port.Response;
 
@@ -210,7 +210,7 @@
         line.word(1),
         new MachineType(
             line.word(1),
-            new Room(line.number("cpus", 4), line.number("gpus", 0), line.number("mem", 16)),
+            new Resources(line.number("cpus", 4), line.number("gpus", 0), line.number("mem", 16)),
             line.number("cache", 50),
             line.number("fetch", 1),
             line.number("price", 1),
@@ -332,7 +332,7 @@
             JobSpec.Shape.valueOf(shape.toUpperCase(java.util.Locale.ROOT)),
             Priority.valueOf(line.text("priority", "normal").toUpperCase(java.util.Locale.ROOT)),
             (int) line.number("tasks", 1),
-            new Room(line.number("cpus", 1), line.number("gpus", 0), line.number("mem", 1)),
+            new Resources(line.number("cpus", 1), line.number("gpus", 0), line.number("mem", 1)),
             types.isEmpty() ? Set.of() : Set.of(types.split(",")),
             Optional.ofNullable(line.text("zone", null)),
             line.has("onezone"),
@@ -362,7 +362,10 @@
   /** The same job, due at its dawn if that is earlier than its own deadline. */
   private JobSpec dueAtDawn(JobSpec spec) {
     Optional<Span> dawn =
-        world.nights.due(spec).filter(d -> spec.due().filter(o -> o.compareTo(d) < 0).isEmpty());
+        world
+            .nights
+            .due(spec)
+            .filter(d -> spec.deadline().filter(o -> o.compareTo(d) < 0).isEmpty());
     return dawn.isEmpty()
         ? spec
         : new JobSpec(
@@ -372,17 +375,17 @@
             spec.shape(),
             spec.priority(),
             spec.tasks(),
-            spec.room(),
-            spec.types(),
+            spec.resources(),
+            spec.machineTypes(),
             spec.zone(),
             spec.oneZone(),
             spec.spread(),
             spec.spotAllowed(),
             spec.image(),
             spec.imageGb(),
-            spec.guess(),
-            spec.checkpointEvery(),
-            spec.saveTime(),
+            spec.estimatedRunTime(),
+            spec.checkpointInterval(),
+            spec.checkpointDuration(),
             dawn);
   }
 
@@ -427,7 +430,7 @@
             giver.team(),
             1,
             taker.id(),
-            taker.room(),
+            taker.resources(),
             new MachineId("none"),
             1,
             new WallTime(0)));
--- a/src/main/java/org/oakwalk/model/SimWorker.java
+++ b/src/main/java/org/oakwalk/model/SimWorker.java
@@ -16,7 +16,7 @@
 import org.oakwalk.core.Token;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.port.Response;
@@ -199,7 +199,7 @@
 
   /** What the task has done here counts when it starts again, as far as it was saved. */
   private void save(TaskId id, Task task, boolean all) {
-    double every = task.spec.checkpointEvery().asSeconds();
+    double every = task.spec.checkpointInterval().asSeconds();
     if (every > 0 && task.began <= world.time.now()) {
       double ran = (world.time.now() - task.began) / 1000.0 / slowness;
       world.saved.merge(id, all ? ran : Math.floor(ran / every) * every, Double::sum);
@@ -317,11 +317,11 @@
         : (world.time.now() - task.began) / 1000.0 / slowness;
   }
 
-  Room used() {
-    Room sum = Room.NONE;
+  Resources used() {
+    Resources sum = Resources.NONE;
     for (Task task : tasks.values()) {
       if (!task.ended()) {
-        sum = sum.plus(task.spec.room());
+        sum = sum.plus(task.spec.resources());
       }
     }
     return sum;
@@ -358,15 +358,15 @@
     }
     boolean saves =
         task.spec != null
-            && task.spec.checkpointEvery().millis() > 0
-            && task.spec.saveTime().millis() > 0
-            && grace.compareTo(task.spec.saveTime()) >= 0;
+            && task.spec.checkpointInterval().millis() > 0
+            && task.spec.checkpointDuration().millis() > 0
+            && grace.compareTo(task.spec.checkpointDuration()) >= 0;
     if (task.state == Report.PieceState.RUNNING && saves) {
       save(id, task, true);
       task.state = Report.PieceState.FLUSHING;
       reporting.changed();
       world.time.after(
-          task.spec.saveTime().millis(),
+          task.spec.checkpointDuration().millis(),
           () -> {
             if (tasks.get(id) == task && !task.ended() && alive()) {
               end(id, task, Report.Cause.HALTED);
@@ -390,7 +390,7 @@
     reporting.changed();
     if (task.spec == null || id.index() >= task.spec.tasks()) {
       refuse(task, Report.Cause.UNKNOWN);
-    } else if (!task.spec.room().fits(type.room().minus(usedWithout(task)))) {
+    } else if (!task.spec.resources().fitsInto(type.room().minus(usedWithout(task)))) {
       refuse(task, Report.Cause.NO_ROOM);
     } else {
       world.rules.takesRoom(this, id, task.spec);
@@ -399,7 +399,7 @@
     }
   }
 
-  private Room usedWithout(Task task) {
+  private Resources usedWithout(Task task) {
     task.state = Report.PieceState.ENDED;
     return used();
   }
--- a/src/main/java/org/oakwalk/model/WaitingRule.java
+++ b/src/main/java/org/oakwalk/model/WaitingRule.java
@@ -10,7 +10,7 @@
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /**
  * Whether a job is left waiting beside room that it may use, once all troubles are over. A task
@@ -25,9 +25,9 @@
   private static final int EVERY = 4;
 
   /** What a task asks of its machine; jobs that ask the same share what is found. */
-  private record Need(Room room, Set<String> types, Optional<String> zone, boolean spot) {
+  private record Need(Resources room, Set<String> types, Optional<String> zone, boolean spot) {
     static Need of(JobSpec spec) {
-      return new Need(spec.room(), spec.types(), spec.zone(), spec.spotAllowed());
+      return new Need(spec.resources(), spec.machineTypes(), spec.zone(), spec.spotAllowed());
     }
   }
 
@@ -43,8 +43,8 @@
   /** Where tasks are at this moment, those that wait for their image included. */
   private final Map<TaskId, SimWorker> held = new HashMap<>();
 
-  private final Map<String, Room> use = new HashMap<>();
-  private final Map<SimWorker, Room> free = new HashMap<>();
+  private final Map<String, Resources> use = new HashMap<>();
+  private final Map<SimWorker, Resources> free = new HashMap<>();
   private final Set<Need> looked = new HashSet<>();
 
   WaitingRule(World world) {
@@ -83,7 +83,7 @@
           (id, task) -> {
             if (!task.ended()) {
               held.put(id, worker);
-              use.merge(task.spec.team(), task.spec.room(), Room::plus);
+              use.merge(task.spec.team(), task.spec.resources(), Resources::plus);
             }
           });
       if (serves(worker)) {
@@ -148,8 +148,8 @@
 
   private boolean withinLimit(JobSpec spec) {
     Settings.Team team = world.settings.teams().get(spec.team());
-    Room more = spec.room().times(spec.gang() ? waiting(spec) : 1);
-    Room then = use.getOrDefault(spec.team(), Room.NONE).plus(more);
+    Resources more = spec.resources().times(spec.gang() ? waiting(spec) : 1);
+    Resources then = use.getOrDefault(spec.team(), Resources.NONE).plus(more);
     return (team.cpusMax() <= 0 || then.cpus() <= team.cpusMax() + 1e-6)
         && (team.gpusMax() <= 0 || then.gpus() <= team.gpusMax() + 1e-6);
   }
@@ -162,7 +162,7 @@
       since.keySet().retainAll(free.keySet());
       free.forEach(
           (worker, room) -> {
-            if (allows(spec, worker) && spec.room().fits(room)) {
+            if (allows(spec, worker) && spec.resources().fitsInto(room)) {
               since.putIfAbsent(worker, world.time.seconds());
             } else {
               since.remove(worker);
@@ -189,7 +189,7 @@
         elsewhere += at.market.zone().equals(zone) ? 0 : 1;
       }
     }
-    return (!spec.oneZone() || elsewhere == 0) && here < spec.zoneLimit();
+    return (!spec.oneZone() || elsewhere == 0) && here < spec.maxTasksPerZone();
   }
 
   /** Whether all tasks of a gang find room at once. */
@@ -198,10 +198,10 @@
     free.forEach(
         (worker, room) -> {
           if (allows(spec, worker)) {
-            places.merge(worker.market.zone(), room.count(spec.room()), Integer::sum);
+            places.merge(worker.market.zone(), room.capacityFor(spec.resources()), Integer::sum);
           }
         });
-    IntStream zones = places.values().stream().mapToInt(n -> Math.min(n, spec.zoneLimit()));
+    IntStream zones = places.values().stream().mapToInt(n -> Math.min(n, spec.maxTasksPerZone()));
     int most = spec.oneZone() ? zones.max().orElse(0) : zones.sum();
     return most >= waiting(spec);
   }
--- a/src/main/java/org/oakwalk/wire/CloudCodec.java
+++ b/src/main/java/org/oakwalk/wire/CloudCodec.java
@@ -10,7 +10,7 @@
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Rental;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 
@@ -90,7 +90,8 @@
           name,
           new MachineType(
               name,
-              new Room(type.amount("vcpus"), type.amount("accelerators"), type.amount("memory_gb")),
+              new Resources(
+                  type.amount("vcpus"), type.amount("accelerators"), type.amount("memory_gb")),
               type.amount("cache_gb"),
               type.amount("fetch_gb_per_s"),
               type.amount("rate"),
--- a/src/main/java/org/oakwalk/wire/HeadroomCodec.java
+++ b/src/main/java/org/oakwalk/wire/HeadroomCodec.java
@@ -9,7 +9,7 @@
 import java.util.TreeSet;
 import org.oakwalk.core.headroom.HeadroomRow;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** The stored form of room that is kept for replicas. */
 final class HeadroomCodec implements SharedCodec.RowCodec<HeadroomRow> {
@@ -53,7 +53,7 @@
             map.text("name"),
             map.text("team"),
             map.text("class"),
-            new Room(map.amount("cpus"), map.amount("gpus"), map.amount("mem")),
+            new Resources(map.amount("cpus"), map.amount("gpus"), map.amount("mem")),
             map.has("zone") ? Optional.of(map.text("zone")) : Optional.empty());
     Map<String, Integer> places = new TreeMap<>();
     Fields byZone = map.map("places");
--- a/src/main/java/org/oakwalk/wire/JobCodec.java
+++ b/src/main/java/org/oakwalk/wire/JobCodec.java
@@ -10,7 +10,7 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** A job's description, as users send it and as it is stored. */
 final class JobCodec {
@@ -46,7 +46,8 @@
         choice(fields, "shape", SHAPES),
         choice(fields, "urgency", PRIORITIES),
         (int) fields.count("pieces", 1, JobSpec.MAX_TASKS),
-        new Room(fields.amount("vcpus"), fields.amount("accelerators"), fields.amount("memory_gb")),
+        new Resources(
+            fields.amount("vcpus"), fields.amount("accelerators"), fields.amount("memory_gb")),
         types(fields),
         fields.optionalText("region"),
         fields.flag("same_place"),
@@ -91,12 +92,12 @@
     into.put("shape", name(SHAPES, spec.shape()));
     into.put("urgency", name(PRIORITIES, spec.priority()));
     into.put("pieces", spec.tasks());
-    into.put("vcpus", spec.room().cpus());
-    into.put("accelerators", spec.room().gpus());
-    into.put("memory_gb", spec.room().memoryGb());
-    if (!spec.types().isEmpty()) {
+    into.put("vcpus", spec.resources().cpus());
+    into.put("accelerators", spec.resources().gpus());
+    into.put("memory_gb", spec.resources().memoryGb());
+    if (!spec.machineTypes().isEmpty()) {
       ArrayNode types = into.putArray("flavors");
-      spec.types().forEach(types::add);
+      spec.machineTypes().forEach(types::add);
     }
     spec.zone().ifPresent(zone -> into.put("region", zone));
     into.put("same_place", spec.oneZone());
@@ -104,10 +105,10 @@
     into.put("leftovers", spec.spotAllowed());
     into.put("bundle", spec.image());
     into.put("size_gb", spec.imageGb());
-    into.put("guess_s", spec.guess().asSeconds());
-    into.put("snapshot_every_s", spec.checkpointEvery().asSeconds());
-    into.put("snapshot_s", spec.saveTime().asSeconds());
-    spec.due().ifPresent(due -> into.put("due_s", due.asSeconds()));
+    into.put("guess_s", spec.estimatedRunTime().asSeconds());
+    into.put("snapshot_every_s", spec.checkpointInterval().asSeconds());
+    into.put("snapshot_s", spec.checkpointDuration().asSeconds());
+    spec.deadline().ifPresent(due -> into.put("due_s", due.asSeconds()));
   }
 
   private static <T> String name(Map<String, T> choices, T value) {
--- a/src/main/java/org/oakwalk/wire/PlanCodec.java
+++ b/src/main/java/org/oakwalk/wire/PlanCodec.java
@@ -6,7 +6,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.planner.GroupKey;
 import org.oakwalk.core.planner.PlanRow;
 
@@ -119,7 +119,7 @@
               map.count("slice", -1, Long.MAX_VALUE),
               map.count("sum"),
               map.amount("run"),
-              new Room(map.amount("cpus"), map.amount("gpus"), map.amount("mem")),
+              new Resources(map.amount("cpus"), map.amount("gpus"), map.amount("mem")),
               numbers(map, "slices"));
       case "reach" ->
           new PlanRow.Reach(
--- a/src/main/java/org/oakwalk/wire/StateCodec.java
+++ b/src/main/java/org/oakwalk/wire/StateCodec.java
@@ -17,7 +17,7 @@
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.MachineType;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
@@ -235,7 +235,7 @@
           type.text("name"),
           new MachineType(
               type.text("name"),
-              new Room(type.amount("cpus"), type.amount("gpus"), type.amount("memory_gb")),
+              new Resources(type.amount("cpus"), type.amount("gpus"), type.amount("memory_gb")),
               type.amount("cache_gb"),
               type.amount("fetch_gb_per_s"),
               type.amount("price"),
--- a/src/main/java/org/oakwalk/wire/TakeCodec.java
+++ b/src/main/java/org/oakwalk/wire/TakeCodec.java
@@ -8,7 +8,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.exchange.Take;
 import org.oakwalk.core.exchange.TakeId;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** The stored form of takes. */
 final class TakeCodec implements SharedCodec.RowCodec<Take> {
@@ -50,7 +50,7 @@
         map.shortText("team"),
         (int) map.count("tasks", 0, Integer.MAX_VALUE),
         new JobId(map.shortText("taker")),
-        new Room(map.amount("cpus"), map.amount("gpus"), map.amount("memory_gb")),
+        new Resources(map.amount("cpus"), map.amount("gpus"), map.amount("memory_gb")),
         new MachineId(map.shortText("machine")),
         (int) map.count("level", 0, Integer.MAX_VALUE),
         new WallTime(map.count("since")));
--- a/src/test/java/org/oakwalk/core/capacity/CatalogueKeeperTest.java
+++ b/src/test/java/org/oakwalk/core/capacity/CatalogueKeeperTest.java
@@ -12,7 +12,7 @@
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.fleet.MachineType;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.Keys;
@@ -51,7 +51,8 @@
     for (String name : names) {
       types.put(
           name,
-          new MachineType(name, new Room(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a")));
+          new MachineType(
+              name, new Resources(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a")));
     }
     return types;
   }
--- a/src/test/java/org/oakwalk/core/exchange/TakeTest.java
+++ b/src/test/java/org/oakwalk/core/exchange/TakeTest.java
@@ -15,7 +15,7 @@
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** What a take may become. */
 class TakeTest {
@@ -52,7 +52,7 @@
         "tune",
         2,
         new JobId("j-2"),
-        new Room(8, 4, 64),
+        new Resources(8, 4, 64),
         new MachineId("host-000001"),
         5,
         THEN);
--- a/src/test/java/org/oakwalk/core/fleet/DutyTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/DutyTest.java
@@ -10,7 +10,7 @@
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.Token;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** Which duties a machine may come to from which: the whole table. */
 class DutyTest {
@@ -35,7 +35,8 @@
 
   private static Machine machine(Duty duty) {
     MachineType type =
-        new MachineType("m", new Room(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
+        new MachineType(
+            "m", new Resources(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
     Machine machine =
         new Machine(
             new MachineId("m-1"),
--- a/src/test/java/org/oakwalk/core/fleet/FenceTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/FenceTest.java
@@ -23,10 +23,10 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.job.Arrays;
+import org.oakwalk.core.job.ArrayJobs;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.JobRegistry;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Effect;
 import org.oakwalk.core.port.Outbox;
@@ -46,7 +46,8 @@
   private static final Map<String, MachineType> TYPES =
       Map.of(
           "t",
-          new MachineType("t", new Room(64, 0, 64), 10, 1, 1, 1, Span.seconds(1), List.of("a")));
+          new MachineType(
+              "t", new Resources(64, 0, 64), 10, 1, 1, 1, Span.seconds(1), List.of("a")));
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
@@ -69,7 +70,8 @@
         });
     view.tick(now);
     StoredValue leader = new StoredValue.LeaderRecord(new NodeId("n"), "a", "x");
-    JobRecord record = new JobRecord(Arrays.spec("j-1", 60), JobRecord.Phase.OPEN, new WallTime(1));
+    JobRecord record =
+        new JobRecord(ArrayJobs.spec("j-1", 60), JobRecord.Phase.OPEN, new WallTime(1));
     outbox.answered(
         ((Effect.Call) outbox.drain().get(0)).call(),
         new Answer.Page(
@@ -80,7 +82,7 @@
             new Revision(9)));
     watch = (Effect.Call) outbox.drain().get(0);
     assertThat(watch.request()).isInstanceOf(Request.Watch.class);
-    JobBook jobs = new JobBook(view, GRANTED, now);
+    JobRegistry jobs = new JobRegistry(view, GRANTED, now);
     fleet =
         new Fleet(
             GRANTED,
--- a/src/test/java/org/oakwalk/core/fleet/RegistryTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/RegistryTest.java
@@ -19,7 +19,7 @@
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.Token;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Effect;
 import org.oakwalk.core.port.Outbox;
@@ -64,7 +64,8 @@
     fleet.types(
         Map.of(
             "t",
-            new MachineType("t", new Room(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a"))));
+            new MachineType(
+                "t", new Resources(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a"))));
   }
 
   private Machine enrolling() {
--- a/src/test/java/org/oakwalk/core/fleet/StateTablesTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/StateTablesTest.java
@@ -21,7 +21,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** The whole tables of what machines and placements may become; everything else is refused. */
 class StateTablesTest {
@@ -103,12 +103,12 @@
     switch (next) {
       case OPEN -> {
         if (job.state() != Job.State.OPEN) {
-          job.notFinished();
+          job.reopen();
         }
       }
-      case FINISHING -> job.finishing();
-      case DONE -> job.ended(false, new Revision(9));
-      case WITHDRAWN -> job.ended(true, new Revision(9));
+      case FINISHING -> job.markFinishing();
+      case DONE -> job.markEnded(false, new Revision(9));
+      case WITHDRAWN -> job.markEnded(true, new Revision(9));
       default -> throw new IllegalArgumentException(next.name());
     }
   }
@@ -119,7 +119,8 @@
 
   private static Machine machine(Machine.State state) {
     MachineType type =
-        new MachineType("m", new Room(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
+        new MachineType(
+            "m", new Resources(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
     return new Machine(new MachineId("m-1"), "", type, "a", false, state, new Token(1), NOW);
   }
 
@@ -142,7 +143,7 @@
             JobSpec.Shape.ARRAY,
             Priority.NORMAL,
             2,
-            new Room(1, 0, 1),
+            new Resources(1, 0, 1),
             Set.of(),
             Optional.empty(),
             false,
--- a/src/test/java/org/oakwalk/core/headroom/RoomsTest.java
+++ b/src/test/java/org/oakwalk/core/headroom/RoomsTest.java
@@ -26,12 +26,12 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** Places are kept whole, where the image is first, and never on machines that go. */
 class RoomsTest {
   private static final Moment NOW = new Moment(1_000_000);
-  private static final Room SHAPE = new Room(4, 4, 32);
+  private static final Resources SHAPE = new Resources(4, 4, 32);
   private static final HeadroomRow.Key KEY =
       new HeadroomRow.Key("serving", "crew", "search", SHAPE, Optional.empty());
 
@@ -55,7 +55,7 @@
     Settings.Workers timing =
         new Settings.Workers(Span.seconds(2), Span.seconds(10), Span.seconds(40));
     fleet = new Fleet(new Token(1), null, null, null, timing, nobody);
-    Room whole = new Room(16, 4, 128);
+    Resources whole = new Resources(16, 4, 128);
     fleet.types(
         Map.of("g", new MachineType("g", whole, 200, 1, 1, 1, Span.seconds(30), List.of("a"))));
     for (int i = 0; i < 4; i++) {
@@ -70,7 +70,7 @@
         KEY, Priority.HIGH, "weights", 150, Set.of(), false, 4, Map.of("a", places));
   }
 
-  private static JobSpec spec(JobSpec.Shape shape, Room room, String image, double gb) {
+  private static JobSpec spec(JobSpec.Shape shape, Resources room, String image, double gb) {
     return new JobSpec(
         new JobId("j-1"),
         shape == JobSpec.Shape.SERVICE ? "search" : "resize",
@@ -103,7 +103,7 @@
 
   @Test
   void oneAcceleratorFreeOnEachOfFourIsNoPlaceOfFour() {
-    JobSpec part = spec(JobSpec.Shape.ARRAY, new Room(3, 3, 8), "resize", 1);
+    JobSpec part = spec(JobSpec.Shape.ARRAY, new Resources(3, 3, 8), "resize", 1);
     machines.forEach(machine -> use(machine, part));
     survey(1);
     assertThat(rooms.lacking()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
@@ -125,13 +125,13 @@
 
   @Test
   void whereTheImageIsComesFirstAndOthersImagesKeepAway() {
-    JobSpec replica = spec(JobSpec.Shape.SERVICE, new Room(1, 0, 8), "weights", 150);
+    JobSpec replica = spec(JobSpec.Shape.SERVICE, new Resources(1, 0, 8), "weights", 150);
     use(machines.get(2), replica);
     survey(2);
     assertThat(rooms.on(KEY, machines.get(2))).isEqualTo(1);
     assertThat(rooms.warm(KEY)).isEqualTo(1);
-    JobSpec large = spec(JobSpec.Shape.ARRAY, new Room(1, 0, 1), "other", 60);
-    JobSpec small = spec(JobSpec.Shape.ARRAY, new Room(1, 0, 1), "other", 50);
+    JobSpec large = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 60);
+    JobSpec small = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 50);
     assertThat(rooms.pushesOut(large, machines.get(2))).isTrue();
     assertThat(rooms.pushesOut(small, machines.get(2))).isFalse();
     assertThat(rooms.pushesOut(large, machines.get(0))).isFalse();
@@ -149,7 +149,7 @@
   void roomThatIsMadeForAServiceIsNotKeptFromIt() {
     Job holder =
         new Job(
-            spec(JobSpec.Shape.SERVICE, new Room(2, 2, 8), "x", 1),
+            spec(JobSpec.Shape.SERVICE, new Resources(2, 2, 8), "x", 1),
             new Revision(1),
             new WallTime(0),
             false,
--- a/src/test/java/org/oakwalk/core/job/Arrays.java
+++ b/src/test/java/org/oakwalk/core/job/ArrayJobs.java
@@ -10,8 +10,8 @@
 import org.oakwalk.core.store.LateStore;
 
 /** Plain arrays of tasks for tests. */
-public final class Arrays {
-  private Arrays() {}
+public final class ArrayJobs {
+  private ArrayJobs() {}
 
   public static JobSpec spec(String id, int tasks) {
     return spec(id, tasks, Span.seconds(1));
@@ -25,7 +25,7 @@
         JobSpec.Shape.ARRAY,
         Priority.NORMAL,
         tasks,
-        new Room(1, 0, 1),
+        new Resources(1, 0, 1),
         Set.of(),
         Optional.empty(),
         false,
@@ -40,7 +40,7 @@
   }
 
   /** Stores the record of such a job. */
-  public static void store(LateStore store, String id, int tasks, JobRecord.Phase phase) {
+  public static void storeRecord(LateStore store, String id, int tasks, JobRecord.Phase phase) {
     store.put(Keys.job(new JobId(id)), new JobRecord(spec(id, tasks), phase, new WallTime(0)));
   }
 }
