--- a/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
+++ b/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
@@ -40,19 +40,19 @@
   private static final int LARGE = DoneBits.CHUNK + 5;
 
   /** A leader with its copy of the store. */
-  private static final class Leader {
+  private static final class LeaderUnderTest {
     final Outbox outbox = new Outbox();
     final StoreView view = new StoreView(outbox, 200, 1);
     final Guard guard;
-    final JobBook jobs;
+    final JobRegistry jobs;
     final ResultWriter results;
     private Moment now;
 
-    Leader(LateStore store, int number, Moment now) {
+    LeaderUnderTest(LateStore store, int number, Moment now) {
       this(store, number, now, LIMITS);
     }
 
-    Leader(LateStore store, int number, Moment now, Settings.StateLimits limits) {
+    LeaderUnderTest(LateStore store, int number, Moment now, Settings.StateLimits limits) {
       this.now = now;
       Revision token =
           store.put(
@@ -70,25 +70,26 @@
           });
       view.tick(now);
       store.serve(outbox, commit -> LateStore.Fate.SERVED);
-      jobs = new JobBook(view, new Token(token.value()), now);
+      jobs = new JobRegistry(view, new Token(token.value()), now);
       results = new ResultWriter(outbox, jobs, view, guard, limits);
       for (Entry entry : store.below(Keys.DONE)) {
         Keys.Part part = Keys.part(entry.key()).orElseThrow();
-        results.found(part.job(), entry.key(), entry.stamp());
+        results.addStoredChunk(part.job(), entry.key(), entry.stamp());
         BitSet done = DoneBits.decode(((StoredValue.DoneChunk) entry.value()).bits());
         jobs.find(part.job())
             .ifPresent(
-                job -> done.stream().forEach(i -> job.restore(part.chunk() * DoneBits.CHUNK + i)));
+                job ->
+                    done.stream().forEach(i -> job.restoreDone(part.chunk() * DoneBits.CHUNK + i)));
       }
     }
 
     private void changed(KnownJob known, Moment at) {
       if (results != null) {
-        jobs.changed(known, at);
+        jobs.applyStoredChange(known, at);
         if (known.phase().isFinal()) {
-          jobs.find(known.id()).ifPresent(results::ended);
+          jobs.find(known.id()).ifPresent(results::jobEnded);
         }
-        jobs.sweep();
+        jobs.removeEnded();
       }
     }
 
@@ -110,7 +111,7 @@
   private final LateStore store = new LateStore();
 
   private void accept(String id, int tasks) {
-    Arrays.store(store, id, tasks, JobRecord.Phase.OPEN);
+    ArrayJobs.storeRecord(store, id, tasks, JobRecord.Phase.OPEN);
   }
 
   private BitSet stored(String id) {
@@ -123,7 +124,8 @@
     return all;
   }
 
-  private static void steps(Leader leader, LateStore store, int count, LateStore.Fate fate) {
+  private static void steps(
+      LeaderUnderTest leader, LateStore store, int count, LateStore.Fate fate) {
     for (int i = 0; i < count; i++) {
       leader.step(store, commit -> fate);
     }
@@ -133,7 +135,7 @@
   @Test
   void anOlderPartThatIsLateTakesNothingBack() {
     accept("j-1", 3);
-    Leader leader = new Leader(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     leader.complete("j-1", 0);
     steps(leader, store, 1, LateStore.Fate.LATE);
     leader.complete("j-1", 1);
@@ -142,7 +144,7 @@
     assertThat(store.waiting()).isEqualTo(1);
     store.carryOut(0);
     assertThat(stored("j-1").stream()).containsExactly(0, 1);
-    Leader next = new Leader(store, 2, new Moment(100_000));
+    LeaderUnderTest next = new LeaderUnderTest(store, 2, new Moment(100_000));
     assertThat(next.jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isEqualTo(2);
   }
 
@@ -150,7 +152,7 @@
   @Test
   void aPartThatIsCreatedAfterTheJobsEndStaysAway() {
     accept("j-1", 3);
-    Leader leader = new Leader(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     leader.complete("j-1", 0);
     steps(leader, store, 1, LateStore.Fate.LATE);
     leader.complete("j-1", 1);
@@ -168,7 +170,7 @@
     accept("j-1", 3);
     accept("j-2", 3);
     accept("j-3", 1);
-    Leader leader = new Leader(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     store.put(Keys.job(new JobId("j-1")), new StoredValue.Unreadable("damaged"));
     store.put(Keys.job(new JobId("j-3")), new StoredValue.Unreadable("damaged"));
     leader.complete("j-1", 0);
@@ -196,7 +198,7 @@
     for (int job = 1; job <= 50; job++) {
       accept("j-" + job, 1);
     }
-    Leader leader = new Leader(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     for (int job = 1; job <= 50; job++) {
       leader.complete("j-" + job, 0);
     }
@@ -222,10 +224,10 @@
   @Test
   void aJobOfWhichAllIsStoredInPartsIsEndedByTheNextLeader() {
     accept("j-1", 2);
-    Leader leader = new Leader(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     leader.complete("j-1", 0);
     steps(leader, store, 2, LateStore.Fate.ANSWER_LOST);
-    Leader next = new Leader(store, 2, new Moment(100_000));
+    LeaderUnderTest next = new LeaderUnderTest(store, 2, new Moment(100_000));
     next.complete("j-1", 1);
     steps(next, store, 10, LateStore.Fate.SERVED);
     JobRecord record = (JobRecord) store.find(Keys.job(new JobId("j-1"))).orElseThrow().value();
@@ -237,7 +239,7 @@
   @Test
   void partsOfVastArraysFitIntoTransactions() {
     Settings.StateLimits wide = new Settings.StateLimits(1000, 200, 32, 32);
-    Leader leader = new Leader(store, 1, new Moment(0), wide);
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0), wide);
     List<String> ids = List.of("j-1", "j-2", "j-3");
     ids.forEach(id -> accept(id, JobSpec.MAX_TASKS));
     steps(leader, store, 2, LateStore.Fate.SERVED);
@@ -269,7 +271,7 @@
   void aJobOfWhichAllIsStoredEndsWithoutAnyReport() {
     accept("j-1", 2);
     store.put(Keys.done(new JobId("j-1"), 0), new StoredValue.DoneChunk("03"));
-    Leader leader = new Leader(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     steps(leader, store, 5, LateStore.Fate.SERVED);
     JobRecord record = (JobRecord) store.find(Keys.job(new JobId("j-1"))).orElseThrow().value();
     assertThat(record.phase()).isEqualTo(JobRecord.Phase.DONE);
@@ -281,7 +283,7 @@
   void whatWorkersMayForgetStaysStored() {
     for (long seed = 1; seed <= 60; seed++) {
       try {
-        new Run(seed).play();
+        new RandomizedResultRun(seed).play();
       } catch (AssertionError e) {
         throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
       }
@@ -289,23 +291,23 @@
   }
 
   /** One drawn run. */
-  private final class Run {
+  private final class RandomizedResultRun {
     private final Map<String, Integer> sizes =
         Map.of("j-1", 2, "j-2", 3, "j-3", 40, "j-4", LARGE, "j-5", 3);
     private final UniformRandomProvider chance;
     private final Map<String, BitSet> forgotten = new HashMap<>();
     private final LateStore own = new LateStore();
-    private Leader leader;
+    private LeaderUnderTest leader;
     private int leaders;
 
-    Run(long seed) {
+    RandomizedResultRun(long seed) {
       chance = RandomSource.XO_SHI_RO_256_PP.create(seed);
       sizes.forEach(
           (id, tasks) -> {
             forgotten.put(id, new BitSet());
-            Arrays.store(own, id, tasks, JobRecord.Phase.OPEN);
+            ArrayJobs.storeRecord(own, id, tasks, JobRecord.Phase.OPEN);
           });
-      leader = new Leader(own, ++leaders, new Moment(0));
+      leader = new LeaderUnderTest(own, ++leaders, new Moment(0));
     }
 
     private LateStore.Fate fate() {
@@ -326,11 +328,11 @@
           own.carryOut(chance.nextInt(own.waiting()));
         }
         if (chance.nextInt(25) == 0) {
-          leader = new Leader(own, ++leaders, new Moment(step * 10_000L));
+          leader = new LeaderUnderTest(own, ++leaders, new Moment(step * 10_000L));
         }
         check();
         if (step == 60) {
-          Arrays.store(own, "j-5", 3, JobRecord.Phase.WITHDRAWN);
+          ArrayJobs.storeRecord(own, "j-5", 3, JobRecord.Phase.WITHDRAWN);
         }
       }
       for (int step = 0; step < 40; step++) {
@@ -345,7 +347,7 @@
     }
 
     private void completeSome(String id, int tasks, boolean any) {
-      Optional<Job> job = leader.jobs.find(new JobId(id)).filter(Job::open);
+      Optional<Job> job = leader.jobs.find(new JobId(id)).filter(Job::isOpen);
       if (any && job.isPresent()) {
         int task = chance.nextInt(tasks);
         for (int i = 0; i < 1 + tasks / 2; i++, task = (task + 1) % tasks) {
@@ -365,7 +367,7 @@
               leader
                   .jobs
                   .find(new JobId(id))
-                  .filter(Job::open)
+                  .filter(Job::isOpen)
                   .ifPresent(
                       job -> {
                         for (int i = 0; i < tasks; i++) {
--- a/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
+++ b/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
@@ -46,7 +46,7 @@
           "crew", new Settings.Team("crew", 0, 0, 0, 0),
           "small", new Settings.Team("small", 4, 8, 0, 2));
   private final UserRequestHandler userRequests =
-      new UserRequestHandler(outbox, view, teams, new Admission(teams, view, 1000));
+      new UserRequestHandler(outbox, view, teams, new AdmissionControl(teams, view, 1000));
   private final List<JobRecord.Phase> seen = new ArrayList<>();
   private LateStore.Fate fate = LateStore.Fate.SERVED;
   private Moment now = new Moment(1000);
@@ -63,15 +63,15 @@
             seen.add(job.phase());
           }
         });
-    userRequests.types(
+    userRequests.machineTypes(
         Map.of(
-            "m", type("m", new Room(4, 0, 16), "a", "b"),
-            "g", type("g", new Room(8, 2, 32), "b")));
+            "m", type("m", new Resources(4, 0, 16), "a", "b"),
+            "g", type("g", new Resources(8, 2, 32), "b")));
     view.tick(now);
     store.serve(outbox, commit -> fate);
   }
 
-  private static MachineType type(String name, Room room, String... zones) {
+  private static MachineType type(String name, Resources room, String... zones) {
     return new MachineType(name, room, 50, 1, 1, 0.3, Span.seconds(20), List.of(zones));
   }
 
@@ -108,7 +108,7 @@
   }
 
   private static UserRequest plain() {
-    return submit(Arrays.spec(JOB.value(), 2));
+    return submit(ArrayJobs.spec(JOB.value(), 2));
   }
 
   private static JobSpec spec(
@@ -121,7 +121,7 @@
         JobSpec.Shape.valueOf(shape.toUpperCase(Locale.ROOT)),
         Priority.NORMAL,
         tasks,
-        new Room(cpus, gpus, memory),
+        new Resources(cpus, gpus, memory),
         types,
         bound.contains("zone:") ? Optional.of(word(bound, "zone:")) : Optional.empty(),
         bound.contains("same"),
@@ -208,7 +208,7 @@
   @Test
   void refusesWhatLacksFieldsButTellsOfAJobThatIsKnown() {
     assertThat(code(ask(MALFORMED))).isEqualTo(400);
-    Arrays.store(store, JOB.value(), 2, JobRecord.Phase.OPEN);
+    ArrayJobs.storeRecord(store, JOB.value(), 2, JobRecord.Phase.OPEN);
     assertThat(code(ask(MALFORMED))).isEqualTo(200);
     assertThat(code(ask(submit(spec("array", 1, 99, 0, 1, "nobody", "any"))))).isEqualTo(200);
     assertThat(code(ask(submit(spec("gang", 2, 1, 0, 1, "crew", "spread same"))))).isEqualTo(200);
@@ -216,12 +216,12 @@
 
   @Test
   void withoutMachineTypesDecidesOnlyWhatNeedsNone() {
-    userRequests.types(Map.of());
+    userRequests.machineTypes(Map.of());
     assertThat(code(ask(plain()))).isEqualTo(503);
     assertThat(code(ask(MALFORMED))).isEqualTo(400);
     assertThat(code(ask(submit(spec("array", 1, 1, 0, 1, "nobody", "any"))))).isEqualTo(422);
     assertThat(store.find(Keys.job(JOB))).isEmpty();
-    Arrays.store(store, JOB.value(), 2, JobRecord.Phase.OPEN);
+    ArrayJobs.storeRecord(store, JOB.value(), 2, JobRecord.Phase.OPEN);
     assertThat(code(ask(plain()))).isEqualTo(200);
   }
 
@@ -241,7 +241,7 @@
 
   @Test
   void ofARecordThatCannotBeReadAnyMoreNothingOlderIsTold() {
-    Arrays.store(store, JOB.value(), 2, JobRecord.Phase.OPEN);
+    ArrayJobs.storeRecord(store, JOB.value(), 2, JobRecord.Phase.OPEN);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
     store.put(Keys.job(JOB), new StoredValue.Unreadable("of a later version"));
     assertThat(code(ask(plain()))).isEqualTo(503);
@@ -292,7 +292,7 @@
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
     fate = LateStore.Fate.LATE;
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
-    Arrays.store(store, JOB.value(), 2, JobRecord.Phase.DONE);
+    ArrayJobs.storeRecord(store, JOB.value(), 2, JobRecord.Phase.DONE);
     store.carryOut(0);
     assertThat(state(ask(WITHDRAW))).isEqualTo(Response.JobState.DONE);
     assertThat(state(ask(plain()))).isEqualTo(Response.JobState.DONE);
@@ -306,11 +306,11 @@
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
     seen.clear();
     Response answer = new Response.JobStatus(false, JOB, told, 0, 0);
-    assertThat(userRequests.passOn(answer, UNAVAILABLE)).isEqualTo(answer);
+    assertThat(userRequests.resolveForwarded(answer, UNAVAILABLE)).isEqualTo(answer);
     assertThat(seen).containsExactly(phase);
     // Final now, so it is told without a read, and nothing older is passed on any more.
     Response older = new Response.JobStatus(false, JOB, Response.JobState.RUNNING, 0, 1);
-    assertThat(state(userRequests.passOn(older, UNAVAILABLE))).isEqualTo(told);
+    assertThat(state(userRequests.resolveForwarded(older, UNAVAILABLE))).isEqualTo(told);
     assertThat(state(ask(QUERY))).isEqualTo(told);
   }
 
@@ -320,10 +320,10 @@
   void aForwardedEndCountsForAJobThatTheCopyShowsLater(
       Response.JobState told, JobRecord.Phase phase) {
     Response answer = new Response.JobStatus(false, JOB, told, 0, 0);
-    assertThat(userRequests.passOn(answer, UNAVAILABLE)).isEqualTo(answer);
-    Arrays.store(store, JOB.value(), 2, JobRecord.Phase.OPEN);
+    assertThat(userRequests.resolveForwarded(answer, UNAVAILABLE)).isEqualTo(answer);
+    ArrayJobs.storeRecord(store, JOB.value(), 2, JobRecord.Phase.OPEN);
     assertThat(state(ask(QUERY))).isEqualTo(told);
-    Arrays.store(store, JOB.value(), 2, phase);
+    ArrayJobs.storeRecord(store, JOB.value(), 2, phase);
     assertThat(state(ask(plain()))).isEqualTo(told);
     assertThat(seen).doesNotContain(JobRecord.Phase.OPEN);
     assertThat(view.openJobs().all()).isZero();
@@ -335,10 +335,10 @@
     for (int i = 0; i < StoreView.MOST_LEARNED_ENDS; i++) {
       JobId job = new JobId("j-" + (100 + i));
       Response answer = new Response.JobStatus(false, job, Response.JobState.CANCELLED, 0, 0);
-      assertThat(userRequests.passOn(answer, UNAVAILABLE)).isEqualTo(answer);
+      assertThat(userRequests.resolveForwarded(answer, UNAVAILABLE)).isEqualTo(answer);
     }
     Response last = new Response.JobStatus(false, JOB, Response.JobState.CANCELLED, 0, 0);
-    assertThat(userRequests.passOn(last, UNAVAILABLE)).isEqualTo(UNAVAILABLE);
+    assertThat(userRequests.resolveForwarded(last, UNAVAILABLE)).isEqualTo(UNAVAILABLE);
   }
 
   /** What this node has told its own user, its leader must know: it may order no start after it. */
--- a/src/test/java/org/oakwalk/core/placement/HostSearchTest.java
+++ b/src/test/java/org/oakwalk/core/placement/HostSearchTest.java
@@ -30,7 +30,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** The search that keeps figures chooses what one that looks at everything anew chooses. */
 class HostSearchTest {
@@ -59,7 +59,7 @@
     int jobs = 0;
     while (jobs < 12) {
       Job job = job(++jobs, random);
-      Span run = job.spec().guess();
+      Span run = job.spec().estimatedRunTime();
       HostSearch search = new HostSearch(hosts, job, machines, run, NOW);
       for (int index = 0; index < job.spec().tasks(); index++) {
         Machine found = search.nearest(new TaskId(job.id(), index));
@@ -109,7 +109,7 @@
             service ? JobSpec.Shape.SERVICE : JobSpec.Shape.ARRAY,
             Priority.NORMAL,
             1 + random.nextInt(40),
-            new Room(0.5 + random.nextInt(3), 0, 1 + random.nextInt(4)),
+            new Resources(0.5 + random.nextInt(3), 0, 1 + random.nextInt(4)),
             Set.of(),
             Optional.empty(),
             false,
@@ -153,6 +153,6 @@
 
   private static MachineType type(String name, int cpus, int memory) {
     return new MachineType(
-        name, new Room(cpus, 0, memory), 40, 0.8, 1, 0.3, Span.seconds(20), List.of("a"));
+        name, new Resources(cpus, 0, memory), 40, 0.8, 1, 0.3, Span.seconds(20), List.of("a"));
   }
 }
--- a/src/test/java/org/oakwalk/core/placement/PreemptionTest.java
+++ b/src/test/java/org/oakwalk/core/placement/PreemptionTest.java
@@ -24,7 +24,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** What it costs to ask whether stops would make room for a job. */
 class PreemptionTest {
@@ -111,7 +111,7 @@
             shape,
             priority,
             tasks,
-            new Room(4, 0, 1),
+            new Resources(4, 0, 1),
             Set.of(),
             Optional.empty(),
             false,
--- a/src/test/java/org/oakwalk/core/placement/RankingTest.java
+++ b/src/test/java/org/oakwalk/core/placement/RankingTest.java
@@ -29,12 +29,12 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.job.Arrays;
+import org.oakwalk.core.job.ArrayJobs;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.store.JobRecord;
 import org.oakwalk.core.store.KnownJob;
@@ -45,7 +45,7 @@
   private static final int SEEDS = 20;
   private static final int STEPS = 120;
   private static final MachineType TYPE =
-      new MachineType("m", new Room(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
+      new MachineType("m", new Resources(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
 
   private final Settings.Workers timing =
       new Settings.Workers(Span.seconds(2), Span.seconds(10), Span.seconds(40));
@@ -56,7 +56,7 @@
   private final Targets targets =
       new Targets(List.of(new Settings.Objective("finished", "quick", 50, 0.9, 1)));
   private final StoreView view = new StoreView(new Outbox(), 200, 3);
-  private final JobBook jobs = new JobBook(view, new Token(1), new Moment(0));
+  private final JobRegistry jobs = new JobRegistry(view, new Token(1), new Moment(0));
   private final RunTimes runTimes = new RunTimes();
   private final Score score = new Score(Policy.defaults().scoring(), targets);
   private final Fleet fleet =
@@ -114,7 +114,7 @@
       }
       assertThat(met)
           .containsExactlyInAnyOrderElementsOf(
-              jobs.all().stream().filter(job -> job.open() && job.pendingCount() > 0).toList());
+              jobs.all().stream().filter(job -> job.isOpen() && job.pendingCount() > 0).toList());
       for (int i = 1; i < met.size(); i++) {
         double before = plain(met.get(i - 1), machines, now, wall);
         double after = plain(met.get(i), machines, now, wall);
@@ -125,7 +125,7 @@
 
   /** The definition, worked out anew. */
   private double plain(Job job, Map<MachineType, Integer> machines, Moment now, WallTime wall) {
-    int places = machines.get(TYPE) * TYPE.room().count(job.spec().room());
+    int places = machines.get(TYPE) * TYPE.room().capacityFor(job.spec().resources());
     Span run = runTimes.expected(job.spec());
     Span rest = run.plus(run.times(job.pendingCount() / (double) places));
     Span wait = now.since(job.waitingSince());
@@ -135,12 +135,12 @@
   private static void change(Job job, UniformRandomProvider random, Moment now) {
     int index = job.nextPending(0, now);
     if (index >= 0 && random.nextBoolean()) {
-      job.take(index);
-    } else if (job.activeCount() > 0 && !job.isFree(0)) {
-      job.release(0, now);
+      job.assign(index);
+    } else if (job.assignedCount() > 0 && !job.isUnassigned(0)) {
+      job.unassign(0, now);
     }
-    if (random.nextInt(4) == 0 && job.activeCount() == 0 && index >= 0) {
-      job.restore(index);
+    if (random.nextInt(4) == 0 && job.assignedCount() == 0 && index >= 0) {
+      job.restoreDone(index);
     }
   }
 
@@ -155,7 +155,7 @@
             service ? JobSpec.Shape.SERVICE : JobSpec.Shape.ARRAY,
             varied && random.nextInt(4) == 0 ? Priority.LOW : Priority.NORMAL,
             1 + random.nextInt(30),
-            new Room(varied ? 1 + random.nextInt(2) : 1, 0, 1),
+            new Resources(varied ? 1 + random.nextInt(2) : 1, 0, 1),
             Set.of(),
             Optional.empty(),
             false,
@@ -169,7 +169,7 @@
             random.nextBoolean()
                 ? Optional.of(Span.seconds(20 + random.nextInt(200)))
                 : Optional.empty());
-    jobs.changed(
+    jobs.applyStoredChange(
         new KnownJob(id, JobRecord.Phase.OPEN, new Revision(numbers + 1), wall, spec, spec.tasks()),
         now);
     return jobs.find(id).orElseThrow();
@@ -196,7 +196,7 @@
       inOrder.add(job);
       // Runs get a little shorter, as guessed, and longer again, by less than a seventh in all.
       double ratio = i % 20 < 10 ? 0.93 : 1.0;
-      runTimes.learn(job, job.spec().guess().times(ratio));
+      runTimes.learn(job, job.spec().estimatedRunTime().times(ratio));
       ranking.refresh(machines, List.of(), new Moment(millis), new WallTime(millis));
     }
     Ranking.Walk walk = ranking.new Walk(true, Set.of(), kind -> 0, job -> 0);
@@ -209,8 +209,8 @@
 
   private Job alike(Moment now, WallTime wall) {
     JobId id = new JobId("j-" + ++numbers);
-    JobSpec spec = Arrays.spec(id.value(), 3, Span.seconds(60));
-    jobs.changed(
+    JobSpec spec = ArrayJobs.spec(id.value(), 3, Span.seconds(60));
+    jobs.applyStoredChange(
         new KnownJob(id, JobRecord.Phase.OPEN, new Revision(numbers + 1), wall, spec, spec.tasks()),
         now);
     return jobs.find(id).orElseThrow();
--- a/src/test/java/org/oakwalk/core/placement/TargetsTest.java
+++ b/src/test/java/org/oakwalk/core/placement/TargetsTest.java
@@ -14,7 +14,7 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 
 /** When a job that starts afresh misses a target that its present run meets. */
 class TargetsTest {
@@ -26,7 +26,7 @@
         JobSpec.Shape.ARRAY,
         Priority.NORMAL,
         4,
-        new Room(1, 0, 1),
+        new Resources(1, 0, 1),
         Set.of(),
         Optional.empty(),
         false,
@@ -67,7 +67,7 @@
       boolean plain = reached.isPresent() && !reached.equals(targets.next(spec, end));
       boolean quick =
           targets.lastBefore(spec, end).filter(t -> end.minus(t).compareTo(ran) <= 0).isPresent();
-      assertThat(quick).as("%s %s %s %s", objectives, spec.due(), end, ran).isEqualTo(plain);
+      assertThat(quick).as("%s %s %s %s", objectives, spec.deadline(), end, ran).isEqualTo(plain);
       missed += plain ? 1 : 0;
     }
     assertThat(missed).isGreaterThan(1_000);
--- a/src/test/java/org/oakwalk/core/planner/LearnedTest.java
+++ b/src/test/java/org/oakwalk/core/planner/LearnedTest.java
@@ -15,7 +15,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.product.DawnTerms;
 
 /** What is learned for plans, and that a successor knows the same. */
@@ -40,7 +40,7 @@
             JobSpec.Shape.ARRAY,
             Priority.NORMAL,
             tasks,
-            new Room(1, 0, 1),
+            new Resources(1, 0, 1),
             Set.of(),
             Optional.empty(),
             false,
--- a/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
@@ -17,12 +17,12 @@
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.fleet.Registry;
-import org.oakwalk.core.job.Arrays;
+import org.oakwalk.core.job.ArrayJobs;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.JobSpec;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.job.ResultWriter;
-import org.oakwalk.core.job.Room;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Effect;
 import org.oakwalk.core.port.Outbox;
@@ -43,11 +43,12 @@
   private static final Map<String, MachineType> TYPES =
       Map.of(
           "t",
-          new MachineType("t", new Room(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a")));
+          new MachineType(
+              "t", new Resources(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a")));
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
-  private final JobBook jobs = knowsOneJob();
+  private final JobRegistry jobs = knowsOneJob();
   private final Settings.StateLimits limits = new Settings.StateLimits(200, 100, 4, 8);
   private final Fleet fleet =
       new Fleet(
@@ -78,8 +79,8 @@
           ROSE);
   private Moment now = ROSE;
 
-  private JobBook knowsOneJob() {
-    JobSpec spec = Arrays.spec("j-1", 10);
+  private JobRegistry knowsOneJob() {
+    JobSpec spec = ArrayJobs.spec("j-1", 10);
     JobRecord record = new JobRecord(spec, JobRecord.Phase.OPEN, new WallTime(1));
     view.listen(
         new StoreView.Listener() {
@@ -93,7 +94,7 @@
     outbox.answered(
         ((Effect.Call) outbox.drain().get(0)).call(), page(Keys.job(spec.id()), record));
     outbox.drain();
-    return new JobBook(view, TOKEN, ROSE);
+    return new JobRegistry(view, TOKEN, ROSE);
   }
 
   private Effect.Call read(String prefix) {
--- a/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
@@ -25,11 +25,11 @@
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.fleet.Registry;
-import org.oakwalk.core.job.Arrays;
+import org.oakwalk.core.job.ArrayJobs;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobRegistry;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.job.ResultWriter;
-import org.oakwalk.core.job.Room;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.JobRecord;
@@ -42,21 +42,21 @@
 /** What a new leader makes of stored results and records that can't be read. */
 class StoredResultsTest {
   private static final MachineType TYPE =
-      new MachineType("m", new Room(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a"));
+      new MachineType("m", new Resources(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a"));
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(100, 100, 4, 4);
 
   private final Outbox outbox = new Outbox();
   private final LateStore store = new LateStore();
   private final StoreView view = new StoreView(outbox, 200, 1);
   private final Moment now = new Moment(1000);
-  private JobBook jobs;
+  private JobRegistry jobs;
   private Fleet fleet;
   private Recovery recovery;
 
   @BeforeEach
   void store() {
-    Arrays.store(store, "j-1", 3, JobRecord.Phase.OPEN);
-    Arrays.store(store, "j-2", 3, JobRecord.Phase.OPEN);
+    ArrayJobs.storeRecord(store, "j-1", 3, JobRecord.Phase.OPEN);
+    ArrayJobs.storeRecord(store, "j-2", 3, JobRecord.Phase.OPEN);
     store.put(Keys.job(new JobId("j-3")), new StoredValue.Unreadable("of a later form"));
   }
 
@@ -73,7 +73,7 @@
     serve();
     Token token = new Token(100);
     Guard guard = new Guard(Keys.LEADER, new Revision(100));
-    jobs = new JobBook(view, token, now);
+    jobs = new JobRegistry(view, token, now);
     Settings.Workers timing =
         new Settings.Workers(Span.seconds(1), Span.seconds(10), Span.seconds(30));
     fleet =
--- a/src/test/java/org/oakwalk/daemon/QuestionsLoadTest.java
+++ b/src/test/java/org/oakwalk/daemon/QuestionsLoadTest.java
@@ -28,7 +28,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.JobRecord;
@@ -59,7 +59,7 @@
         JobSpec.Shape.ARRAY,
         Priority.NORMAL,
         1,
-        new Room(1, 0, 1),
+        new Resources(1, 0, 1),
         Set.of(),
         Optional.empty(),
         false,
--- a/src/test/java/org/oakwalk/wire/PlanCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/PlanCodecTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.MethodSource;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.planner.GroupKey;
 import org.oakwalk.core.planner.PlanRow;
 
@@ -37,7 +37,7 @@
             23,
             LATE,
             1.0 / 3,
-            new Room(1.0 / 3, 1.0 / 3, 1.0 / 3),
+            new Resources(1.0 / 3, 1.0 / 3, 1.0 / 3),
             Collections.nCopies(24, LATE)),
         new PlanRow.Reach(NAME, NAME, true, 1.0 / 3, 1.0 / 3, 1.0 / 3));
   }
--- a/src/test/java/org/oakwalk/wire/SharedCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/SharedCodecTest.java
@@ -14,7 +14,7 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.oakwalk.core.headroom.HeadroomRow;
 import org.oakwalk.core.job.Priority;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.shared.SharedRow;
 import org.oakwalk.core.store.StoredValue;
 
@@ -27,7 +27,7 @@
     }
     return new HeadroomRow(
         new HeadroomRow.Key(
-            name, name, name, new Room(1234567.123456, 0.1, 999999.000001), Optional.of(name)),
+            name, name, name, new Resources(1234567.123456, 0.1, 999999.000001), Optional.of(name)),
         Priority.PRODUCTION,
         name,
         123456.789,
--- a/src/test/java/org/oakwalk/wire/TakeCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/TakeCodecTest.java
@@ -14,7 +14,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.exchange.Take;
 import org.oakwalk.core.exchange.TakeId;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.store.StoredValue;
 
 /** Takes as they are stored. */
@@ -28,7 +28,7 @@
         "\u00e9".repeat(60),
         Integer.MAX_VALUE,
         new JobId("j-" + "2".repeat(18)),
-        new Room(1.0 / 3, 1e6 / 7, 1e-6 / 7),
+        new Resources(1.0 / 3, 1e6 / 7, 1e-6 / 7),
         new MachineId("host-" + "3".repeat(60)),
         Integer.MAX_VALUE,
         new WallTime(Long.MAX_VALUE));
--- a/src/test/java/org/oakwalk/wire/WireTest.java
+++ b/src/test/java/org/oakwalk/wire/WireTest.java
@@ -36,7 +36,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.job.Room;
+import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.PeerMessage;
 import org.oakwalk.core.port.Request;
@@ -113,7 +113,7 @@
   void readsTheProtocolsJobAndStoresAllOfIt() throws Exception {
     JobSpec spec = spec();
     assertThat(spec.zone()).isEmpty();
-    assertThat(spec.due()).contains(Span.seconds(900));
+    assertThat(spec.deadline()).contains(Span.seconds(900));
     JobRecord record = new JobRecord(spec, JobRecord.Phase.OPEN, new WallTime(5));
     assertThat(StateCodec.value(new Fields(StateCodec.value(record)))).isEqualTo(record);
   }
@@ -266,7 +266,7 @@
                 "g8",
                 new MachineType(
                     "g8",
-                    new Room(96, 8, 768),
+                    new Resources(96, 8, 768),
                     200,
                     1,
                     12,
