--- a/src/main/java/org/oakwalk/core/job/AdmissionControl.java
+++ b/src/main/java/org/oakwalk/core/job/AdmissionControl.java
@@ -5,13 +5,16 @@
 import org.oakwalk.core.store.StoreView;
 
 /**
- * Whether another job can be taken: each node keeps all open ones in memory, so there is an end to
- * them. Every team has a share, half of it the same for all and half by guarantees, and may always
- * fill it; beyond it may use what others leave, but for a part of their shares that is kept for
- * them. So one team's flood is refused while the others go on being accepted.
+ * Limits the number of open jobs, because every node keeps all of them in memory.
+ *
+ * <p>Each team has a share of the limit: half of the limit is divided equally, the other half in
+ * proportion to the CPU guarantees. A team may always fill its own share. Beyond it, the team may
+ * use capacity that other teams leave unused, except for a fraction of each share that stays
+ * reserved for its owner. One team submitting too many jobs is therefore refused while the others
+ * are still accepted.
  */
 public final class AdmissionControl {
-  /** Part of each team's share that nobody else may use. */
+  /** Fraction of each team's share that no other team may use. */
   private static final double RESERVED_FRACTION = 0.25;
 
   private final Map<String, Settings.Team> teams;
@@ -19,18 +22,19 @@
   private final int maxOpenJobs;
 
   /**
-   * A gate before new jobs.
+   * Creates admission control over the open jobs in {@code view}.
    *
-   * @param maxOpenJobs about how many jobs may be open; when all teams come to fill their shares
-   *     after one has used more than its own it can be up to {@code 1 + (1 - KEPT)} times that
+   * @param maxOpenJobs approximate limit on open jobs; if all teams fill their shares after one
+   *     team has exceeded its own, the total can reach {@code 1 + (1 - RESERVED_FRACTION)} times
+   *     this number
    */
-  public AdmissionControl(Map<String, Settings.Team> teams, StoreView view, int mostOpen) {
+  public AdmissionControl(Map<String, Settings.Team> teams, StoreView view, int maxOpenJobs) {
     this.teams = teams;
     this.view = view;
-    this.maxOpenJobs = mostOpen;
+    this.maxOpenJobs = maxOpenJobs;
   }
 
-  /** Whether the team may submit another job now. */
+  /** Returns whether the team may submit another job now. */
   public boolean admits(String team) {
     if (view.openJobs().all() < maxOpenJobs * RESERVED_FRACTION / Math.max(1, teams.size())) {
       return true;
@@ -39,20 +43,21 @@
     if (view.openJobs().of(team) < share(teams.get(team), guarantees)) {
       return true;
     }
-    double held = view.openJobs().all();
+    // Open jobs, plus the part of the other teams' reserved capacity that they don't use yet.
+    double committed = view.openJobs().all();
     for (Settings.Team other : teams.values()) {
       if (!other.name().equals(team)) {
-        held +=
+        committed +=
             Math.max(
                 0, RESERVED_FRACTION * share(other, guarantees) - view.openJobs().of(other.name()));
       }
     }
-    return held < maxOpenJobs;
+    return committed < maxOpenJobs;
   }
 
   private double share(Settings.Team team, double guarantees) {
-    double alike = 1.0 / teams.size();
-    double guaranteed = guarantees <= 0 ? alike : team.cpus() / guarantees;
-    return maxOpenJobs * (alike + guaranteed) / 2;
+    double equal = 1.0 / teams.size();
+    double guaranteed = guarantees <= 0 ? equal : team.cpus() / guarantees;
+    return maxOpenJobs * (equal + guaranteed) / 2;
   }
 }
--- a/src/main/java/org/oakwalk/core/job/Job.java
+++ b/src/main/java/org/oakwalk/core/job/Job.java
@@ -11,17 +11,17 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.WallTime;
 
-/** A job as the leader works on it: which tasks are done, on a machine, or waiting. */
+/** The leader's state of one job: which tasks are done, assigned to a machine, or pending. */
 public final class Job {
-  /** Life of a job under one leader. */
+  /** Lifecycle of a job under one leader. */
   public enum State {
-    /** Tasks are placed. */
+    /** Tasks are being placed. */
     OPEN,
-    /** All tasks are done, and this is being stored. */
+    /** All tasks are done and the final record is being written. */
     FINISHING,
     /** Stored as done. */
     DONE,
-    /** Stored as withdrawn; tasks still on machines are being stopped. */
+    /** Stored as withdrawn; tasks that are still on machines are being stopped. */
     WITHDRAWN
   }
 
@@ -51,31 +51,32 @@
   private final Consumer<Job> changeListener;
   private int unplacedSinceRound = -1;
 
-  /** A job of which nobody keeps track. */
-  public Job(JobSpec spec, Revision stamp, WallTime accepted, boolean inherited, Moment seen) {
-    this(spec, stamp, accepted, inherited, seen, job -> {});
+  /** Creates an open job without a change listener. */
+  public Job(
+      JobSpec spec, Revision revision, WallTime acceptedAt, boolean inherited, Moment firstSeen) {
+    this(spec, revision, acceptedAt, inherited, firstSeen, job -> {});
   }
 
   /**
-   * A job that is not over.
+   * Creates an open job.
    *
-   * @param changeListener told after each change, so that what is known of many jobs is kept up to
-   *     date rather than found out anew
+   * @param changeListener called after each change, so that indexes over many jobs are updated
+   *     incrementally instead of being recomputed
    */
   Job(
       JobSpec spec,
-      Revision stamp,
-      WallTime accepted,
+      Revision revision,
+      WallTime acceptedAt,
       boolean inherited,
-      Moment seen,
-      Consumer<Job> touched) {
-    this.changeListener = touched;
+      Moment firstSeen,
+      Consumer<Job> changeListener) {
+    this.changeListener = changeListener;
     this.spec = spec;
-    this.revision = stamp;
-    this.acceptedAt = accepted;
+    this.revision = revision;
+    this.acceptedAt = acceptedAt;
     this.inherited = inherited;
-    this.firstSeen = seen;
-    this.waitingSince = seen;
+    this.firstSeen = firstSeen;
+    this.waitingSince = firstSeen;
   }
 
   public JobSpec spec() {
@@ -94,11 +95,12 @@
     return state == State.OPEN;
   }
 
-  /** Whether it is stored as done or withdrawn. */
+  /** Returns whether the job is stored as done or withdrawn. */
   public boolean isEnded() {
     return state == State.DONE || state == State.WITHDRAWN;
   }
 
+  /** Returns the revision at which the job's record was last stored. */
   public Revision revision() {
     return revision;
   }
@@ -107,17 +109,20 @@
     return acceptedAt;
   }
 
-  /** Whether the job was stored before this leader rose, so that others may have started it. */
+  /**
+   * Returns whether the job was stored before this leader's term, so an earlier leader may have
+   * started it.
+   */
   public boolean inherited() {
     return inherited;
   }
 
-  /** When this leader first knew of it. */
+  /** Returns when this leader first loaded the job. */
   public Moment firstSeen() {
     return firstSeen;
   }
 
-  /** Since when some task has been waiting; a failed task starts its wait afresh. */
+  /** Returns the start of the job's wait; it is reset whenever an unfinished task is unassigned. */
   public Moment waitingSince() {
     return waitingSince;
   }
@@ -130,6 +135,7 @@
     return runningCount;
   }
 
+  /** Returns the number of tasks that are assigned to a machine, running or not. */
   public int assignedCount() {
     return assignedCount;
   }
@@ -146,12 +152,15 @@
     return state == State.DONE || storedDone.get(index);
   }
 
-  /** Whether the task is neither done nor on a machine. */
+  /** Returns whether the task is neither done nor assigned to a machine. */
   public boolean isUnassigned(int index) {
     return !assigned.get(index);
   }
 
-  /** The first task from {@code from} on that may be placed now, or -1. */
+  /**
+   * Returns the first task at or after {@code from} that may be placed now, or -1 if there is none.
+   * Tasks in backoff are skipped. A suspect job has one task assigned at a time, as a probe.
+   */
   public int nextPending(int from, Moment now) {
     faultDetector.clearAfterHealthyRun(now);
     if (isSuspect() && (assignedCount > 0 || !faultDetector.mayProbe(now))) {
@@ -159,8 +168,8 @@
     }
     int index = assigned.nextClearBit(from);
     while (index < spec.tasks()) {
-      Moment pause = notBefore.get(index);
-      if (pause == null || !pause.isAfter(now)) {
+      Moment backoffEnd = notBefore.get(index);
+      if (backoffEnd == null || !backoffEnd.isAfter(now)) {
         return index;
       }
       index = assigned.nextClearBit(index + 1);
@@ -168,10 +177,10 @@
     return -1;
   }
 
-  /** A task is put on a machine. */
+  /** Records that a task is assigned to a machine. */
   public void assign(int index) {
     if (assigned.get(index)) {
-      throw new IllegalStateException(id() + "/" + index + " is taken already");
+      throw new IllegalStateException(id() + "/" + index + " is already assigned to a machine");
     }
     assigned.set(index);
     assignedCount++;
@@ -179,7 +188,7 @@
     changeListener.accept(this);
   }
 
-  /** A task is surely on no machine any more and waits again. */
+  /** Records that a task is certainly on no machine any more; unless done, it is pending again. */
   public void unassign(int index, Moment now) {
     assignedCount--;
     if (!done.get(index)) {
@@ -189,33 +198,36 @@
     changeListener.accept(this);
   }
 
-  /** A task ended with an error or was refused: it waits, longer each time. */
+  /**
+   * Delays the next attempt of a task that failed or was refused by its machine. The backoff
+   * doubles with each failure of the task, and errors all over the job raise its minimum.
+   */
   public void backOff(int index, boolean error, Moment now) {
     int count = failures.merge(index, 1, Integer::sum);
     errorCount += error ? 1 : 0;
     int shift = Math.min(6, Math.max(count - 1, error ? Math.min(5, errorCount / 8) : 0));
-    Span pause = Span.millis(MIN_BACKOFF.millis() << shift);
-    notBefore.put(index, now.plus(pause.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : pause));
+    Span backoff = Span.millis(MIN_BACKOFF.millis() << shift);
+    notBefore.put(index, now.plus(backoff.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : backoff));
   }
 
-  /** A task has failed on this machine. */
+  /** Records that one of the job's tasks failed on the machine. */
   public void recordFailure(MachineId machine, Moment now) {
     faultDetector.recordFailure(machine, now);
     changeListener.accept(this);
   }
 
-  /** An earlier leader found that the job is at fault. */
+  /** Marks the job as suspect because an earlier leader found it to be. */
   public void markSuspect() {
     faultDetector.markSuspect();
     changeListener.accept(this);
   }
 
-  /** Whether the job itself, rather than any machine, must be to blame for its errors. */
+  /** Returns whether the job itself, rather than a machine, is the likely cause of its errors. */
   public boolean isSuspect() {
     return doneCount == 0 && faultDetector.isSuspect();
   }
 
-  /** A task has completed, on whichever attempt. */
+  /** Records that a task has completed, in any of its attempts. */
   public void complete(int index, Moment now) {
     if (!done.get(index)) {
       done.set(index);
@@ -228,7 +240,7 @@
     }
   }
 
-  /** A task was found done in the store. */
+  /** Records that a task is done according to the store. */
   public void restoreDone(int index) {
     doneCount += done.get(index) ? 0 : 1;
     done.set(index);
@@ -237,59 +249,62 @@
     changeListener.accept(this);
   }
 
-  /** A task has begun to run, or does not run any more. */
-  public void setRunning(int index, boolean on, Moment now) {
-    runningCount += on ? 1 : -1;
-    if (on) {
+  /** Records that a task has started to run, or no longer runs. */
+  public void setRunning(int index, boolean isRunning, Moment now) {
+    runningCount += isRunning ? 1 : -1;
+    if (isRunning) {
       started.set(index);
     }
     faultDetector.setRunning(runningCount > 0, now);
     changeListener.accept(this);
   }
 
-  /** A task that is told to stop may have begun to run since its machine's last report. */
+  /** Records that a task being stopped may have started to run since its machine's last report. */
   public void markPossiblyStarted(int index) {
     started.set(index);
   }
 
-  /** Tasks that have run, or may have, under this leader and are not done. */
+  /** Returns the number of unfinished tasks that have run, or may have, under this leader. */
   public int startedCount() {
-    BitSet open = (BitSet) started.clone();
-    open.andNot(done);
-    return open.cardinality();
+    BitSet unfinished = (BitSet) started.clone();
+    unfinished.andNot(done);
+    return unfinished.cardinality();
   }
 
   public boolean allDone() {
     return doneCount == spec.tasks();
   }
 
-  /** Since when a completed task has not been stored, or null. */
+  /** Returns since when the job has had unstored results, or null if all results are stored. */
   public Moment dirtySince() {
     return dirtySince;
   }
 
-  /** Copy of the finished tasks, to be stored. */
+  /** Returns a copy of the set of done tasks, to be stored. */
   public BitSet doneSnapshot() {
     return (BitSet) done.clone();
   }
 
+  /** Returns whether a task in {@code [from, to)} is done but not stored as done. */
   public boolean hasUnstoredResults(int from, int to) {
-    BitSet fresh = done.get(from, to);
-    fresh.andNot(storedDone.get(from, to));
-    return !fresh.isEmpty();
+    BitSet unstored = done.get(from, to);
+    unstored.andNot(storedDone.get(from, to));
+    return !unstored.isEmpty();
   }
 
-  /** The tasks of {@code snapshot} from {@code from} to {@code to} are stored as done. */
+  /** Records that the tasks of {@code snapshot} in {@code [from, to)} are stored as done. */
   public void markStored(BitSet snapshot, int from, int to, Moment now) {
-    BitSet part = (BitSet) snapshot.clone();
-    part.clear(0, from);
-    part.clear(to, Math.max(to, part.length()));
-    storedDone.or(part);
+    BitSet range = (BitSet) snapshot.clone();
+    range.clear(0, from);
+    range.clear(to, Math.max(to, range.length()));
+    storedDone.or(range);
     dirtySince = hasUnstoredResults(0, spec.tasks()) ? now : null;
     changeListener.accept(this);
   }
 
-  /** The regular round since which its waiting tasks have found no place; -1 if none was played. */
+  /**
+   * Returns the regular round since which pending tasks could not be placed; -1 before the first.
+   */
   public int unplacedSinceRound() {
     return unplacedSinceRound;
   }
@@ -302,27 +317,31 @@
     changeState(State.FINISHING);
   }
 
-  /** Storing the end failed; it is tried again. */
+  /** Returns the job to the open state after a failed write of its final record, for a retry. */
   public void reopen() {
     changeState(State.OPEN);
   }
 
-  public void markEnded(boolean withdrawn, Revision at) {
-    revision = at;
+  /** Records that the job is stored as done or withdrawn at {@code storedAt}. */
+  public void markEnded(boolean withdrawn, Revision storedAt) {
+    revision = storedAt;
     changeState(withdrawn ? State.WITHDRAWN : State.DONE);
   }
 
-  /** Its user was told of the withdrawal at this moment or later. */
+  /** Sets the earliest moment at which a user may have been told of the withdrawal. */
   void earliestWithdrawalNotice(Moment earliest) {
     earliestWithdrawalNotice = earliest;
   }
 
-  /** No user was told of a withdrawal before this; null if there is none that was seen coming. */
+  /**
+   * Returns the earliest moment at which a user may have been told of the withdrawal; null unless
+   * this leader saw the job change from open to withdrawn.
+   */
   public Moment earliestWithdrawalNotice() {
     return earliestWithdrawalNotice;
   }
 
-  /** The one place where the state changes. */
+  /** Changes the state; all state changes go through this method. */
   private void changeState(State next) {
     boolean legal =
         switch (state) {
@@ -331,7 +350,8 @@
           case DONE, WITHDRAWN -> next == state;
         };
     if (!legal) {
-      throw new IllegalStateException("job " + id() + " from " + state + " to " + next);
+      throw new IllegalStateException(
+          "job " + id() + " can't change from " + state + " to " + next);
     }
     state = next;
     changeListener.accept(this);
--- a/src/main/java/org/oakwalk/core/job/JobFaultDetector.java
+++ b/src/main/java/org/oakwalk/core/job/JobFaultDetector.java
@@ -7,22 +7,28 @@
 import org.oakwalk.core.Span;
 
 /**
- * Evidence that a job itself is at fault: its tasks fail on one machine after the other, and none
- * has completed. Such a job goes on by single probes with growing pauses, so that it takes no room
- * from others and has no machine blamed; the first task that completes, or runs for a while, clears
- * it. A probe that only begins to run does not: what fails everywhere begins to run as well.
+ * Detects jobs that are at fault themselves: their tasks fail on several machines, and none has
+ * completed.
+ *
+ * <p>A suspect job is limited to single probe tasks with exponential backoff, so that it takes no
+ * resources from other jobs and no machine is blamed for its failures. The job is cleared by the
+ * first task that completes or runs for {@link #HEALTHY_RUN_TIME}. A probe that merely starts does
+ * not clear it, because tasks of a faulty job also start before they fail.
  */
 final class JobFaultDetector {
+  /** Number of machines with failed tasks from which a job is suspect. */
   private static final int SUSPECT_MACHINES = 3;
 
-  /** On a small fleet fewer machines have to do, but more errors. */
+  /**
+   * Small fleets have too few machines for the rule above; fewer suffice if there are more errors.
+   */
   private static final int SUSPECT_MACHINES_SMALL_FLEET = 2;
 
   private static final int SUSPECT_ERRORS_SMALL_FLEET = 8;
   private static final Span MIN_PROBE_BACKOFF = Span.seconds(2);
   private static final Span MAX_PROBE_BACKOFF = Span.seconds(60);
 
-  /** What runs for so long does not fail as the others did. */
+  /** A task that runs for this long does not fail the way the earlier ones did. */
   private static final Span HEALTHY_RUN_TIME = Span.seconds(5);
 
   private final Set<MachineId> failedMachines = new HashSet<>();
@@ -32,7 +38,7 @@
   private Span probeBackoff = MIN_PROBE_BACKOFF;
   private Moment nextProbe = new Moment(Long.MIN_VALUE / 2);
 
-  /** Whether the evidence is enough. */
+  /** Returns whether the failures indicate that the job is at fault. */
   boolean isSuspect() {
     return reportedByEarlierLeader
         || failedMachines.size() >= SUSPECT_MACHINES
@@ -40,12 +46,12 @@
             && errorCount >= SUSPECT_ERRORS_SMALL_FLEET);
   }
 
-  /** Whether any of its tasks runs at present. */
-  void setRunning(boolean on, Moment now) {
-    runningSince = !on ? null : runningSince == null ? now : runningSince;
+  /** Records whether any task of the job is running now. */
+  void setRunning(boolean anyRunning, Moment now) {
+    runningSince = !anyRunning ? null : runningSince == null ? now : runningSince;
   }
 
-  /** Looks whether something has run for long enough to clear it. */
+  /** Clears the suspicion if tasks of the job have been running for {@link #HEALTHY_RUN_TIME}. */
   void clearAfterHealthyRun(Moment now) {
     if (runningSince != null && now.past(runningSince, HEALTHY_RUN_TIME)) {
       failedMachines.clear();
@@ -54,12 +60,15 @@
     }
   }
 
-  /** An earlier leader had enough evidence. */
+  /** Marks the job as suspect because an earlier leader found it to be. */
   void markSuspect() {
     reportedByEarlierLeader = true;
   }
 
-  /** A task has failed; what fails while a pause lasts was started before it. */
+  /**
+   * Records a failed task. Failures during a probe backoff don't extend it, because those tasks
+   * were started before it.
+   */
   void recordFailure(MachineId machine, Moment now) {
     errorCount++;
     if (failedMachines.size() < SUSPECT_MACHINES) {
@@ -74,7 +83,7 @@
     }
   }
 
-  /** Whether a probe may start. */
+  /** Returns whether a probe task may start. */
   boolean mayProbe(Moment now) {
     return !nextProbe.isAfter(now);
   }
--- a/src/main/java/org/oakwalk/core/job/JobRegistry.java
+++ b/src/main/java/org/oakwalk/core/job/JobRegistry.java
@@ -18,16 +18,18 @@
 import org.oakwalk.core.store.StoreView;
 
 /**
- * The jobs that one leader works on: all open ones, and withdrawn ones still on machines. Which of
- * them ask for something is kept with every change of a job: looked for anew many times a second,
- * it would cost the more the longer the queue is.
+ * The jobs that one leader schedules: all open jobs, and ended jobs that still have tasks on
+ * machines.
+ *
+ * <p>The sets of jobs that need some action are updated with every change of a job. Searching all
+ * jobs for them many times a second would cost more the longer the queue is.
  */
 public final class JobRegistry {
   private final StoreView view;
   private final Token token;
   private final Map<JobId, Job> jobs = new LinkedHashMap<>();
 
-  /** Jobs that are not over, in the order in which they were stored. */
+  /** Jobs that have not ended, by team, in the order in which they were stored. */
   private final Map<String, Set<Job>> unfinishedByTeam = new HashMap<>();
 
   private final Set<Job> changed = new LinkedHashSet<>();
@@ -37,6 +39,7 @@
   private final Set<Job> ended = new LinkedHashSet<>();
   private Optional<Consumer<Job>> changeListener = Optional.empty();
 
+  /** Loads all open jobs from the copy of the store. */
   public JobRegistry(StoreView view, Token token, Moment now) {
     this.view = view;
     this.token = token;
@@ -58,7 +61,10 @@
     return Optional.ofNullable(jobs.get(id));
   }
 
-  /** The job, brought back from the store's copy if it was withdrawn and its tasks show up. */
+  /**
+   * Returns the job, loading it from the copy of the store if this registry doesn't hold it. A
+   * withdrawn job that was removed is needed again when a machine reports tasks of it.
+   */
   public Optional<Job> findOrLoad(JobId id, Moment now) {
     Job job = jobs.get(id);
     if (job == null) {
@@ -70,7 +76,7 @@
     return Optional.ofNullable(job);
   }
 
-  /** Takes over a stored change; returns the job if it has just been withdrawn. */
+  /** Applies a change seen in the store; returns the job if the change is its withdrawal. */
   public Optional<Job> applyStoredChange(KnownJob known, Moment now) {
     Job job = jobs.get(known.id());
     if (job == null) {
@@ -85,59 +91,60 @@
     boolean withdrawn = known.phase() == JobRecord.Phase.WITHDRAWN;
     job.markEnded(withdrawn, known.stamp());
     if (withdrawn) {
-      // What was stored before the last read began was known, and this was not.
+      // Everything stored before the last completed read of the store began was known already, and
+      // this withdrawal was not. So it was stored later.
       job.earliestWithdrawalNotice(view.contact());
     }
     return withdrawn ? Optional.of(job) : Optional.empty();
   }
 
-  /** Tells of each job that comes or changes from now on, at once; there is one to be told. */
-  public void setChangeListener(Consumer<Job> told) {
-    changeListener = Optional.of(told);
+  /** Sets the only listener, called synchronously for every job that is added or changes. */
+  public void setChangeListener(Consumer<Job> listener) {
+    changeListener = Optional.of(listener);
   }
 
-  /** A team's jobs that are not over, first stored first. */
+  /** Returns the team's jobs that have not ended, in the order in which they were stored. */
   public Collection<Job> unfinishedOfTeam(String team) {
     return unfinishedByTeam.getOrDefault(team, Set.of());
   }
 
-  /** Jobs that have changed since this was asked last, new ones included. */
+  /** Returns the jobs that were added or changed since the last call. */
   public List<Job> takeChanged() {
     List<Job> taken = List.copyOf(changed);
     changed.clear();
     return taken;
   }
 
-  /** Open jobs of which all tasks are done. */
+  /** Returns the open jobs of which all tasks are done. */
   public List<Job> readyToFinish() {
     return List.copyOf(readyToFinish);
   }
 
-  /** Open jobs with finished tasks that are not stored, but not all tasks. */
+  /** Returns the open jobs with done tasks that are not stored, except jobs with all tasks done. */
   public List<Job> withUnstoredResults() {
     return new ArrayList<>(withUnstoredResults);
   }
 
-  /** Open jobs of which a task runs or is done. */
+  /** Returns the open jobs with a task that is running or done. */
   public Collection<Job> inProgress() {
     return inProgress;
   }
 
-  /** Forgets ended jobs of which nothing is left on any machine, and returns them. */
+  /** Removes and returns the ended jobs that have no task assigned to a machine any more. */
   public List<Job> removeEnded() {
-    List<Job> swept = new ArrayList<>();
+    List<Job> removed = new ArrayList<>();
     for (Job job : ended) {
       if (job.assignedCount() == 0 && jobs.remove(job.id(), job)) {
-        swept.add(job);
+        removed.add(job);
       }
     }
-    ended.removeAll(swept);
-    return swept;
+    ended.removeAll(removed);
+    return removed;
   }
 
   private void jobChanged(Job job) {
     changed.add(job);
-    changeListener.ifPresent(told -> told.accept(job));
+    changeListener.ifPresent(listener -> listener.accept(job));
     setMembership(readyToFinish, job, job.isOpen() && job.allDone());
     setMembership(
         withUnstoredResults, job, job.isOpen() && !job.allDone() && job.dirtySince() != null);
@@ -153,8 +160,8 @@
     }
   }
 
-  private static void setMembership(Set<Job> set, Job job, boolean in) {
-    if (in) {
+  private static void setMembership(Set<Job> set, Job job, boolean member) {
+    if (member) {
       set.add(job);
     } else {
       set.remove(job);
@@ -171,7 +178,7 @@
     } else {
       unfinishedByTeam.computeIfAbsent(job.spec().team(), team -> new LinkedHashSet<>()).add(job);
       changed.add(job);
-      changeListener.ifPresent(told -> told.accept(job));
+      changeListener.ifPresent(listener -> listener.accept(job));
     }
     return job;
   }
--- a/src/main/java/org/oakwalk/core/job/JobSpec.java
+++ b/src/main/java/org/oakwalk/core/job/JobSpec.java
@@ -5,7 +5,20 @@
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.Span;
 
-/** What a user asked for. Immutable once accepted. */
+/**
+ * A job as its user submitted it. Immutable once accepted.
+ *
+ * @param resources resources of one task
+ * @param machineTypes machine types that the job may use; any type if empty
+ * @param zone the only zone that the job may use, if given
+ * @param oneZone whether all tasks must run in the same zone
+ * @param spread whether the tasks must be spread over zones, see {@link #maxTasksPerZone}
+ * @param spotAllowed whether tasks may run on spot machines
+ * @param estimatedRunTime the user's estimate of the run time of one task
+ * @param checkpointInterval time between two checkpoints of a task; zero if it takes none
+ * @param checkpointDuration time that a task needs to save a checkpoint
+ * @param deadline time after submission within which the job should be done, if given
+ */
 public record JobSpec(
     JobId id,
     String jobClass,
@@ -29,7 +42,7 @@
   /** Largest number of tasks a job may have. */
   public static final int MAX_TASKS = 100_000;
 
-  /** Kind of job. */
+  /** How the tasks of a job belong together. */
   public enum Shape {
     ARRAY,
     GANG,
@@ -44,14 +57,14 @@
     return shape == Shape.GANG;
   }
 
-  /** Whether the job may run on a machine of this type, zone and kind. */
+  /** Returns whether the job may run on a machine of this type and zone, spot or not. */
   public boolean allows(String type, String machineZone, boolean spot) {
     return (machineTypes.isEmpty() || machineTypes.contains(type))
         && (zone.isEmpty() || zone.get().equals(machineZone))
         && (!spot || spotAllowed);
   }
 
-  /** The most tasks that one zone may hold. */
+  /** Returns the largest number of the job's tasks that may be in one zone. */
   public int maxTasksPerZone() {
     return spread ? (tasks + 1) / 2 : tasks;
   }
--- a/src/main/java/org/oakwalk/core/job/PendingUserRequests.java
+++ b/src/main/java/org/oakwalk/core/job/PendingUserRequests.java
@@ -12,49 +12,52 @@
 import org.oakwalk.core.port.UserRequest;
 
 /**
- * What users have asked and not been answered yet. Reads, writes, their waits for the rate and the
- * way through another controller each have bounds of their own, which add up to more than a user
- * waits. So whoever is not answered by then is refused, in time to hear of it and ask again, and
- * nothing is kept for those who have gone.
+ * User requests that have not been answered yet.
+ *
+ * <p>Reads, writes, their delays by the rate limit and the forwarding through another controller
+ * are each bounded, but the bounds add up to more than a client's timeout. A request without an
+ * answer is therefore refused shortly before that timeout, so that the client receives the refusal
+ * and can retry, and no state is kept for clients that have disconnected.
  */
 public final class PendingUserRequests {
-  /** Users wait 2 s for the answer to a poll, and 5 s for others; the way takes its part. */
+  /** Clients time out after 2 s for queries; the difference covers the network. */
   private static final Span QUERY_TIMEOUT = Span.millis(1_700);
 
+  /** Clients time out after 5 s for submissions and withdrawals. */
   private static final Span CHANGE_TIMEOUT = Span.millis(4_500);
 
-  private record PendingRequest(ExchangeId exchange, Moment deadline) {}
+  private record PendingRequest(ExchangeId id, Moment deadline) {}
 
   private final Deque<PendingRequest> queries = new ArrayDeque<>();
   private final Deque<PendingRequest> changes = new ArrayDeque<>();
   private final Set<ExchangeId> unanswered = new HashSet<>();
 
-  /** A user asks. */
-  public void add(ExchangeId exchange, UserRequest request, Moment now) {
-    unanswered.add(exchange);
+  /** Adds a request that has just been received. */
+  public void add(ExchangeId id, UserRequest request, Moment now) {
+    unanswered.add(id);
     if (request instanceof UserRequest.Query) {
-      queries.add(new PendingRequest(exchange, now.plus(QUERY_TIMEOUT)));
+      queries.add(new PendingRequest(id, now.plus(QUERY_TIMEOUT)));
     } else {
-      changes.add(new PendingRequest(exchange, now.plus(CHANGE_TIMEOUT)));
+      changes.add(new PendingRequest(id, now.plus(CHANGE_TIMEOUT)));
     }
   }
 
-  /** There is an answer; false if its user has been answered before. */
-  public boolean markAnswered(ExchangeId exchange) {
-    return unanswered.remove(exchange);
+  /** Marks a request as answered; returns false if it has been answered before. */
+  public boolean markAnswered(ExchangeId id) {
+    return unanswered.remove(id);
   }
 
-  /** Those who can't wait any longer; they count as answered. */
+  /** Removes the requests whose timeout has passed and returns them; they count as answered. */
   public List<ExchangeId> expire(Moment now) {
-    List<ExchangeId> late = new ArrayList<>();
-    for (Deque<PendingRequest> asked : List.of(queries, changes)) {
-      while (!asked.isEmpty() && !asked.peek().deadline().isAfter(now)) {
-        ExchangeId exchange = asked.poll().exchange();
-        if (unanswered.remove(exchange)) {
-          late.add(exchange);
+    List<ExchangeId> expired = new ArrayList<>();
+    for (Deque<PendingRequest> pending : List.of(queries, changes)) {
+      while (!pending.isEmpty() && !pending.peek().deadline().isAfter(now)) {
+        ExchangeId id = pending.poll().id();
+        if (unanswered.remove(id)) {
+          expired.add(id);
         }
       }
     }
-    return late;
+    return expired;
   }
 }
--- a/src/main/java/org/oakwalk/core/job/Resources.java
+++ b/src/main/java/org/oakwalk/core/job/Resources.java
@@ -1,6 +1,6 @@
 package org.oakwalk.core.job;
 
-/** Processors, accelerators and memory: of a machine, or taken by tasks. */
+/** An amount of CPUs, accelerators and memory: of a machine, or requested or used by tasks. */
 public record Resources(double cpus, double gpus, double memoryGb) {
   public static final Resources NONE = new Resources(0, 0, 0);
   private static final double ROUNDING_TOLERANCE = 1e-6;
@@ -17,35 +17,39 @@
     return new Resources(cpus * factor, gpus * factor, memoryGb * factor);
   }
 
-  /** Whether this fits into what is free. */
+  /** Returns whether this amount fits into {@code free}. */
   public boolean fitsInto(Resources free) {
     return cpus <= free.cpus + ROUNDING_TOLERANCE
         && gpus <= free.gpus + ROUNDING_TOLERANCE
         && memoryGb <= free.memoryGb + ROUNDING_TOLERANCE;
   }
 
-  /** How many of {@code unit} fit side by side into this. */
+  /** Returns how many times {@code unit} fits into this amount. */
   public int capacityFor(Resources unit) {
-    double most = Integer.MAX_VALUE;
+    double count = Integer.MAX_VALUE;
     if (unit.cpus > 0) {
-      most = Math.min(most, (cpus + ROUNDING_TOLERANCE) / unit.cpus);
+      count = Math.min(count, (cpus + ROUNDING_TOLERANCE) / unit.cpus);
     }
     if (unit.gpus > 0) {
-      most = Math.min(most, (gpus + ROUNDING_TOLERANCE) / unit.gpus);
+      count = Math.min(count, (gpus + ROUNDING_TOLERANCE) / unit.gpus);
     }
     if (unit.memoryGb > 0) {
-      most = Math.min(most, (memoryGb + ROUNDING_TOLERANCE) / unit.memoryGb);
+      count = Math.min(count, (memoryGb + ROUNDING_TOLERANCE) / unit.memoryGb);
     }
-    return (int) Math.max(0, Math.floor(most));
+    return (int) Math.max(0, Math.floor(count));
   }
 
-  /** The largest share that this takes of any resource of {@code whole}. */
+  /**
+   * Returns the dominant share: the largest fraction that this takes of any resource of {@code
+   * whole}.
+   */
   public double dominantShare(Resources whole) {
     return Math.max(
-        part(cpus, whole.cpus), Math.max(part(gpus, whole.gpus), part(memoryGb, whole.memoryGb)));
+        fraction(cpus, whole.cpus),
+        Math.max(fraction(gpus, whole.gpus), fraction(memoryGb, whole.memoryGb)));
   }
 
-  private static double part(double amount, double of) {
-    return amount <= 0 ? 0 : of <= 0 ? 1 : amount / of;
+  private static double fraction(double amount, double total) {
+    return amount <= 0 ? 0 : total <= 0 ? 1 : amount / total;
   }
 }
--- a/src/main/java/org/oakwalk/core/job/ResultWriter.java
+++ b/src/main/java/org/oakwalk/core/job/ResultWriter.java
@@ -28,13 +28,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores what has been done: the end of jobs at once, parts of jobs in batches.
+ * Stores task results: the final record of a job at once, results of unfinished jobs in batches.
  *
- * <p>A part is written on condition that it is as last written or found, and that its job's record
- * is the open one. A write whose answer was lost may be applied much later: by then a newer one has
- * changed the part, or the job's end its record, so it fails. Without that it would take back what
- * workers have been told to forget. What is not as it was taken to be is read before it is written
- * again.
+ * <p>Results of unfinished jobs are stored in chunks of {@link DoneBits#CHUNK} tasks. A chunk is
+ * written by compare-and-set: its own revision must be the one last written or read, and the job's
+ * record must still be the open one. This guards against a write whose answer was lost and that is
+ * applied much later. By then a newer write has changed the chunk, or the job's end its record, so
+ * the late write fails. Otherwise it would remove results that workers have been told to forget. A
+ * chunk whose revision differs from the expected one is read before it is written again.
  */
 public final class ResultWriter {
   private static final Logger LOG = LoggerFactory.getLogger(ResultWriter.class);
@@ -42,36 +43,46 @@
   private static final Span RETRY_DELAY = Span.millis(300);
   private static final int STATUS_UNAVAILABLE = 503;
 
-  /** Of the 64 KiB that a transaction may have, what parts take, their conditions left aside. */
+  /**
+   * Limit on encoded chunks in one commit, out of the transaction limit of 64 KiB; guards excluded.
+   */
   private static final int MAX_CHUNK_BYTES_PER_COMMIT = 44 * 1024;
 
   private final Outbox outbox;
   private final JobRegistry jobs;
   private final StoreView view;
   private final Guard guard;
+
+  /** Jobs that may have chunks in the store, which are to be removed when the job ends. */
   private final Set<JobId> jobsWithChunks = new HashSet<>();
 
-  /** How the parts of open jobs were last written or found; any other does not exist. */
+  /** Revisions of the stored chunks of open jobs; any other chunk does not exist. */
   private final Map<String, Revision> chunkRevisions = new HashMap<>();
 
-  /** Parts that are not as they were taken to be, and have to be read. */
+  /** Keys of chunks whose revision is not the expected one, and that have to be read. */
   private final Set<String> staleChunks = new LinkedHashSet<>();
 
   /**
-   * Open jobs whose records are not as this leader knows them. An open record never changes but for
-   * its end, which the copy of the store will tell; else it was damaged, and nothing is written.
+   * Open jobs whose stored record differs from the one that this leader knows. An open record only
+   * changes when the job ends, which the copy of the store will show; otherwise the record is
+   * damaged. In both cases no results of the job are written.
    */
   private final Set<JobId> blockedJobs = new HashSet<>();
 
+  /** Keys of chunks of ended jobs, to be removed. */
   private final List<String> obsoleteChunks = new ArrayList<>();
+
   private final int maxBatchSize;
 
-  /** How many changes go out at once: where much is refused, few are taken sooner than many. */
+  /**
+   * Changes per commit. Halved after a failed commit, because a state service that refuses many
+   * requests accepts small commits sooner than large ones.
+   */
   private int batchSize;
 
   private boolean flushing;
 
-  /** The service refuses to write ends, as far as is known. */
+  /** Set if the state service was unavailable for the last write of a final record. */
   private boolean finishRefused;
 
   private boolean reading;
@@ -89,20 +100,21 @@
     this.batchSize = maxBatchSize;
   }
 
-  /** A part of a job's results was found in the store. */
-  public void addStoredChunk(JobId id, String key, Revision stamp) {
+  /** Registers a chunk that this leader found in the store during recovery. */
+  public void addStoredChunk(JobId id, String key, Revision revision) {
     if (view.job(id).filter(job -> job.phase().isFinal()).isPresent()) {
       obsoleteChunks.add(key);
     } else {
       jobsWithChunks.add(id);
-      chunkRevisions.put(key, stamp);
+      chunkRevisions.put(key, revision);
     }
   }
 
+  /** Starts the writes and reads that are due. */
   public void tick(Moment now) {
     if (!nextFinish.isAfter(now)) {
-      // While the service refuses, one finds out when it does no more: all of them, several times a
-      // second for as long as an outage lasts, would take up what it grants to the other nodes.
+      // While the state service is unavailable, a single write probes it. Retrying all of them
+      // several times a second during an outage would use up the requests granted to other nodes.
       jobs.readyToFinish().stream()
           .filter(job -> !blockedJobs.contains(job.id()))
           .limit(finishRefused ? 1 : Long.MAX_VALUE)
@@ -126,21 +138,23 @@
             List.of(new Change.Put(key, record, Optional.empty())),
             Request.Urgency.RESULT),
         answer -> {
-          finishRefused = answer instanceof Answer.Refused no && no.status() == STATUS_UNAVAILABLE;
+          finishRefused =
+              answer instanceof Answer.Refused refusal && refusal.status() == STATUS_UNAVAILABLE;
           if (answer instanceof Answer.Committed) {
             LOG.info("job {} is done after {}", job.id(), now.since(job.firstSeen()));
           }
           if (job.state() != Job.State.FINISHING) {
-            // The watch was faster.
+            // The watch has shown the job's end before this answer arrived.
             return;
           }
           if (answer instanceof Answer.Committed committed) {
             job.markEnded(false, committed.epoch());
             jobEnded(job);
-            // Users are told only by the store's copy, so let it catch up at once.
+            // Users are answered from the copy of the store only, so bring it up to date at once.
             view.catchUp(now, known -> {});
           } else {
-            // Withdrawn meanwhile, or unknown: the store's copy tells, else it is tried again.
+            // The job was withdrawn meanwhile, or the outcome is unknown. The copy of the store
+            // will show if the job has ended; otherwise the write is retried.
             job.reopen();
             blockOnRecordConflict(answer, job);
             nextFinish = now.plus(RETRY_DELAY);
@@ -149,7 +163,7 @@
         });
   }
 
-  /** The job is stored as over, so the parts of its results are not needed any more. */
+  /** Marks the chunks of a job for removal, because the job is stored as done or withdrawn. */
   public void jobEnded(Job job) {
     blockedJobs.remove(job.id());
     if (jobsWithChunks.remove(job.id())) {
@@ -169,7 +183,7 @@
     }
   }
 
-  /** Finds out how a part stands. */
+  /** Reads the current revision of a chunk. */
   private void readChunk(String key) {
     reading = true;
     outbox.call(
@@ -193,38 +207,39 @@
 
   private void flush(Moment now) {
     nextFlush = now.plus(FLUSH_INTERVAL);
-    int budget = Math.max(1, Math.min(maxBatchSize, batchSize));
+    int maxChanges = Math.max(1, Math.min(maxBatchSize, batchSize));
     List<Guard> guards = new ArrayList<>(List.of(guard));
     List<Change> changes = new ArrayList<>();
-    List<ChunkWrite> parts = new ArrayList<>();
+    List<ChunkWrite> writes = new ArrayList<>();
     int bytes = 0;
-    List<Job> dirty = jobs.withUnstoredResults();
-    dirty.removeIf(job -> blockedJobs.contains(job.id()));
-    dirty.sort((a, b) -> a.dirtySince().compareTo(b.dirtySince()));
-    for (Job job : dirty) {
+    List<Job> unstored = jobs.withUnstoredResults();
+    unstored.removeIf(job -> blockedJobs.contains(job.id()));
+    unstored.sort((a, b) -> a.dirtySince().compareTo(b.dirtySince()));
+    for (Job job : unstored) {
       BitSet snapshot = job.doneSnapshot();
-      int before = parts.size();
-      for (int from = 0; from < job.spec().tasks() && changes.size() < budget; ) {
+      int before = writes.size();
+      for (int from = 0; from < job.spec().tasks() && changes.size() < maxChanges; ) {
         int to = Math.min(job.spec().tasks(), from + DoneBits.CHUNK);
-        ChunkWrite part = new ChunkWrite(job, snapshot, from, to);
+        ChunkWrite write = new ChunkWrite(job, snapshot, from, to);
         if (job.hasUnstoredResults(from, to)
-            && !staleChunks.contains(part.key())
+            && !staleChunks.contains(write.key())
             && bytes < MAX_CHUNK_BYTES_PER_COMMIT) {
           String bits = DoneBits.encode(snapshot.get(from, to));
           bytes += bits.length();
-          parts.add(part);
-          guards.add(new Guard(part.key(), chunkRevisions.getOrDefault(part.key(), Revision.NONE)));
+          writes.add(write);
+          guards.add(
+              new Guard(write.key(), chunkRevisions.getOrDefault(write.key(), Revision.NONE)));
           changes.add(
-              new Change.Put(part.key(), new StoredValue.DoneChunk(bits), Optional.empty()));
+              new Change.Put(write.key(), new StoredValue.DoneChunk(bits), Optional.empty()));
         }
         from = to;
       }
-      if (parts.size() > before) {
+      if (writes.size() > before) {
         guards.add(new Guard(Keys.job(job.id()), job.revision()));
       }
     }
     List<String> removed = new ArrayList<>();
-    while (changes.size() < budget && removed.size() < obsoleteChunks.size()) {
+    while (changes.size() < maxChanges && removed.size() < obsoleteChunks.size()) {
       String key = obsoleteChunks.get(removed.size());
       removed.add(key);
       changes.add(new Change.Remove(key));
@@ -239,36 +254,36 @@
           flushing = false;
           if (answer instanceof Answer.Committed committed) {
             batchSize = maxBatchSize;
-            parts.forEach(written -> chunkStored(written, committed.epoch(), now));
+            writes.forEach(write -> chunkStored(write, committed.epoch(), now));
             obsoleteChunks.removeAll(removed);
           } else if (answer instanceof Answer.Conflict conflict) {
             nextFlush = now.plus(RETRY_DELAY);
-            parts.forEach(written -> chunkConflicted(written, conflict));
+            writes.forEach(write -> chunkConflicted(write, conflict));
           } else {
             batchSize = Math.max(1, batchSize / 2);
             if (answer instanceof Answer.Nothing) {
-              parts.forEach(written -> trackStoredChunks(written.job()));
+              writes.forEach(write -> trackStoredChunks(write.job()));
             }
           }
         });
   }
 
-  private void chunkStored(ChunkWrite written, Revision at, Moment now) {
-    chunkRevisions.put(written.key(), at);
-    written.job().markStored(written.snapshot(), written.from(), written.to(), now);
-    trackStoredChunks(written.job());
+  private void chunkStored(ChunkWrite write, Revision revision, Moment now) {
+    chunkRevisions.put(write.key(), revision);
+    write.job().markStored(write.snapshot(), write.from(), write.to(), now);
+    trackStoredChunks(write.job());
   }
 
-  /** Nothing was written, since something is not as it was taken to be. */
-  private void chunkConflicted(ChunkWrite part, Answer.Conflict conflict) {
-    blockOnRecordConflict(conflict, part.job());
-    if (conflict.failed().contains(part.key())) {
-      staleChunks.add(part.key());
+  /** Handles a commit that wrote nothing because a guard failed. */
+  private void chunkConflicted(ChunkWrite write, Answer.Conflict conflict) {
+    blockOnRecordConflict(conflict, write.job());
+    if (conflict.failed().contains(write.key())) {
+      staleChunks.add(write.key());
     }
-    trackStoredChunks(part.job());
+    trackStoredChunks(write.job());
   }
 
-  /** Parts of the job may be in the store, so that they are to be removed at its end. */
+  /** Notes that chunks of the job may be in the store; if it has ended, marks them for removal. */
   private void trackStoredChunks(Job job) {
     jobsWithChunks.add(job.id());
     if (job.isEnded()) {
--- a/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
+++ b/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
@@ -30,13 +30,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Serves users, on every node. Nothing is promised that is not stored, and nothing but a final
- * state is told without a read of the store that began after the question came.
+ * Serves user requests, on every node.
+ *
+ * <p>A submission or withdrawal is confirmed only after it is stored. A job's status is answered
+ * only after a read of the store that began after the request arrived, unless the job is known to
+ * be in a final state.
  */
 public final class UserRequestHandler {
   private static final Logger LOG = LoggerFactory.getLogger(UserRequestHandler.class);
+
+  /** Delay after which clients may retry an unavailable request. */
   private static final Span RETRY_DELAY = Span.seconds(1);
+
+  /** Delay after which clients may retry a submission that was refused by admission control. */
   private static final Span OVERLOAD_RETRY_DELAY = Span.seconds(10);
+
   private static final int MAX_WITHDRAWAL_ATTEMPTS = 4;
 
   private final Outbox outbox;
@@ -56,26 +64,28 @@
     this.teams = teams;
   }
 
+  /** Sets the known machine types, by name. */
   public void machineTypes(Map<String, MachineType> known) {
     machineTypes = known;
   }
 
-  /** How far the open jobs are, as the leader last said. */
+  /** Sets the task counts of open jobs, as last sent by the leader. */
   public void taskCounts(Map<JobId, PeerMessage.Counts> current) {
     taskCounts = current;
   }
 
-  public void clock(Moment steady, WallTime dayTime) {
-    now = steady;
-    wallTime = dayTime;
+  /** Sets the monotonic time and the wall-clock time for the next calls. */
+  public void clock(Moment monotonicTime, WallTime newWallTime) {
+    now = monotonicTime;
+    wallTime = newWallTime;
   }
 
-  /** Whether submissions can be judged. */
+  /** Returns whether the machine types are known, without which submissions can't be validated. */
   public boolean hasMachineTypes() {
     return !machineTypes.isEmpty();
   }
 
-  /** Serves a request; the answer is given exactly once. */
+  /** Serves a request; {@code answer} is called exactly once. */
   public void serve(UserRequest request, Consumer<Response> answer) {
     Optional<KnownJob> known = view.job(request.job());
     if (known.isPresent() && known.get().phase().isFinal()) {
@@ -91,9 +101,13 @@
     }
   }
 
-  /** Looks a job up in a copy that is surely current; {@code absent} answers for an unknown one. */
+  /**
+   * Looks up a job after bringing the copy of the store up to date.
+   *
+   * @param absentStatus HTTP status of the answer if there is no such job
+   */
   private void readCurrent(
-      JobId id, Consumer<Response> answer, Consumer<KnownJob> then, int absent) {
+      JobId id, Consumer<Response> answer, Consumer<KnownJob> action, int absentStatus) {
     view.catchUp(
         now,
         known -> {
@@ -102,20 +116,20 @@
           } else if (view.unreadable(id)) {
             answer.accept(Response.unavailable("record of the job can't be read", RETRY_DELAY));
           } else if (view.job(id).isEmpty()) {
-            answer.accept(Response.refusal(absent, "no such job"));
+            answer.accept(Response.refusal(absentStatus, "no such job"));
           } else {
-            then.accept(view.job(id).get());
+            action.accept(view.job(id).get());
           }
         });
   }
 
   private void submit(UserRequest.Submit request, Consumer<Response> answer) {
-    Response verdict = validate(request);
-    if (verdict == null && view.job(request.job()).isEmpty()) {
+    Response refusal = validate(request);
+    if (refusal == null && view.job(request.job()).isEmpty()) {
       create(request.spec().orElseThrow(), answer);
       return;
     }
-    // A job that is known already is answered with its state, whatever the body says now.
+    // A known job is answered with its state, even if the repeated submission has another body.
     view.catchUp(
         now,
         known -> {
@@ -123,20 +137,21 @@
           if (!known) {
             answer.accept(Response.unavailable("state service out of reach", RETRY_DELAY));
           } else if (view.unreadable(request.job())) {
-            // It may have been accepted, so nobody may be told that it can't be; and what was read
-            // of it before may be older than what others have told.
+            // The job may have been accepted, so it must not be refused as invalid. Its last
+            // readable
+            // state may be older than what other nodes have answered, so it isn't answered either.
             answer.accept(Response.unavailable("record of the job can't be read", RETRY_DELAY));
           } else if (job.isPresent()) {
             answer.accept(status(job.get()));
-          } else if (verdict != null) {
-            answer.accept(verdict);
+          } else if (refusal != null) {
+            answer.accept(refusal);
           } else {
             create(request.spec().orElseThrow(), answer);
           }
         });
   }
 
-  /** Why a submission can't be taken, or null. */
+  /** Returns the refusal of an invalid submission, or null if the submission is valid. */
   private Response validate(UserRequest.Submit request) {
     if (request.spec().isEmpty()) {
       return Response.refusal(400, request.problem());
@@ -146,9 +161,10 @@
     if (team == null) {
       return Response.refusal(422, "unknown team " + spec.team());
     }
-    int most = spec.shape() == JobSpec.Shape.ARRAY ? 1 : spec.tasks();
-    if (team.cpusMax() > 0 && spec.resources().cpus() * most > team.cpusMax() + 1e-6
-        || team.gpusMax() > 0 && spec.resources().gpus() * most > team.gpusMax() + 1e-6) {
+    int concurrentTasks = spec.shape() == JobSpec.Shape.ARRAY ? 1 : spec.tasks();
+    if (team.cpusMax() > 0 && spec.resources().cpus() * concurrentTasks > team.cpusMax() + 1e-6
+        || team.gpusMax() > 0
+            && spec.resources().gpus() * concurrentTasks > team.gpusMax() + 1e-6) {
       return Response.refusal(422, "more than the limit of team " + spec.team());
     }
     if (machineTypes.isEmpty()) {
@@ -158,15 +174,15 @@
     if (zones.isEmpty()) {
       return Response.refusal(422, "a task fits no allowed machine type");
     }
-    // An array's tasks may go one after the other; those of others have to be there at once.
-    int zonesAtOnce = spec.oneZone() ? 1 : zones.size();
-    if (most > 1 && zonesAtOnce * spec.maxTasksPerZone() < spec.tasks()) {
+    // Tasks of an array may run one after the other; those of gangs and services run concurrently.
+    int concurrentZones = spec.oneZone() ? 1 : zones.size();
+    if (concurrentTasks > 1 && concurrentZones * spec.maxTasksPerZone() < spec.tasks()) {
       return Response.refusal(422, "tasks are to be spread, and may be in one zone only");
     }
     return null;
   }
 
-  /** Zones in which a task fits a machine type that the job allows. */
+  /** Returns the zones in which a task fits a machine type that the job allows. */
   private Set<String> zonesFor(JobSpec spec) {
     Set<String> zones = new HashSet<>();
     for (MachineType type : machineTypes.values()) {
@@ -199,29 +215,29 @@
           } else if (reply instanceof Answer.Conflict) {
             readCurrent(spec.id(), answer, job -> answer.accept(status(job)), 503);
           } else {
-            // Perhaps stored, perhaps not, perhaps later: the user asks again.
+            // The record may be stored, not stored, or stored later: the client has to retry.
             answer.accept(Response.unavailable("state service out of reach", RETRY_DELAY));
           }
         });
   }
 
-  private void withdraw(JobId id, int tries, Consumer<Response> answer) {
+  private void withdraw(JobId id, int attemptsLeft, Consumer<Response> answer) {
     readCurrent(
         id,
         answer,
         job -> {
           if (job.phase().isFinal()) {
             answer.accept(status(job));
-          } else if (tries <= 0) {
+          } else if (attemptsLeft <= 0) {
             answer.accept(Response.unavailable("job is changing", RETRY_DELAY));
           } else {
-            storeWithdrawal(job, tries, answer);
+            storeWithdrawal(job, attemptsLeft, answer);
           }
         },
         404);
   }
 
-  private void storeWithdrawal(KnownJob job, int tries, Consumer<Response> answer) {
+  private void storeWithdrawal(KnownJob job, int attemptsLeft, Consumer<Response> answer) {
     String key = Keys.job(job.id());
     JobRecord record = job.record().in(JobRecord.Phase.WITHDRAWN);
     outbox.call(
@@ -232,12 +248,13 @@
         reply -> {
           if (reply instanceof Answer.Committed committed) {
             LOG.info("job {} withdrawn at revision {}", job.id(), committed.epoch());
-            // If this node leads it may order no start once the user has been told.
+            // If this node is the leader, it must not start tasks of the job once the user knows of
+            // the withdrawal.
             view.written(record, committed.epoch());
             answer.accept(
                 new Response.JobStatus(false, job.id(), Response.JobState.CANCELLED, 0, 0));
           } else if (reply instanceof Answer.Conflict) {
-            withdraw(job.id(), tries - 1, answer);
+            withdraw(job.id(), attemptsLeft - 1, answer);
           } else {
             answer.accept(Response.unavailable("state service out of reach", RETRY_DELAY));
           }
@@ -245,22 +262,25 @@
   }
 
   /**
-   * What a user is told of an answer that another controller gave to a forwarded request. An end
-   * counts for this node before its user hears of it; and what is older than an end that this node
-   * knows by now is not told any more.
+   * Returns the response to send to the user after another controller answered a forwarded request.
+   * A final state is recorded on this node before the user sees it. An answer that is older than a
+   * final state known to this node is replaced by that state.
+   *
+   * @param forwarded the other controller's response
+   * @param fallback the response to send if the final state can't be recorded here
    */
-  public Response resolveForwarded(Response told, Response otherwise) {
-    if (!(told instanceof Response.JobStatus job)) {
-      return told;
+  public Response resolveForwarded(Response forwarded, Response fallback) {
+    if (!(forwarded instanceof Response.JobStatus job)) {
+      return forwarded;
     }
     return switch (job.state()) {
-      case DONE -> view.learned(job.job(), JobRecord.Phase.DONE) ? told : otherwise;
-      case CANCELLED -> view.learned(job.job(), JobRecord.Phase.WITHDRAWN) ? told : otherwise;
+      case DONE -> view.learned(job.job(), JobRecord.Phase.DONE) ? forwarded : fallback;
+      case CANCELLED -> view.learned(job.job(), JobRecord.Phase.WITHDRAWN) ? forwarded : fallback;
       case QUEUED, RUNNING ->
           view.job(job.job())
               .filter(known -> known.phase().isFinal())
               .map(this::status)
-              .orElse(told);
+              .orElse(forwarded);
     };
   }
 
