--- a/src/main/java/org/oakwalk/core/job/JobSpec.java
+++ b/src/main/java/org/oakwalk/core/job/JobSpec.java
@@ -44,8 +44,11 @@
 
   /** How the tasks of a job belong together. */
   public enum Shape {
+    /** Independent tasks, which may run one after the other. */
     ARRAY,
+    /** Tasks that must all run at the same time. */
     GANG,
+    /** Replicas of a long-running service. */
     SERVICE
   }
 
--- a/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
+++ b/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
@@ -138,8 +138,7 @@
             answer.accept(Response.unavailable("state service out of reach", RETRY_DELAY));
           } else if (view.unreadable(request.job())) {
             // The job may have been accepted, so it must not be refused as invalid. Its last
-            // readable
-            // state may be older than what other nodes have answered, so it isn't answered either.
+            // readable state may be older than what other nodes have answered, so it isn't used.
             answer.accept(Response.unavailable("record of the job can't be read", RETRY_DELAY));
           } else if (job.isPresent()) {
             answer.accept(status(job.get()));
--- a/src/test/java/org/oakwalk/core/job/ArrayJobs.java
+++ b/src/test/java/org/oakwalk/core/job/ArrayJobs.java
@@ -9,7 +9,7 @@
 import org.oakwalk.core.store.Keys;
 import org.oakwalk.core.store.LateStore;
 
-/** Plain arrays of tasks for tests. */
+/** Specs and records of array jobs for tests. */
 public final class ArrayJobs {
   private ArrayJobs() {}
 
@@ -17,7 +17,7 @@
     return spec(id, tasks, Span.seconds(1));
   }
 
-  public static JobSpec spec(String id, int tasks, Span guess) {
+  public static JobSpec spec(String id, int tasks, Span estimatedRunTime) {
     return new JobSpec(
         new JobId(id),
         "array",
@@ -33,13 +33,13 @@
         false,
         "img",
         0,
-        guess,
+        estimatedRunTime,
         Span.seconds(0),
         Span.seconds(0),
         Optional.empty());
   }
 
-  /** Stores the record of such a job. */
+  /** Stores the record of an array job. */
   public static void storeRecord(LateStore store, String id, int tasks, JobRecord.Phase phase) {
     store.put(Keys.job(new JobId(id)), new JobRecord(spec(id, tasks), phase, new WallTime(0)));
   }
--- a/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
+++ b/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
@@ -32,12 +32,12 @@
 import org.oakwalk.core.store.StoredValue;
 
 /**
- * Results against a store that loses answers and carries transactions out late. What a worker may
- * be told to forget is stored from then on, under this leader and the next ones.
+ * Stores results in a store that loses answers and applies transactions late. Guards against the
+ * loss of results that workers have been told to forget, under this leader and its successors.
  */
 class ResultWriterTest {
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(100, 100, 4, 4);
-  private static final int LARGE = DoneBits.CHUNK + 5;
+  private static final int TASKS_OF_TWO_CHUNKS = DoneBits.CHUNK + 5;
 
   /** A leader with its copy of the store. */
   private static final class LeaderUnderTest {
@@ -65,7 +65,7 @@
 
             @Override
             public void jobChanged(KnownJob known, Moment at) {
-              changed(known, at);
+              applyChange(known, at);
             }
           });
       view.tick(now);
@@ -73,17 +73,18 @@
       jobs = new JobRegistry(view, new Token(token.value()), now);
       results = new ResultWriter(outbox, jobs, view, guard, limits);
       for (Entry entry : store.below(Keys.DONE)) {
-        Keys.Part part = Keys.part(entry.key()).orElseThrow();
-        results.addStoredChunk(part.job(), entry.key(), entry.stamp());
+        Keys.Part chunk = Keys.part(entry.key()).orElseThrow();
+        results.addStoredChunk(chunk.job(), entry.key(), entry.stamp());
         BitSet done = DoneBits.decode(((StoredValue.DoneChunk) entry.value()).bits());
-        jobs.find(part.job())
+        jobs.find(chunk.job())
             .ifPresent(
                 job ->
-                    done.stream().forEach(i -> job.restoreDone(part.chunk() * DoneBits.CHUNK + i)));
+                    done.stream()
+                        .forEach(i -> job.restoreDone(chunk.chunk() * DoneBits.CHUNK + i)));
       }
     }
 
-    private void changed(KnownJob known, Moment at) {
+    private void applyChange(KnownJob known, Moment at) {
       if (results != null) {
         jobs.applyStoredChange(known, at);
         if (known.phase().isFinal()) {
@@ -110,11 +111,11 @@
 
   private final LateStore store = new LateStore();
 
-  private void accept(String id, int tasks) {
+  private void storeOpenJob(String id, int tasks) {
     ArrayJobs.storeRecord(store, id, tasks, JobRecord.Phase.OPEN);
   }
 
-  private BitSet stored(String id) {
+  private BitSet storedTasks(String id) {
     BitSet all = new BitSet();
     for (Entry entry : store.below(Keys.DONE + id + "/")) {
       int from = Keys.part(entry.key()).orElseThrow().chunk() * DoneBits.CHUNK;
@@ -124,52 +125,54 @@
     return all;
   }
 
-  private static void steps(
+  private static void runSteps(
       LeaderUnderTest leader, LateStore store, int count, LateStore.Fate fate) {
     for (int i = 0; i < count; i++) {
       leader.step(store, commit -> fate);
     }
   }
 
-  /** The older part, carried out after the newer one, must not take back the newer task. */
+  /**
+   * A late write of an older chunk, applied after a newer one, must not remove the newer result.
+   */
   @Test
-  void anOlderPartThatIsLateTakesNothingBack() {
-    accept("j-1", 3);
+  void lateWriteOfOlderChunkDoesNotRemoveNewerResults() {
+    storeOpenJob("j-1", 3);
     LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     leader.complete("j-1", 0);
-    steps(leader, store, 1, LateStore.Fate.LATE);
+    runSteps(leader, store, 1, LateStore.Fate.LATE);
     leader.complete("j-1", 1);
-    steps(leader, store, 10, LateStore.Fate.SERVED);
+    runSteps(leader, store, 10, LateStore.Fate.SERVED);
     assertThat(leader.jobs.find(new JobId("j-1")).orElseThrow().isStoredDone(1)).isTrue();
     assertThat(store.waiting()).isEqualTo(1);
     store.carryOut(0);
-    assertThat(stored("j-1").stream()).containsExactly(0, 1);
+    assertThat(storedTasks("j-1").stream()).containsExactly(0, 1);
     LeaderUnderTest next = new LeaderUnderTest(store, 2, new Moment(100_000));
     assertThat(next.jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isEqualTo(2);
   }
 
-  /** A part that was created with no answer, and removed at the job's end, does not come back. */
+  /** A write without an answer must not re-create a chunk that was removed when the job ended. */
   @Test
-  void aPartThatIsCreatedAfterTheJobsEndStaysAway() {
-    accept("j-1", 3);
+  void lateChunkWriteAfterJobEndIsRejected() {
+    storeOpenJob("j-1", 3);
     LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     leader.complete("j-1", 0);
-    steps(leader, store, 1, LateStore.Fate.LATE);
+    runSteps(leader, store, 1, LateStore.Fate.LATE);
     leader.complete("j-1", 1);
-    steps(leader, store, 10, LateStore.Fate.SERVED);
+    runSteps(leader, store, 10, LateStore.Fate.SERVED);
     leader.complete("j-1", 2);
-    steps(leader, store, 10, LateStore.Fate.SERVED);
+    runSteps(leader, store, 10, LateStore.Fate.SERVED);
     assertThat(store.below(Keys.DONE)).isEmpty();
     store.carryOut(0);
     assertThat(store.below(Keys.DONE)).isEmpty();
   }
 
-  /** What can't be written, for one job's record is damaged, holds up no other job. */
+  /** Results that can't be written because a job's record is damaged must not block other jobs. */
   @Test
-  void aDamagedRecordHoldsUpNoOtherJob() {
-    accept("j-1", 3);
-    accept("j-2", 3);
-    accept("j-3", 1);
+  void damagedJobRecordDoesNotBlockOtherJobs() {
+    storeOpenJob("j-1", 3);
+    storeOpenJob("j-2", 3);
+    storeOpenJob("j-3", 1);
     LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     store.put(Keys.job(new JobId("j-1")), new StoredValue.Unreadable("damaged"));
     store.put(Keys.job(new JobId("j-3")), new StoredValue.Unreadable("damaged"));
@@ -185,18 +188,19 @@
             return LateStore.Fate.SERVED;
           });
     }
-    assertThat(stored("j-2").stream()).containsExactly(0);
-    assertThat(stored("j-1").isEmpty()).isTrue();
-    assertThat(commits[0]).as("it is not tried again and again").isLessThan(6);
+    assertThat(storedTasks("j-2").stream()).containsExactly(0);
+    assertThat(storedTasks("j-1").isEmpty()).isTrue();
+    assertThat(commits[0]).as("commits: no endless retry").isLessThan(6);
   }
 
   /**
-   * Many jobs end while the service refuses: one asks whether it does so still, and all go after.
+   * When many jobs end while the state service refuses writes, a single one probes it, and all
+   * others are written once it accepts writes again.
    */
   @Test
-  void endsThatAreRefusedAreNotAllTriedAgainAndAgain() {
+  void refusedFinalRecordsAreRetriedOneAtATime() {
     for (int job = 1; job <= 50; job++) {
-      accept("j-" + job, 1);
+      storeOpenJob("j-" + job, 1);
     }
     LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     for (int job = 1; job <= 50; job++) {
@@ -211,8 +215,8 @@
             return LateStore.Fate.REFUSED;
           });
     }
-    assertThat(commits[0]).as("tries in 20 s").isBetween(60, 50 + 45);
-    steps(leader, store, 2, LateStore.Fate.SERVED);
+    assertThat(commits[0]).as("attempts in 20 s").isBetween(60, 50 + 45);
+    runSteps(leader, store, 2, LateStore.Fate.SERVED);
     for (int job = 1; job <= 50; job++) {
       JobRecord record =
           (JobRecord) store.find(Keys.job(new JobId("j-" + job))).orElseThrow().value();
@@ -220,29 +224,29 @@
     }
   }
 
-  /** The last task was reported to the next leader, all others are known from the store alone. */
+  /** Only the last task is reported to the next leader; the others are known from the store. */
   @Test
-  void aJobOfWhichAllIsStoredInPartsIsEndedByTheNextLeader() {
-    accept("j-1", 2);
+  void nextLeaderFinishesJobWithStoredResults() {
+    storeOpenJob("j-1", 2);
     LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     leader.complete("j-1", 0);
-    steps(leader, store, 2, LateStore.Fate.ANSWER_LOST);
+    runSteps(leader, store, 2, LateStore.Fate.ANSWER_LOST);
     LeaderUnderTest next = new LeaderUnderTest(store, 2, new Moment(100_000));
     next.complete("j-1", 1);
-    steps(next, store, 10, LateStore.Fate.SERVED);
+    runSteps(next, store, 10, LateStore.Fate.SERVED);
     JobRecord record = (JobRecord) store.find(Keys.job(new JobId("j-1"))).orElseThrow().value();
     assertThat(record.phase()).isEqualTo(JobRecord.Phase.DONE);
     assertThat(store.below(Keys.DONE)).isEmpty();
   }
 
-  /** Parts of vast arrays are many and long; a transaction has 64 KiB, of which they take most. */
+  /** Large arrays have many long chunks, which must not exceed the transaction limit of 64 KiB. */
   @Test
-  void partsOfVastArraysFitIntoTransactions() {
+  void chunksOfLargeArraysFitIntoTransactions() {
     Settings.StateLimits wide = new Settings.StateLimits(1000, 200, 32, 32);
     LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0), wide);
     List<String> ids = List.of("j-1", "j-2", "j-3");
-    ids.forEach(id -> accept(id, JobSpec.MAX_TASKS));
-    steps(leader, store, 2, LateStore.Fate.SERVED);
+    ids.forEach(id -> storeOpenJob(id, JobSpec.MAX_TASKS));
+    runSteps(leader, store, 2, LateStore.Fate.SERVED);
     int[] all = IntStream.range(1, JobSpec.MAX_TASKS).toArray();
     ids.forEach(id -> leader.complete(id, all));
     for (int i = 0; i < 20; i++) {
@@ -253,65 +257,65 @@
             return LateStore.Fate.SERVED;
           });
     }
-    ids.forEach(id -> assertThat(stored(id).cardinality()).isEqualTo(all.length));
+    ids.forEach(id -> assertThat(storedTasks(id).cardinality()).isEqualTo(all.length));
   }
 
   private static int bytes(Request.Commit commit) {
     int bytes = 100 * (commit.guards().size() + commit.changes().size());
     for (Change change : commit.changes()) {
-      if (change instanceof Change.Put put && put.value() instanceof StoredValue.DoneChunk part) {
-        bytes += part.bits().length();
+      if (change instanceof Change.Put put && put.value() instanceof StoredValue.DoneChunk chunk) {
+        bytes += chunk.bits().length();
       }
     }
     return bytes;
   }
 
-  /** No report comes any more: what is stored must be enough. */
+  /** The stored results must suffice if no worker reports any more. */
   @Test
-  void aJobOfWhichAllIsStoredEndsWithoutAnyReport() {
-    accept("j-1", 2);
+  void jobWithAllResultsStoredEndsWithoutReports() {
+    storeOpenJob("j-1", 2);
     store.put(Keys.done(new JobId("j-1"), 0), new StoredValue.DoneChunk("03"));
     LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
-    steps(leader, store, 5, LateStore.Fate.SERVED);
+    runSteps(leader, store, 5, LateStore.Fate.SERVED);
     JobRecord record = (JobRecord) store.find(Keys.job(new JobId("j-1"))).orElseThrow().value();
     assertThat(record.phase()).isEqualTo(JobRecord.Phase.DONE);
     assertThat(store.below(Keys.DONE)).isEmpty();
   }
 
-  /** Leaders that follow each other, with lost answers, refusals and late transactions. */
+  /** Random runs with several leaders, lost answers, refusals and late transactions. */
   @Test
-  void whatWorkersMayForgetStaysStored() {
+  void acknowledgedResultsAreNeverLost() {
     for (long seed = 1; seed <= 60; seed++) {
       try {
-        new RandomizedResultRun(seed).play();
+        new RandomizedResultRun(seed).run();
       } catch (AssertionError e) {
         throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
       }
     }
   }
 
-  /** One drawn run. */
+  /** One run, determined by its seed. */
   private final class RandomizedResultRun {
-    private final Map<String, Integer> sizes =
-        Map.of("j-1", 2, "j-2", 3, "j-3", 40, "j-4", LARGE, "j-5", 3);
-    private final UniformRandomProvider chance;
-    private final Map<String, BitSet> forgotten = new HashMap<>();
-    private final LateStore own = new LateStore();
+    private final Map<String, Integer> taskCounts =
+        Map.of("j-1", 2, "j-2", 3, "j-3", 40, "j-4", TASKS_OF_TWO_CHUNKS, "j-5", 3);
+    private final UniformRandomProvider random;
+    private final Map<String, BitSet> acknowledged = new HashMap<>();
+    private final LateStore runStore = new LateStore();
     private LeaderUnderTest leader;
-    private int leaders;
+    private int leaderCount;
 
     RandomizedResultRun(long seed) {
-      chance = RandomSource.XO_SHI_RO_256_PP.create(seed);
-      sizes.forEach(
+      random = RandomSource.XO_SHI_RO_256_PP.create(seed);
+      taskCounts.forEach(
           (id, tasks) -> {
-            forgotten.put(id, new BitSet());
-            ArrayJobs.storeRecord(own, id, tasks, JobRecord.Phase.OPEN);
+            acknowledged.put(id, new BitSet());
+            ArrayJobs.storeRecord(runStore, id, tasks, JobRecord.Phase.OPEN);
           });
-      leader = new LeaderUnderTest(own, ++leaders, new Moment(0));
+      leader = new LeaderUnderTest(runStore, ++leaderCount, new Moment(0));
     }
 
     private LateStore.Fate fate() {
-      return switch (chance.nextInt(8)) {
+      return switch (random.nextInt(8)) {
         case 0 -> LateStore.Fate.REFUSED;
         case 1 -> LateStore.Fate.ANSWER_LOST;
         case 2, 3 -> LateStore.Fate.LATE;
@@ -319,37 +323,37 @@
       };
     }
 
-    void play() {
+    void run() {
       for (int step = 0; step < 120; step++) {
-        sizes.forEach((id, tasks) -> completeSome(id, tasks, chance.nextInt(12) == 0));
-        leader.step(own, commit -> fate());
-        remember();
-        if (own.waiting() > 0 && chance.nextInt(3) == 0) {
-          own.carryOut(chance.nextInt(own.waiting()));
+        taskCounts.forEach((id, tasks) -> completeSome(id, tasks, random.nextInt(12) == 0));
+        leader.step(runStore, commit -> fate());
+        recordAcknowledged();
+        if (runStore.waiting() > 0 && random.nextInt(3) == 0) {
+          runStore.carryOut(random.nextInt(runStore.waiting()));
         }
-        if (chance.nextInt(25) == 0) {
-          leader = new LeaderUnderTest(own, ++leaders, new Moment(step * 10_000L));
+        if (random.nextInt(25) == 0) {
+          leader = new LeaderUnderTest(runStore, ++leaderCount, new Moment(step * 10_000L));
         }
-        check();
+        assertNoAcknowledgedResultLost();
         if (step == 60) {
-          ArrayJobs.storeRecord(own, "j-5", 3, JobRecord.Phase.WITHDRAWN);
+          ArrayJobs.storeRecord(runStore, "j-5", 3, JobRecord.Phase.WITHDRAWN);
         }
       }
       for (int step = 0; step < 40; step++) {
-        sizes.forEach((id, tasks) -> completeSome(id, tasks, true));
-        leader.step(own, commit -> LateStore.Fate.SERVED);
+        taskCounts.forEach((id, tasks) -> completeSome(id, tasks, true));
+        leader.step(runStore, commit -> LateStore.Fate.SERVED);
       }
-      while (own.waiting() > 0) {
-        own.carryOut(0);
+      while (runStore.waiting() > 0) {
+        runStore.carryOut(0);
       }
-      assertThat(own.below(Keys.DONE)).as("parts that are left").isEmpty();
-      sizes.keySet().forEach(id -> assertThat(phase(id).isFinal()).as(id).isTrue());
+      assertThat(runStore.below(Keys.DONE)).as("chunks that are left").isEmpty();
+      taskCounts.keySet().forEach(id -> assertThat(phase(id).isFinal()).as(id).isTrue());
     }
 
-    private void completeSome(String id, int tasks, boolean any) {
+    private void completeSome(String id, int tasks, boolean enabled) {
       Optional<Job> job = leader.jobs.find(new JobId(id)).filter(Job::isOpen);
-      if (any && job.isPresent()) {
-        int task = chance.nextInt(tasks);
+      if (enabled && job.isPresent()) {
+        int task = random.nextInt(tasks);
         for (int i = 0; i < 1 + tasks / 2; i++, task = (task + 1) % tasks) {
           job.get().complete(task, leader.now);
         }
@@ -357,12 +361,12 @@
     }
 
     private JobRecord.Phase phase(String id) {
-      return ((JobRecord) own.find(Keys.job(new JobId(id))).orElseThrow().value()).phase();
+      return ((JobRecord) runStore.find(Keys.job(new JobId(id))).orElseThrow().value()).phase();
     }
 
-    /** Tasks of which this leader would let workers forget the result. */
-    private void remember() {
-      sizes.forEach(
+    /** Records the tasks whose result this leader would tell workers to forget. */
+    private void recordAcknowledged() {
+      taskCounts.forEach(
           (id, tasks) ->
               leader
                   .jobs
@@ -372,18 +376,18 @@
                       job -> {
                         for (int i = 0; i < tasks; i++) {
                           if (job.isStoredDone(i)) {
-                            forgotten.get(id).set(i);
+                            acknowledged.get(id).set(i);
                           }
                         }
                       }));
     }
 
-    private void check() {
-      sizes.forEach(
+    private void assertNoAcknowledgedResultLost() {
+      taskCounts.forEach(
           (id, tasks) -> {
             if (!phase(id).isFinal()) {
-              BitSet lost = (BitSet) forgotten.get(id).clone();
-              for (Entry entry : own.below(Keys.DONE + id + "/")) {
+              BitSet lost = (BitSet) acknowledged.get(id).clone();
+              for (Entry entry : runStore.below(Keys.DONE + id + "/")) {
                 int from = Keys.part(entry.key()).orElseThrow().chunk() * DoneBits.CHUNK;
                 DoneBits.decode(((StoredValue.DoneChunk) entry.value()).bits()).stream()
                     .forEach(bit -> lost.clear(from + bit));
--- a/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
+++ b/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
@@ -28,7 +28,9 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** What users are told by one node, against a store that loses answers or is late. */
+/**
+ * Tests the answers of one node to users, with a store that loses answers or applies writes late.
+ */
 class UserRequestHandlerTest {
   private static final JobId JOB = new JobId("j-1");
   private static final UserRequest QUERY = new UserRequest.Query(JOB);
@@ -47,7 +49,7 @@
           "small", new Settings.Team("small", 4, 8, 0, 2));
   private final UserRequestHandler userRequests =
       new UserRequestHandler(outbox, view, teams, new AdmissionControl(teams, view, 1000));
-  private final List<JobRecord.Phase> seen = new ArrayList<>();
+  private final List<JobRecord.Phase> observedPhases = new ArrayList<>();
   private LateStore.Fate fate = LateStore.Fate.SERVED;
   private Moment now = new Moment(1000);
 
@@ -60,7 +62,7 @@
 
           @Override
           public void jobChanged(KnownJob job, Moment at) {
-            seen.add(job.phase());
+            observedPhases.add(job.phase());
           }
         });
     userRequests.machineTypes(
@@ -75,7 +77,10 @@
     return new MachineType(name, room, 50, 1, 1, 0.3, Span.seconds(20), List.of(zones));
   }
 
-  /** Asks, and serves what the node asks of the store for it; the copy is not brought up before. */
+  /**
+   * Serves a request and the store requests that it causes. The node's copy of the store is not
+   * updated beforehand.
+   */
   private Response ask(UserRequest request) {
     now = now.plus(Span.seconds(1));
     view.clock(now);
@@ -107,13 +112,20 @@
     return new UserRequest.Submit(spec.id(), Optional.of(spec), "");
   }
 
-  private static UserRequest plain() {
+  private static UserRequest simpleSubmission() {
     return submit(ArrayJobs.spec(JOB.value(), 2));
   }
 
   private static JobSpec spec(
-      String shape, int tasks, double cpus, double gpus, double memory, String team, String bound) {
-    Set<String> types = bound.contains("type:") ? Set.of(word(bound, "type:")) : Set.of();
+      String shape,
+      int tasks,
+      double cpus,
+      double gpus,
+      double memory,
+      String team,
+      String constraints) {
+    Set<String> types =
+        constraints.contains("type:") ? Set.of(valueAfter(constraints, "type:")) : Set.of();
     return new JobSpec(
         JOB,
         "class",
@@ -123,9 +135,11 @@
         tasks,
         new Resources(cpus, gpus, memory),
         types,
-        bound.contains("zone:") ? Optional.of(word(bound, "zone:")) : Optional.empty(),
-        bound.contains("same"),
-        bound.contains("spread"),
+        constraints.contains("zone:")
+            ? Optional.of(valueAfter(constraints, "zone:"))
+            : Optional.empty(),
+        constraints.contains("same"),
+        constraints.contains("spread"),
         true,
         "img",
         0,
@@ -135,13 +149,13 @@
         Optional.empty());
   }
 
-  private static String word(String text, String after) {
-    return text.substring(text.indexOf(after) + after.length()).split(" ")[0];
+  private static String valueAfter(String text, String prefix) {
+    return text.substring(text.indexOf(prefix) + prefix.length()).split(" ")[0];
   }
 
   @ParameterizedTest
   @CsvSource({
-    // at the bounds of the largest machine that is allowed
+    // at and above the size of the largest allowed machine
     "array, 1, 8, 2, 32, crew, any, 201",
     "array, 1, 8.01, 0, 1, crew, any, 422",
     "array, 1, 1, 2.01, 1, crew, any, 422",
@@ -159,7 +173,7 @@
     "array, 1, 5, 0, 1, crew, zone:b, 201",
     "array, 1, 1, 0, 1, crew, type:g zone:a, 422",
     "array, 1, 1, 0, 1, crew, type:g zone:b, 201",
-    // teams and their limits
+    // teams and their quotas
     "array, 1, 1, 0, 1, nobody, any, 422",
     "array, 50, 8, 0, 1, small, any, 201",
     "service, 2, 4, 0, 1, small, any, 201",
@@ -171,7 +185,7 @@
     "service, 3, 1, 1, 1, small, any, 422",
     "array, 3, 1, 1, 1, small, any, 201",
     "service, 90000, 1, 0, 1, crew, any, 201",
-    // at most half of the tasks, rounded up, in one zone: all at once but for arrays
+    // spread: at most half of the tasks, rounded up, run in one zone at the same time
     "service, 2, 1, 0, 1, crew, spread, 201",
     "service, 9, 1, 0, 1, crew, spread, 201",
     "service, 1, 1, 0, 1, crew, spread same zone:a, 201",
@@ -188,25 +202,25 @@
     "array, 9, 1, 0, 1, crew, spread same, 201",
     "array, 9, 1, 1, 1, crew, spread, 201",
   })
-  void takesWhatCanRunAndNothingElse(
+  void acceptsExactlyTheJobsThatCanRun(
       String shape,
       int tasks,
       double cpus,
       double gpus,
       double memory,
       String team,
-      String bound,
+      String constraints,
       int status) {
-    UserRequest request = submit(spec(shape, tasks, cpus, gpus, memory, team, bound));
+    UserRequest request = submit(spec(shape, tasks, cpus, gpus, memory, team, constraints));
     assertThat(code(ask(request))).isEqualTo(status);
     assertThat(store.find(Keys.job(JOB)).isPresent()).isEqualTo(status == 201);
-    // Repeated, it is known, or refused for the same reason.
+    // A repeated submission finds the job, or is refused with the same status.
     assertThat(code(ask(request))).isEqualTo(status == 201 ? 200 : status);
     assertThat(code(ask(QUERY))).isEqualTo(status == 201 ? 200 : 404);
   }
 
   @Test
-  void refusesWhatLacksFieldsButTellsOfAJobThatIsKnown() {
+  void malformedSubmissionIsRefusedUnlessJobIsKnown() {
     assertThat(code(ask(MALFORMED))).isEqualTo(400);
     ArrayJobs.storeRecord(store, JOB.value(), 2, JobRecord.Phase.OPEN);
     assertThat(code(ask(MALFORMED))).isEqualTo(200);
@@ -215,22 +229,22 @@
   }
 
   @Test
-  void withoutMachineTypesDecidesOnlyWhatNeedsNone() {
+  void withoutMachineTypesOnlyTypeIndependentRefusalsAreFinal() {
     userRequests.machineTypes(Map.of());
-    assertThat(code(ask(plain()))).isEqualTo(503);
+    assertThat(code(ask(simpleSubmission()))).isEqualTo(503);
     assertThat(code(ask(MALFORMED))).isEqualTo(400);
     assertThat(code(ask(submit(spec("array", 1, 1, 0, 1, "nobody", "any"))))).isEqualTo(422);
     assertThat(store.find(Keys.job(JOB))).isEmpty();
     ArrayJobs.storeRecord(store, JOB.value(), 2, JobRecord.Phase.OPEN);
-    assertThat(code(ask(plain()))).isEqualTo(200);
+    assertThat(code(ask(simpleSubmission()))).isEqualTo(200);
   }
 
   @Test
-  void ofARecordThatCannotBeReadNothingIsTold() {
-    // In the first round the record is new to this node's copy, in the second the copy has it.
+  void unreadableRecordIsAnsweredAsUnavailable() {
+    // In the first round the node's copy doesn't have the record yet, in the second it does.
     store.put(Keys.job(JOB), new StoredValue.Unreadable("damaged"));
     for (int round = 0; round < 2; round++) {
-      assertThat(code(ask(plain()))).isEqualTo(503);
+      assertThat(code(ask(simpleSubmission()))).isEqualTo(503);
       assertThat(code(ask(MALFORMED))).isEqualTo(503);
       assertThat(code(ask(submit(spec("array", 1, 1, 0, 1, "nobody", "any"))))).isEqualTo(503);
       assertThat(code(ask(submit(spec("array", 1, 99, 0, 1, "crew", "any"))))).isEqualTo(503);
@@ -240,40 +254,40 @@
   }
 
   @Test
-  void ofARecordThatCannotBeReadAnyMoreNothingOlderIsTold() {
+  void recordThatBecomesUnreadableIsNotAnsweredFromOlderCopy() {
     ArrayJobs.storeRecord(store, JOB.value(), 2, JobRecord.Phase.OPEN);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
     store.put(Keys.job(JOB), new StoredValue.Unreadable("of a later version"));
-    assertThat(code(ask(plain()))).isEqualTo(503);
+    assertThat(code(ask(simpleSubmission()))).isEqualTo(503);
     assertThat(code(ask(QUERY))).isEqualTo(503);
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
     assertThat(code(ask(MALFORMED))).isEqualTo(503);
   }
 
   @Test
-  void anAcceptanceWithoutAnAnswerIsNeitherPromisedNorDenied() {
+  void submissionWithLostAnswerIsUnavailableUntilKnown() {
     fate = LateStore.Fate.ANSWER_LOST;
-    assertThat(code(ask(plain()))).isEqualTo(503);
+    assertThat(code(ask(simpleSubmission()))).isEqualTo(503);
     fate = LateStore.Fate.SERVED;
-    assertThat(code(ask(plain()))).isEqualTo(200);
+    assertThat(code(ask(simpleSubmission()))).isEqualTo(200);
   }
 
   @Test
-  void anAcceptanceCarriedOutLateIsFoundOrComesTooLate() {
+  void lateSubmissionWriteDoesNotReviveWithdrawnJob() {
     fate = LateStore.Fate.LATE;
-    assertThat(code(ask(plain()))).isEqualTo(503);
+    assertThat(code(ask(simpleSubmission()))).isEqualTo(503);
     assertThat(code(ask(QUERY))).isEqualTo(404);
     fate = LateStore.Fate.SERVED;
-    assertThat(code(ask(plain()))).isEqualTo(201);
+    assertThat(code(ask(simpleSubmission()))).isEqualTo(201);
     assertThat(state(ask(WITHDRAW))).isEqualTo(Response.JobState.CANCELLED);
     store.carryOut(0);
-    assertThat(state(ask(plain()))).isEqualTo(Response.JobState.CANCELLED);
+    assertThat(state(ask(simpleSubmission()))).isEqualTo(Response.JobState.CANCELLED);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.CANCELLED);
   }
 
   @Test
-  void aWithdrawalWithoutAnAnswerIsNeitherConfirmedNorDenied() {
-    assertThat(code(ask(plain()))).isEqualTo(201);
+  void withdrawalWithLostAnswerIsUnavailableUntilKnown() {
+    assertThat(code(ask(simpleSubmission()))).isEqualTo(201);
     fate = LateStore.Fate.LATE;
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
@@ -287,51 +301,54 @@
   }
 
   @Test
-  void aWithdrawalThatMeetsTheEndTellsTheEnd() {
-    assertThat(code(ask(plain()))).isEqualTo(201);
+  void lateWithdrawalWriteDoesNotOverwriteDoneState() {
+    assertThat(code(ask(simpleSubmission()))).isEqualTo(201);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
     fate = LateStore.Fate.LATE;
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
     ArrayJobs.storeRecord(store, JOB.value(), 2, JobRecord.Phase.DONE);
     store.carryOut(0);
     assertThat(state(ask(WITHDRAW))).isEqualTo(Response.JobState.DONE);
-    assertThat(state(ask(plain()))).isEqualTo(Response.JobState.DONE);
+    assertThat(state(ask(simpleSubmission()))).isEqualTo(Response.JobState.DONE);
   }
 
-  /** What another controller answered for this node counts here before its user hears of it. */
+  /** A final state in a forwarded answer must be applied here before the user learns of it. */
   @ParameterizedTest
   @CsvSource({"CANCELLED, WITHDRAWN", "DONE, DONE"})
-  void aForwardedEndIsKnownToThisNodeBeforeItsUser(Response.JobState told, JobRecord.Phase phase) {
-    assertThat(code(ask(plain()))).isEqualTo(201);
+  void forwardedFinalStateIsAppliedBeforeItIsAnswered(
+      Response.JobState finalState, JobRecord.Phase phase) {
+    assertThat(code(ask(simpleSubmission()))).isEqualTo(201);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
-    seen.clear();
-    Response answer = new Response.JobStatus(false, JOB, told, 0, 0);
+    observedPhases.clear();
+    Response answer = new Response.JobStatus(false, JOB, finalState, 0, 0);
     assertThat(userRequests.resolveForwarded(answer, UNAVAILABLE)).isEqualTo(answer);
-    assertThat(seen).containsExactly(phase);
-    // Final now, so it is told without a read, and nothing older is passed on any more.
+    assertThat(observedPhases).containsExactly(phase);
+    // The state is final now: it is answered without a read, and older answers are replaced.
     Response older = new Response.JobStatus(false, JOB, Response.JobState.RUNNING, 0, 1);
-    assertThat(state(userRequests.resolveForwarded(older, UNAVAILABLE))).isEqualTo(told);
-    assertThat(state(ask(QUERY))).isEqualTo(told);
+    assertThat(state(userRequests.resolveForwarded(older, UNAVAILABLE))).isEqualTo(finalState);
+    assertThat(state(ask(QUERY))).isEqualTo(finalState);
   }
 
-  /** The record of the open job reaches this node's copy only after the answer that it is over. */
+  /**
+   * The open job's record reaches this node's copy only after the answer that the job has ended.
+   */
   @ParameterizedTest
   @CsvSource({"CANCELLED, WITHDRAWN", "DONE, DONE"})
-  void aForwardedEndCountsForAJobThatTheCopyShowsLater(
-      Response.JobState told, JobRecord.Phase phase) {
-    Response answer = new Response.JobStatus(false, JOB, told, 0, 0);
+  void forwardedFinalStateAppliesToJobLoadedLater(
+      Response.JobState finalState, JobRecord.Phase phase) {
+    Response answer = new Response.JobStatus(false, JOB, finalState, 0, 0);
     assertThat(userRequests.resolveForwarded(answer, UNAVAILABLE)).isEqualTo(answer);
     ArrayJobs.storeRecord(store, JOB.value(), 2, JobRecord.Phase.OPEN);
-    assertThat(state(ask(QUERY))).isEqualTo(told);
+    assertThat(state(ask(QUERY))).isEqualTo(finalState);
     ArrayJobs.storeRecord(store, JOB.value(), 2, phase);
-    assertThat(state(ask(plain()))).isEqualTo(told);
-    assertThat(seen).doesNotContain(JobRecord.Phase.OPEN);
+    assertThat(state(ask(simpleSubmission()))).isEqualTo(finalState);
+    assertThat(observedPhases).doesNotContain(JobRecord.Phase.OPEN);
     assertThat(view.openJobs().all()).isZero();
   }
 
-  /** What can't be kept in mind until the copy shows it is not told either. */
+  /** A final state that can't be remembered until the copy shows it must not be answered. */
   @Test
-  void aForwardedEndForWhichThereIsNoRoomIsNotPassedOn() {
+  void forwardedFinalStateBeyondCapacityIsNotAnswered() {
     for (int i = 0; i < StoreView.MOST_LEARNED_ENDS; i++) {
       JobId job = new JobId("j-" + (100 + i));
       Response answer = new Response.JobStatus(false, job, Response.JobState.CANCELLED, 0, 0);
@@ -341,16 +358,18 @@
     assertThat(userRequests.resolveForwarded(last, UNAVAILABLE)).isEqualTo(UNAVAILABLE);
   }
 
-  /** What this node has told its own user, its leader must know: it may order no start after it. */
+  /**
+   * The leader on this node must know a confirmed withdrawal, so that it starts no task after it.
+   */
   @Test
-  void aConfirmedWithdrawalIsKnownToThisNodeBeforeItsUser() {
-    assertThat(code(ask(plain()))).isEqualTo(201);
+  void confirmedWithdrawalIsAppliedBeforeItIsAnswered() {
+    assertThat(code(ask(simpleSubmission()))).isEqualTo(201);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
     now = now.plus(Span.seconds(1));
     userRequests.clock(now, new WallTime(0));
-    seen.clear();
+    observedPhases.clear();
     List<JobRecord.Phase> before = new ArrayList<>();
-    userRequests.serve(WITHDRAW, answer -> before.addAll(seen));
+    userRequests.serve(WITHDRAW, answer -> before.addAll(observedPhases));
     store.serve(outbox, commit -> fate);
     assertThat(before).containsExactly(JobRecord.Phase.WITHDRAWN);
   }
