--- a/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
+++ b/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
@@ -94,12 +94,12 @@
       }
     }
 
-    void step(LateStore store, LateStore.Fates fates) {
+    void step(LateStore store, LateStore.Fates outcomes) {
       now = now.plus(Span.millis(500));
       view.clock(now);
       view.tick(now);
       results.tick(now);
-      store.serve(outbox, fates);
+      store.serve(outbox, outcomes);
     }
 
     void complete(String job, int... tasks) {
@@ -126,9 +126,9 @@
   }
 
   private static void runSteps(
-      LeaderUnderTest leader, LateStore store, int count, LateStore.Fate fate) {
+      LeaderUnderTest leader, LateStore store, int count, LateStore.Fate outcome) {
     for (int i = 0; i < count; i++) {
-      leader.step(store, commit -> fate);
+      leader.step(store, commit -> outcome);
     }
   }
 
@@ -314,7 +314,7 @@
       leader = new LeaderUnderTest(runStore, ++leaderCount, new Moment(0));
     }
 
-    private LateStore.Fate fate() {
+    private LateStore.Fate outcome() {
       return switch (random.nextInt(8)) {
         case 0 -> LateStore.Fate.REFUSED;
         case 1 -> LateStore.Fate.ANSWER_LOST;
@@ -326,7 +326,7 @@
     void run() {
       for (int step = 0; step < 120; step++) {
         taskCounts.forEach((id, tasks) -> completeSome(id, tasks, random.nextInt(12) == 0));
-        leader.step(runStore, commit -> fate());
+        leader.step(runStore, commit -> outcome());
         recordAcknowledged();
         if (runStore.waiting() > 0 && random.nextInt(3) == 0) {
           runStore.carryOut(random.nextInt(runStore.waiting()));
--- a/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
+++ b/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
@@ -50,7 +50,7 @@
   private final UserRequestHandler userRequests =
       new UserRequestHandler(outbox, view, teams, new AdmissionControl(teams, view, 1000));
   private final List<JobRecord.Phase> observedPhases = new ArrayList<>();
-  private LateStore.Fate fate = LateStore.Fate.SERVED;
+  private LateStore.Fate outcome = LateStore.Fate.SERVED;
   private Moment now = new Moment(1000);
 
   @BeforeEach
@@ -70,7 +70,7 @@
             "m", type("m", new Resources(4, 0, 16), "a", "b"),
             "g", type("g", new Resources(8, 2, 32), "b")));
     view.tick(now);
-    store.serve(outbox, commit -> fate);
+    store.serve(outbox, commit -> outcome);
   }
 
   private static MachineType type(String name, Resources room, String... zones) {
@@ -87,11 +87,11 @@
     userRequests.clock(now, new WallTime(0));
     List<Response> answers = new ArrayList<>();
     userRequests.serve(request, answers::add);
-    store.serve(outbox, commit -> fate);
+    store.serve(outbox, commit -> outcome);
     for (int i = 0; i < 10 && answers.isEmpty(); i++) {
       now = now.plus(Span.millis(100));
       view.tick(now);
-      store.serve(outbox, commit -> fate);
+      store.serve(outbox, commit -> outcome);
     }
     assertThat(answers).hasSize(1);
     return answers.get(0);
@@ -266,18 +266,18 @@
 
   @Test
   void submissionWithLostAnswerIsUnavailableUntilKnown() {
-    fate = LateStore.Fate.ANSWER_LOST;
+    outcome = LateStore.Fate.ANSWER_LOST;
     assertThat(code(ask(simpleSubmission()))).isEqualTo(503);
-    fate = LateStore.Fate.SERVED;
+    outcome = LateStore.Fate.SERVED;
     assertThat(code(ask(simpleSubmission()))).isEqualTo(200);
   }
 
   @Test
   void lateSubmissionWriteDoesNotReviveWithdrawnJob() {
-    fate = LateStore.Fate.LATE;
+    outcome = LateStore.Fate.LATE;
     assertThat(code(ask(simpleSubmission()))).isEqualTo(503);
     assertThat(code(ask(QUERY))).isEqualTo(404);
-    fate = LateStore.Fate.SERVED;
+    outcome = LateStore.Fate.SERVED;
     assertThat(code(ask(simpleSubmission()))).isEqualTo(201);
     assertThat(state(ask(WITHDRAW))).isEqualTo(Response.JobState.CANCELLED);
     store.carryOut(0);
@@ -288,12 +288,12 @@
   @Test
   void withdrawalWithLostAnswerIsUnavailableUntilKnown() {
     assertThat(code(ask(simpleSubmission()))).isEqualTo(201);
-    fate = LateStore.Fate.LATE;
+    outcome = LateStore.Fate.LATE;
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
-    fate = LateStore.Fate.REFUSED;
+    outcome = LateStore.Fate.REFUSED;
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
-    fate = LateStore.Fate.ANSWER_LOST;
+    outcome = LateStore.Fate.ANSWER_LOST;
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
     assertThat(state(ask(WITHDRAW))).isEqualTo(Response.JobState.CANCELLED);
     store.carryOut(0);
@@ -304,7 +304,7 @@
   void lateWithdrawalWriteDoesNotOverwriteDoneState() {
     assertThat(code(ask(simpleSubmission()))).isEqualTo(201);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
-    fate = LateStore.Fate.LATE;
+    outcome = LateStore.Fate.LATE;
     assertThat(code(ask(WITHDRAW))).isEqualTo(503);
     ArrayJobs.storeRecord(store, JOB.value(), 2, JobRecord.Phase.DONE);
     store.carryOut(0);
@@ -370,7 +370,7 @@
     observedPhases.clear();
     List<JobRecord.Phase> before = new ArrayList<>();
     userRequests.serve(WITHDRAW, answer -> before.addAll(observedPhases));
-    store.serve(outbox, commit -> fate);
+    store.serve(outbox, commit -> outcome);
     assertThat(before).containsExactly(JobRecord.Phase.WITHDRAWN);
   }
 }
