--- a/src/main/java/org/oakwalk/core/job/ResultWriter.java
+++ b/src/main/java/org/oakwalk/core/job/ResultWriter.java
@@ -28,88 +28,100 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stores what has been done: the end of jobs at once, parts of jobs in batches.
+ * Stores task results: the final record of a job at once, results of unfinished jobs in batches.
  *
- * <p>A part is written on condition that it is as last written or found, and that its job's record
- * is the open one. A write whose answer was lost may be applied much later: by then a newer one has
- * changed the part, or the job's end its record, so it fails. Without that it would take back what
- * workers have been told to forget. What is not as it was taken to be is read before it is written
- * again.
+ * <p>Results of unfinished jobs are stored in chunks of {@link DoneBitmap#TASKS_PER_CHUNK} tasks. A
+ * chunk is written by compare-and-set: its own revision must be the one last written or read, and
+ * the job's record must still be the open one. This guards against a write whose answer was lost
+ * and that is applied much later. By then a newer write has changed the chunk, or the job's end its
+ * record, so the late write fails. Otherwise it would remove results that workers have been told to
+ * forget. A chunk whose revision differs from the expected one is read before it is written again.
  */
 public final class ResultWriter {
   private static final Logger LOG = LoggerFactory.getLogger(ResultWriter.class);
-  private static final Span FLUSH_EVERY = Span.seconds(2);
-  private static final Span RETRY = Span.millis(300);
-  private static final int UNAVAILABLE = 503;
+  private static final Span FLUSH_INTERVAL = Span.seconds(2);
+  private static final Span RETRY_DELAY = Span.millis(300);
+  private static final int STATUS_UNAVAILABLE = 503;
 
-  /** Of the 64 KiB that a transaction may have, what parts take, their conditions left aside. */
-  private static final int MOST_BYTES = 44 * 1024;
+  /**
+   * Limit on encoded chunks in one commit, out of the transaction limit of 64 KiB; guards excluded.
+   */
+  private static final int MAX_CHUNK_BYTES_PER_COMMIT = 44 * 1024;
 
   private final Outbox outbox;
-  private final JobBook jobs;
+  private final JobRegistry jobs;
   private final StoreView view;
   private final Guard guard;
-  private final Set<JobId> chunked = new HashSet<>();
 
-  /** How the parts of open jobs were last written or found; any other does not exist. */
-  private final Map<String, Revision> stamps = new HashMap<>();
+  /** Jobs that may have chunks in the store, which are to be removed when the job ends. */
+  private final Set<JobId> jobsWithChunks = new HashSet<>();
+
+  /** Revisions of the stored chunks of open jobs; any other chunk does not exist. */
+  private final Map<String, Revision> chunkRevisions = new HashMap<>();
 
-  /** Parts that are not as they were taken to be, and have to be read. */
-  private final Set<String> doubtful = new LinkedHashSet<>();
+  /** Keys of chunks whose revision is not the expected one, and that have to be read. */
+  private final Set<String> staleChunks = new LinkedHashSet<>();
 
   /**
-   * Open jobs whose records are not as this leader knows them. An open record never changes but for
-   * its end, which the copy of the store will tell; else it was damaged, and nothing is written.
+   * Open jobs whose stored record differs from the one that this leader knows. An open record only
+   * changes when the job ends, which the copy of the store will show; otherwise the record is
+   * damaged. In both cases no results of the job are written.
    */
-  private final Set<JobId> aside = new HashSet<>();
+  private final Set<JobId> blockedJobs = new HashSet<>();
 
-  private final List<String> obsolete = new ArrayList<>();
-  private final int most;
+  /** Keys of chunks of ended jobs, to be removed. */
+  private final List<String> obsoleteChunks = new ArrayList<>();
 
-  /** How many changes go out at once: where much is refused, few are taken sooner than many. */
-  private int part;
+  private final int maxBatchSize;
+
+  /**
+   * Changes per commit. Halved after a failed commit, because a state service that refuses many
+   * requests accepts small commits sooner than large ones.
+   */
+  private int batchSize;
 
   private boolean flushing;
 
-  /** The service refuses to write ends, as far as is known. */
-  private boolean refused;
+  /** Set if the state service was unavailable for the last write of a final record. */
+  private boolean finishRefused;
 
   private boolean reading;
   private Moment nextFlush = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextEnd = new Moment(Long.MIN_VALUE / 2);
+  private Moment nextFinish = new Moment(Long.MIN_VALUE / 2);
 
   public ResultWriter(
-      Outbox outbox, JobBook jobs, StoreView view, Guard guard, Settings.StateLimits limits) {
+      Outbox outbox, JobRegistry jobs, StoreView view, Guard guard, Settings.StateLimits limits) {
     this.outbox = outbox;
     this.jobs = jobs;
     this.view = view;
     this.guard = guard;
-    this.most =
+    this.maxBatchSize =
         (int) Math.max(1, Math.min(limits.changesPerCommit(), limits.writesPerSecond() * 0.6));
-    this.part = most;
+    this.batchSize = maxBatchSize;
   }
 
-  /** A part of a job's results was found in the store. */
-  public void found(JobId id, String key, Revision stamp) {
+  /** Registers a chunk that this leader found in the store during recovery. */
+  public void addStoredChunk(JobId id, String key, Revision revision) {
     if (view.job(id).filter(job -> job.phase().isFinal()).isPresent()) {
-      obsolete.add(key);
+      obsoleteChunks.add(key);
     } else {
-      chunked.add(id);
-      stamps.put(key, stamp);
+      jobsWithChunks.add(id);
+      chunkRevisions.put(key, revision);
     }
   }
 
+  /** Starts the writes and reads that are due. */
   public void tick(Moment now) {
-    if (!nextEnd.isAfter(now)) {
-      // While the service refuses, one finds out when it does no more: all of them, several times a
-      // second for as long as an outage lasts, would take up what it grants to the other nodes.
-      jobs.complete().stream()
-          .filter(job -> !aside.contains(job.id()))
-          .limit(refused ? 1 : Long.MAX_VALUE)
+    if (!nextFinish.isAfter(now)) {
+      // While the state service is unavailable, a single write probes it. Retrying all of them
+      // several times a second during an outage would use up the requests granted to other nodes.
+      jobs.readyToFinish().stream()
+          .filter(job -> !blockedJobs.contains(job.id()))
+          .limit(finishRefused ? 1 : Long.MAX_VALUE)
           .forEach(job -> finish(job, now));
     }
-    if (!doubtful.isEmpty() && !reading) {
-      read(doubtful.iterator().next());
+    if (!staleChunks.isEmpty() && !reading) {
+      readChunk(staleChunks.iterator().next());
     }
     if (!flushing && !nextFlush.isAfter(now)) {
       flush(now);
@@ -117,113 +129,118 @@
   }
 
   private void finish(Job job, Moment now) {
-    job.finishing();
-    JobRecord record = new JobRecord(job.spec(), JobRecord.Phase.DONE, job.accepted());
+    job.markFinishing();
+    JobRecord record = new JobRecord(job.spec(), JobRecord.Phase.DONE, job.acceptedAt());
     String key = StoreKeys.job(job.id());
     outbox.call(
         new Request.Commit(
-            List.of(guard, new Guard(key, job.stamp())),
+            List.of(guard, new Guard(key, job.revision())),
             List.of(new Change.Put(key, record, Optional.empty())),
             Request.Urgency.RESULT),
         answer -> {
-          refused = answer instanceof Answer.Refused no && no.status() == UNAVAILABLE;
+          finishRefused =
+              answer instanceof Answer.Refused refusal && refusal.status() == STATUS_UNAVAILABLE;
           if (answer instanceof Answer.Committed) {
-            LOG.info("job {} is done after {}", job.id(), now.since(job.seen()));
+            LOG.info("job {} is done after {}", job.id(), now.since(job.firstSeen()));
           }
           if (job.state() != Job.State.FINISHING) {
-            // The watch was faster.
+            // The watch has shown the job's end before this answer arrived.
             return;
           }
           if (answer instanceof Answer.Committed committed) {
-            job.ended(false, committed.epoch());
-            ended(job);
-            // Users are told only by the store's copy, so let it catch up at once.
+            job.markEnded(false, committed.epoch());
+            jobEnded(job);
+            // Users are answered from the copy of the store only, so bring it up to date at once.
             view.catchUp(now, known -> {});
           } else {
-            // Withdrawn meanwhile, or unknown: the store's copy tells, else it is tried again.
-            job.notFinished();
-            setAside(answer, job);
-            nextEnd = now.plus(RETRY);
+            // The job was withdrawn meanwhile, or the outcome is unknown. The copy of the store
+            // will show if the job has ended; otherwise the write is retried.
+            job.reopen();
+            blockOnRecordConflict(answer, job);
+            nextFinish = now.plus(RETRY_DELAY);
             view.catchUp(now, known -> {});
           }
         });
   }
 
-  /** The job is stored as over, so the parts of its results are not needed any more. */
-  public void ended(Job job) {
-    aside.remove(job.id());
-    if (chunked.remove(job.id())) {
+  /** Marks the chunks of a job for removal, because the job is stored as done or withdrawn. */
+  public void jobEnded(Job job) {
+    blockedJobs.remove(job.id());
+    if (jobsWithChunks.remove(job.id())) {
       for (int chunk = 0; chunk * DoneBitmap.TASKS_PER_CHUNK < job.spec().tasks(); chunk++) {
         String key = StoreKeys.doneChunk(job.id(), chunk);
-        stamps.remove(key);
-        doubtful.remove(key);
-        obsolete.add(key);
+        chunkRevisions.remove(key);
+        staleChunks.remove(key);
+        obsoleteChunks.add(key);
       }
     }
   }
 
-  private void setAside(Answer answer, Job job) {
+  private void blockOnRecordConflict(Answer answer, Job job) {
     if (answer instanceof Answer.Conflict conflict
         && conflict.failed().contains(StoreKeys.job(job.id()))) {
-      aside.add(job.id());
+      blockedJobs.add(job.id());
     }
   }
 
-  /** Finds out how a part stands. */
-  private void read(String key) {
+  /** Reads the current revision of a chunk. */
+  private void readChunk(String key) {
     reading = true;
     outbox.call(
         new Request.ReadPage(key, Optional.empty(), Request.Urgency.RESULT),
         answer -> {
           reading = false;
-          if (answer instanceof Answer.Page page && doubtful.remove(key)) {
-            stamps.remove(key);
+          if (answer instanceof Answer.Page page && staleChunks.remove(key)) {
+            chunkRevisions.remove(key);
             page.entries().stream()
                 .filter(entry -> entry.key().equals(key))
-                .forEach(entry -> stamps.put(key, entry.revision()));
+                .forEach(entry -> chunkRevisions.put(key, entry.revision()));
           }
         });
   }
 
-  private record Part(Job job, BitSet snapshot, int from, int to) {
+  private record ChunkWrite(Job job, BitSet snapshot, int from, int to) {
     String key() {
       return StoreKeys.doneChunk(job.id(), from / DoneBitmap.TASKS_PER_CHUNK);
     }
   }
 
   private void flush(Moment now) {
-    nextFlush = now.plus(FLUSH_EVERY);
-    int budget = Math.max(1, Math.min(most, part));
+    nextFlush = now.plus(FLUSH_INTERVAL);
+    int maxChanges = Math.max(1, Math.min(maxBatchSize, batchSize));
     List<Guard> guards = new ArrayList<>(List.of(guard));
     List<Change> changes = new ArrayList<>();
-    List<Part> parts = new ArrayList<>();
+    List<ChunkWrite> writes = new ArrayList<>();
     int bytes = 0;
-    List<Job> dirty = jobs.unstored();
-    dirty.removeIf(job -> aside.contains(job.id()));
-    dirty.sort((a, b) -> a.dirtySince().compareTo(b.dirtySince()));
-    for (Job job : dirty) {
+    List<Job> unstored = jobs.withUnstoredResults();
+    unstored.removeIf(job -> blockedJobs.contains(job.id()));
+    unstored.sort((a, b) -> a.dirtySince().compareTo(b.dirtySince()));
+    for (Job job : unstored) {
       BitSet snapshot = job.doneSnapshot();
-      int before = parts.size();
-      for (int from = 0; from < job.spec().tasks() && changes.size() < budget; ) {
+      int before = writes.size();
+      for (int from = 0; from < job.spec().tasks() && changes.size() < maxChanges; ) {
         int to = Math.min(job.spec().tasks(), from + DoneBitmap.TASKS_PER_CHUNK);
-        Part part = new Part(job, snapshot, from, to);
-        if (job.hasUnstored(from, to) && !doubtful.contains(part.key()) && bytes < MOST_BYTES) {
+        ChunkWrite write = new ChunkWrite(job, snapshot, from, to);
+        if (job.hasUnstoredResults(from, to)
+            && !staleChunks.contains(write.key())
+            && bytes < MAX_CHUNK_BYTES_PER_COMMIT) {
           String bits = DoneBitmap.encode(snapshot.get(from, to));
           bytes += bits.length();
-          parts.add(part);
-          guards.add(new Guard(part.key(), stamps.getOrDefault(part.key(), Revision.NONE)));
+          writes.add(write);
+          guards.add(
+              new Guard(write.key(), chunkRevisions.getOrDefault(write.key(), Revision.NONE)));
           changes.add(
-              new Change.Put(part.key(), new StoredValue.DoneChunk(bits), Optional.empty()));
+              new Change.Put(write.key(), new StoredValue.DoneChunk(bits), Optional.empty()));
         }
         from = to;
       }
-      if (parts.size() > before) {
-        guards.add(new Guard(StoreKeys.job(job.id()), job.stamp()));
+      if (writes.size() > before) {
+        guards.add(new Guard(StoreKeys.job(job.id()), job.revision()));
       }
     }
     List<String> removed = new ArrayList<>();
-    while (changes.size() < budget && removed.size() < obsolete.size()) {
-      String key = obsolete.get(removed.size());
+    while (changes.size() < maxChanges && removed.size() < obsoleteChunks.size()) {
+      String key = obsoleteChunks.get(removed.size());
       removed.add(key);
       changes.add(new Change.Remove(key));
     }
@@ -236,41 +253,41 @@
         answer -> {
           flushing = false;
           if (answer instanceof Answer.Committed committed) {
-            part = most;
-            parts.forEach(written -> stored(written, committed.epoch(), now));
-            obsolete.removeAll(removed);
+            batchSize = maxBatchSize;
+            writes.forEach(write -> chunkStored(write, committed.epoch(), now));
+            obsoleteChunks.removeAll(removed);
           } else if (answer instanceof Answer.Conflict conflict) {
-            nextFlush = now.plus(RETRY);
-            parts.forEach(written -> differs(written, conflict));
+            nextFlush = now.plus(RETRY_DELAY);
+            writes.forEach(write -> chunkConflicted(write, conflict));
           } else {
-            part = Math.max(1, part / 2);
+            batchSize = Math.max(1, batchSize / 2);
             if (answer instanceof Answer.Nothing) {
-              parts.forEach(written -> mayBeStored(written.job()));
+              writes.forEach(write -> trackStoredChunks(write.job()));
             }
           }
         });
   }
 
-  private void stored(Part written, Revision at, Moment now) {
-    stamps.put(written.key(), at);
-    written.job().stored(written.snapshot(), written.from(), written.to(), now);
-    mayBeStored(written.job());
+  private void chunkStored(ChunkWrite write, Revision revision, Moment now) {
+    chunkRevisions.put(write.key(), revision);
+    write.job().markStored(write.snapshot(), write.from(), write.to(), now);
+    trackStoredChunks(write.job());
   }
 
-  /** Nothing was written, since something is not as it was taken to be. */
-  private void differs(Part part, Answer.Conflict conflict) {
-    setAside(conflict, part.job());
-    if (conflict.failed().contains(part.key())) {
-      doubtful.add(part.key());
+  /** Handles a commit that wrote nothing because a guard failed. */
+  private void chunkConflicted(ChunkWrite write, Answer.Conflict conflict) {
+    blockOnRecordConflict(conflict, write.job());
+    if (conflict.failed().contains(write.key())) {
+      staleChunks.add(write.key());
     }
-    mayBeStored(part.job());
+    trackStoredChunks(write.job());
   }
 
-  /** Parts of the job may be in the store, so that they are to be removed at its end. */
-  private void mayBeStored(Job job) {
-    chunked.add(job.id());
-    if (job.over()) {
-      ended(job);
+  /** Notes that chunks of the job may be in the store; if it has ended, marks them for removal. */
+  private void trackStoredChunks(Job job) {
+    jobsWithChunks.add(job.id());
+    if (job.isEnded()) {
+      jobEnded(job);
     }
   }
 }
--- a/src/test/java/org/oakwalk/core/job/Arrays.java
+++ b/src/test/java/org/oakwalk/core/job/ArrayJobs.java
@@ -9,15 +9,15 @@
 import org.oakwalk.core.store.JobRecord;
 import org.oakwalk.core.store.StoreKeys;
 
-/** Plain arrays of tasks for tests. */
-public final class Arrays {
-  private Arrays() {}
+/** Specs and records of array jobs for tests. */
+public final class ArrayJobs {
+  private ArrayJobs() {}
 
   public static JobSpec spec(String id, int tasks) {
     return spec(id, tasks, Span.seconds(1));
   }
 
-  public static JobSpec spec(String id, int tasks, Span guess) {
+  public static JobSpec spec(String id, int tasks, Span estimatedRunTime) {
     return new JobSpec(
         new JobId(id),
         "array",
@@ -25,7 +25,7 @@
         JobSpec.Shape.ARRAY,
         Priority.NORMAL,
         tasks,
-        new Room(1, 0, 1),
+        new Resources(1, 0, 1),
         Set.of(),
         Optional.empty(),
         false,
@@ -33,14 +33,14 @@
         false,
         "img",
         0,
-        guess,
+        estimatedRunTime,
         Span.seconds(0),
         Span.seconds(0),
         Optional.empty());
   }
 
-  /** Stores the record of such a job. */
-  public static void store(FaultyStore store, String id, int tasks, JobRecord.Phase phase) {
+  /** Stores the record of an array job. */
+  public static void storeRecord(FaultyStore store, String id, int tasks, JobRecord.Phase phase) {
     store.put(StoreKeys.job(new JobId(id)), new JobRecord(spec(id, tasks), phase, new WallTime(0)));
   }
 }
--- a/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
+++ b/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
@@ -32,27 +32,27 @@
 import org.oakwalk.core.store.StoredValue;
 
 /**
- * Results against a store that loses answers and carries transactions out late. What a worker may
- * be told to forget is stored from then on, under this leader and the next ones.
+ * Stores results in a store that loses answers and applies transactions late. Guards against the
+ * loss of results that workers have been told to forget, under this leader and its successors.
  */
 class ResultWriterTest {
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(100, 100, 4, 4);
-  private static final int LARGE = DoneBitmap.TASKS_PER_CHUNK + 5;
+  private static final int TASKS_OF_TWO_CHUNKS = DoneBitmap.TASKS_PER_CHUNK + 5;
 
   /** A leader with its copy of the store. */
-  private static final class Leader {
+  private static final class LeaderUnderTest {
     final Outbox outbox = new Outbox();
     final StoreView view = new StoreView(outbox, 200, 1);
     final Guard guard;
-    final JobBook jobs;
+    final JobRegistry jobs;
     final ResultWriter results;
     private Moment now;
 
-    Leader(FaultyStore store, int number, Moment now) {
+    LeaderUnderTest(FaultyStore store, int number, Moment now) {
       this(store, number, now, LIMITS);
     }
 
-    Leader(FaultyStore store, int number, Moment now, Settings.StateLimits limits) {
+    LeaderUnderTest(FaultyStore store, int number, Moment now, Settings.StateLimits limits) {
       this.now = now;
       Revision token =
           store.put(
@@ -66,41 +66,42 @@
 
             @Override
             public void jobChanged(KnownJob known, Moment at) {
-              changed(known, at);
+              applyChange(known, at);
             }
           });
       view.tick(now);
       store.serve(outbox, commit -> FaultyStore.CommitOutcome.APPLIED);
-      jobs = new JobBook(view, new Token(token.value()), now);
+      jobs = new JobRegistry(view, new Token(token.value()), now);
       results = new ResultWriter(outbox, jobs, view, guard, limits);
       for (Entry entry : store.entriesBelow(StoreKeys.DONE_PREFIX)) {
-        StoreKeys.DoneChunkKey part = StoreKeys.parseDoneChunk(entry.key()).orElseThrow();
-        results.found(part.job(), entry.key(), entry.revision());
+        StoreKeys.DoneChunkKey chunk = StoreKeys.parseDoneChunk(entry.key()).orElseThrow();
+        results.addStoredChunk(chunk.job(), entry.key(), entry.revision());
         BitSet done = DoneBitmap.decode(((StoredValue.DoneChunk) entry.value()).bits());
-        jobs.find(part.job())
+        jobs.find(chunk.job())
             .ifPresent(
                 job ->
                     done.stream()
-                        .forEach(i -> job.restore(part.chunk() * DoneBitmap.TASKS_PER_CHUNK + i)));
+                        .forEach(
+                            i -> job.restoreDone(chunk.chunk() * DoneBitmap.TASKS_PER_CHUNK + i)));
       }
     }
 
-    private void changed(KnownJob known, Moment at) {
+    private void applyChange(KnownJob known, Moment at) {
       if (results != null) {
-        jobs.changed(known, at);
+        jobs.applyStoredChange(known, at);
         if (known.phase().isFinal()) {
-          jobs.find(known.id()).ifPresent(results::ended);
+          jobs.find(known.id()).ifPresent(results::jobEnded);
         }
-        jobs.sweep();
+        jobs.removeEnded();
       }
     }
 
-    void step(FaultyStore store, FaultyStore.CommitOutcomes fates) {
+    void step(FaultyStore store, FaultyStore.CommitOutcomes outcomes) {
       now = now.plus(Span.millis(500));
       view.setTime(now);
       view.tick(now);
       results.tick(now);
-      store.serve(outbox, fates);
+      store.serve(outbox, outcomes);
     }
 
     void complete(String job, int... tasks) {
@@ -112,11 +113,11 @@
 
   private final FaultyStore store = new FaultyStore();
 
-  private void accept(String id, int tasks) {
-    Arrays.store(store, id, tasks, JobRecord.Phase.OPEN);
+  private void storeOpenJob(String id, int tasks) {
+    ArrayJobs.storeRecord(store, id, tasks, JobRecord.Phase.OPEN);
   }
 
-  private BitSet stored(String id) {
+  private BitSet storedTasks(String id) {
     BitSet all = new BitSet();
     for (Entry entry : store.entriesBelow(StoreKeys.DONE_PREFIX + id + "/")) {
       int from =
@@ -127,53 +128,55 @@
     return all;
   }
 
-  private static void steps(
-      Leader leader, FaultyStore store, int count, FaultyStore.CommitOutcome fate) {
+  private static void runSteps(
+      LeaderUnderTest leader, FaultyStore store, int count, FaultyStore.CommitOutcome outcome) {
     for (int i = 0; i < count; i++) {
-      leader.step(store, commit -> fate);
+      leader.step(store, commit -> outcome);
     }
   }
 
-  /** The older part, carried out after the newer one, must not take back the newer task. */
+  /**
+   * A late write of an older chunk, applied after a newer one, must not remove the newer result.
+   */
   @Test
-  void anOlderPartThatIsLateTakesNothingBack() {
-    accept("j-1", 3);
-    Leader leader = new Leader(store, 1, new Moment(0));
+  void lateWriteOfOlderChunkDoesNotRemoveNewerResults() {
+    storeOpenJob("j-1", 3);
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     leader.complete("j-1", 0);
-    steps(leader, store, 1, FaultyStore.CommitOutcome.DELAYED);
+    runSteps(leader, store, 1, FaultyStore.CommitOutcome.DELAYED);
     leader.complete("j-1", 1);
-    steps(leader, store, 10, FaultyStore.CommitOutcome.APPLIED);
+    runSteps(leader, store, 10, FaultyStore.CommitOutcome.APPLIED);
     assertThat(leader.jobs.find(new JobId("j-1")).orElseThrow().isStoredDone(1)).isTrue();
     assertThat(store.delayedCount()).isEqualTo(1);
     store.applyDelayed(0);
-    assertThat(stored("j-1").stream()).containsExactly(0, 1);
-    Leader next = new Leader(store, 2, new Moment(100_000));
+    assertThat(storedTasks("j-1").stream()).containsExactly(0, 1);
+    LeaderUnderTest next = new LeaderUnderTest(store, 2, new Moment(100_000));
     assertThat(next.jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isEqualTo(2);
   }
 
-  /** A part that was created with no answer, and removed at the job's end, does not come back. */
+  /** A write without an answer must not re-create a chunk that was removed when the job ended. */
   @Test
-  void aPartThatIsCreatedAfterTheJobsEndStaysAway() {
-    accept("j-1", 3);
-    Leader leader = new Leader(store, 1, new Moment(0));
+  void lateChunkWriteAfterJobEndIsRejected() {
+    storeOpenJob("j-1", 3);
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     leader.complete("j-1", 0);
-    steps(leader, store, 1, FaultyStore.CommitOutcome.DELAYED);
+    runSteps(leader, store, 1, FaultyStore.CommitOutcome.DELAYED);
     leader.complete("j-1", 1);
-    steps(leader, store, 10, FaultyStore.CommitOutcome.APPLIED);
+    runSteps(leader, store, 10, FaultyStore.CommitOutcome.APPLIED);
     leader.complete("j-1", 2);
-    steps(leader, store, 10, FaultyStore.CommitOutcome.APPLIED);
+    runSteps(leader, store, 10, FaultyStore.CommitOutcome.APPLIED);
     assertThat(store.entriesBelow(StoreKeys.DONE_PREFIX)).isEmpty();
     store.applyDelayed(0);
     assertThat(store.entriesBelow(StoreKeys.DONE_PREFIX)).isEmpty();
   }
 
-  /** What can't be written, for one job's record is damaged, holds up no other job. */
+  /** Results that can't be written because a job's record is damaged must not block other jobs. */
   @Test
-  void aDamagedRecordHoldsUpNoOtherJob() {
-    accept("j-1", 3);
-    accept("j-2", 3);
-    accept("j-3", 1);
-    Leader leader = new Leader(store, 1, new Moment(0));
+  void damagedJobRecordDoesNotBlockOtherJobs() {
+    storeOpenJob("j-1", 3);
+    storeOpenJob("j-2", 3);
+    storeOpenJob("j-3", 1);
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     store.put(StoreKeys.job(new JobId("j-1")), new StoredValue.Unreadable("damaged"));
     store.put(StoreKeys.job(new JobId("j-3")), new StoredValue.Unreadable("damaged"));
     leader.complete("j-1", 0);
@@ -188,20 +191,21 @@
             return FaultyStore.CommitOutcome.APPLIED;
           });
     }
-    assertThat(stored("j-2").stream()).containsExactly(0);
-    assertThat(stored("j-1").isEmpty()).isTrue();
-    assertThat(commits[0]).as("it is not tried again and again").isLessThan(6);
+    assertThat(storedTasks("j-2").stream()).containsExactly(0);
+    assertThat(storedTasks("j-1").isEmpty()).isTrue();
+    assertThat(commits[0]).as("commits: no endless retry").isLessThan(6);
   }
 
   /**
-   * Many jobs end while the service refuses: one asks whether it does so still, and all go after.
+   * When many jobs end while the state service refuses writes, a single one probes it, and all
+   * others are written once it accepts writes again.
    */
   @Test
-  void endsThatAreRefusedAreNotAllTriedAgainAndAgain() {
+  void refusedFinalRecordsAreRetriedOneAtATime() {
     for (int job = 1; job <= 50; job++) {
-      accept("j-" + job, 1);
+      storeOpenJob("j-" + job, 1);
     }
-    Leader leader = new Leader(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     for (int job = 1; job <= 50; job++) {
       leader.complete("j-" + job, 0);
     }
@@ -214,8 +218,8 @@
             return FaultyStore.CommitOutcome.REFUSED;
           });
     }
-    assertThat(commits[0]).as("tries in 20 s").isBetween(60, 50 + 45);
-    steps(leader, store, 2, FaultyStore.CommitOutcome.APPLIED);
+    assertThat(commits[0]).as("attempts in 20 s").isBetween(60, 50 + 45);
+    runSteps(leader, store, 2, FaultyStore.CommitOutcome.APPLIED);
     for (int job = 1; job <= 50; job++) {
       JobRecord record =
           (JobRecord) store.find(StoreKeys.job(new JobId("j-" + job))).orElseThrow().value();
@@ -223,30 +227,30 @@
     }
   }
 
-  /** The last task was reported to the next leader, all others are known from the store alone. */
+  /** Only the last task is reported to the next leader; the others are known from the store. */
   @Test
-  void aJobOfWhichAllIsStoredInPartsIsEndedByTheNextLeader() {
-    accept("j-1", 2);
-    Leader leader = new Leader(store, 1, new Moment(0));
+  void nextLeaderFinishesJobWithStoredResults() {
+    storeOpenJob("j-1", 2);
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
     leader.complete("j-1", 0);
-    steps(leader, store, 2, FaultyStore.CommitOutcome.ANSWER_LOST);
-    Leader next = new Leader(store, 2, new Moment(100_000));
+    runSteps(leader, store, 2, FaultyStore.CommitOutcome.ANSWER_LOST);
+    LeaderUnderTest next = new LeaderUnderTest(store, 2, new Moment(100_000));
     next.complete("j-1", 1);
-    steps(next, store, 10, FaultyStore.CommitOutcome.APPLIED);
+    runSteps(next, store, 10, FaultyStore.CommitOutcome.APPLIED);
     JobRecord record =
         (JobRecord) store.find(StoreKeys.job(new JobId("j-1"))).orElseThrow().value();
     assertThat(record.phase()).isEqualTo(JobRecord.Phase.DONE);
     assertThat(store.entriesBelow(StoreKeys.DONE_PREFIX)).isEmpty();
   }
 
-  /** Parts of vast arrays are many and long; a transaction has 64 KiB, of which they take most. */
+  /** Large arrays have many long chunks, which must not exceed the transaction limit of 64 KiB. */
   @Test
-  void partsOfVastArraysFitIntoTransactions() {
+  void chunksOfLargeArraysFitIntoTransactions() {
     Settings.StateLimits wide = new Settings.StateLimits(1000, 200, 32, 32);
-    Leader leader = new Leader(store, 1, new Moment(0), wide);
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0), wide);
     List<String> ids = List.of("j-1", "j-2", "j-3");
-    ids.forEach(id -> accept(id, JobSpec.MAX_TASKS));
-    steps(leader, store, 2, FaultyStore.CommitOutcome.APPLIED);
+    ids.forEach(id -> storeOpenJob(id, JobSpec.MAX_TASKS));
+    runSteps(leader, store, 2, FaultyStore.CommitOutcome.APPLIED);
     int[] all = IntStream.range(1, JobSpec.MAX_TASKS).toArray();
     ids.forEach(id -> leader.complete(id, all));
     for (int i = 0; i < 20; i++) {
@@ -257,66 +261,66 @@
             return FaultyStore.CommitOutcome.APPLIED;
           });
     }
-    ids.forEach(id -> assertThat(stored(id).cardinality()).isEqualTo(all.length));
+    ids.forEach(id -> assertThat(storedTasks(id).cardinality()).isEqualTo(all.length));
   }
 
   private static int bytes(Request.Commit commit) {
     int bytes = 100 * (commit.guards().size() + commit.changes().size());
     for (Change change : commit.changes()) {
-      if (change instanceof Change.Put put && put.value() instanceof StoredValue.DoneChunk part) {
-        bytes += part.bits().length();
+      if (change instanceof Change.Put put && put.value() instanceof StoredValue.DoneChunk chunk) {
+        bytes += chunk.bits().length();
       }
     }
     return bytes;
   }
 
-  /** No report comes any more: what is stored must be enough. */
+  /** The stored results must suffice if no worker reports any more. */
   @Test
-  void aJobOfWhichAllIsStoredEndsWithoutAnyReport() {
-    accept("j-1", 2);
+  void jobWithAllResultsStoredEndsWithoutReports() {
+    storeOpenJob("j-1", 2);
     store.put(StoreKeys.doneChunk(new JobId("j-1"), 0), new StoredValue.DoneChunk("03"));
-    Leader leader = new Leader(store, 1, new Moment(0));
-    steps(leader, store, 5, FaultyStore.CommitOutcome.APPLIED);
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
+    runSteps(leader, store, 5, FaultyStore.CommitOutcome.APPLIED);
     JobRecord record =
         (JobRecord) store.find(StoreKeys.job(new JobId("j-1"))).orElseThrow().value();
     assertThat(record.phase()).isEqualTo(JobRecord.Phase.DONE);
     assertThat(store.entriesBelow(StoreKeys.DONE_PREFIX)).isEmpty();
   }
 
-  /** Leaders that follow each other, with lost answers, refusals and late transactions. */
+  /** Random runs with several leaders, lost answers, refusals and late transactions. */
   @Test
-  void whatWorkersMayForgetStaysStored() {
+  void acknowledgedResultsAreNeverLost() {
     for (long seed = 1; seed <= 60; seed++) {
       try {
-        new Run(seed).play();
+        new RandomizedResultRun(seed).run();
       } catch (AssertionError e) {
         throw new AssertionError("seed " + seed + ": " + e.getMessage(), e);
       }
     }
   }
 
-  /** One drawn run. */
-  private final class Run {
-    private final Map<String, Integer> sizes =
-        Map.of("j-1", 2, "j-2", 3, "j-3", 40, "j-4", LARGE, "j-5", 3);
-    private final UniformRandomProvider chance;
-    private final Map<String, BitSet> forgotten = new HashMap<>();
-    private final FaultyStore own = new FaultyStore();
-    private Leader leader;
-    private int leaders;
+  /** One run, determined by its seed. */
+  private final class RandomizedResultRun {
+    private final Map<String, Integer> taskCounts =
+        Map.of("j-1", 2, "j-2", 3, "j-3", 40, "j-4", TASKS_OF_TWO_CHUNKS, "j-5", 3);
+    private final UniformRandomProvider random;
+    private final Map<String, BitSet> acknowledged = new HashMap<>();
+    private final FaultyStore runStore = new FaultyStore();
+    private LeaderUnderTest leader;
+    private int leaderCount;
 
-    Run(long seed) {
-      chance = RandomSource.XO_SHI_RO_256_PP.create(seed);
-      sizes.forEach(
+    RandomizedResultRun(long seed) {
+      random = RandomSource.XO_SHI_RO_256_PP.create(seed);
+      taskCounts.forEach(
           (id, tasks) -> {
-            forgotten.put(id, new BitSet());
-            Arrays.store(own, id, tasks, JobRecord.Phase.OPEN);
+            acknowledged.put(id, new BitSet());
+            ArrayJobs.storeRecord(runStore, id, tasks, JobRecord.Phase.OPEN);
           });
-      leader = new Leader(own, ++leaders, new Moment(0));
+      leader = new LeaderUnderTest(runStore, ++leaderCount, new Moment(0));
     }
 
-    private FaultyStore.CommitOutcome fate() {
-      return switch (chance.nextInt(8)) {
+    private FaultyStore.CommitOutcome outcome() {
+      return switch (random.nextInt(8)) {
         case 0 -> FaultyStore.CommitOutcome.REFUSED;
         case 1 -> FaultyStore.CommitOutcome.ANSWER_LOST;
         case 2, 3 -> FaultyStore.CommitOutcome.DELAYED;
@@ -324,37 +328,37 @@
       };
     }
 
-    void play() {
+    void run() {
       for (int step = 0; step < 120; step++) {
-        sizes.forEach((id, tasks) -> completeSome(id, tasks, chance.nextInt(12) == 0));
-        leader.step(own, commit -> fate());
-        remember();
-        if (own.delayedCount() > 0 && chance.nextInt(3) == 0) {
-          own.applyDelayed(chance.nextInt(own.delayedCount()));
+        taskCounts.forEach((id, tasks) -> completeSome(id, tasks, random.nextInt(12) == 0));
+        leader.step(runStore, commit -> outcome());
+        recordAcknowledged();
+        if (runStore.delayedCount() > 0 && random.nextInt(3) == 0) {
+          runStore.applyDelayed(random.nextInt(runStore.delayedCount()));
         }
-        if (chance.nextInt(25) == 0) {
-          leader = new Leader(own, ++leaders, new Moment(step * 10_000L));
+        if (random.nextInt(25) == 0) {
+          leader = new LeaderUnderTest(runStore, ++leaderCount, new Moment(step * 10_000L));
         }
-        check();
+        assertNoAcknowledgedResultLost();
         if (step == 60) {
-          Arrays.store(own, "j-5", 3, JobRecord.Phase.WITHDRAWN);
+          ArrayJobs.storeRecord(runStore, "j-5", 3, JobRecord.Phase.WITHDRAWN);
         }
       }
       for (int step = 0; step < 40; step++) {
-        sizes.forEach((id, tasks) -> completeSome(id, tasks, true));
-        leader.step(own, commit -> FaultyStore.CommitOutcome.APPLIED);
+        taskCounts.forEach((id, tasks) -> completeSome(id, tasks, true));
+        leader.step(runStore, commit -> FaultyStore.CommitOutcome.APPLIED);
       }
-      while (own.delayedCount() > 0) {
-        own.applyDelayed(0);
+      while (runStore.delayedCount() > 0) {
+        runStore.applyDelayed(0);
       }
-      assertThat(own.entriesBelow(StoreKeys.DONE_PREFIX)).as("parts that are left").isEmpty();
-      sizes.keySet().forEach(id -> assertThat(phase(id).isFinal()).as(id).isTrue());
+      assertThat(runStore.entriesBelow(StoreKeys.DONE_PREFIX)).as("chunks that are left").isEmpty();
+      taskCounts.keySet().forEach(id -> assertThat(phase(id).isFinal()).as(id).isTrue());
     }
 
-    private void completeSome(String id, int tasks, boolean any) {
-      Optional<Job> job = leader.jobs.find(new JobId(id)).filter(Job::open);
-      if (any && job.isPresent()) {
-        int task = chance.nextInt(tasks);
+    private void completeSome(String id, int tasks, boolean enabled) {
+      Optional<Job> job = leader.jobs.find(new JobId(id)).filter(Job::isOpen);
+      if (enabled && job.isPresent()) {
+        int task = random.nextInt(tasks);
         for (int i = 0; i < 1 + tasks / 2; i++, task = (task + 1) % tasks) {
           job.get().complete(task, leader.now);
         }
@@ -362,33 +366,34 @@
     }
 
     private JobRecord.Phase phase(String id) {
-      return ((JobRecord) own.find(StoreKeys.job(new JobId(id))).orElseThrow().value()).phase();
+      return ((JobRecord) runStore.find(StoreKeys.job(new JobId(id))).orElseThrow().value())
+          .phase();
     }
 
-    /** Tasks of which this leader would let workers forget the result. */
-    private void remember() {
-      sizes.forEach(
+    /** Records the tasks whose result this leader would tell workers to forget. */
+    private void recordAcknowledged() {
+      taskCounts.forEach(
           (id, tasks) ->
               leader
                   .jobs
                   .find(new JobId(id))
-                  .filter(Job::open)
+                  .filter(Job::isOpen)
                   .ifPresent(
                       job -> {
                         for (int i = 0; i < tasks; i++) {
                           if (job.isStoredDone(i)) {
-                            forgotten.get(id).set(i);
+                            acknowledged.get(id).set(i);
                           }
                         }
                       }));
     }
 
-    private void check() {
-      sizes.forEach(
+    private void assertNoAcknowledgedResultLost() {
+      taskCounts.forEach(
           (id, tasks) -> {
             if (!phase(id).isFinal()) {
-              BitSet lost = (BitSet) forgotten.get(id).clone();
-              for (Entry entry : own.entriesBelow(StoreKeys.DONE_PREFIX + id + "/")) {
+              BitSet lost = (BitSet) acknowledged.get(id).clone();
+              for (Entry entry : runStore.entriesBelow(StoreKeys.DONE_PREFIX + id + "/")) {
                 int from =
                     StoreKeys.parseDoneChunk(entry.key()).orElseThrow().chunk()
                         * DoneBitmap.TASKS_PER_CHUNK;
