--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -28,11 +28,11 @@
 import org.oakwalk.core.job.JobBook;
 import org.oakwalk.core.job.ResultWriter;
 import org.oakwalk.core.leadership.RelayEnds;
-import org.oakwalk.core.placement.Pace;
+import org.oakwalk.core.placement.JobTargets;
 import org.oakwalk.core.placement.Placer;
 import org.oakwalk.core.placement.Quota;
-import org.oakwalk.core.placement.RunTimes;
-import org.oakwalk.core.placement.Targets;
+import org.oakwalk.core.placement.RunTimeEstimates;
+import org.oakwalk.core.placement.SlowMachineDetector;
 import org.oakwalk.core.planner.Planner;
 import org.oakwalk.core.port.Effect;
 import org.oakwalk.core.port.Outbox;
@@ -62,8 +62,8 @@
   private final Registry registry;
   private final ResultWriter results;
   private final Recovery recovery;
-  private final RunTimes runTimes = new RunTimes();
-  private final Pace pace = new Pace(runTimes);
+  private final RunTimeEstimates runTimes = new RunTimeEstimates();
+  private final SlowMachineDetector pace = new SlowMachineDetector(runTimes);
   private final Placer placer;
   private final Capacity capacity;
   private final Gate gate;
@@ -157,7 +157,7 @@
             fleet,
             jobs,
             policy,
-            new Targets(settings.objectives(), planner),
+            new JobTargets(settings.objectives(), planner),
             quota,
             runTimes,
             suspectAfter,
@@ -208,7 +208,7 @@
   }
 
   private void keepForGang(Machine machine, Job job) {
-    placer.keep(machine, job);
+    placer.reserveMachine(machine, job);
   }
 
   Token token() {
@@ -353,11 +353,11 @@
     }
     if (regular) {
       nextRegular = now.plus(policy.round());
-      pace.survey(fleet.machines(), now);
+      pace.checkRunning(fleet.machines(), now);
     }
     roundDue = false;
     lastRound = now;
-    int placed = placer.round(recovery.complete(), regular, now, wall);
+    int placed = placer.runRound(recovery.complete(), regular, now, wall);
     if (placed > 0) {
       LOG.debug("{} tasks placed, copy of the store at revision {}", placed, view.position());
     }
@@ -427,7 +427,7 @@
   public void completed(Placement placement, Span ran) {
     if (ran != null) {
       pace.completed(placement, ran);
-      runTimes.learn(placement.job(), ran);
+      runTimes.record(placement.job(), ran);
       if (placement.attempt().token().equals(token)) {
         // What an older leader started has run for longer than this one has seen.
         planner.completed(placement.job(), ran);
--- a/src/main/java/org/oakwalk/core/Products.java
+++ b/src/main/java/org/oakwalk/core/Products.java
@@ -14,10 +14,10 @@
 import org.oakwalk.core.headroom.Headroom;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.placement.CapacityExchange;
+import org.oakwalk.core.placement.CapacityReserve;
 import org.oakwalk.core.placement.Quota;
-import org.oakwalk.core.placement.Reserve;
-import org.oakwalk.core.placement.RunTimes;
-import org.oakwalk.core.placement.Takes;
+import org.oakwalk.core.placement.RunTimeEstimates;
 import org.oakwalk.core.planner.PlanRow;
 import org.oakwalk.core.planner.Planner;
 import org.oakwalk.core.port.Outbox;
@@ -32,16 +32,16 @@
  * What stands round the scheduler under one token: dawns, headroom, exchanges. Without terms in the
  * store or in this node's file it does nothing at all.
  */
-final class Products implements Takes {
+final class Products implements CapacityExchange {
   /** What the parts work on. */
   record Ground(
       Fleet fleet,
       JobBook jobs,
       Quota quota,
       Gate gate,
-      RunTimes runTimes,
+      RunTimeEstimates runTimes,
       Span suspectAfter,
-      Reserve reserve,
+      CapacityReserve reserve,
       BiConsumer<Machine, Job> keepForGang) {}
 
   private final ProductKeeper keeper;
@@ -135,12 +135,12 @@
   }
 
   @Override
-  public boolean spares(Job asking, Placement placement) {
-    return exchange.filter(each -> each.spares(asking, placement)).isPresent();
+  public boolean excludesPreemption(Job asking, Placement placement) {
+    return exchange.filter(each -> each.excludesPreemption(asking, placement)).isPresent();
   }
 
   @Override
-  public boolean ask(Job job, List<Machine> machines, Moment now, WallTime wall) {
-    return exchange.filter(each -> each.ask(job, machines, now, wall)).isPresent();
+  public boolean requestRoom(Job job, List<Machine> machines, Moment now, WallTime wall) {
+    return exchange.filter(each -> each.requestRoom(job, machines, now, wall)).isPresent();
   }
 }
--- a/src/main/java/org/oakwalk/core/capacity/Capacity.java
+++ b/src/main/java/org/oakwalk/core/capacity/Capacity.java
@@ -26,8 +26,8 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.placement.Deadlines;
-import org.oakwalk.core.placement.RunTimes;
+import org.oakwalk.core.placement.PlannedDeadlines;
+import org.oakwalk.core.placement.RunTimeEstimates;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
@@ -89,8 +89,8 @@
       Registry registry,
       Policy.Capacity policy,
       Settings settings,
-      RunTimes runTimes,
-      Deadlines planned,
+      RunTimeEstimates runTimes,
+      PlannedDeadlines planned,
       Span suspectAfter,
       Predicate<Boots.Sort> bars,
       ToIntFunction<JobSpec> placesLeft) {
--- a/src/main/java/org/oakwalk/core/capacity/Demand.java
+++ b/src/main/java/org/oakwalk/core/capacity/Demand.java
@@ -11,8 +11,8 @@
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Room;
-import org.oakwalk.core.placement.Deadlines;
-import org.oakwalk.core.placement.RunTimes;
+import org.oakwalk.core.placement.PlannedDeadlines;
+import org.oakwalk.core.placement.RunTimeEstimates;
 
 /** How much room the open jobs need to be in time. */
 final class Demand {
@@ -31,10 +31,10 @@
   private static final Span IDLE_SPREAD = Span.seconds(600);
 
   private final List<Settings.Objective> objectives;
-  private final RunTimes runTimes;
-  private final Deadlines planned;
+  private final RunTimeEstimates runTimes;
+  private final PlannedDeadlines planned;
 
-  Demand(List<Settings.Objective> objectives, RunTimes runTimes, Deadlines planned) {
+  Demand(List<Settings.Objective> objectives, RunTimeEstimates runTimes, PlannedDeadlines planned) {
     this.objectives = objectives;
     this.runTimes = runTimes;
     this.planned = planned;
@@ -54,7 +54,7 @@
       return Math.max(1, job.activeCount());
     }
     double run = Math.max(1, runTimes.expected(spec).asSeconds());
-    Optional<Span> dawn = planned.ends(job, now);
+    Optional<Span> dawn = planned.timeToEnd(job, now);
     if (dawn.isPresent() && !urgent(spec, now.since(job.accepted()), dawn.get())) {
       // All groups of a plan share the machines one after the other, so parts of places add up.
       double time = dawn.get().minus(type.fetch(spec.imageGb())).asSeconds() * EARLY;
@@ -79,7 +79,7 @@
     if (spec.service()) {
       return true;
     }
-    Optional<Span> dawn = planned.ends(job, now);
+    Optional<Span> dawn = planned.timeToEnd(job, now);
     if (idle(spec) || dawn.isPresent() && !urgent(spec, now.since(job.accepted()), dawn.get())) {
       return false;
     }
--- a/src/main/java/org/oakwalk/core/drain/Mover.java
+++ b/src/main/java/org/oakwalk/core/drain/Mover.java
@@ -13,8 +13,8 @@
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Room;
+import org.oakwalk.core.placement.CapacityReserve;
 import org.oakwalk.core.placement.Quota;
-import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.port.Effect;
 import org.oakwalk.core.port.Outbox;
 import org.slf4j.Logger;
@@ -65,11 +65,16 @@
   private final Gate gate;
   private final Outbox outbox;
   private final Span suspectAfter;
-  private final Reserve reserve;
+  private final CapacityReserve reserve;
   private final Map<TaskId, Move> moves = new LinkedHashMap<>();
 
   public Mover(
-      Fleet fleet, Quota quota, Gate gate, Outbox outbox, Span suspectAfter, Reserve reserve) {
+      Fleet fleet,
+      Quota quota,
+      Gate gate,
+      Outbox outbox,
+      Span suspectAfter,
+      CapacityReserve reserve) {
     this.reserve = reserve;
     this.fleet = fleet;
     this.quota = quota;
@@ -131,7 +136,7 @@
 
   /** What is free on a machine for what is moved: nothing of what is kept for others. */
   Room free(Machine machine) {
-    return reserve.beyond(machine);
+    return reserve.unreserved(machine);
   }
 
   /** Whether a machine that is not to be emptied has room for a task now. */
--- a/src/main/java/org/oakwalk/core/exchange/Exchange.java
+++ b/src/main/java/org/oakwalk/core/exchange/Exchange.java
@@ -16,10 +16,10 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
 import org.oakwalk.core.job.Room;
+import org.oakwalk.core.placement.CapacityExchange;
+import org.oakwalk.core.placement.CapacityReserve;
 import org.oakwalk.core.placement.Quota;
-import org.oakwalk.core.placement.Reserve;
-import org.oakwalk.core.placement.RunTimes;
-import org.oakwalk.core.placement.Takes;
+import org.oakwalk.core.placement.RunTimeEstimates;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.shared.SharedRecord;
 import org.slf4j.Logger;
@@ -33,7 +33,7 @@
  * <p>A new leader goes on from the record alone: what it finds under way it goes on with, on the
  * same machine and for the same need, so that no need is met twice.
  */
-public final class Exchange implements Takes {
+public final class Exchange implements CapacityExchange {
   private static final Logger LOG = LoggerFactory.getLogger(Exchange.class);
   private static final int MOST_A_CALL = 16;
 
@@ -63,9 +63,9 @@
       JobBook jobs,
       Quota quota,
       Gate gate,
-      RunTimes runTimes,
+      RunTimeEstimates runTimes,
       Span suspectAfter,
-      Reserve reserve,
+      CapacityReserve reserve,
       BiConsumer<Machine, Job> keepForGang) {
     this.terms = terms;
     this.open = new OpenTakes(record, fleet);
@@ -90,13 +90,13 @@
   }
 
   @Override
-  public boolean spares(Job asking, Placement placement) {
+  public boolean excludesPreemption(Job asking, Placement placement) {
     return open.usable()
         && termsFor(asking).filter(each -> each.gives(placement.job().spec())).isPresent();
   }
 
   @Override
-  public boolean ask(Job job, List<Machine> machines, Moment now, WallTime wall) {
+  public boolean requestRoom(Job job, List<Machine> machines, Moment now, WallTime wall) {
     Optional<ExchangeTerms> found = open.usable() ? termsFor(job) : Optional.empty();
     if (found.isEmpty()) {
       return false;
--- a/src/main/java/org/oakwalk/core/exchange/Starts.java
+++ b/src/main/java/org/oakwalk/core/exchange/Starts.java
@@ -7,19 +7,24 @@
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.job.Job;
+import org.oakwalk.core.placement.CapacityReserve;
 import org.oakwalk.core.placement.Quota;
-import org.oakwalk.core.placement.Reserve;
-import org.oakwalk.core.placement.RunTimes;
+import org.oakwalk.core.placement.RunTimeEstimates;
 
 /** Starts of tasks in room that is kept for them, or that is free. */
 final class Starts {
   private final Fleet fleet;
   private final Quota quota;
-  private final Reserve reserve;
-  private final RunTimes runTimes;
+  private final CapacityReserve reserve;
+  private final RunTimeEstimates runTimes;
   private final Span suspectAfter;
 
-  Starts(Fleet fleet, Quota quota, Reserve reserve, RunTimes runTimes, Span suspectAfter) {
+  Starts(
+      Fleet fleet,
+      Quota quota,
+      CapacityReserve reserve,
+      RunTimeEstimates runTimes,
+      Span suspectAfter) {
     this.fleet = fleet;
     this.quota = quota;
     this.reserve = reserve;
@@ -44,7 +49,7 @@
     int placed = 0;
     int index = job.nextPending(0, now);
     while (placed < tasks
-        && job.spec().room().fits(reserve.free(job.spec(), machine))
+        && job.spec().room().fits(reserve.freeFor(job.spec(), machine))
         && may(job, index, machine, now)) {
       place(job, index, machine, now);
       placed++;
@@ -61,7 +66,7 @@
         .filter(
             machine ->
                 job.spec().allows(machine.type().name(), machine.zone(), machine.spot())
-                    && job.spec().room().fits(reserve.free(job.spec(), machine)))
+                    && job.spec().room().fits(reserve.freeFor(job.spec(), machine)))
         .max(Comparator.comparing((Machine m) -> m.hasImage(job.spec().image())))
         .orElse(null);
   }
--- a/src/main/java/org/oakwalk/core/exchange/Toll.java
+++ b/src/main/java/org/oakwalk/core/exchange/Toll.java
@@ -17,8 +17,8 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Room;
+import org.oakwalk.core.placement.CapacityReserve;
 import org.oakwalk.core.placement.Quota;
-import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.product.ExchangeTerms;
 
 /** What a take would cost, and from whom it costs least for the room that it frees. */
@@ -31,7 +31,7 @@
 
   private final Fleet fleet;
   private final Quota quota;
-  private final Reserve reserve;
+  private final CapacityReserve reserve;
   private final ToIntFunction<Job> owed;
 
   /**
@@ -40,7 +40,7 @@
    * @param reserve room that is kept for others
    * @param owed how many takes of a job are not given back yet
    */
-  Toll(Fleet fleet, Quota quota, Reserve reserve, ToIntFunction<Job> owed) {
+  Toll(Fleet fleet, Quota quota, CapacityReserve reserve, ToIntFunction<Job> owed) {
     this.reserve = reserve;
     this.fleet = fleet;
     this.quota = quota;
@@ -59,11 +59,12 @@
   boolean mayGive(Placement placement, Job taker) {
     Job giver = placement.job();
     boolean sameTeam = giver.spec().team().equals(taker.spec().team());
-    if (!sameTeam && quota.guarantees(giver)) {
+    if (!sameTeam && quota.withinGuarantee(giver)) {
       return false;
     }
     boolean lower = giver.spec().priority().compareTo(taker.spec().priority()) < 0;
-    boolean claims = quota.guarantees(taker) && !sameTeam && quota.borrows(giver.spec().team());
+    boolean claims =
+        quota.withinGuarantee(taker) && !sameTeam && quota.exceedsGuarantee(giver.spec().team());
     return lower || claims;
   }
 
@@ -87,7 +88,7 @@
       Map<Job, List<Placement>> gangs,
       Moment now) {
     Room asked = taker.spec().room();
-    Room free = reserve.free(taker.spec(), machine);
+    Room free = reserve.freeFor(taker.spec(), machine);
     List<Placement> able = new ArrayList<>();
     for (Placement placement : machine.placements()) {
       if (placement.halting()) {
--- a/src/main/java/org/oakwalk/core/headroom/Amounts.java
+++ b/src/main/java/org/oakwalk/core/headroom/Amounts.java
@@ -75,7 +75,7 @@
       Set<String> live,
       boolean doubt,
       Moment now) {
-    claims.removeIf(job -> !job.open() || job.pendingCount() <= 0 || !quota.guarantees(job));
+    claims.removeIf(job -> !job.open() || job.pendingCount() <= 0 || !quota.withinGuarantee(job));
     Map<HeadroomRow.Key, Asked> asked = asked(terms, jobs);
     fade(rows, asked, now);
     Map<HeadroomRow.Key, HeadroomRow> target = new LinkedHashMap<>();
--- a/src/main/java/org/oakwalk/core/headroom/Headroom.java
+++ b/src/main/java/org/oakwalk/core/headroom/Headroom.java
@@ -21,8 +21,8 @@
 import org.oakwalk.core.job.JobBook;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Room;
+import org.oakwalk.core.placement.CapacityReserve;
 import org.oakwalk.core.placement.Quota;
-import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.product.HeadroomTerms;
 import org.oakwalk.core.shared.SharedRecord;
 import org.oakwalk.core.shared.SharedState;
@@ -33,7 +33,7 @@
  * Keeps room for more replicas. The amounts by zone are stored; a higher one restrains at once, a
  * lower one only when it is stored, so that a new leader keeps at least what an older one kept.
  */
-public final class Headroom implements Reserve {
+public final class Headroom implements CapacityReserve {
   /** Name of its record. */
   public static final String RECORD = "headroom";
 
@@ -213,7 +213,7 @@
   }
 
   @Override
-  public void survey(Collection<Machine> taking, Map<Machine, Job> held) {
+  public void beginRound(Collection<Machine> taking, Map<Machine, Job> held) {
     asked = null;
     rooms.survey(inForce, taking, held, warmShares);
   }
@@ -233,43 +233,43 @@
   }
 
   @Override
-  public Room free(JobSpec spec, Machine machine) {
+  public Room freeFor(JobSpec spec, Machine machine) {
     return inForce.isEmpty() ? machine.free() : rooms.free(keyOf(spec), machine);
   }
 
   @Override
-  public Room beyond(Machine machine) {
+  public Room unreserved(Machine machine) {
     return rooms.beyond(machine);
   }
 
   @Override
-  public boolean serves(JobSpec spec, Machine machine) {
+  public boolean hasRoomReservedFor(JobSpec spec, Machine machine) {
     HeadroomRow.Key key = inForce.isEmpty() ? null : keyOf(spec);
     return key != null && rooms.on(key, machine) > 0;
   }
 
   @Override
-  public boolean withholds(Job job) {
+  public boolean claimsFreedRoom(Job job) {
     if (rooms.lacking().isEmpty() || job.spec().service()) {
       return false;
     }
-    denied(job);
+    onNoRoom(job);
     return rooms.lacking().values().stream()
         .flatMap(zones -> zones.keySet().stream())
         .anyMatch(zone -> job.spec().zone().map(zone::equals).orElse(true));
   }
 
   @Override
-  public double strain(JobSpec spec, Machine machine) {
+  public double imageEvictionPenalty(JobSpec spec, Machine machine) {
     return !inForce.isEmpty() && rooms.pushesOut(spec, machine) ? STRAIN : 0;
   }
 
   @Override
-  public void denied(Job job) {
+  public void onNoRoom(Job job) {
     boolean kept =
         inForce.stream()
             .anyMatch(row -> row.total() > 0 && !row.key().team().equals(job.spec().team()));
-    if (kept && quota.guarantees(job)) {
+    if (kept && quota.withinGuarantee(job)) {
       amounts.claimed(job);
     }
   }
--- a/src/main/java/org/oakwalk/core/placement/Candidates.java
+++ b/src/main/java/org/oakwalk/core/placement/CandidateMachines.java
@@ -20,28 +20,29 @@
 import org.oakwalk.core.job.Room;
 
 /** The machines that take tasks in a round, and which of them a job may use. */
-final class Candidates {
+final class CandidateMachines {
   /** By how much a task may run longer than expected and still not hold up a gang. */
-  private static final double FILLING_MARGIN = 0.5;
+  private static final double BACKFILL_MARGIN = 0.5;
 
   private final Fleet fleet;
-  private final RunTimes runTimes;
+  private final RunTimeEstimates runTimes;
   private final Span suspectAfter;
-  private final Reserve reserve;
-  private final Map<Machine, Job> reserved = new LinkedHashMap<>();
+  private final CapacityReserve reserve;
+  private final Map<Machine, Job> reservations = new LinkedHashMap<>();
 
   /** By when the machines that are kept for a gang should be free. */
-  private final Map<Job, Moment> awaited = new HashMap<>();
+  private final Map<Job, Moment> expectedStarts = new HashMap<>();
 
   private final List<Machine> all = new ArrayList<>();
 
   /** Those with anything free, which are few while there is more work than room. */
-  private final List<Machine> roomy = new ArrayList<>();
+  private final List<Machine> withFreeRoom = new ArrayList<>();
 
-  private final Map<MachineType, Integer> kinds = new IdentityHashMap<>();
-  private Moment clock = new Moment(0);
+  private final Map<MachineType, Integer> machineCounts = new IdentityHashMap<>();
+  private Moment roundStart = new Moment(0);
 
-  Candidates(Fleet fleet, RunTimes runTimes, Span suspectAfter, Reserve reserve) {
+  CandidateMachines(
+      Fleet fleet, RunTimeEstimates runTimes, Span suspectAfter, CapacityReserve reserve) {
     this.reserve = reserve;
     this.fleet = fleet;
     this.runTimes = runTimes;
@@ -49,55 +50,55 @@
   }
 
   /** Finds out which machines take tasks now. */
-  void survey(Moment now) {
-    clock = now;
+  void refresh(Moment now) {
+    roundStart = now;
     all.clear();
-    roomy.clear();
-    kinds.clear();
+    withFreeRoom.clear();
+    machineCounts.clear();
     for (Machine machine : fleet.machines()) {
       if (machine.takesTasks(now, suspectAfter)) {
         all.add(machine);
-        kinds.merge(machine.type(), 1, Integer::sum);
+        machineCounts.merge(machine.type(), 1, Integer::sum);
         Room free = machine.free();
         if (free.cpus() > 0 && free.memoryGb() > 0) {
-          roomy.add(machine);
+          withFreeRoom.add(machine);
         }
       }
     }
-    if (!reserved.isEmpty()) {
-      reserved.keySet().retainAll(new HashSet<>(all));
-      reserved.values().removeIf(job -> !job.open() || job.pendingCount() <= 0);
+    if (!reservations.isEmpty()) {
+      reservations.keySet().retainAll(new HashSet<>(all));
+      reservations.values().removeIf(job -> !job.open() || job.pendingCount() <= 0);
     }
-    awaited.keySet().removeIf(job -> !job.open() || job.activeCount() > 0);
-    reserve.survey(all, reserved);
+    expectedStarts.keySet().removeIf(job -> !job.open() || job.activeCount() > 0);
+    reserve.beginRound(all, reservations);
   }
 
   /** How many machines of each type take tasks in this round. */
-  Map<MachineType, Integer> kinds() {
-    return kinds;
+  Map<MachineType, Integer> machineCounts() {
+    return machineCounts;
   }
 
   /** Machines that are kept free for a job. */
-  Map<Machine, Job> reserved() {
-    return reserved;
+  Map<Machine, Job> reservations() {
+    return reservations;
   }
 
   /** By when a gang should be able to start, as first foreseen. */
-  Map<Job, Moment> awaited() {
-    return awaited;
+  Map<Job, Moment> expectedStarts() {
+    return expectedStarts;
   }
 
   /** Machines with anything free that the job allows, given where its other tasks are. */
-  List<Machine> withRoom(Job job, Map<String, Integer> zones) {
-    return of(job, roomy, zones);
+  List<Machine> eligibleWithFreeRoom(Job job, Map<String, Integer> zones) {
+    return eligible(job, withFreeRoom, zones);
   }
 
   /** Machines that the job allows, full ones included. */
-  List<Machine> of(Job job, Map<String, Integer> zones) {
-    return of(job, all, zones);
+  List<Machine> eligible(Job job, Map<String, Integer> zones) {
+    return eligible(job, all, zones);
   }
 
-  private List<Machine> of(Job job, List<Machine> machines, Map<String, Integer> zones) {
+  private List<Machine> eligible(Job job, List<Machine> machines, Map<String, Integer> zones) {
     JobSpec spec = job.spec();
     String only = spec.oneZone() ? chosenZone(job, zones) : null;
     Set<String> full = new HashSet<>();
@@ -108,17 +109,17 @@
           }
         });
     List<Machine> candidates = new ArrayList<>();
-    Moment end = clock.plus(runTimes.expected(spec));
+    Moment end = roundStart.plus(runTimes.expected(spec));
     for (Machine machine : machines) {
-      Job holder = reserved.get(machine);
+      Job holder = reservations.get(machine);
       if (spec.allows(machine.type().name(), machine.zone(), machine.spot())
           && (only == null || only.equals(machine.zone()))
           && !full.contains(machine.zone())
-          && (!machine.duty().fillsUp() || fills(spec, machine, end))
+          && (!machine.duty().fillsUp() || endsBeforeEmptied(spec, machine, end))
           && (holder == null
               || holder == job
-              || reserve.serves(spec, machine)
-              || mayUse(job, holder, end))) {
+              || reserve.hasRoomReservedFor(spec, machine)
+              || mayUseReserved(job, holder, end))) {
         candidates.add(machine);
       }
     }
@@ -129,7 +130,7 @@
    * Whether a machine that is kept for a gang may be used by another job meanwhile: one that goes
    * before it anyhow, or one that ends well before the others on which the gang waits.
    */
-  private boolean mayUse(Job job, Job holder, Moment end) {
+  private boolean mayUseReserved(Job job, Job holder, Moment end) {
     JobSpec spec = job.spec();
     if (!holder.spec().gang()) {
       return false;
@@ -138,28 +139,28 @@
         && spec.priority().compareTo(holder.spec().priority()) > 0) {
       return true;
     }
-    Moment opens = awaited.get(holder);
+    Moment opens = expectedStarts.get(holder);
     return opens != null
         && !spec.service()
         && !spec.gang()
-        && !end.plus(end.since(clock).times(FILLING_MARGIN)).isAfter(opens);
+        && !end.plus(end.since(roundStart).times(BACKFILL_MARGIN)).isAfter(opens);
   }
 
   /**
    * Whether a task may use what is left of a machine that goes when it is empty: it is paid for
    * until its longest task has ended, so what ends before that costs nothing.
    */
-  private static boolean fills(JobSpec spec, Machine machine, Moment end) {
+  private static boolean endsBeforeEmptied(JobSpec spec, Machine machine, Moment end) {
     return !spec.service() && !spec.gang() && !end.isAfter(machine.emptyBy());
   }
 
   /** Machines on which a gang may wait, whichever zone; those kept for other gangs left out. */
-  List<Machine> forGang(Job job) {
+  List<Machine> eligibleForGang(Job job) {
     List<Machine> machines = new ArrayList<>();
     for (Machine machine : all) {
       if (job.spec().allows(machine.type().name(), machine.zone(), machine.spot())
           && !machine.duty().fillsUp()
-          && yields(reserved.get(machine), job)) {
+          && mayPassToGang(reservations.get(machine), job)) {
         machines.add(machine);
       }
     }
@@ -167,7 +168,7 @@
   }
 
   /** What is kept for single tasks, a few machines for as long as any wait, may go to a gang. */
-  private static boolean yields(Job holder, Job gang) {
+  private static boolean mayPassToGang(Job holder, Job gang) {
     return holder == null
         || holder == gang
         || !holder.spec().gang()
@@ -176,7 +177,7 @@
   }
 
   /** Where the job's tasks are, if that decides where the others may go. */
-  Map<String, Integer> zoneUse(Job job) {
+  Map<String, Integer> tasksPerZone(Job job) {
     Map<String, Integer> zones = new HashMap<>();
     if (job.spec().oneZone() || job.spec().spread()) {
       for (Placement placement : fleet.placementsOf(job)) {
@@ -192,7 +193,7 @@
     if (!zones.isEmpty()) {
       return zones.keySet().iterator().next();
     }
-    for (Map.Entry<Machine, Job> kept : reserved.entrySet()) {
+    for (Map.Entry<Machine, Job> kept : reservations.entrySet()) {
       if (kept.getValue() == job) {
         return kept.getKey().zone();
       }
--- a/src/main/java/org/oakwalk/core/placement/Takes.java
+++ b/src/main/java/org/oakwalk/core/placement/CapacityExchange.java
@@ -8,28 +8,28 @@
 import org.oakwalk.core.job.Job;
 
 /** Room that some jobs may take from others under terms of their own, beside ordinary stops. */
-public interface Takes {
+public interface CapacityExchange {
   /** Nobody takes. */
-  Takes NONE =
-      new Takes() {
+  CapacityExchange NONE =
+      new CapacityExchange() {
         @Override
-        public boolean spares(Job asking, Placement placement) {
+        public boolean excludesPreemption(Job asking, Placement placement) {
           return false;
         }
 
         @Override
-        public boolean ask(Job job, List<Machine> machines, Moment now, WallTime wall) {
+        public boolean requestRoom(Job job, List<Machine> machines, Moment now, WallTime wall) {
           return false;
         }
       };
 
   /** Whether a task is stopped for this job under such terms only, and not by an ordinary stop. */
-  boolean spares(Job asking, Placement placement);
+  boolean excludesPreemption(Job asking, Placement placement);
 
   /**
    * A job found no room on any of these machines.
    *
    * @return whether room for one of its tasks is on its way
    */
-  boolean ask(Job job, List<Machine> machines, Moment now, WallTime wall);
+  boolean requestRoom(Job job, List<Machine> machines, Moment now, WallTime wall);
 }
--- a/src/main/java/org/oakwalk/core/placement/GangKeeper.java
+++ b/src/main/java/org/oakwalk/core/placement/GangReservations.java
@@ -25,35 +25,35 @@
  *
  * <p>One gang at a time, since several that each held some would never start, and what runs empty
  * for them is lost to all: the most urgent and of those the oldest, but one of the largest of its
- * class goes first once it has waited for {@link Largest#PATIENCE}. It is kept for only where it
- * can start soon, and another has its turn when it did not.
+ * class goes first once it has waited for {@link LargeJobBonus#BONUS_AFTER}. It is kept for only
+ * where it can start soon, and another has its turn when it did not.
  */
-final class GangKeeper {
+final class GangReservations {
   /** Of the fleet, one in so many machines may be kept for a gang that has not waited for long. */
-  private static final int MOST_KEPT = 2;
+  private static final int MAX_FLEET_DIVISOR = 2;
 
   /** So many gangs are looked at in a round. */
-  private static final int MOST_GANGS = 4;
+  private static final int MAX_GANGS_PER_ROUND = 4;
 
   /** Within this time a gang has to be able to start; what runs for longer is not waited for. */
-  private static final Span SOON = Span.seconds(30);
+  private static final Span MAX_TIME_TO_START = Span.seconds(30);
 
   /** And this for the largest that have waited for long. */
-  private static final Span SOON_FOR_LARGE = Span.seconds(60);
+  private static final Span MAX_TIME_TO_START_OVERDUE = Span.seconds(60);
 
   /** So long after it should have started another gang has its turn. */
-  private static final Span OVERDUE = Span.seconds(15);
+  private static final Span START_GRACE = Span.seconds(15);
 
   private static final Moment NEVER = new Moment(Long.MAX_VALUE / 4);
 
   private final Fleet fleet;
-  private final Candidates candidates;
+  private final CandidateMachines candidates;
   private final Quota quota;
-  private final Preemption preemption;
-  private final RoomMaker roomMaker;
+  private final PreemptionPlanner preemption;
+  private final UnplacedJobHandler roomMaker;
   private final ServedShares servedShares;
-  private final Largest largest;
-  private final Reserve reserve;
+  private final LargeJobBonus largest;
+  private final CapacityReserve reserve;
 
   private final TreeSet<Job> waiting =
       new TreeSet<>(
@@ -63,20 +63,20 @@
               .thenComparing(job -> job.id().value()));
 
   /** What this keeps, until the next regular round. */
-  private final Map<Machine, Job> kept = new HashMap<>();
+  private final Map<Machine, Job> reservedHere = new HashMap<>();
 
   /** Gangs that did not start when they should have, and until when others have their turn. */
-  private final Map<Job, Moment> resting = new HashMap<>();
+  private final Map<Job, Moment> pausedUntil = new HashMap<>();
 
-  GangKeeper(
+  GangReservations(
       Fleet fleet,
-      Candidates candidates,
+      CandidateMachines candidates,
       Quota quota,
-      Preemption preemption,
-      RoomMaker roomMaker,
+      PreemptionPlanner preemption,
+      UnplacedJobHandler roomMaker,
       ServedShares servedShares,
-      Largest largest,
-      Reserve reserve) {
+      LargeJobBonus largest,
+      CapacityReserve reserve) {
     this.reserve = reserve;
     this.servedShares = servedShares;
     this.largest = largest;
@@ -88,7 +88,7 @@
   }
 
   /** A job has come, changed or ended. */
-  void touched(Job job) {
+  void update(Job job) {
     if (!job.spec().gang()) {
       return;
     }
@@ -100,79 +100,83 @@
   }
 
   /** So many tasks will have room on a machine from some time on. */
-  private record Opening(Moment at, Machine machine, int more) {}
+  private record CapacityRelease(Moment at, Machine machine, int places) {}
 
   /** Where a gang could start at the soonest. */
-  private record Choice(Moment at, Map<Machine, Integer> shares) {}
+  private record GangStart(Moment at, Map<Machine, Integer> tasksPerMachine) {}
 
   /**
    * Keeps machines for the most urgent of those that have waited the longest.
    *
    * @param tried since when a gang has found no room, in regular rounds
    */
-  void keep(int regularRounds, int tried, Moment now, WallTime wall) {
+  void reserve(int regularRounds, int tried, Moment now, WallTime wall) {
     // What a plan keeps for a gang is not touched.
-    kept.forEach((machine, gang) -> candidates.reserved().remove(machine, gang));
-    kept.clear();
-    resting.values().removeIf(until -> !until.isAfter(now));
+    reservedHere.forEach((machine, gang) -> candidates.reservations().remove(machine, gang));
+    reservedHere.clear();
+    pausedUntil.values().removeIf(until -> !until.isAfter(now));
     Job held = null;
     int looked = 0;
     List<Job> order = new ArrayList<>(waiting);
-    order.sort(Comparator.comparing((Job gang) -> !presses(gang, wall)));
+    order.sort(Comparator.comparing((Job gang) -> !overdue(gang, wall)));
     for (Job gang : order) {
-      int patience = preemption.helps(gang) ? 0 : tried;
+      int patience = preemption.mayFreeRoom(gang) ? 0 : tried;
       boolean inVain = gang.rankedFrom() >= 0 && regularRounds - gang.rankedFrom() >= patience;
-      if (!inVain || resting.containsKey(gang) || gang.nextPending(0, now) < 0) {
+      if (!inVain || pausedUntil.containsKey(gang) || gang.nextPending(0, now) < 0) {
         continue;
       }
-      if (looked++ >= MOST_GANGS) {
+      if (looked++ >= MAX_GANGS_PER_ROUND) {
         break;
       }
-      if (keep(gang, now, wall)) {
+      if (reserve(gang, now, wall)) {
         held = gang;
         break;
       }
     }
-    quota.await(held == null ? Map.of() : Map.of(held.spec().team(), held));
+    quota.reserveFor(held == null ? Map.of() : Map.of(held.spec().team(), held));
   }
 
   /** Whether it is among the largest and has waited for long. */
-  private boolean presses(Job gang, WallTime wall) {
-    return wall.since(gang.accepted()).compareTo(Largest.PATIENCE) >= 0
-        && (largest.large(gang) || servedShares.behind(ServedShares.Key.of(gang)));
+  private boolean overdue(Job gang, WallTime wall) {
+    return wall.since(gang.accepted()).compareTo(LargeJobBonus.BONUS_AFTER) >= 0
+        && (largest.isLarge(gang) || servedShares.underserved(ServedShares.TeamClass.of(gang)));
   }
 
-  private boolean keep(Job gang, Moment now, WallTime wall) {
-    Moment allowed = allowedFrom(gang, now);
-    Choice choice = allowed == NEVER ? null : choose(gang, now);
+  private boolean reserve(Job gang, Moment now, WallTime wall) {
+    Moment allowed = quotaAvailableAt(gang, now);
+    GangStart choice = allowed == NEVER ? null : earliestStart(gang, now);
     if (choice == null) {
       return false;
     }
-    boolean presses = presses(gang, wall);
+    boolean presses = overdue(gang, wall);
     Moment opens = choice.at().isAfter(allowed) ? choice.at() : allowed;
-    if (opens.isAfter(now.plus(presses ? SOON_FOR_LARGE : SOON))
-        || !presses && choice.shares().size() > Math.max(1, fleet.machines().size() / MOST_KEPT)) {
+    if (opens.isAfter(now.plus(presses ? MAX_TIME_TO_START_OVERDUE : MAX_TIME_TO_START))
+        || !presses
+            && choice.tasksPerMachine().size()
+                > Math.max(1, fleet.machines().size() / MAX_FLEET_DIVISOR)) {
       return false;
     }
-    Moment first = candidates.awaited().merge(gang, opens, (a, b) -> a.isAfter(b) ? b : a);
-    if (now.past(first, OVERDUE)) {
-      candidates.awaited().remove(gang);
-      resting.put(gang, now.plus(SOON));
+    Moment first = candidates.expectedStarts().merge(gang, opens, (a, b) -> a.isAfter(b) ? b : a);
+    if (now.past(first, START_GRACE)) {
+      candidates.expectedStarts().remove(gang);
+      pausedUntil.put(gang, now.plus(MAX_TIME_TO_START));
       return false;
     }
-    for (Machine machine : choice.shares().keySet()) {
-      if (candidates.reserved().put(machine, gang) != gang) {
-        kept.put(machine, gang);
+    for (Machine machine : choice.tasksPerMachine().keySet()) {
+      if (candidates.reservations().put(machine, gang) != gang) {
+        reservedHere.put(machine, gang);
       }
     }
-    choice.shares().forEach((machine, tasks) -> roomMaker.stopFor(gang, machine, tasks));
+    choice
+        .tasksPerMachine()
+        .forEach((machine, tasks) -> roomMaker.preemptForGang(gang, machine, tasks));
     return true;
   }
 
   /** When its team's limit should have room for all of a gang, if nothing else of it starts. */
-  private Moment allowedFrom(Job gang, Moment now) {
+  private Moment quotaAvailableAt(Job gang, Moment now) {
     Room needed = gang.spec().room().times(gang.pendingCount());
-    Room rest = quota.rest(gang.spec().team());
+    Room rest = quota.remaining(gang.spec().team());
     if (needed.fits(rest)) {
       return now;
     }
@@ -195,15 +199,15 @@
     return NEVER;
   }
 
-  private Choice choose(Job gang, Moment now) {
-    Map<String, List<Opening>> byZone = new LinkedHashMap<>();
-    for (Machine machine : candidates.forGang(gang)) {
+  private GangStart earliestStart(Job gang, Moment now) {
+    Map<String, List<CapacityRelease>> byZone = new LinkedHashMap<>();
+    for (Machine machine : candidates.eligibleForGang(gang)) {
       String zone = gang.spec().oneZone() ? machine.zone() : "";
-      openings(machine, gang, now, byZone.computeIfAbsent(zone, name -> new ArrayList<>()));
+      addReleases(machine, gang, now, byZone.computeIfAbsent(zone, name -> new ArrayList<>()));
     }
-    Choice best = null;
-    for (List<Opening> openings : byZone.values()) {
-      Choice choice = soonest(gang, openings);
+    GangStart best = null;
+    for (List<CapacityRelease> openings : byZone.values()) {
+      GangStart choice = startWith(gang, openings);
       if (choice != null && (best == null || best.at().isAfter(choice.at()))) {
         best = choice;
       }
@@ -212,12 +216,12 @@
   }
 
   /** When how much of a machine comes free. */
-  private void openings(Machine machine, Job gang, Moment now, List<Opening> openings) {
+  private void addReleases(Machine machine, Job gang, Moment now, List<CapacityRelease> openings) {
     Room task = gang.spec().room();
-    Room free = reserve.free(gang.spec(), machine);
+    Room free = reserve.freeFor(gang.spec(), machine);
     int count = free.count(task);
     if (count > 0) {
-      openings.add(new Opening(now, machine, count));
+      openings.add(new CapacityRelease(now, machine, count));
     }
     if (!task.fits(machine.type().room())) {
       return;
@@ -225,7 +229,7 @@
     List<Placement> ending = new ArrayList<>();
     Map<Placement, Moment> ends = new HashMap<>();
     for (Placement placement : machine.placements()) {
-      Moment end = end(placement, gang, now);
+      Moment end = expectedEnd(placement, gang, now);
       if (end != NEVER) {
         ending.add(placement);
         ends.put(placement, end);
@@ -236,14 +240,14 @@
       free = free.plus(placement.job().spec().room());
       int then = free.count(task);
       if (then > count) {
-        openings.add(new Opening(ends.get(placement), machine, then - count));
+        openings.add(new CapacityRelease(ends.get(placement), machine, then - count));
         count = then;
       }
     }
   }
 
-  private Moment end(Placement placement, Job gang, Moment now) {
-    if (placement.halting() || preemption.yields(placement, gang)) {
+  private Moment expectedEnd(Placement placement, Job gang, Moment now) {
+    if (placement.halting() || preemption.preemptible(placement, gang)) {
       return now.plus(placement.job().spec().saveTime());
     }
     if (placement.job().spec().service()) {
@@ -252,16 +256,16 @@
     return placement.endsBy().isAfter(now) ? placement.endsBy() : now;
   }
 
-  private static Choice soonest(Job gang, List<Opening> openings) {
-    openings.sort(Comparator.comparing(Opening::at));
+  private static GangStart startWith(Job gang, List<CapacityRelease> openings) {
+    openings.sort(Comparator.comparing(CapacityRelease::at));
     Map<Machine, Integer> room = new LinkedHashMap<>();
     int needed = gang.pendingCount();
-    Zones zones = new Zones(gang);
+    ZoneAllocation zones = new ZoneAllocation(gang);
     Moment at = null;
-    for (Opening opening : openings) {
-      room.merge(opening.machine(), opening.more(), Integer::sum);
-      zones.take(opening.machine(), opening.more());
-      if (zones.taken() >= needed) {
+    for (CapacityRelease opening : openings) {
+      room.merge(opening.machine(), opening.places(), Integer::sum);
+      zones.allocate(opening.machine(), opening.places());
+      if (zones.total() >= needed) {
         at = opening.at();
         break;
       }
@@ -274,38 +278,38 @@
         Comparator.comparingInt((Machine machine) -> -room.get(machine))
             .thenComparing(Machine::id));
     Map<Machine, Integer> shares = new LinkedHashMap<>();
-    Zones chosen = new Zones(gang);
+    ZoneAllocation chosen = new ZoneAllocation(gang);
     for (Machine machine : most) {
-      int share = chosen.take(machine, Math.min(room.get(machine), needed - chosen.taken()));
+      int share = chosen.allocate(machine, Math.min(room.get(machine), needed - chosen.total()));
       if (share > 0) {
         shares.put(machine, share);
       }
     }
-    return new Choice(at, shares);
+    return new GangStart(at, shares);
   }
 
   /** How many tasks of a gang go to each zone, where it is to be spread. */
-  static final class Zones {
+  static final class ZoneAllocation {
     private final Job gang;
-    private final Map<String, Integer> taken = new HashMap<>();
-    private int all;
+    private final Map<String, Integer> perZone = new HashMap<>();
+    private int total;
 
-    Zones(Job gang) {
+    ZoneAllocation(Job gang) {
       this.gang = gang;
     }
 
     /** Takes as many of these places as the zone's share allows; returns how many. */
-    int take(Machine machine, int places) {
-      int before = taken.getOrDefault(machine.zone(), 0);
+    int allocate(Machine machine, int places) {
+      int before = perZone.getOrDefault(machine.zone(), 0);
       int most = gang.spec().spread() ? gang.spec().zoneLimit() - before : places;
       int share = Math.max(0, Math.min(places, most));
-      taken.put(machine.zone(), before + share);
-      all += share;
+      perZone.put(machine.zone(), before + share);
+      total += share;
       return share;
     }
 
-    int taken() {
-      return all;
+    int total() {
+      return total;
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/placement/Targets.java
+++ b/src/main/java/org/oakwalk/core/placement/JobTargets.java
@@ -7,22 +7,22 @@
 import org.oakwalk.core.job.JobSpec;
 
 /** When jobs should be complete: by their own deadlines and by what is expected of their class. */
-public final class Targets {
+public final class JobTargets {
   private final List<Settings.Objective> objectives;
-  private final Deadlines planned;
+  private final PlannedDeadlines planned;
 
   /** Targets without any plan. */
-  public Targets(List<Settings.Objective> objectives) {
-    this(objectives, Deadlines.NONE);
+  public JobTargets(List<Settings.Objective> objectives) {
+    this(objectives, PlannedDeadlines.NONE);
   }
 
-  public Targets(List<Settings.Objective> objectives, Deadlines planned) {
+  public JobTargets(List<Settings.Objective> objectives, PlannedDeadlines planned) {
     this.objectives = objectives;
     this.planned = planned;
   }
 
   /** What a plan says beside these targets. */
-  Deadlines planned() {
+  PlannedDeadlines planned() {
     return planned;
   }
 
@@ -31,7 +31,7 @@
    *
    * @param earliest when it could be complete at the earliest, measured from the submission
    */
-  public Optional<Span> next(JobSpec spec, Span earliest) {
+  public Optional<Span> earliestReachable(JobSpec spec, Span earliest) {
     Span best = spec.due().orElse(null);
     if (best != null && best.compareTo(earliest) < 0) {
       best = null;
@@ -50,7 +50,7 @@
   }
 
   /** The latest target of a job, measured from the submission, that lies before this; or none. */
-  Optional<Span> lastBefore(JobSpec spec, Span bound) {
+  Optional<Span> latestBefore(JobSpec spec, Span bound) {
     Span best = spec.due().filter(due -> due.compareTo(bound) < 0).orElse(null);
     for (Settings.Objective objective : objectives) {
       if (objective.jobClass().equals(spec.jobClass())) {
@@ -74,7 +74,7 @@
   }
 
   /** Within what time a task of this class should start, if anything is expected. */
-  public Optional<Span> start(JobSpec spec) {
+  public Optional<Span> startTarget(JobSpec spec) {
     return objectives.stream()
         .filter(o -> o.kind().equals("wait") && o.jobClass().equals(spec.jobClass()))
         .map(o -> Span.seconds(o.withinSeconds()))
--- a/src/main/java/org/oakwalk/core/placement/HostSearch.java
+++ b/src/main/java/org/oakwalk/core/placement/MachineSearch.java
@@ -13,8 +13,8 @@
  * of thousands on hundreds of machines would else look at everything a million times, and hold up
  * reports and renewals meanwhile.
  */
-final class HostSearch {
-  private final IdealHost hosts;
+final class MachineSearch {
+  private final MachineDistance distances;
   private final Job job;
   private final Span run;
   private final Moment now;
@@ -22,17 +22,17 @@
   private final double[] cpu;
   private final double[] memory;
   private final double[] gpu;
-  private final double[] others;
+  private final double[] otherTerms;
   private final boolean[] fits;
-  private int found = -1;
+  private int lastFound = -1;
 
   /**
    * A search among these machines.
    *
    * @param run how long a task should run
    */
-  HostSearch(IdealHost hosts, Job job, List<Machine> machines, Span run, Moment now) {
-    this.hosts = hosts;
+  MachineSearch(MachineDistance hosts, Job job, List<Machine> machines, Span run, Moment now) {
+    this.distances = hosts;
     this.job = job;
     this.run = run;
     this.now = now;
@@ -41,20 +41,20 @@
     cpu = new double[count];
     memory = new double[count];
     gpu = new double[count];
-    others = new double[count];
+    otherTerms = new double[count];
     fits = new boolean[count];
     for (int i = 0; i < count; i++) {
-      look(i);
+      evaluate(i);
     }
   }
 
-  private void look(int i) {
+  private void evaluate(int i) {
     Machine machine = machines.get(i);
-    cpu[i] = IdealHost.cpuUse(machine);
-    memory[i] = IdealHost.memoryUse(machine);
-    gpu[i] = IdealHost.gpuUse(machine);
-    fits[i] = hosts.fits(job.spec(), machine);
-    others[i] = fits[i] ? hosts.otherTerms(job, machine, run, now) : 0;
+    cpu[i] = MachineDistance.cpuUse(machine);
+    memory[i] = MachineDistance.memoryUse(machine);
+    gpu[i] = MachineDistance.gpuUse(machine);
+    fits[i] = distances.fits(job.spec(), machine);
+    otherTerms[i] = fits[i] ? distances.otherTerms(job, machine, run, now) : 0;
   }
 
   /**
@@ -65,7 +65,7 @@
     double leastCpu = least(cpu);
     double leastMemory = least(memory);
     double leastGpu = least(gpu);
-    found = -1;
+    lastFound = -1;
     double bestDistance = Double.MAX_VALUE;
     for (int i = 0; i < fits.length; i++) {
       if (fits[i]) {
@@ -73,15 +73,15 @@
             square(cpu[i] - leastCpu)
                 + square(memory[i] - leastMemory)
                 + square(gpu[i] - leastGpu)
-                + others[i];
+                + otherTerms[i];
         // A run would be refused while a machine still reports an older attempt.
         if (distance < bestDistance && !machines.get(i).remembers(task)) {
           bestDistance = distance;
-          found = i;
+          lastFound = i;
         }
       }
     }
-    return found < 0 ? null : machines.get(found);
+    return lastFound < 0 ? null : machines.get(lastFound);
   }
 
   /** Whether a task has room anywhere. */
@@ -95,8 +95,8 @@
   }
 
   /** A task was put on the machine that was found last. */
-  void taken() {
-    look(found);
+  void placedOnLastFound() {
+    evaluate(lastFound);
   }
 
   private static double least(double[] values) {
--- a/src/main/java/org/oakwalk/core/placement/Placer.java
+++ b/src/main/java/org/oakwalk/core/placement/Placer.java
@@ -29,31 +29,31 @@
  */
 public final class Placer {
   /** So many jobs of a kind may be met without a place, in search of one to keep a machine for. */
-  private static final int MOST_IN_VAIN = 8;
+  private static final int MAX_MISSES_PER_CLASS = 8;
 
   private final Fleet fleet;
   private final Policy policy;
   private final Quota quota;
   private final JobBook jobs;
-  private final RunTimes runTimes;
-  private final IdealHost hosts;
-  private final Candidates candidates;
+  private final RunTimeEstimates runTimes;
+  private final MachineDistance distances;
+  private final CandidateMachines candidates;
   private final Ranking ranking;
-  private final RoomMaker roomMaker;
+  private final UnplacedJobHandler unplacedJobs;
   private final ServedShares servedShares = new ServedShares();
-  private final Reserve reserve;
-  private final Largest largest;
-  private final GangKeeper gangs;
+  private final CapacityReserve reserve;
+  private final LargeJobBonus largeJobs;
+  private final GangReservations gangReservations;
 
   /** Services that began to wait a moment ago, each of which may be worth a warm place. */
-  private final Set<Job> fresh = new LinkedHashSet<>();
+  private final Set<Job> newlyWaitingServices = new LinkedHashSet<>();
 
   private int regularRounds;
   private int placed;
   private long searches;
 
   /** Whether the last job to find no place was kept from one by what its machines remember. */
-  private boolean foundRoom;
+  private boolean blockedByPastAttempt;
 
   private Moment now = new Moment(0);
 
@@ -68,41 +68,46 @@
       Fleet fleet,
       JobBook jobs,
       Policy policy,
-      Targets targets,
+      JobTargets targets,
       Quota quota,
-      RunTimes runTimes,
+      RunTimeEstimates runTimes,
       Span suspectAfter,
       Predicate<List<Placement>> mayStop,
-      Reserve reserve,
-      Takes takes) {
+      CapacityReserve reserve,
+      CapacityExchange takes) {
     this.reserve = reserve;
     this.fleet = fleet;
     this.jobs = jobs;
     this.policy = policy;
     this.quota = quota;
     this.runTimes = runTimes;
-    this.hosts = new IdealHost(policy.hosts(), reserve);
-    this.candidates = new Candidates(fleet, runTimes, suspectAfter, reserve);
-    this.ranking = new Ranking(jobs, runTimes, new Score(policy.scoring(), targets), quota);
-    Preemption preemption =
-        new Preemption(fleet.stoppable(), quota, targets, runTimes, servedShares, reserve, takes);
-    this.roomMaker =
-        new RoomMaker(fleet, candidates, quota, targets, mayStop, preemption, reserve, takes);
-    this.largest =
-        new Largest(
-            policy.scoring().guaranteeBonus(), servedShares, targets.planned(), this::atOnce);
-    this.gangs =
-        new GangKeeper(
-            fleet, candidates, quota, preemption, roomMaker, servedShares, largest, reserve);
+    this.distances = new MachineDistance(policy.hosts(), reserve);
+    this.candidates = new CandidateMachines(fleet, runTimes, suspectAfter, reserve);
+    this.ranking = new Ranking(jobs, runTimes, new JobScorer(policy.scoring(), targets), quota);
+    PreemptionPlanner preemption =
+        new PreemptionPlanner(
+            fleet.stoppable(), quota, targets, runTimes, servedShares, reserve, takes);
+    this.unplacedJobs =
+        new UnplacedJobHandler(
+            fleet, candidates, quota, targets, mayStop, preemption, reserve, takes);
+    this.largeJobs =
+        new LargeJobBonus(
+            policy.scoring().guaranteeBonus(),
+            servedShares,
+            targets.planned(),
+            this::maxTasksAtOnce);
+    this.gangReservations =
+        new GangReservations(
+            fleet, candidates, quota, preemption, unplacedJobs, servedShares, largeJobs, reserve);
   }
 
   /** Keeps a machine for a gang that has to start whole. */
-  public void keep(Machine machine, Job job) {
-    roomMaker.keep(machine, job);
+  public void reserveMachine(Machine machine, Job job) {
+    unplacedJobs.reserveMachine(machine, job);
   }
 
   /** How many scores and searches for hosts there were so far, for tests that bound the work. */
-  public long work() {
+  public long evaluations() {
     return ranking.evaluations() + searches;
   }
 
@@ -112,154 +117,163 @@
    * @param inheritedToo whether tasks of older jobs that have not been seen are surely nowhere
    * @return how many tasks were placed
    */
-  public int round(boolean inheritedToo, boolean regular, Moment at, WallTime wall) {
+  public int runRound(boolean inheritedToo, boolean regular, Moment at, WallTime wall) {
     placed = 0;
     now = at;
     regularRounds += regular ? 1 : 0;
-    roomMaker.begin(now, wall);
-    candidates.survey(now);
-    servedShares.round(now);
-    List<Job> touched = ranking.refresh(candidates.kinds(), quota.survey(jobs), now, wall);
+    unplacedJobs.beginRound(now, wall);
+    candidates.refresh(now);
+    servedShares.beginRound(now);
+    List<Job> touched =
+        ranking.refresh(candidates.machineCounts(), quota.updateGuarantees(jobs), now, wall);
     for (Job job : touched) {
-      servedShares.touched(job);
-      largest.touched(job);
-      gangs.touched(job);
+      servedShares.update(job);
+      largeJobs.update(job);
+      gangReservations.update(job);
       if (job.rankedFrom() < 0) {
         job.rankedFrom(regular ? regularRounds - 1 : regularRounds);
       }
       if (job.spec().service()) {
-        fresh.add(job);
+        newlyWaitingServices.add(job);
       }
     }
-    fresh.removeIf(job -> !job.open() || job.pendingCount() <= 0 || !RoomMaker.mayWarm(job, now));
-    largest.round(now, wall);
+    newlyWaitingServices.removeIf(
+        job ->
+            !job.open()
+                || job.pendingCount() <= 0
+                || !UnplacedJobHandler.mayWaitForImage(job, now));
+    largeJobs.beginRound(now, wall);
     if (regular && inheritedToo) {
-      gangs.keep(regularRounds, policy.hosts().reserveAfterRounds(), now, wall);
+      gangReservations.reserve(regularRounds, policy.hosts().reserveAfterRounds(), now, wall);
     }
-    walk(inheritedToo);
+    placeInOrder(inheritedToo);
     return placed;
   }
 
-  private void walk(boolean inheritedToo) {
+  private void placeInOrder(boolean inheritedToo) {
     // These may fare better than others of their kind.
-    Set<Job> each = new LinkedHashSet<>(fresh);
-    each.addAll(candidates.reserved().values());
-    each.addAll(largest.favoured());
-    Ranking.Walk walk = ranking.new Walk(inheritedToo, each, this::bonus, largest::favour);
-    Map<Ranking.Kind, Integer> inVain = new HashMap<>();
+    Set<Job> each = new LinkedHashSet<>(newlyWaitingServices);
+    each.addAll(candidates.reservations().values());
+    each.addAll(largeJobs.boostedJobs());
+    Ranking.RankingTraversal walk =
+        ranking.new RankingTraversal(inheritedToo, each, this::bonus, largeJobs::bonus);
+    Map<Ranking.EquivalenceClass, Integer> inVain = new HashMap<>();
     for (Job job = walk.next(); job != null; job = walk.next()) {
-      if (job.nextPending(0, now) < 0 || largest.hopeless(job) && !fresh.contains(job)) {
+      if (job.nextPending(0, now) < 0
+          || largeJobs.classHasNoRoom(job) && !newlyWaitingServices.contains(job)) {
         continue;
       }
-      Verdict verdict = serve(job);
-      if (verdict != Verdict.GO_ON) {
-        largest.inVain(job);
+      ClassDecision verdict = placeAndHandleMiss(job);
+      if (verdict != ClassDecision.CONTINUE) {
+        largeJobs.recordNoRoom(job);
       }
-      if (verdict == Verdict.ALL_ALIKE
-          || verdict == Verdict.IN_VAIN
-              && inVain.merge(walk.kind(), 1, Integer::sum) >= MOST_IN_VAIN) {
-        walk.leaveOut();
+      if (verdict == ClassDecision.SKIP_CLASS
+          || verdict == ClassDecision.MISSED
+              && inVain.merge(walk.equivalenceClass(), 1, Integer::sum) >= MAX_MISSES_PER_CLASS) {
+        walk.skipClass();
       }
     }
   }
 
   /** What a class that is left behind gains: as much as by a guarantee, or up to twice that. */
-  private double bonus(Ranking.Kind kind) {
-    if (kind.priority().compareTo(Priority.HIGH) >= 0 || !servedShares.helps()) {
+  private double bonus(Ranking.EquivalenceClass kind) {
+    if (kind.priority().compareTo(Priority.HIGH) >= 0 || !servedShares.mayBoost()) {
       return 0;
     }
-    double far = servedShares.farBehind(new ServedShares.Key(kind.team(), kind.jobClass()));
+    double far = servedShares.shortfall(new ServedShares.TeamClass(kind.team(), kind.jobClass()));
     return far <= 0 ? 0 : (1 + far) * policy.scoring().guaranteeBonus();
   }
 
   /** What meeting a job tells of the others of its kind. */
-  private enum Verdict {
+  private enum ClassDecision {
     /** Nothing. */
-    GO_ON,
+    CONTINUE,
     /** It found no place, but the next one may. */
-    IN_VAIN,
+    MISSED,
     /** They would fare alike. */
-    ALL_ALIKE
+    SKIP_CLASS
   }
 
-  private Verdict serve(Job job) {
+  private ClassDecision placeAndHandleMiss(Job job) {
     int before = placed;
-    Outcome outcome = place(job);
+    JobOutcome outcome = place(job);
     if (placed > before && job.spec().priority().compareTo(Priority.HIGH) < 0) {
-      servedShares.placed(ServedShares.Key.of(job), placed - before);
-      largest.placed(job, placed - before);
+      servedShares.recordPlaced(ServedShares.TeamClass.of(job), placed - before);
+      largeJobs.recordPlaced(job, placed - before);
     }
     switch (outcome) {
-      case ALL -> {
-        settled(job);
-        return Verdict.GO_ON;
+      case DONE_FOR_ROUND -> {
+        noLongerWaiting(job);
+        return ClassDecision.CONTINUE;
       }
-      case LIMITED -> {
+      case HELD_BACK -> {
         if (!job.spec().gang() || job.activeCount() > 0) {
-          settled(job);
+          noLongerWaiting(job);
         }
-        return Verdict.ALL_ALIKE;
+        return ClassDecision.SKIP_CLASS;
       }
-      case WARMING -> {
-        return Verdict.GO_ON;
+      case PREEMPTING_FOR_IMAGE -> {
+        return ClassDecision.CONTINUE;
       }
       case NO_ROOM -> {
-        reserve.denied(job);
+        reserve.onNoRoom(job);
         if (job.spec().gang()) {
           // The oldest have machines kept for them, and are met beside the others.
-          return Verdict.ALL_ALIKE;
+          return ClassDecision.SKIP_CLASS;
         }
-        boolean stopped = roomMaker.stop(job);
+        boolean stopped = unplacedJobs.preemptFor(job);
         if (regularRounds - job.rankedFrom() >= policy.hosts().reserveAfterRounds()
-            && !roomMaker.reserve(job)) {
-          return stopped ? Verdict.GO_ON : Verdict.ALL_ALIKE;
+            && !unplacedJobs.reserveNearest(job)) {
+          return stopped ? ClassDecision.CONTINUE : ClassDecision.SKIP_CLASS;
         }
         if (stopped) {
-          return Verdict.GO_ON;
+          return ClassDecision.CONTINUE;
         }
-        return roomMaker.mayReserve() || foundRoom ? Verdict.IN_VAIN : Verdict.ALL_ALIKE;
+        return unplacedJobs.mayReserve() || blockedByPastAttempt
+            ? ClassDecision.MISSED
+            : ClassDecision.SKIP_CLASS;
       }
       default -> throw new IllegalStateException("unknown outcome");
     }
   }
 
-  private void settled(Job job) {
+  private void noLongerWaiting(Job job) {
     job.rankedFrom(regularRounds);
-    roomMaker.settled(job);
+    unplacedJobs.releaseReservations(job);
   }
 
-  private enum Outcome {
-    ALL,
+  private enum JobOutcome {
+    DONE_FOR_ROUND,
     NO_ROOM,
-    LIMITED,
+    HELD_BACK,
     /** Room is being made where the image is. */
-    WARMING
+    PREEMPTING_FOR_IMAGE
   }
 
-  private Outcome place(Job job) {
+  private JobOutcome place(Job job) {
     JobSpec spec = job.spec();
-    Map<String, Integer> zones = candidates.zoneUse(job);
-    foundRoom = false;
+    Map<String, Integer> zones = candidates.tasksPerZone(job);
+    blockedByPastAttempt = false;
     if (spec.gang()) {
       return placeGang(job, zones);
     }
     if (!quota.allows(job, 1)) {
-      return Outcome.LIMITED;
+      return JobOutcome.HELD_BACK;
     }
     // All tasks of a job share the list, unless where one goes says where the next may go.
     boolean zonesMatter = spec.oneZone() || spec.spread();
-    HostSearch search = search(job, zones);
+    MachineSearch search = search(job, zones);
     int index = job.nextPending(0, now);
     while (index >= 0) {
       Machine machine = search.nearest(new TaskId(job.id(), index));
       if (spec.service()
-          && (machine == null || roomMaker.tooCold(spec, machine))
-          && roomMaker.warm(job, zones)) {
-        return Outcome.WARMING;
+          && (machine == null || unplacedJobs.fetchTooSlow(spec, machine))
+          && unplacedJobs.preemptWhereImageIs(job, zones)) {
+        return JobOutcome.PREEMPTING_FOR_IMAGE;
       }
       if (machine == null) {
-        foundRoom = search.anyFits();
-        return Outcome.NO_ROOM;
+        blockedByPastAttempt = search.anyFits();
+        return JobOutcome.NO_ROOM;
       }
       fleet.place(job, index, fleet.nextAttempt(), machine, runTimes.expected(spec), now);
       placed++;
@@ -267,74 +281,76 @@
       if (zonesMatter) {
         search = search(job, zones);
       } else {
-        search.taken();
+        search.placedOnLastFound();
       }
-      if (largest.oneTaskOnly(job)) {
+      if (largeJobs.oneTaskOnly(job)) {
         // The others have their turn in the order, from the next round on.
-        return Outcome.ALL;
+        return JobOutcome.DONE_FOR_ROUND;
       }
       index = job.nextPending(index + 1, now);
       if (index >= 0 && !quota.allows(job, 1)) {
-        return Outcome.LIMITED;
+        return JobOutcome.HELD_BACK;
       }
     }
-    return Outcome.ALL;
+    return JobOutcome.DONE_FOR_ROUND;
   }
 
   /** How many tasks of a job could run at once if nothing else did. */
-  private int atOnce(JobSpec spec) {
-    return Math.min(quota.limitOf(spec), Ranking.places(candidates.kinds(), spec.room()));
+  private int maxTasksAtOnce(JobSpec spec) {
+    return Math.min(
+        quota.maxTasksAtOnce(spec), Ranking.places(candidates.machineCounts(), spec.room()));
   }
 
-  private HostSearch search(Job job, Map<String, Integer> zones) {
+  private MachineSearch search(Job job, Map<String, Integer> zones) {
     searches++;
     Span run = runTimes.expected(job.spec());
-    return new HostSearch(hosts, job, candidates.withRoom(job, zones), run, now);
+    return new MachineSearch(distances, job, candidates.eligibleWithFreeRoom(job, zones), run, now);
   }
 
   /** All tasks of a gang find a place in one round, or none is placed. */
-  private Outcome placeGang(Job job, Map<String, Integer> zones) {
+  private JobOutcome placeGang(Job job, Map<String, Integer> zones) {
     int missing = job.pendingCount();
     if (job.activeCount() > 0) {
       // What is left of a broken gang ends first; then all start again together.
-      disband(job);
-      return Outcome.LIMITED;
+      haltGang(job);
+      return JobOutcome.HELD_BACK;
     }
     if (!quota.allows(job, missing)) {
-      return Outcome.LIMITED;
+      return JobOutcome.HELD_BACK;
     }
     Map<Machine, Integer> shares = new LinkedHashMap<>();
-    GangKeeper.Zones found = new GangKeeper.Zones(job);
-    List<Machine> machines = candidates.withRoom(job, zones);
+    GangReservations.ZoneAllocation found = new GangReservations.ZoneAllocation(job);
+    List<Machine> machines = candidates.eligibleWithFreeRoom(job, zones);
     // What is kept for it first.
-    machines.sort(Comparator.comparing(machine -> candidates.reserved().get(machine) != job));
+    machines.sort(Comparator.comparing(machine -> candidates.reservations().get(machine) != job));
     for (Machine machine : machines) {
       int room =
           Math.min(
-              missing - found.taken(), reserve.free(job.spec(), machine).count(job.spec().room()));
-      int share = room > 0 ? found.take(machine, room) : 0;
+              missing - found.total(),
+              reserve.freeFor(job.spec(), machine).count(job.spec().room()));
+      int share = room > 0 ? found.allocate(machine, room) : 0;
       if (share > 0) {
         shares.put(machine, share);
       }
     }
-    if (found.taken() < missing) {
-      return Outcome.NO_ROOM;
+    if (found.total() < missing) {
+      return JobOutcome.NO_ROOM;
     }
     Attempt attempt = fleet.nextAttempt();
     for (Map.Entry<Machine, Integer> share : shares.entrySet()) {
       for (int i = share.getValue(); i > 0; i--) {
         int index = job.nextPending(0, now);
         if (index < 0) {
-          return Outcome.NO_ROOM;
+          return JobOutcome.NO_ROOM;
         }
         fleet.place(job, index, attempt, share.getKey(), runTimes.expected(job.spec()), now);
         placed++;
       }
     }
-    return Outcome.ALL;
+    return JobOutcome.DONE_FOR_ROUND;
   }
 
-  private void disband(Job job) {
+  private void haltGang(Job job) {
     for (Placement placement : fleet.placementsOf(job)) {
       if (!placement.halting()) {
         fleet.halt(placement, job.spec().saveTime(), Fleet.Why.GANG);
--- a/src/main/java/org/oakwalk/core/placement/Deadlines.java
+++ b/src/main/java/org/oakwalk/core/placement/PlannedDeadlines.java
@@ -10,22 +10,22 @@
  * Times that a plan sets for open jobs, beside their own deadlines. The order of the queue and what
  * is rented follow whichever comes first.
  */
-public interface Deadlines {
+public interface PlannedDeadlines {
   /** No plan at all. */
-  Deadlines NONE =
-      new Deadlines() {
+  PlannedDeadlines NONE =
+      new PlannedDeadlines() {
         @Override
-        public Optional<Left> left(Job job, WallTime now) {
+        public Optional<TimeLeft> timeToStart(Job job, WallTime now) {
           return Optional.empty();
         }
 
         @Override
-        public Optional<Span> ends(Job job, WallTime now) {
+        public Optional<Span> timeToEnd(Job job, WallTime now) {
           return Optional.empty();
         }
 
         @Override
-        public List<Job> takeMoved() {
+        public List<Job> takeChangedJobs() {
           return List.of();
         }
       };
@@ -33,16 +33,16 @@
   /**
    * Time left for a job as it counts in the order.
    *
-   * @param steady whether it stays as it is until {@link #takeMoved} names the job
+   * @param steady whether it stays as it is until {@link #takeChangedJobs} names the job
    */
-  record Left(Span span, boolean steady) {}
+  record TimeLeft(Span span, boolean fixed) {}
 
   /** The time left until the rest of a job has to be started; empty if no plan covers it. */
-  Optional<Left> left(Job job, WallTime now);
+  Optional<TimeLeft> timeToStart(Job job, WallTime now);
 
   /** The time left until all of a job should be done, less what run times may differ. */
-  Optional<Span> ends(Job job, WallTime now);
+  Optional<Span> timeToEnd(Job job, WallTime now);
 
   /** Jobs whose times have moved by a notable part since this was asked last. */
-  List<Job> takeMoved();
+  List<Job> takeChangedJobs();
 }
--- a/src/main/java/org/oakwalk/core/placement/Preemption.java
+++ b/src/main/java/org/oakwalk/core/placement/PreemptionPlanner.java
@@ -17,28 +17,28 @@
 import org.oakwalk.core.job.Room;
 
 /** Finds tasks that may be stopped to make room for a more urgent one, at the least loss. */
-final class Preemption {
+final class PreemptionPlanner {
   /** Seconds of work that a job's lateness counts as. */
-  private static final double LATENESS = 60;
+  private static final double MISSED_TARGET_COST_SECONDS = 60;
 
   private final Stoppable stoppable;
   private final ServedShares servedShares;
   private final Quota quota;
-  private final Targets targets;
-  private final RunTimes runTimes;
-  private final Reserve reserve;
-  private final Takes takes;
+  private final JobTargets targets;
+  private final RunTimeEstimates runTimes;
+  private final CapacityReserve reserve;
+  private final CapacityExchange exchange;
 
-  Preemption(
+  PreemptionPlanner(
       Stoppable stoppable,
       Quota quota,
-      Targets targets,
-      RunTimes runTimes,
+      JobTargets targets,
+      RunTimeEstimates runTimes,
       ServedShares servedShares,
-      Reserve reserve,
-      Takes takes) {
+      CapacityReserve reserve,
+      CapacityExchange takes) {
     this.reserve = reserve;
-    this.takes = takes;
+    this.exchange = takes;
     this.servedShares = servedShares;
     this.stoppable = stoppable;
     this.quota = quota;
@@ -47,22 +47,22 @@
   }
 
   /** What a stop of a task would lose. */
-  private record Loss(Placement placement, double seconds) {}
+  private record VictimCost(Placement placement, double seconds) {}
 
-  private final Map<Job, Long> slacks = new IdentityHashMap<>();
-  private long looks;
+  private final Map<Job, Long> maxRestartableRuns = new IdentityHashMap<>();
+  private long inspections;
 
   /** Tasks on one machine whose end would make room. */
-  record Plan(Machine machine, List<Placement> victims, double cost) {}
+  record PreemptionPlan(Machine machine, List<Placement> victims, double cost) {}
 
   /** A round begins: what is remembered of the one before holds no more. */
-  void begin() {
-    slacks.clear();
+  void beginRound() {
+    maxRestartableRuns.clear();
   }
 
   /** How many machines were looked into task by task, for tests that bound the work. */
-  long looks() {
-    return looks;
+  long inspections() {
+    return inspections;
   }
 
   /**
@@ -70,54 +70,55 @@
    * changes on its machine. Only machines with a task that may be stopped, or is being stopped, are
    * looked into: mostly there are few, while jobs that wait ask many times a second.
    */
-  List<Plan> plans(Job job, List<Machine> machines, Moment now, WallTime wall) {
-    List<Plan> plans = new ArrayList<>();
-    boolean claims = quota.guarantees(job);
-    Set<Stoppable.Sort> yielding = stoppable.sorts(sort -> yields(sort, job, claims));
+  List<PreemptionPlan> plans(Job job, List<Machine> machines, Moment now, WallTime wall) {
+    List<PreemptionPlan> plans = new ArrayList<>();
+    boolean claims = quota.withinGuarantee(job);
+    Set<Stoppable.Sort> yielding = stoppable.sorts(sort -> preemptible(sort, job, claims));
     Set<Machine> concerned = stoppable.concerned(yielding);
     Room asked = job.spec().room();
     for (Machine machine : machines) {
       if (concerned.contains(machine)) {
-        Plan plan = on(machine, job, asked, yielding, now, wall);
+        PreemptionPlan plan = planFor(machine, job, asked, yielding, now, wall);
         if (plan != null) {
           plans.add(plan);
         }
       } else if (asked.fits(machine.free())) {
-        plans.add(new Plan(machine, List.of(), imageCost(job, machine)));
+        plans.add(new PreemptionPlan(machine, List.of(), imageCost(job, machine)));
       }
     }
-    plans.sort(Comparator.comparingDouble(Plan::cost));
+    plans.sort(Comparator.comparingDouble(PreemptionPlan::cost));
     return plans;
   }
 
   /** Whether anything is being stopped, or could be for this job. */
-  boolean helps(Job job) {
-    boolean claims = quota.guarantees(job);
-    return stoppable.anyHalting() || stoppable.any(sort -> yields(sort, job, claims));
+  boolean mayFreeRoom(Job job) {
+    boolean claims = quota.withinGuarantee(job);
+    return stoppable.anyHalting() || stoppable.any(sort -> preemptible(sort, job, claims));
   }
 
   /** Tasks on a machine whose end would make this much room; none if too few may be stopped. */
   List<Placement> victims(Machine machine, Job job, Room asked, Moment now, WallTime wall) {
-    boolean claims = quota.guarantees(job);
-    Set<Stoppable.Sort> yielding = stoppable.sorts(sort -> yields(sort, job, claims));
-    Plan plan = on(machine, job, asked, yielding, now, wall);
+    boolean claims = quota.withinGuarantee(job);
+    Set<Stoppable.Sort> yielding = stoppable.sorts(sort -> preemptible(sort, job, claims));
+    PreemptionPlan plan = planFor(machine, job, asked, yielding, now, wall);
     return plan == null ? List.of() : plan.victims();
   }
 
   /** Whether a task may be stopped for a job. */
-  boolean yields(Placement placement, Job job) {
-    return yields(placement.sort(), job, quota.guarantees(job)) && !takes.spares(job, placement);
+  boolean preemptible(Placement placement, Job job) {
+    return preemptible(placement.sort(), job, quota.withinGuarantee(job))
+        && !exchange.excludesPreemption(job, placement);
   }
 
-  private Plan on(
+  private PreemptionPlan planFor(
       Machine machine,
       Job job,
       Room asked,
       Set<Stoppable.Sort> yielding,
       Moment now,
       WallTime wall) {
-    looks++;
-    Room free = reserve.free(job.spec(), machine);
+    inspections++;
+    Room free = reserve.freeFor(job.spec(), machine);
     List<Placement> candidates = new ArrayList<>();
     Room most = free;
     for (Placement placement : machine.placements()) {
@@ -125,7 +126,8 @@
         // Its room comes free without another stop.
         free = free.plus(placement.job().spec().room());
         most = most.plus(placement.job().spec().room());
-      } else if (yielding.contains(placement.sort()) && !takes.spares(job, placement)) {
+      } else if (yielding.contains(placement.sort())
+          && !exchange.excludesPreemption(job, placement)) {
         candidates.add(placement);
         most = most.plus(placement.job().spec().room());
       }
@@ -134,14 +136,14 @@
       return null;
     }
     if (asked.fits(free)) {
-      return new Plan(machine, List.of(), imageCost(job, machine));
+      return new PreemptionPlan(machine, List.of(), imageCost(job, machine));
     }
-    List<Loss> losses = new ArrayList<>();
-    candidates.forEach(each -> losses.add(new Loss(each, loss(each, now, wall))));
-    losses.sort(Comparator.comparingDouble(Loss::seconds));
+    List<VictimCost> losses = new ArrayList<>();
+    candidates.forEach(each -> losses.add(new VictimCost(each, preemptionCost(each, now, wall))));
+    losses.sort(Comparator.comparingDouble(VictimCost::seconds));
     List<Placement> victims = new ArrayList<>();
     double cost = imageCost(job, machine);
-    for (Loss loss : losses) {
+    for (VictimCost loss : losses) {
       if (asked.fits(free)) {
         break;
       }
@@ -149,7 +151,7 @@
       cost += 1 + loss.seconds();
       free = free.plus(loss.placement().job().spec().room());
     }
-    return asked.fits(free) ? new Plan(machine, victims, cost) : null;
+    return asked.fits(free) ? new PreemptionPlan(machine, victims, cost) : null;
   }
 
   private static double imageCost(Job job, Machine machine) {
@@ -160,11 +162,11 @@
    * Whether it is work of the lowest priority that saves its progress, which fills idle machines
    * and gives way at once. Where a stop would lose the work, batch waits for it to end.
    */
-  static boolean savable(Stoppable.Sort sort) {
+  static boolean lowPriorityWithCheckpoints(Stoppable.Sort sort) {
     return sort.priority() == Priority.LOW && sort.saves();
   }
 
-  private boolean yields(Stoppable.Sort sort, Job job, boolean claims) {
+  private boolean preemptible(Stoppable.Sort sort, Job job, boolean claims) {
     Priority asking = job.spec().priority();
     boolean stops = claims || asking.compareTo(Priority.NORMAL) > 0;
     if (stops && sort.priority().compareTo(asking) < 0) {
@@ -172,39 +174,40 @@
     }
     // What is left behind would be stopped each time it comes to run.
     if (asking == Priority.NORMAL
-        && savable(sort)
-        && !servedShares.behind(new ServedShares.Key(sort.team(), sort.jobClass()))) {
+        && lowPriorityWithCheckpoints(sort)
+        && !servedShares.underserved(new ServedShares.TeamClass(sort.team(), sort.jobClass()))) {
       return true;
     }
     return claims
         && !sort.service()
         && !sort.team().equals(job.spec().team())
-        && quota.borrows(sort.team());
+        && quota.exceedsGuarantee(sort.team());
   }
 
   /**
    * Seconds of work that a stop would lose; more if the job would be in time but for the stop,
    * since one task that starts again makes its whole array late.
    */
-  private double loss(Placement placement, Moment now, WallTime wall) {
+  private double preemptionCost(Placement placement, Moment now, WallTime wall) {
     Moment since = placement.runningSince();
     Span ran = since == null ? Span.millis(0) : now.since(since);
     Job job = placement.job();
-    long slack = slacks.computeIfAbsent(job, each -> slack(each, wall));
+    long slack = maxRestartableRuns.computeIfAbsent(job, each -> maxRestartableRun(each, wall));
     // With one task of a gang all are lost, and the only task of a large job is its beginning.
     boolean first = job.doneCount() == 0 && job.activeCount() == 1 && job.spec().tasks() > 1;
     int lost = job.spec().gang() ? Math.max(1, job.activeCount()) : 1;
-    return lost * ran.asSeconds() + (ran.millis() >= slack || first ? LATENESS : 0);
+    return lost * ran.asSeconds()
+        + (ran.millis() >= slack || first ? MISSED_TARGET_COST_SECONDS : 0);
   }
 
   /**
    * How long a task of the job may have run, in milliseconds, so that a run afresh still meets the
    * same target as the present one. Kept for a round: all tasks that could be stopped are asked.
    */
-  private long slack(Job job, WallTime wall) {
+  private long maxRestartableRun(Job job, WallTime wall) {
     Span afterARun = wall.since(job.accepted()).plus(runTimes.expected(job.spec()));
     return targets
-        .lastBefore(job.spec(), afterARun)
+        .latestBefore(job.spec(), afterARun)
         .map(missed -> afterARun.minus(missed).millis())
         .orElse(Long.MAX_VALUE);
   }
--- a/src/main/java/org/oakwalk/core/placement/Quota.java
+++ b/src/main/java/org/oakwalk/core/placement/Quota.java
@@ -22,7 +22,7 @@
   private Set<Job> guaranteed = Set.of();
 
   /** Gangs for which their teams' limits are kept free, so that they start whole some day. */
-  private final Map<String, Job> awaited = new HashMap<>();
+  private final Map<String, Job> waitingGangs = new HashMap<>();
 
   public Quota(Map<String, Settings.Team> teams, Fleet fleet) {
     this.teams = teams;
@@ -43,34 +43,34 @@
             .use(team.name())
             .plus(fleet.roomInDoubt())
             .plus(job.spec().room().times(count))
-            .plus(keptFrom(job));
+            .plus(reservedForGang(job));
     return (team.cpusMax() <= 0 || use.cpus() <= team.cpusMax() + 1e-6)
         && (team.gpusMax() <= 0 || use.gpus() <= team.gpusMax() + 1e-6);
   }
 
   /** How many places of this room the team's limit leaves, beside what it uses or may use. */
   public int placesLeft(String name, Room room) {
-    return Math.max(0, rest(name).count(room));
+    return Math.max(0, remaining(name).count(room));
   }
 
   /** How many tasks of this job its team's limit allows at once. */
-  public int limitOf(JobSpec spec) {
+  public int maxTasksAtOnce(JobSpec spec) {
     Settings.Team team = teams.get(spec.team());
     if (team == null) {
       return 0;
     }
-    return left(team, Room.NONE).count(spec.room());
+    return remainingAfter(team, Room.NONE).count(spec.room());
   }
 
   /** Keeps what is free of their teams' limits for these gangs from now on, and for no others. */
-  void await(Map<String, Job> gangs) {
-    awaited.clear();
-    awaited.putAll(gangs);
+  void reserveFor(Map<String, Job> gangs) {
+    waitingGangs.clear();
+    waitingGangs.putAll(gangs);
   }
 
   /** What batch work of a team has to leave of its limit; services start all the same. */
-  private Room keptFrom(Job job) {
-    Job gang = awaited.get(job.spec().team());
+  private Room reservedForGang(Job job) {
+    Job gang = waitingGangs.get(job.spec().team());
     boolean waits = gang != null && gang.open() && gang.activeCount() == 0;
     return waits && gang != job && job.spec().priority().compareTo(Priority.HIGH) < 0
         ? gang.spec().room().times(gang.pendingCount())
@@ -78,17 +78,17 @@
   }
 
   /** The rest of a team's limit, without regard to what is kept; negative where it is exceeded. */
-  Room rest(String name) {
+  Room remaining(String name) {
     Settings.Team team = teams.get(name);
     if (team == null) {
       // The settings name it no more; what it has waits.
       return Room.NONE;
     }
-    return left(team, fleet.use(name).plus(fleet.roomInDoubt()));
+    return remainingAfter(team, fleet.use(name).plus(fleet.roomInDoubt()));
   }
 
   /** What a team's limit leaves beside this use; a limit of zero is none. */
-  private static Room left(Settings.Team team, Room use) {
+  private static Room remainingAfter(Settings.Team team, Room use) {
     return new Room(
         team.cpusMax() <= 0 ? Double.MAX_VALUE : team.cpusMax() - use.cpus(),
         team.gpusMax() <= 0 ? Double.MAX_VALUE : team.gpusMax() - use.gpus(),
@@ -102,12 +102,12 @@
    *
    * @return the jobs that are within a guarantee now and were not before, or the other way round
    */
-  public List<Job> survey(JobBook jobs) {
+  public List<Job> updateGuarantees(JobBook jobs) {
     Set<Job> before = guaranteed;
     guaranteed = new LinkedHashSet<>();
     for (Settings.Team team : teams.values()) {
       if (team.cpus() > 0 || team.gpus() > 0) {
-        survey(team, jobs.ofTeam(team.name()));
+        updateGuarantees(team, jobs.ofTeam(team.name()));
       }
     }
     List<Job> changed = new ArrayList<>();
@@ -116,7 +116,7 @@
     return changed;
   }
 
-  private void survey(Settings.Team team, Collection<Job> inOrder) {
+  private void updateGuarantees(Settings.Team team, Collection<Job> inOrder) {
     Room sum = Room.NONE;
     for (Job job : inOrder) {
       if (job.open()) {
@@ -133,7 +133,7 @@
   }
 
   /** Whether the job was within its team's guarantee at the last survey. */
-  public boolean guarantees(Job job) {
+  public boolean withinGuarantee(Job job) {
     return guaranteed.contains(job);
   }
 
@@ -141,7 +141,7 @@
    * Whether the team uses more than it is guaranteed, so that others may claim it back. Of a team
    * without any guarantee, such as a guest, that is all it uses.
    */
-  public boolean borrows(String name) {
+  public boolean exceedsGuarantee(String name) {
     Settings.Team team = teams.get(name);
     Room use = fleet.use(name);
     return team != null && (use.cpus() > team.cpus() + 1e-6 || use.gpus() > team.gpus() + 1e-6);
--- a/src/main/java/org/oakwalk/core/placement/Ranking.java
+++ b/src/main/java/org/oakwalk/core/placement/Ranking.java
@@ -30,9 +30,9 @@
  * The jobs with waiting tasks, each kind in the order of their scores. The order is kept rather
  * than worked out anew in each round: a score is looked at again when its job has changed, when its
  * deadline has come nearer by a twentieth or can't be met any more, or when run times or the number
- * of places have moved by more than {@link #DRIFT}. In between it differs from what it would be by
- * no more than that; what all gain by waiting is left out, since it does not change the order. So a
- * long queue costs little as long as nothing happens in it.
+ * of places have moved by more than {@link #MAX_DRIFT}. In between it differs from what it would be
+ * by no more than that; what all gain by waiting is left out, since it does not change the order.
+ * So a long queue costs little as long as nothing happens in it.
  *
  * <p>All scores of a class rest on the same learned run time and all of a kind on the same number
  * of places, also of jobs that come later: else jobs that are alike would leave in the order of
@@ -40,7 +40,7 @@
  */
 final class Ranking {
   /** By how much what all scores of a kind rest on may move before they are worked out anew. */
-  private static final double DRIFT = 0.15;
+  private static final double MAX_DRIFT = 0.15;
 
   /**
    * Jobs that fare alike in a round: where there is no room for one, there is none for the others.
@@ -48,7 +48,7 @@
    * @param together how many tasks have to start at once
    * @param alone set for a job whose own tasks decide where the others may go
    */
-  record Kind(
+  record EquivalenceClass(
       String team,
       String jobClass,
       JobSpec.Shape shape,
@@ -61,14 +61,14 @@
       boolean guaranteed,
       boolean oneZone,
       boolean spread,
-      int together,
-      Optional<JobId> alone) {
+      int tasksAtOnce,
+      Optional<JobId> onlyJob) {
 
-    static Kind of(Job job, boolean guaranteed) {
+    static EquivalenceClass of(Job job, boolean guaranteed) {
       JobSpec spec = job.spec();
       boolean bound = spec.gang() || spec.oneZone() || spec.spread();
       boolean single = bound && job.activeCount() > 0 || job.suspect();
-      return new Kind(
+      return new EquivalenceClass(
           spec.team(),
           spec.jobClass(),
           spec.shape(),
@@ -87,46 +87,51 @@
   }
 
   /** A job in its place. */
-  record Entry(Job job, Kind kind, double key, Revision stamp, Moment expires) {}
+  record RankedJob(
+      Job job,
+      EquivalenceClass equivalenceClass,
+      double sortKey,
+      Revision accepted,
+      Moment rescoreAt) {}
 
-  private static final Comparator<Entry> FIRST_COME =
-      Comparator.comparing(Entry::stamp).thenComparing(entry -> entry.job().id().value());
+  private static final Comparator<RankedJob> OLDEST_FIRST =
+      Comparator.comparing(RankedJob::accepted).thenComparing(entry -> entry.job().id().value());
 
-  private static final Comparator<Entry> ORDER =
-      Comparator.comparingDouble((Entry entry) -> -entry.key()).thenComparing(FIRST_COME);
+  private static final Comparator<RankedJob> HIGHEST_FIRST =
+      Comparator.comparingDouble((RankedJob entry) -> -entry.sortKey()).thenComparing(OLDEST_FIRST);
 
   /** All entries of a kind, and the number of places that their scores rest on. */
-  private static final class Group {
-    final TreeSet<Entry> entries = new TreeSet<>(ORDER);
+  private static final class RankedGroup {
+    final TreeSet<RankedJob> entries = new TreeSet<>(HIGHEST_FIRST);
     double places;
 
-    Group(double places) {
+    RankedGroup(double places) {
       this.places = places;
     }
   }
 
   private final JobBook jobs;
-  private final RunTimes runTimes;
-  private final Score score;
+  private final RunTimeEstimates runTimes;
+  private final JobScorer scorer;
   private final Quota quota;
-  private final Map<Job, Entry> byJob = new IdentityHashMap<>();
-  private final Map<Kind, Group> groups = new LinkedHashMap<>();
+  private final Map<Job, RankedJob> byJob = new IdentityHashMap<>();
+  private final Map<EquivalenceClass, RankedGroup> groups = new LinkedHashMap<>();
 
   /** By how much guesses are off, by class, as the scores have it. */
-  private final Map<String, Double> factors = new HashMap<>();
+  private final Map<String, Double> guessFactors = new HashMap<>();
 
-  private final TreeSet<Entry> byExpiry =
-      new TreeSet<>(Comparator.comparing(Entry::expires).thenComparing(FIRST_COME));
-  private Map<MachineType, Integer> kinds = Map.of();
-  private Room largest = new Room(1, 1, 1);
+  private final TreeSet<RankedJob> byRescoreTime =
+      new TreeSet<>(Comparator.comparing(RankedJob::rescoreAt).thenComparing(OLDEST_FIRST));
+  private Map<MachineType, Integer> machineCounts = Map.of();
+  private Room largestMachine = new Room(1, 1, 1);
   private Moment now = new Moment(0);
   private WallTime wall = new WallTime(0);
   private long evaluations;
 
-  Ranking(JobBook jobs, RunTimes runTimes, Score score, Quota quota) {
+  Ranking(JobBook jobs, RunTimeEstimates runTimes, JobScorer score, Quota quota) {
     this.jobs = jobs;
     this.runTimes = runTimes;
-    this.score = score;
+    this.scorer = score;
     this.quota = quota;
   }
 
@@ -144,28 +149,28 @@
    */
   List<Job> refresh(
       Map<MachineType, Integer> machines, List<Job> regraded, Moment at, WallTime dayTime) {
-    kinds = machines;
+    machineCounts = machines;
     now = at;
     wall = dayTime;
     List<Job> touched = jobs.takeTouched();
-    Room before = largest;
-    largest = largest();
-    if (!largest.equals(before)) {
-      List.copyOf(byJob.keySet()).forEach(this::place);
+    Room before = largestMachine;
+    largestMachine = largestMachine();
+    if (!largestMachine.equals(before)) {
+      List.copyOf(byJob.keySet()).forEach(this::rerank);
     }
-    touched.forEach(this::place);
-    regraded.forEach(this::place);
-    score.replanned().forEach(this::place);
-    while (!byExpiry.isEmpty() && !byExpiry.first().expires().isAfter(now)) {
-      place(byExpiry.first().job());
+    touched.forEach(this::rerank);
+    regraded.forEach(this::rerank);
+    scorer.takeReplannedJobs().forEach(this::rerank);
+    while (!byRescoreTime.isEmpty() && !byRescoreTime.first().rescoreAt().isAfter(now)) {
+      rerank(byRescoreTime.first().job());
     }
-    followDrift();
+    rescoreDrifted();
     return touched;
   }
 
-  private Room largest() {
+  private Room largestMachine() {
     Room most = new Room(1, 1, 1);
-    for (MachineType type : kinds.keySet()) {
+    for (MachineType type : machineCounts.keySet()) {
       Room room = type.room();
       most =
           new Room(
@@ -176,67 +181,69 @@
     return most;
   }
 
-  private void followDrift() {
+  private void rescoreDrifted() {
     Set<String> classes = new HashSet<>();
-    factors.forEach(
+    guessFactors.forEach(
         (jobClass, factor) -> {
-          if (moved(factor, runTimes.factor(jobClass))) {
+          if (drifted(factor, runTimes.guessFactor(jobClass))) {
             classes.add(jobClass);
           }
         });
-    classes.forEach(jobClass -> factors.put(jobClass, runTimes.factor(jobClass)));
+    classes.forEach(jobClass -> guessFactors.put(jobClass, runTimes.guessFactor(jobClass)));
     List<Job> drifted = new ArrayList<>();
     groups.forEach(
         (kind, group) -> {
           double places = places(kind.room());
-          if (moved(group.places, places)) {
+          if (drifted(group.places, places)) {
             group.places = places;
           } else if (!classes.contains(kind.jobClass())) {
             return;
           }
           group.entries.forEach(entry -> drifted.add(entry.job()));
         });
-    drifted.forEach(this::place);
+    drifted.forEach(this::rerank);
   }
 
-  private static boolean moved(double from, double to) {
-    return Math.abs(to - from) > DRIFT * from;
+  private static boolean drifted(double from, double to) {
+    return Math.abs(to - from) > MAX_DRIFT * from;
   }
 
   /** The one place where a job's place is changed. */
-  private void place(Job job) {
-    Entry old = byJob.remove(job);
+  private void rerank(Job job) {
+    RankedJob old = byJob.remove(job);
     if (old != null) {
-      Group group = groups.get(old.kind());
+      RankedGroup group = groups.get(old.equivalenceClass());
       group.entries.remove(old);
-      if (old.expires() != null) {
-        byExpiry.remove(old);
+      if (old.rescoreAt() != null) {
+        byRescoreTime.remove(old);
       }
     }
     if (!job.open() || job.pendingCount() <= 0) {
-      forgetIfEmpty(old);
+      removeGroupIfEmpty(old);
       return;
     }
     evaluations++;
-    Kind kind = Kind.of(job, quota.guarantees(job));
-    Group group = groups.computeIfAbsent(kind, added -> new Group(places(added.room())));
+    EquivalenceClass kind = EquivalenceClass.of(job, quota.withinGuarantee(job));
+    RankedGroup group =
+        groups.computeIfAbsent(kind, added -> new RankedGroup(places(added.room())));
     Span remaining = remaining(job, group);
     double key =
-        score.of(job, remaining, Span.millis(0), largest, kind.guaranteed(), wall)
-            - score.waited(job.waitingSince());
-    Span holds = score.holdsFor(job, remaining, wall);
-    Entry entry = new Entry(job, kind, key, job.stamp(), holds == null ? null : now.plus(holds));
+        scorer.score(job, remaining, Span.millis(0), largestMachine, kind.guaranteed(), wall)
+            - scorer.waitTerm(job.waitingSince());
+    Span holds = scorer.validFor(job, remaining, wall);
+    RankedJob entry =
+        new RankedJob(job, kind, key, job.stamp(), holds == null ? null : now.plus(holds));
     byJob.put(job, entry);
     group.entries.add(entry);
     if (holds != null) {
-      byExpiry.add(entry);
+      byRescoreTime.add(entry);
     }
-    forgetIfEmpty(old);
+    removeGroupIfEmpty(old);
   }
 
-  private void forgetIfEmpty(Entry left) {
-    if (left != null && groups.get(left.kind()).entries.isEmpty()) {
-      groups.remove(left.kind());
+  private void removeGroupIfEmpty(RankedJob left) {
+    if (left != null && groups.get(left.equivalenceClass()).entries.isEmpty()) {
+      groups.remove(left.equivalenceClass());
     }
   }
 
@@ -244,14 +251,14 @@
    * The time until a job could be complete: a run of one task, and before it what all machines
    * together need for the others. Of two jobs with equal tasks the one with fewer left goes first.
    */
-  private Span remaining(Job job, Group group) {
-    double factor = factors.computeIfAbsent(job.spec().jobClass(), runTimes::factor);
+  private Span remaining(Job job, RankedGroup group) {
+    double factor = guessFactors.computeIfAbsent(job.spec().jobClass(), runTimes::guessFactor);
     Span run = runTimes.expected(job.spec(), factor);
     return run.plus(run.times(job.pendingCount() / Math.max(1, group.places)));
   }
 
   private double places(Room task) {
-    return places(kinds, task);
+    return places(machineCounts, task);
   }
 
   /** How many tasks of this room so many machines of these types hold when they are empty. */
@@ -264,9 +271,9 @@
   }
 
   /** Walks down the order; kinds can be left out on the way. */
-  final class Walk {
+  final class RankingTraversal {
     private final PriorityQueue<Cursor> cursors = new PriorityQueue<>();
-    private final ToDoubleFunction<Kind> bonus;
+    private final ToDoubleFunction<EquivalenceClass> bonus;
     private Cursor last;
 
     /**
@@ -277,10 +284,10 @@
      * @param bonus what a kind's scores gain at this moment
      * @param favour what each of those gains, if it is more than its kind does
      */
-    Walk(
+    RankingTraversal(
         boolean inheritedToo,
         Set<Job> each,
-        ToDoubleFunction<Kind> bonus,
+        ToDoubleFunction<EquivalenceClass> bonus,
         ToDoubleFunction<Job> favour) {
       this.bonus = bonus;
       groups.forEach(
@@ -292,14 +299,14 @@
             }
           });
       for (Job job : each) {
-        Entry entry = byJob.get(job);
-        if (entry != null && (inheritedToo || !entry.kind().inherited())) {
+        RankedJob entry = byJob.get(job);
+        if (entry != null && (inheritedToo || !entry.equivalenceClass().inherited())) {
           add(List.of(entry).iterator(), favour.applyAsDouble(job));
         }
       }
     }
 
-    private void add(Iterator<Entry> entries, double favour) {
+    private void add(Iterator<RankedJob> entries, double favour) {
       if (entries.hasNext()) {
         cursors.add(new Cursor(entries, bonus, favour));
       }
@@ -315,25 +322,25 @@
     }
 
     /** The kind of the job met last. */
-    Kind kind() {
-      return last.head.kind();
+    EquivalenceClass equivalenceClass() {
+      return last.head.equivalenceClass();
     }
 
     /** Leaves out the others of the kind that was met last, unless each is to be met. */
-    void leaveOut() {
+    void skipClass() {
       last = null;
     }
   }
 
   private static final class Cursor implements Comparable<Cursor> {
-    private final Iterator<Entry> entries;
+    private final Iterator<RankedJob> entries;
     private final double bonus;
-    private Entry head;
+    private RankedJob head;
 
-    Cursor(Iterator<Entry> entries, ToDoubleFunction<Kind> bonus, double favour) {
+    Cursor(Iterator<RankedJob> entries, ToDoubleFunction<EquivalenceClass> bonus, double favour) {
       this.entries = entries;
       this.head = entries.next();
-      this.bonus = Math.max(bonus.applyAsDouble(head.kind()), favour);
+      this.bonus = Math.max(bonus.applyAsDouble(head.equivalenceClass()), favour);
     }
 
     /** Goes on to the next entry, if there is one. */
@@ -347,8 +354,8 @@
 
     @Override
     public int compareTo(Cursor other) {
-      int byScore = Double.compare(other.head.key() + other.bonus, head.key() + bonus);
-      return byScore != 0 ? byScore : FIRST_COME.compare(head, other.head);
+      int byScore = Double.compare(other.head.sortKey() + other.bonus, head.sortKey() + bonus);
+      return byScore != 0 ? byScore : OLDEST_FIRST.compare(head, other.head);
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/placement/RunTimes.java
+++ b/src/main/java/org/oakwalk/core/placement/RunTimeEstimates.java
@@ -9,58 +9,58 @@
 import org.oakwalk.core.job.JobSpec;
 
 /** Learns per class of jobs by how much its owners' guesses are off. */
-public final class RunTimes {
-  private static final double KEEP = 0.95;
-  private static final double LEAST = 0.2;
-  private static final double MOST = 5;
-  private static final int ENOUGH = 4;
+public final class RunTimeEstimates {
+  private static final double MIN_HISTORY_WEIGHT = 0.95;
+  private static final double MIN_RATIO = 0.2;
+  private static final double MAX_RATIO = 5;
+  private static final int MIN_RUNS_FOR_TYPICAL = 4;
 
   /** How the run times of one job compare with its guess, and how many were seen. */
-  private static final class Ratio {
+  private static final class GuessRatio {
     double mean = 1;
     int seen;
 
     void add(double ratio) {
       seen++;
-      double weight = Math.max(1.0 / (seen + 1), 1 - KEEP);
+      double weight = Math.max(1.0 / (seen + 1), 1 - MIN_HISTORY_WEIGHT);
       mean += weight * (ratio - mean);
     }
   }
 
-  private final Map<String, Ratio> byClass = new HashMap<>();
-  private final Map<JobId, Ratio> byJob = new HashMap<>();
+  private final Map<String, GuessRatio> byClass = new HashMap<>();
+  private final Map<JobId, GuessRatio> byJob = new HashMap<>();
 
   /** A task of this job took this long. */
-  public void learn(Job job, Span ran) {
+  public void record(Job job, Span ran) {
     double guess = job.spec().guess().asSeconds();
     if (guess > 0) {
-      double ratio = Math.min(MOST, Math.max(LEAST, ran.asSeconds() / guess));
-      byClass.computeIfAbsent(job.spec().jobClass(), c -> new Ratio()).add(ratio);
-      byJob.computeIfAbsent(job.id(), c -> new Ratio()).add(ratio);
+      double ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, ran.asSeconds() / guess));
+      byClass.computeIfAbsent(job.spec().jobClass(), c -> new GuessRatio()).add(ratio);
+      byJob.computeIfAbsent(job.id(), c -> new GuessRatio()).add(ratio);
     }
   }
 
   /** The expected run time of a task of this job; zero for services. */
   public Span expected(JobSpec spec) {
-    return expected(spec, factor(spec.jobClass()));
+    return expected(spec, guessFactor(spec.jobClass()));
   }
 
   /** The same, where guesses for the job's class are taken to be off by this factor. */
   Span expected(JobSpec spec, double classFactor) {
-    Ratio job = byJob.get(spec.id());
+    GuessRatio job = byJob.get(spec.id());
     return spec.guess().times(job != null && job.seen >= 2 ? job.mean : classFactor);
   }
 
   /** By how much guesses for this class are off. */
-  double factor(String jobClass) {
-    Ratio kind = byClass.get(jobClass);
+  double guessFactor(String jobClass) {
+    GuessRatio kind = byClass.get(jobClass);
     return kind == null ? 1 : kind.mean;
   }
 
   /** How long tasks of this job usually run, once enough of them have ended. */
-  Optional<Span> usual(JobSpec spec) {
-    Ratio job = byJob.get(spec.id());
-    return job == null || job.seen < ENOUGH
+  Optional<Span> typical(JobSpec spec) {
+    GuessRatio job = byJob.get(spec.id());
+    return job == null || job.seen < MIN_RUNS_FOR_TYPICAL
         ? Optional.empty()
         : Optional.of(spec.guess().times(job.mean));
   }
--- a/src/main/java/org/oakwalk/core/placement/ServedShares.java
+++ b/src/main/java/org/oakwalk/core/placement/ServedShares.java
@@ -16,58 +16,58 @@
  * as left behind; it gains a bonus until a quarter of what is placed goes to such classes.
  */
 final class ServedShares {
-  private static final double LEFT_BEHIND = 0.6;
-  private static final double SHARE = 0.25;
+  private static final double UNDERSERVED_BELOW = 0.6;
+  private static final double MAX_UNDERSERVED_SHARE = 0.25;
 
   /** Jobs count only once they have waited for a while: what has just come is not behind. */
-  static final Span RIPE_AFTER = Span.seconds(30);
+  static final Span COUNTED_AFTER = Span.seconds(30);
 
   /**
    * After this time half of what was done is forgotten, so that old merits don't count for long.
    */
-  private static final double HALVES_IN_SECONDS = 120;
+  private static final double HALF_LIFE_SECONDS = 120;
 
   /** A team's jobs of one class. */
-  record Key(String team, String jobClass) {
-    static Key of(Job job) {
-      return new Key(job.spec().team(), job.spec().jobClass());
+  record TeamClass(String team, String jobClass) {
+    static TeamClass of(Job job) {
+      return new TeamClass(job.spec().team(), job.spec().jobClass());
     }
   }
 
-  private static final class Account {
+  private static final class ServedTally {
     double arrived;
     double served;
-    double past;
+    double finished;
   }
 
   /** What a job adds to its account. */
-  private static final class Part {
+  private static final class JobContribution {
     final Job job;
     int served;
-    boolean ripe;
+    boolean counted;
 
-    Part(Job job) {
+    JobContribution(Job job) {
       this.job = job;
     }
   }
 
-  private final Map<Key, Account> accounts = new HashMap<>();
-  private final Map<Job, Part> parts = new IdentityHashMap<>();
-  private final Deque<Part> unripe = new ArrayDeque<>();
-  private Moment faded;
+  private final Map<TeamClass, ServedTally> tallies = new HashMap<>();
+  private final Map<Job, JobContribution> contributions = new IdentityHashMap<>();
+  private final Deque<JobContribution> notYetCounted = new ArrayDeque<>();
+  private Moment decayedAt;
   private double placed;
-  private double placedBehind;
+  private double placedUnderserved;
 
   /** A job has come, changed or ended. */
-  void touched(Job job) {
-    Part part = parts.get(job);
+  void update(Job job) {
+    JobContribution part = contributions.get(job);
     boolean counts = !job.over() && !job.suspect();
-    Account account = accounts.computeIfAbsent(Key.of(job), key -> new Account());
+    ServedTally account = tallies.computeIfAbsent(TeamClass.of(job), key -> new ServedTally());
     if (part == null) {
       if (counts) {
-        part = new Part(job);
-        parts.put(job, part);
-        unripe.add(part);
+        part = new JobContribution(job);
+        contributions.put(job, part);
+        notYetCounted.add(part);
       } else {
         return;
       }
@@ -76,61 +76,61 @@
     account.served += served - part.served;
     part.served = served;
     if (!counts) {
-      parts.remove(job);
-      if (part.ripe) {
+      contributions.remove(job);
+      if (part.counted) {
         account.arrived -= job.spec().tasks();
-        part.ripe = false;
+        part.counted = false;
       }
-      account.past += job.state() == Job.State.DONE ? job.spec().tasks() : 0;
+      account.finished += job.state() == Job.State.DONE ? job.spec().tasks() : 0;
     }
   }
 
   /** Lets time pass. */
-  void round(Moment now) {
-    while (!unripe.isEmpty() && now.past(unripe.peek().job.seen(), RIPE_AFTER)) {
-      Part part = unripe.poll();
-      if (parts.get(part.job) == part) {
-        part.ripe = true;
-        accounts.get(Key.of(part.job)).arrived += part.job.spec().tasks();
+  void beginRound(Moment now) {
+    while (!notYetCounted.isEmpty() && now.past(notYetCounted.peek().job.seen(), COUNTED_AFTER)) {
+      JobContribution part = notYetCounted.poll();
+      if (contributions.get(part.job) == part) {
+        part.counted = true;
+        tallies.get(TeamClass.of(part.job)).arrived += part.job.spec().tasks();
       }
     }
-    if (faded != null) {
-      double keep = Math.pow(0.5, now.since(faded).asSeconds() / HALVES_IN_SECONDS);
-      accounts.values().forEach(account -> account.past *= keep);
+    if (decayedAt != null) {
+      double keep = Math.pow(0.5, now.since(decayedAt).asSeconds() / HALF_LIFE_SECONDS);
+      tallies.values().forEach(account -> account.finished *= keep);
       placed *= keep;
-      placedBehind *= keep;
+      placedUnderserved *= keep;
     }
-    faded = now;
+    decayedAt = now;
   }
 
   /** Whether a class of a team is left behind. */
-  boolean behind(Key key) {
-    return farBehind(key) > 0;
+  boolean underserved(TeamClass key) {
+    return shortfall(key) > 0;
   }
 
   /** Whether any class of any team but this one is. */
-  boolean othersBehind(Key key) {
-    return accounts.keySet().stream().anyMatch(other -> !other.equals(key) && behind(other));
+  boolean othersUnderserved(TeamClass key) {
+    return tallies.keySet().stream().anyMatch(other -> !other.equals(key) && underserved(other));
   }
 
   /** By how much it is: zero if not, one if nothing of it has been served. */
-  double farBehind(Key key) {
-    Account account = accounts.get(key);
+  double shortfall(TeamClass key) {
+    ServedTally account = tallies.get(key);
     if (account == null || account.arrived <= 0) {
       return 0;
     }
-    double share = (account.served + account.past) / (account.arrived + account.past);
-    return Math.max(0, LEFT_BEHIND - share) / LEFT_BEHIND;
+    double share = (account.served + account.finished) / (account.arrived + account.finished);
+    return Math.max(0, UNDERSERVED_BELOW - share) / UNDERSERVED_BELOW;
   }
 
   /** Whether what is left behind may go first now. */
-  boolean helps() {
-    return placedBehind <= SHARE * placed;
+  boolean mayBoost() {
+    return placedUnderserved <= MAX_UNDERSERVED_SHARE * placed;
   }
 
   /** Tasks of a class were placed. */
-  void placed(Key key, int tasks) {
+  void recordPlaced(TeamClass key, int tasks) {
     placed += tasks;
-    placedBehind += behind(key) ? tasks : 0;
+    placedUnderserved += underserved(key) ? tasks : 0;
   }
 }
--- a/src/main/java/org/oakwalk/core/placement/Pace.java
+++ b/src/main/java/org/oakwalk/core/placement/SlowMachineDetector.java
@@ -11,15 +11,15 @@
  * Tells slow machines from slow jobs: a task is late if it runs far longer than others of its own
  * job did elsewhere, and a machine on which late tasks come one after the other is slow.
  */
-public final class Pace {
+public final class SlowMachineDetector {
   /**
    * Of tasks on sound machines fewer than one in a hundred took so much longer than its job's mean.
    */
-  private static final double LATE = 1.6;
+  private static final double LATE_FACTOR = 1.6;
 
-  private final RunTimes runTimes;
+  private final RunTimeEstimates runTimes;
 
-  public Pace(RunTimes runTimes) {
+  public SlowMachineDetector(RunTimeEstimates runTimes) {
     this.runTimes = runTimes;
   }
 
@@ -33,7 +33,7 @@
   }
 
   /** Looks at what is running, since tasks on a slow machine take long to complete. */
-  public void survey(Collection<Machine> machines, Moment now) {
+  public void checkRunning(Collection<Machine> machines, Moment now) {
     for (Machine machine : machines) {
       for (Placement placement : machine.placements()) {
         if (placement.state() == Placement.State.RUNNING
@@ -45,7 +45,9 @@
   }
 
   private boolean late(Placement placement, Span ran) {
-    Optional<Span> usual = runTimes.usual(placement.job().spec());
-    return placement.watched() && usual.isPresent() && ran.compareTo(usual.get().times(LATE)) > 0;
+    Optional<Span> usual = runTimes.typical(placement.job().spec());
+    return placement.watched()
+        && usual.isPresent()
+        && ran.compareTo(usual.get().times(LATE_FACTOR)) > 0;
   }
 }
--- a/src/main/java/org/oakwalk/core/placement/RoomMaker.java
+++ b/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
@@ -16,36 +16,36 @@
 import org.oakwalk.core.job.Room;
 
 /** Makes room for a job that found none: stops less urgent tasks, or keeps a machine for it. */
-final class RoomMaker {
-  private static final int MOST_PREEMPTIONS = 16;
-  private static final int MOST_RESERVATIONS = 3;
-  private static final int MOST_FOR_WARMTH = 2;
+final class UnplacedJobHandler {
+  private static final int MAX_PREEMPTIONS_PER_ROUND = 16;
+  private static final int MAX_RESERVATIONS = 3;
+  private static final int MAX_VICTIMS_FOR_IMAGE = 2;
 
-  private static final Span WARM_PATIENCE = Span.millis(2000);
+  private static final Span MAX_IMAGE_WAIT = Span.millis(2000);
 
   private final Fleet fleet;
-  private final Candidates candidates;
+  private final CandidateMachines candidates;
   private final Quota quota;
-  private final Targets targets;
+  private final JobTargets targets;
   private final Predicate<List<Placement>> mayStop;
-  private final Preemption preemption;
-  private final Reserve reserve;
-  private final Takes takes;
+  private final PreemptionPlanner preemption;
+  private final CapacityReserve reserve;
+  private final CapacityExchange exchange;
   private int stopped;
   private Moment now = new Moment(0);
   private WallTime wall = new WallTime(0);
 
-  RoomMaker(
+  UnplacedJobHandler(
       Fleet fleet,
-      Candidates candidates,
+      CandidateMachines candidates,
       Quota quota,
-      Targets targets,
+      JobTargets targets,
       Predicate<List<Placement>> mayStop,
-      Preemption preemption,
-      Reserve reserve,
-      Takes takes) {
+      PreemptionPlanner preemption,
+      CapacityReserve reserve,
+      CapacityExchange takes) {
     this.reserve = reserve;
-    this.takes = takes;
+    this.exchange = takes;
     this.mayStop = mayStop;
     this.fleet = fleet;
     this.candidates = candidates;
@@ -55,32 +55,34 @@
   }
 
   /** A round begins; it has its own bound on stops. */
-  void begin(Moment at, WallTime dayTime) {
+  void beginRound(Moment at, WallTime dayTime) {
     now = at;
     wall = dayTime;
     stopped = 0;
-    preemption.begin();
+    preemption.beginRound();
   }
 
   /** Stops less urgent tasks for those of a job that found no room; true if there were any. */
-  boolean stop(Job job) {
-    boolean stops = job.spec().priority().compareTo(Priority.NORMAL) > 0 || quota.guarantees(job);
+  boolean preemptFor(Job job) {
+    boolean stops =
+        job.spec().priority().compareTo(Priority.NORMAL) > 0 || quota.withinGuarantee(job);
     boolean displaces = job.spec().priority() == Priority.NORMAL;
     if (job.suspect()
         || !(stops || displaces)
-        || stopped >= MOST_PREEMPTIONS
-        || !preemption.helps(job)
-        || reserve.withholds(job)) {
+        || stopped >= MAX_PREEMPTIONS_PER_ROUND
+        || !preemption.mayFreeRoom(job)
+        || reserve.claimsFreedRoom(job)) {
       return false;
     }
-    List<Machine> machines = candidates.of(job, candidates.zoneUse(job));
-    if (takes.ask(job, machines, now, wall)) {
+    List<Machine> machines = candidates.eligible(job, candidates.tasksPerZone(job));
+    if (exchange.requestRoom(job, machines, now, wall)) {
       return true;
     }
-    Iterator<Preemption.Plan> plans = preemption.plans(job, machines, now, wall).iterator();
+    Iterator<PreemptionPlanner.PreemptionPlan> plans =
+        preemption.plans(job, machines, now, wall).iterator();
     boolean any = plans.hasNext();
     int missing = job.pendingCount();
-    while (missing > 0 && stopped < MOST_PREEMPTIONS && plans.hasNext()) {
+    while (missing > 0 && stopped < MAX_PREEMPTIONS_PER_ROUND && plans.hasNext()) {
       // Nobody else may take the room, and no second task of this job counts on it.
       missing -= carryOut(plans.next(), job) ? 1 : 0;
     }
@@ -91,9 +93,9 @@
    * Stops less urgent tasks on a machine that is kept for a gang, until so many of the gang's have
    * room there.
    */
-  void stopFor(Job gang, Machine machine, int tasks) {
+  void preemptForGang(Job gang, Machine machine, int tasks) {
     Room needed = gang.spec().room().times(tasks);
-    if (stopped < MOST_PREEMPTIONS && !gang.suspect() && !reserve.withholds(gang)) {
+    if (stopped < MAX_PREEMPTIONS_PER_ROUND && !gang.suspect() && !reserve.claimsFreedRoom(gang)) {
       List<Placement> victims = preemption.victims(machine, gang, needed, now, wall);
       if (!victims.isEmpty() && mayStop.test(victims)) {
         victims.forEach(
@@ -103,7 +105,7 @@
     }
   }
 
-  private boolean carryOut(Preemption.Plan plan, Job job) {
+  private boolean carryOut(PreemptionPlanner.PreemptionPlan plan, Job job) {
     if (!plan.victims().isEmpty() && !mayStop.test(plan.victims())) {
       return false;
     }
@@ -111,44 +113,44 @@
       fleet.halt(victim, victim.job().spec().saveTime(), Fleet.Why.PREEMPTED);
     }
     stopped += plan.victims().size();
-    candidates.reserved().put(plan.machine(), job);
+    candidates.reservations().put(plan.machine(), job);
     return true;
   }
 
   /** Whether getting the image there would take longer than a task of this class may wait. */
-  boolean tooCold(JobSpec spec, Machine machine) {
+  boolean fetchTooSlow(JobSpec spec, Machine machine) {
     return !machine.hasImage(spec.image())
         && targets
-            .start(spec)
+            .startTarget(spec)
             .filter(within -> within.compareTo(machine.type().fetch(spec.imageGb())) < 0)
             .isPresent();
   }
 
   /** Whether a job of this kind may still be worth a place where its image is. */
-  static boolean mayWarm(Job job, Moment now) {
+  static boolean mayWaitForImage(Job job, Moment now) {
     return job.spec().service()
         && job.spec().priority().compareTo(Priority.NORMAL) > 0
-        && !now.past(job.waitingSince(), WARM_PATIENCE);
+        && !now.past(job.waitingSince(), MAX_IMAGE_WAIT);
   }
 
   /**
    * Makes room for a replica where its image is, since the fetch alone would miss what is expected
    * of its start. Returns false if there is no such place; then it starts wherever there is room.
    */
-  boolean warm(Job job, Map<String, Integer> zones) {
-    if (!mayWarm(job, now)) {
+  boolean preemptWhereImageIs(Job job, Map<String, Integer> zones) {
+    if (!mayWaitForImage(job, now)) {
       return false;
     }
-    List<Machine> warm = candidates.of(job, zones);
+    List<Machine> warm = candidates.eligible(job, zones);
     warm.removeIf(machine -> !machine.hasImage(job.spec().image()));
-    if (warm.stream().anyMatch(machine -> candidates.reserved().get(machine) == job)) {
+    if (warm.stream().anyMatch(machine -> candidates.reservations().get(machine) == job)) {
       return true;
     }
-    if (!preemption.helps(job)) {
+    if (!preemption.mayFreeRoom(job)) {
       return false;
     }
-    List<Preemption.Plan> plans = preemption.plans(job, warm, now, wall);
-    if (plans.isEmpty() || plans.get(0).victims().size() > MOST_FOR_WARMTH) {
+    List<PreemptionPlanner.PreemptionPlan> plans = preemption.plans(job, warm, now, wall);
+    if (plans.isEmpty() || plans.get(0).victims().size() > MAX_VICTIMS_FOR_IMAGE) {
       return false;
     }
     int before = stopped;
@@ -158,24 +160,24 @@
   }
 
   /** Keeps a machine for a job that is to start there, whatever else may find room. */
-  void keep(Machine machine, Job job) {
-    candidates.reserved().putIfAbsent(machine, job);
+  void reserveMachine(Machine machine, Job job) {
+    candidates.reservations().putIfAbsent(machine, job);
   }
 
   /** Whether more machines may be kept for jobs that find no room. */
   boolean mayReserve() {
-    return candidates.reserved().values().stream().filter(job -> !job.spec().gang()).count()
-        < MOST_RESERVATIONS;
+    return candidates.reservations().values().stream().filter(job -> !job.spec().gang()).count()
+        < MAX_RESERVATIONS;
   }
 
   /** Keeps the machine nearest to fitting for the job; false if there is none. */
-  boolean reserve(Job job) {
-    if (candidates.reserved().containsValue(job) || !mayReserve()) {
+  boolean reserveNearest(Job job) {
+    if (candidates.reservations().containsValue(job) || !mayReserve()) {
       return true;
     }
     Machine nearest = null;
     double least = Double.MAX_VALUE;
-    for (Machine machine : candidates.of(job, candidates.zoneUse(job))) {
+    for (Machine machine : candidates.eligible(job, candidates.tasksPerZone(job))) {
       Room lack = job.spec().room().minus(machine.free());
       double shortage = lack.share(machine.type().room());
       if (job.spec().room().fits(machine.type().room()) && shortage < least) {
@@ -184,13 +186,13 @@
       }
     }
     if (nearest != null) {
-      candidates.reserved().put(nearest, job);
+      candidates.reservations().put(nearest, job);
     }
     return nearest != null;
   }
 
   /** The job needs no machine to be kept for it any more. */
-  void settled(Job job) {
-    candidates.reserved().values().removeIf(job::equals);
+  void releaseReservations(Job job) {
+    candidates.reservations().values().removeIf(job::equals);
   }
 }
--- a/src/main/java/org/oakwalk/core/planner/Planner.java
+++ b/src/main/java/org/oakwalk/core/planner/Planner.java
@@ -18,7 +18,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
 import org.oakwalk.core.job.JobSpec;
-import org.oakwalk.core.placement.Deadlines;
+import org.oakwalk.core.placement.PlannedDeadlines;
 import org.oakwalk.core.product.DawnTerms;
 import org.oakwalk.core.shared.SharedRecord;
 import org.slf4j.Logger;
@@ -29,7 +29,7 @@
  * equal shares if that can't be. What is stored of it counts, and nothing else; it speaks to the
  * queue through the deadlines of jobs alone.
  */
-public final class Planner implements Deadlines {
+public final class Planner implements PlannedDeadlines {
   private static final Logger LOG = LoggerFactory.getLogger(Planner.class);
 
   /** Name of its record. */
@@ -387,7 +387,7 @@
   }
 
   @Override
-  public Optional<Left> left(Job job, WallTime now) {
+  public Optional<TimeLeft> timeToStart(Job job, WallTime now) {
     Groups.Group group = dawns.isEmpty() ? null : groups.of(job);
     // What is beyond a group's share goes as if there were no plan.
     if (group == null
@@ -400,11 +400,11 @@
     Span left = group.entry.group().startBy().since(now);
     // Where there is too little time for all, none is left to wait for a turn.
     boolean due = group.entry.shared() || left.compareTo(least) <= 0;
-    return Optional.of(due ? new Left(least, true) : new Left(left, false));
+    return Optional.of(due ? new TimeLeft(least, true) : new TimeLeft(left, false));
   }
 
   @Override
-  public Optional<Span> ends(Job job, WallTime now) {
+  public Optional<Span> timeToEnd(Job job, WallTime now) {
     Groups.Group group = open.isEmpty() ? null : groups.of(job);
     if (group == null || group.ends == null) {
       return Optional.empty();
@@ -414,7 +414,7 @@
   }
 
   @Override
-  public List<Job> takeMoved() {
+  public List<Job> takeChangedJobs() {
     if (moved.isEmpty()) {
       return List.of();
     }
--- a/src/test/java/org/oakwalk/core/placement/TargetsTest.java
+++ b/src/test/java/org/oakwalk/core/placement/JobTargetsTest.java
@@ -17,7 +17,7 @@
 import org.oakwalk.core.job.Room;
 
 /** When a job that starts afresh misses a target that its present run meets. */
-class TargetsTest {
+class JobTargetsTest {
   private static JobSpec job(String jobClass, Optional<Span> due) {
     return new JobSpec(
         new JobId("j-1"),
@@ -42,7 +42,7 @@
 
   /** Against the plain way: the next target of both, compared. */
   @Test
-  void aRunAfreshMissesWhatLiesBeforeItsEnd() {
+  void latestBeforeMatchesComparisonOfReachableTargets() {
     UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(3L);
     int missed = 0;
     for (int i = 0; i < 20_000; i++) {
@@ -54,7 +54,7 @@
             new Settings.Objective(
                 kind, jobClass, 5 * chance.nextInt(20), 1, 0.5 * chance.nextInt(5)));
       }
-      Targets targets = new Targets(objectives);
+      JobTargets targets = new JobTargets(objectives);
       JobSpec spec =
           job(
               "own",
@@ -63,10 +63,10 @@
                   : Optional.of(Span.seconds(chance.nextInt(100))));
       Span end = Span.seconds(chance.nextInt(120));
       Span ran = Span.seconds(chance.nextInt(60));
-      Optional<Span> reached = targets.next(spec, end.minus(ran));
-      boolean plain = reached.isPresent() && !reached.equals(targets.next(spec, end));
+      Optional<Span> reached = targets.earliestReachable(spec, end.minus(ran));
+      boolean plain = reached.isPresent() && !reached.equals(targets.earliestReachable(spec, end));
       boolean quick =
-          targets.lastBefore(spec, end).filter(t -> end.minus(t).compareTo(ran) <= 0).isPresent();
+          targets.latestBefore(spec, end).filter(t -> end.minus(t).compareTo(ran) <= 0).isPresent();
       assertThat(quick).as("%s %s %s %s", objectives, spec.due(), end, ran).isEqualTo(plain);
       missed += plain ? 1 : 0;
     }
--- a/src/test/java/org/oakwalk/core/placement/HostSearchTest.java
+++ b/src/test/java/org/oakwalk/core/placement/MachineSearchTest.java
@@ -33,14 +33,14 @@
 import org.oakwalk.core.job.Room;
 
 /** The search that keeps figures chooses what one that looks at everything anew chooses. */
-class HostSearchTest {
+class MachineSearchTest {
   private static final int SEEDS = 40;
   private static final Moment NOW = new Moment(1_000_000);
 
-  private final IdealHost hosts = new IdealHost(Policy.defaults().hosts());
+  private final MachineDistance distances = new MachineDistance(Policy.defaults().hosts());
 
   @TestFactory
-  List<DynamicTest> sameAsPlain() {
+  List<DynamicTest> matchesExhaustiveSearch() {
     return IntStream.rangeClosed(1, SEEDS)
         .mapToObj(seed -> DynamicTest.dynamicTest("seed " + seed, () -> compare(seed)))
         .toList();
@@ -60,30 +60,32 @@
     while (jobs < 12) {
       Job job = job(++jobs, random);
       Span run = job.spec().guess();
-      HostSearch search = new HostSearch(hosts, job, machines, run, NOW);
+      MachineSearch search = new MachineSearch(distances, job, machines, run, NOW);
       for (int index = 0; index < job.spec().tasks(); index++) {
         Machine found = search.nearest(new TaskId(job.id(), index));
-        assertThat(found).as("%s/%d", job.id(), index).isSameAs(plain(job, machines, run));
+        assertThat(found)
+            .as("%s/%d", job.id(), index)
+            .isSameAs(exhaustiveSearch(job, machines, run));
         if (found == null) {
           break;
         }
         fleet.place(job, index, fleet.nextAttempt(), found, run, NOW);
-        search.taken();
+        search.placedOnLastFound();
       }
     }
   }
 
   /** The definition: nearest to the machine that has the lowest use of each resource. */
-  private Machine plain(Job job, List<Machine> machines, Span run) {
+  private Machine exhaustiveSearch(Job job, List<Machine> machines, Span run) {
     Machine best = null;
     double bestDistance = Double.MAX_VALUE;
     for (Machine machine : machines) {
-      if (hosts.fits(job.spec(), machine)) {
+      if (distances.fits(job.spec(), machine)) {
         double distance =
-            Math.pow(over(machines, machine, IdealHost::cpuUse), 2)
-                + Math.pow(over(machines, machine, IdealHost::memoryUse), 2)
-                + Math.pow(over(machines, machine, IdealHost::gpuUse), 2)
-                + hosts.otherTerms(job, machine, run, NOW);
+            Math.pow(excessUse(machines, machine, MachineDistance::cpuUse), 2)
+                + Math.pow(excessUse(machines, machine, MachineDistance::memoryUse), 2)
+                + Math.pow(excessUse(machines, machine, MachineDistance::gpuUse), 2)
+                + distances.otherTerms(job, machine, run, NOW);
         if (distance < bestDistance) {
           bestDistance = distance;
           best = machine;
@@ -93,7 +95,7 @@
     return best;
   }
 
-  private static double over(
+  private static double excessUse(
       List<Machine> machines, Machine machine, ToDoubleFunction<Machine> use) {
     double least = machines.stream().mapToDouble(use).min().orElseThrow();
     return use.applyAsDouble(machine) - least;
--- a/src/test/java/org/oakwalk/core/placement/PreemptionTest.java
+++ b/src/test/java/org/oakwalk/core/placement/PreemptionPlannerTest.java
@@ -27,7 +27,7 @@
 import org.oakwalk.core.job.Room;
 
 /** What it costs to ask whether stops would make room for a job. */
-class PreemptionTest {
+class PreemptionPlannerTest {
   private static final Moment NOW = new Moment(1_000_000);
 
   /**
@@ -36,39 +36,42 @@
    */
   @ParameterizedTest
   @ValueSource(ints = {100, 1_000, 5_000})
-  void onlyMachinesThatItConcernsAreLookedInto(int machines) {
-    Fleet fleet = HostSearchTest.fleet();
+  void inspectsOnlyMachinesWithTasksToStop(int machines) {
+    Fleet fleet = MachineSearchTest.fleet();
     for (int i = 0; i < machines; i++) {
       fleet.add(new MachineId("m-" + i), "", "small", "a", false, Machine.State.UP, NOW);
     }
     List<Machine> all = List.copyOf(fleet.machines());
     Placement stopped = null;
     for (int i = 0; i < machines; i++) {
-      Job job = HostSearchTest.job(i, RandomSource.XO_RO_SHI_RO_128_PP.create(i));
+      Job job = MachineSearchTest.job(i, RandomSource.XO_RO_SHI_RO_128_PP.create(i));
       stopped = fleet.place(job, 0, fleet.nextAttempt(), all.get(i), Span.seconds(60), NOW);
     }
     fleet.halt(stopped, Span.seconds(5), Fleet.Why.PREEMPTED);
-    Preemption preemption =
-        new Preemption(
+    PreemptionPlanner preemption =
+        new PreemptionPlanner(
             fleet.stoppable(),
             new Quota(Map.of(), fleet),
-            new Targets(List.of()),
-            new RunTimes(),
+            new JobTargets(List.of()),
+            new RunTimeEstimates(),
             new ServedShares(),
-            Reserve.NONE,
-            Takes.NONE);
-    Job asking = HostSearchTest.job(machines, RandomSource.XO_RO_SHI_RO_128_PP.create(1));
-    preemption.begin();
-    List<Preemption.Plan> plans = preemption.plans(asking, all, NOW, new WallTime(0));
-    assertThat(preemption.looks()).isEqualTo(1);
+            CapacityReserve.NONE,
+            CapacityExchange.NONE);
+    Job asking = MachineSearchTest.job(machines, RandomSource.XO_RO_SHI_RO_128_PP.create(1));
+    preemption.beginRound();
+    List<PreemptionPlanner.PreemptionPlan> plans =
+        preemption.plans(asking, all, NOW, new WallTime(0));
+    assertThat(preemption.inspections()).isEqualTo(1);
     assertThat(plans).allMatch(plan -> plan.victims().isEmpty());
-    assertThat(plans).extracting(Preemption.Plan::machine).contains(stopped.machine());
+    assertThat(plans)
+        .extracting(PreemptionPlanner.PreemptionPlan::machine)
+        .contains(stopped.machine());
   }
 
   /** A gang starts again whole: one of its tasks seemed the cheapest though all were lost. */
   @Test
-  void aStopOfOneTaskOfAGangCostsWhatAllHaveDone() {
-    Fleet fleet = HostSearchTest.fleet();
+  void gangVictimCostsTheWorkOfAllGangTasks() {
+    Fleet fleet = MachineSearchTest.fleet();
     for (int i = 0; i < 3; i++) {
       fleet.add(new MachineId("m-" + i), "", "small", "a", false, Machine.State.UP, NOW);
     }
@@ -78,21 +81,24 @@
     run(fleet, array, 0, all.get(0), new Moment(NOW.millis() - 15_000));
     run(fleet, gang, 0, all.get(1), new Moment(NOW.millis() - 10_000));
     run(fleet, gang, 1, all.get(2), new Moment(NOW.millis() - 10_000));
-    Preemption preemption =
-        new Preemption(
+    PreemptionPlanner preemption =
+        new PreemptionPlanner(
             fleet.stoppable(),
             new Quota(Map.of(), fleet),
-            new Targets(List.of()),
-            new RunTimes(),
+            new JobTargets(List.of()),
+            new RunTimeEstimates(),
             new ServedShares(),
-            Reserve.NONE,
-            Takes.NONE);
-    preemption.begin();
+            CapacityReserve.NONE,
+            CapacityExchange.NONE);
+    preemption.beginRound();
     Job asking = job("j-3", JobSpec.Shape.SERVICE, Priority.HIGH, 1);
-    List<Preemption.Plan> plans = preemption.plans(asking, all, NOW, new WallTime(0));
+    List<PreemptionPlanner.PreemptionPlan> plans =
+        preemption.plans(asking, all, NOW, new WallTime(0));
     assertThat(plans).hasSize(3);
-    Preemption.Plan least =
-        plans.stream().min(Comparator.comparingDouble(Preemption.Plan::cost)).orElseThrow();
+    PreemptionPlanner.PreemptionPlan least =
+        plans.stream()
+            .min(Comparator.comparingDouble(PreemptionPlanner.PreemptionPlan::cost))
+            .orElseThrow();
     assertThat(least.machine()).isEqualTo(all.get(0));
   }
 
--- a/src/test/java/org/oakwalk/core/placement/RankingTest.java
+++ b/src/test/java/org/oakwalk/core/placement/RankingTest.java
@@ -53,12 +53,12 @@
       Map.of(
           "crew", new Settings.Team("crew", 30, 0, 0, 0),
           "guests", new Settings.Team("guests", 0, 0, 0, 0));
-  private final Targets targets =
-      new Targets(List.of(new Settings.Objective("finished", "quick", 50, 0.9, 1)));
+  private final JobTargets targets =
+      new JobTargets(List.of(new Settings.Objective("finished", "quick", 50, 0.9, 1)));
   private final StoreView view = new StoreView(new Outbox(), 200, 3);
   private final JobBook jobs = new JobBook(view, new Token(1), new Moment(0));
-  private final RunTimes runTimes = new RunTimes();
-  private final Score score = new Score(Policy.defaults().scoring(), targets);
+  private final RunTimeEstimates runTimes = new RunTimeEstimates();
+  private final JobScorer scorer = new JobScorer(Policy.defaults().scoring(), targets);
   private final Fleet fleet =
       new Fleet(
           new Token(1),
@@ -83,7 +83,7 @@
   private boolean varied = true;
 
   @TestFactory
-  List<DynamicTest> likeThePlainOrder() {
+  List<DynamicTest> matchesScoresComputedFromScratch() {
     return IntStream.rangeClosed(1, SEEDS)
         .mapToObj(
             seed -> DynamicTest.dynamicTest("seed " + seed, () -> new RankingTest().run(seed)))
@@ -92,7 +92,7 @@
 
   private void run(int seed) {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
-    Ranking ranking = new Ranking(jobs, runTimes, score, quota);
+    Ranking ranking = new Ranking(jobs, runTimes, scorer, quota);
     Map<MachineType, Integer> machines = Map.of(TYPE, 20);
     long millis = 1_000_000;
     List<Job> known = new ArrayList<>();
@@ -105,10 +105,10 @@
       }
       Job changing = known.get(random.nextInt(known.size()));
       change(changing, random, now);
-      ranking.refresh(machines, quota.survey(jobs), now, wall);
+      ranking.refresh(machines, quota.updateGuarantees(jobs), now, wall);
       List<Job> met = new ArrayList<>();
-      Ranking.Walk walk =
-          ranking.new Walk(true, new HashSet<>(List.of(changing)), kind -> 0, job -> 0);
+      Ranking.RankingTraversal walk =
+          ranking.new RankingTraversal(true, new HashSet<>(List.of(changing)), kind -> 0, job -> 0);
       for (Job next = walk.next(); next != null; next = walk.next()) {
         met.add(next);
       }
@@ -116,20 +116,22 @@
           .containsExactlyInAnyOrderElementsOf(
               jobs.all().stream().filter(job -> job.open() && job.pendingCount() > 0).toList());
       for (int i = 1; i < met.size(); i++) {
-        double before = plain(met.get(i - 1), machines, now, wall);
-        double after = plain(met.get(i), machines, now, wall);
-        assertThat(before).isGreaterThanOrEqualTo(after - Score.TOLERANCE * 1.1 * Math.abs(after));
+        double before = scoreFromScratch(met.get(i - 1), machines, now, wall);
+        double after = scoreFromScratch(met.get(i), machines, now, wall);
+        assertThat(before)
+            .isGreaterThanOrEqualTo(after - JobScorer.TOLERANCE * 1.1 * Math.abs(after));
       }
     }
   }
 
   /** The definition, worked out anew. */
-  private double plain(Job job, Map<MachineType, Integer> machines, Moment now, WallTime wall) {
+  private double scoreFromScratch(
+      Job job, Map<MachineType, Integer> machines, Moment now, WallTime wall) {
     int places = machines.get(TYPE) * TYPE.room().count(job.spec().room());
     Span run = runTimes.expected(job.spec());
     Span rest = run.plus(run.times(job.pendingCount() / (double) places));
     Span wait = now.since(job.waitingSince());
-    return score.of(job, rest, wait, TYPE.room(), quota.guarantees(job), wall);
+    return scorer.score(job, rest, wait, TYPE.room(), quota.withinGuarantee(job), wall);
   }
 
   private static void change(Job job, UniformRandomProvider random, Moment now) {
@@ -185,21 +187,22 @@
    * factor 0.948" at 134 s, which began at once.
    */
   @Test
-  void ofJobsThatAreAlikeTheOlderGoesFirst() {
+  void olderOfEqualJobsIsRankedFirst() {
     varied = false;
-    Ranking ranking = new Ranking(jobs, runTimes, score, quota);
+    Ranking ranking = new Ranking(jobs, runTimes, scorer, quota);
     Map<MachineType, Integer> machines = Map.of(TYPE, 20);
     List<Job> inOrder = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       long millis = 1_000_000 + i * 1000L;
-      Job job = alike(new Moment(millis), new WallTime(millis));
+      Job job = equalJob(new Moment(millis), new WallTime(millis));
       inOrder.add(job);
       // Runs get a little shorter, as guessed, and longer again, by less than a seventh in all.
       double ratio = i % 20 < 10 ? 0.93 : 1.0;
-      runTimes.learn(job, job.spec().guess().times(ratio));
+      runTimes.record(job, job.spec().guess().times(ratio));
       ranking.refresh(machines, List.of(), new Moment(millis), new WallTime(millis));
     }
-    Ranking.Walk walk = ranking.new Walk(true, Set.of(), kind -> 0, job -> 0);
+    Ranking.RankingTraversal walk =
+        ranking.new RankingTraversal(true, Set.of(), kind -> 0, job -> 0);
     List<Job> met = new ArrayList<>();
     for (Job next = walk.next(); next != null; next = walk.next()) {
       met.add(next);
@@ -207,7 +210,7 @@
     assertThat(met).containsExactlyElementsOf(inOrder);
   }
 
-  private Job alike(Moment now, WallTime wall) {
+  private Job equalJob(Moment now, WallTime wall) {
     JobId id = new JobId("j-" + ++numbers);
     JobSpec spec = Arrays.spec(id.value(), 3, Span.seconds(60));
     jobs.changed(
@@ -221,17 +224,17 @@
    * waiting job on each machine. What a round works out may depend on what has changed alone.
    */
   @Test
-  void waitingJobsCostRoundsNothing() {
-    long few = new RankingTest().workWith(100);
-    long more = new RankingTest().workWith(1_000);
-    long many = new RankingTest().workWith(5_000);
+  void roundCostDoesNotGrowWithQueueLength() {
+    long few = new RankingTest().evaluationsWith(100);
+    long more = new RankingTest().evaluationsWith(1_000);
+    long many = new RankingTest().evaluationsWith(5_000);
     assertThat(few).isGreaterThan(100);
     assertThat(more).isLessThanOrEqualTo(few * 5 / 4);
     assertThat(many).isLessThanOrEqualTo(few * 5 / 4);
   }
 
   /** Scores and searches in 30 s of a full fleet of 40 machines, one task of which ends a round. */
-  private long workWith(int waiting) {
+  private long evaluationsWith(int waiting) {
     varied = false;
     fleet.types(Map.of("m", TYPE));
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(7);
@@ -251,8 +254,8 @@
             runTimes,
             Span.seconds(600),
             stops -> true,
-            Reserve.NONE,
-            Takes.NONE);
+            CapacityReserve.NONE,
+            CapacityExchange.NONE);
     for (int i = 0; i < waiting; i++) {
       job(random, begin, new WallTime(begin.millis()));
     }
@@ -263,9 +266,9 @@
     // The queue is new to the leader, and all that may still be in time comes nearer to its end.
     for (int i = 0; i < 150; i++) {
       millis += 2000;
-      placer.round(true, true, new Moment(millis), new WallTime(millis));
+      placer.runRound(true, true, new Moment(millis), new WallTime(millis));
     }
-    long before = placer.work();
+    long before = placer.evaluations();
     List<Machine> machines = List.copyOf(fleet.machines());
     for (int i = 0; i < 300; i++) {
       millis += 100;
@@ -281,9 +284,9 @@
                 ends ? Report.Cause.DONE : Report.Cause.OTHER));
       }
       report(machine, 10 + i, pieces, new Moment(millis));
-      placer.round(true, i % 20 == 0, new Moment(millis), new WallTime(millis));
+      placer.runRound(true, i % 20 == 0, new Moment(millis), new WallTime(millis));
     }
-    return placer.work() - before;
+    return placer.evaluations() - before;
   }
 
   private void report(Machine machine, long sequence, List<Report.Piece> pieces, Moment now) {
--- a/src/test/java/org/oakwalk/scenario/ScalingTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScalingTest.java
@@ -151,7 +151,7 @@
     Map<String, Double> counts = new LinkedHashMap<>();
     counts.put("jobs", jobs);
     counts.put("tasks", tasks);
-    counts.put("evaluations a task", ((Placer) Census.field(term, "placer")).work() / tasks);
+    counts.put("evaluations a task", ((Placer) Census.field(term, "placer")).evaluations() / tasks);
     counts.put("changes", figures.get("state.changes"));
     counts.put("changes a job", figures.get("state.changes") / jobs);
     counts.put("requests a machine", figures.get("state.requests") / machines);
