--- a/src/main/java/org/oakwalk/core/placement/CandidateMachines.java
+++ b/src/main/java/org/oakwalk/core/placement/CandidateMachines.java
@@ -19,9 +19,14 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Room;
 
-/** The machines that take tasks in a round, and which of them a job may use. */
+/**
+ * The machines that accept tasks in the current round, and the subset on which a given job may run.
+ */
 final class CandidateMachines {
-  /** By how much a task may run longer than expected and still not hold up a gang. */
+  /**
+   * Safety margin for backfilling a machine reserved for a gang, as a fraction of the expected run
+   * time: a backfilled task that overruns by less does not delay the gang.
+   */
   private static final double BACKFILL_MARGIN = 0.5;
 
   private final Fleet fleet;
@@ -30,12 +35,12 @@
   private final CapacityReserve reserve;
   private final Map<Machine, Job> reservations = new LinkedHashMap<>();
 
-  /** By when the machines that are kept for a gang should be free. */
+  /** The time by which the machines reserved for a gang are expected to be free. */
   private final Map<Job, Moment> expectedStarts = new HashMap<>();
 
   private final List<Machine> all = new ArrayList<>();
 
-  /** Those with anything free, which are few while there is more work than room. */
+  /** Machines with free CPU and memory; only a few under overload, so scanning them is cheap. */
   private final List<Machine> withFreeRoom = new ArrayList<>();
 
   private final Map<MachineType, Integer> machineCounts = new IdentityHashMap<>();
@@ -49,7 +54,7 @@
     this.suspectAfter = suspectAfter;
   }
 
-  /** Finds out which machines take tasks now. */
+  /** Starts a round: collects the machines that accept tasks and drops outdated reservations. */
   void refresh(Moment now) {
     roundStart = now;
     all.clear();
@@ -73,27 +78,31 @@
     reserve.beginRound(all, reservations);
   }
 
-  /** How many machines of each type take tasks in this round. */
+  /** The number of machines of each type that accept tasks in this round. */
   Map<MachineType, Integer> machineCounts() {
     return machineCounts;
   }
 
-  /** Machines that are kept free for a job. */
+  /** Machines reserved for a job; the map is changed by the classes that make reservations. */
   Map<Machine, Job> reservations() {
     return reservations;
   }
 
-  /** By when a gang should be able to start, as first foreseen. */
+  /** The time by which a waiting gang should be able to start, as first estimated. */
   Map<Job, Moment> expectedStarts() {
     return expectedStarts;
   }
 
-  /** Machines with anything free that the job allows, given where its other tasks are. */
+  /**
+   * Machines with free room on which the job may run.
+   *
+   * @param zones the number of the job's tasks in each zone, see {@link #tasksPerZone}
+   */
   List<Machine> eligibleWithFreeRoom(Job job, Map<String, Integer> zones) {
     return eligible(job, withFreeRoom, zones);
   }
 
-  /** Machines that the job allows, full ones included. */
+  /** Machines on which the job may run, including full ones. */
   List<Machine> eligible(Job job, Map<String, Integer> zones) {
     return eligible(job, all, zones);
   }
@@ -127,8 +136,9 @@
   }
 
   /**
-   * Whether a machine that is kept for a gang may be used by another job meanwhile: one that goes
-   * before it anyhow, or one that ends well before the others on which the gang waits.
+   * Whether a job may use a machine that is reserved for another one. This is possible only if it
+   * is reserved for a gang, and the job either has a higher priority (HIGH or above) or is a batch
+   * task that can be backfilled: it ends well before the gang is expected to start.
    */
   private boolean mayUseReserved(Job job, Job holder, Moment end) {
     JobSpec spec = job.spec();
@@ -139,22 +149,24 @@
         && spec.priority().compareTo(holder.spec().priority()) > 0) {
       return true;
     }
-    Moment opens = expectedStarts.get(holder);
-    return opens != null
+    Moment start = expectedStarts.get(holder);
+    return start != null
         && !spec.service()
         && !spec.gang()
-        && !end.plus(end.since(roundStart).times(BACKFILL_MARGIN)).isAfter(opens);
+        && !end.plus(end.since(roundStart).times(BACKFILL_MARGIN)).isAfter(start);
   }
 
   /**
-   * Whether a task may use what is left of a machine that goes when it is empty: it is paid for
-   * until its longest task has ended, so what ends before that costs nothing.
+   * Whether a task may run on a machine that is to be emptied. The machine is paid for until its
+   * longest task has ended, so a task that ends before that adds no cost.
    */
   private static boolean endsBeforeEmptied(JobSpec spec, Machine machine, Moment end) {
     return !spec.service() && !spec.gang() && !end.isAfter(machine.emptyBy());
   }
 
-  /** Machines on which a gang may wait, whichever zone; those kept for other gangs left out. */
+  /**
+   * Machines in any zone that may be reserved for a gang; those reserved for other gangs are not.
+   */
   List<Machine> eligibleForGang(Job job) {
     List<Machine> machines = new ArrayList<>();
     for (Machine machine : all) {
@@ -167,7 +179,10 @@
     return machines;
   }
 
-  /** What is kept for single tasks, a few machines for as long as any wait, may go to a gang. */
+  /**
+   * Whether a machine's reservation may pass to a gang. Reservations for jobs that are not gangs
+   * may: otherwise a few machines would stay reserved for as long as any such job waits.
+   */
   private static boolean mayPassToGang(Job holder, Job gang) {
     return holder == null
         || holder == gang
@@ -176,7 +191,10 @@
             && holder.spec().priority().compareTo(Priority.HIGH) < 0;
   }
 
-  /** Where the job's tasks are, if that decides where the others may go. */
+  /**
+   * The number of the job's tasks in each zone; empty if the job has no zone constraint that
+   * depends on it.
+   */
   Map<String, Integer> tasksPerZone(Job job) {
     Map<String, Integer> zones = new HashMap<>();
     if (job.spec().oneZone() || job.spec().spread()) {
@@ -187,15 +205,15 @@
     return zones;
   }
 
-  /** The zone where the job's tasks are already, or the one with the most room for them. */
+  /** The zone where the job's tasks or reservations already are, or else the one with most room. */
   private String chosenZone(Job job, Map<String, Integer> zones) {
     JobSpec spec = job.spec();
     if (!zones.isEmpty()) {
       return zones.keySet().iterator().next();
     }
-    for (Map.Entry<Machine, Job> kept : reservations.entrySet()) {
-      if (kept.getValue() == job) {
-        return kept.getKey().zone();
+    for (Map.Entry<Machine, Job> reservation : reservations.entrySet()) {
+      if (reservation.getValue() == job) {
+        return reservation.getKey().zone();
       }
     }
     Map<String, Integer> room = new HashMap<>();
--- a/src/main/java/org/oakwalk/core/placement/CapacityExchange.java
+++ b/src/main/java/org/oakwalk/core/placement/CapacityExchange.java
@@ -7,9 +7,12 @@
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.Job;
 
-/** Room that some jobs may take from others under terms of their own, beside ordinary stops. */
+/**
+ * Room that some jobs may take from others under agreed exchange terms, in addition to ordinary
+ * preemption.
+ */
 public interface CapacityExchange {
-  /** Nobody takes. */
+  /** No exchange: no job takes room. */
   CapacityExchange NONE =
       new CapacityExchange() {
         @Override
@@ -23,13 +26,13 @@
         }
       };
 
-  /** Whether a task is stopped for this job under such terms only, and not by an ordinary stop. */
+  /** Whether exchange terms apply between the job and the task, so it must not be preempted. */
   boolean excludesPreemption(Job asking, Placement placement);
 
   /**
-   * A job found no room on any of these machines.
+   * Requests room for a job that found none on these machines.
    *
-   * @return whether room for one of its tasks is on its way
+   * @return whether room for at least one of its tasks is being freed
    */
   boolean requestRoom(Job job, List<Machine> machines, Moment now, WallTime wall);
 }
--- a/src/main/java/org/oakwalk/core/placement/CapacityReserve.java
+++ b/src/main/java/org/oakwalk/core/placement/CapacityReserve.java
@@ -7,44 +7,56 @@
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Room;
 
-/** Room that is kept for some jobs, so that others see less of it. Nothing is kept by default. */
+/**
+ * Room on machines that is reserved for certain jobs and not offered to others. The default methods
+ * reserve nothing.
+ */
 public interface CapacityReserve {
-  /** Nothing is kept. */
+  /** A reserve without reservations. */
   CapacityReserve NONE = new CapacityReserve() {};
 
   /**
-   * A round begins: finds out on which machines room is kept.
+   * Starts a round: determines on which machines room is reserved.
    *
-   * @param taking the machines that take tasks
-   * @param held machines on which room is being made for a job
+   * @param machines the machines that accept tasks
+   * @param reservations machines that are reserved for a job as a whole
    */
-  default void beginRound(Collection<Machine> taking, Map<Machine, Job> held) {}
+  default void beginRound(Collection<Machine> machines, Map<Machine, Job> reservations) {}
 
-  /** What is free on a machine for tasks of this kind. */
+  /** The room that is free on a machine for tasks of this job. */
   default Room freeFor(JobSpec spec, Machine machine) {
     return machine.free();
   }
 
-  /** What is free on a machine beyond all that is kept there. */
+  /** The room that is free on a machine without any of the room reserved there. */
   default Room unreserved(Machine machine) {
     return machine.free();
   }
 
-  /** Whether room is kept on the machine for tasks of this kind, whoever else waits for it. */
+  /**
+   * Whether room is reserved on the machine for tasks of this job. They may then use it even if the
+   * machine is reserved for another job.
+   */
   default boolean hasRoomReservedFor(JobSpec spec, Machine machine) {
     return false;
   }
 
-  /** Whether what a stop would set free goes to those for whom room is kept. */
+  /**
+   * Whether the reserve lacks room and takes what a preemption frees, so that nothing should be
+   * preempted for this job.
+   */
   default boolean claimsFreedRoom(Job job) {
     return false;
   }
 
-  /** How far a machine is for a task whose image would push one out that is kept there. */
+  /**
+   * The distance added to a machine if the task's image would evict a cached image that the reserve
+   * needs there.
+   */
   default double imageEvictionPenalty(JobSpec spec, Machine machine) {
     return 0;
   }
 
-  /** A job found no room; what is kept gives way to guarantees. */
+  /** To be called when a job found no room; the reserve shrinks for jobs within a guarantee. */
   default void onNoRoom(Job job) {}
 }
--- a/src/main/java/org/oakwalk/core/placement/GangReservations.java
+++ b/src/main/java/org/oakwalk/core/placement/GangReservations.java
@@ -17,31 +17,34 @@
 import org.oakwalk.core.job.Room;
 
 /**
- * Keeps machines, and what is free of team limits, for a gang that waits. A gang starts whole, and
- * single tasks would take each place before there are enough. The machines are those that together
- * have room for all soonest, as their tasks end; replicas don't. They are chosen anew in each
- * regular round, so that nothing rests on a machine that is lost, and whatever ends well before the
- * gang can start may use them meanwhile.
+ * Reserves machines, and the free part of the team's limit, for a waiting gang. All tasks of a gang
+ * start together, and without a reservation single tasks would take each place before enough of
+ * them are free. The machines chosen are those that together have room for the whole gang at the
+ * earliest time, as their tasks end; service replicas do not end. The choice is made anew in each
+ * regular round, so that it never depends on a lost machine. Tasks that end well before the gang
+ * can start may be backfilled on the reserved machines.
  *
- * <p>One gang at a time, since several that each held some would never start, and what runs empty
- * for them is lost to all: the most urgent and of those the oldest, but one of the largest of its
- * class goes first once it has waited for {@link LargeJobBonus#BONUS_AFTER}. It is kept for only
- * where it can start soon, and another has its turn when it did not.
+ * <p>Only one gang has reservations at a time: several gangs that each hold part of their machines
+ * would never start, and machines idle while reserved. The gang with the highest priority comes
+ * first, then the oldest; a gang that has waited for {@link LargeJobBonus#BONUS_AFTER} and is among
+ * the largest jobs of its class, or of an underserved class, goes before all others. Machines are
+ * reserved only if the gang can start soon; if it does not start in time, another gang gets its
+ * turn.
  */
 final class GangReservations {
-  /** Of the fleet, one in so many machines may be kept for a gang that has not waited for long. */
+  /** At most one in this many machines may be reserved for a gang that is not overdue. */
   private static final int MAX_FLEET_DIVISOR = 2;
 
-  /** So many gangs are looked at in a round. */
+  /** Bound on the gangs examined in a round. */
   private static final int MAX_GANGS_PER_ROUND = 4;
 
-  /** Within this time a gang has to be able to start; what runs for longer is not waited for. */
+  /** Machines are reserved only for a gang that can start within this time. */
   private static final Span MAX_TIME_TO_START = Span.seconds(30);
 
-  /** And this for the largest that have waited for long. */
+  /** The same limit for overdue gangs. */
   private static final Span MAX_TIME_TO_START_OVERDUE = Span.seconds(60);
 
-  /** So long after it should have started another gang has its turn. */
+  /** A gang that has not started this long after its expected start loses its reservations. */
   private static final Span START_GRACE = Span.seconds(15);
 
   private static final Moment NEVER = new Moment(Long.MAX_VALUE / 4);
@@ -62,10 +65,10 @@
               .thenComparing(job -> job.accepted().millis())
               .thenComparing(job -> job.id().value()));
 
-  /** What this keeps, until the next regular round. */
+  /** Reservations made by this class, which last until the next regular round. */
   private final Map<Machine, Job> reservedHere = new HashMap<>();
 
-  /** Gangs that did not start when they should have, and until when others have their turn. */
+  /** Gangs that did not start when expected, and the time until which they get no reservation. */
   private final Map<Job, Moment> pausedUntil = new HashMap<>();
 
   GangReservations(
@@ -87,7 +90,7 @@
     this.roomMaker = roomMaker;
   }
 
-  /** A job has come, changed or ended. */
+  /** To be called when a job was accepted, changed or ended. */
   void update(Job job) {
     if (!job.spec().gang()) {
       return;
@@ -99,65 +102,70 @@
     }
   }
 
-  /** So many tasks will have room on a machine from some time on. */
+  /** Places for further tasks of a gang that become free on a machine at a given time. */
   private record CapacityRelease(Moment at, Machine machine, int places) {}
 
-  /** Where a gang could start at the soonest. */
+  /** The earliest time at which a gang could start, and the number of its tasks on each machine. */
   private record GangStart(Moment at, Map<Machine, Integer> tasksPerMachine) {}
 
   /**
-   * Keeps machines for the most urgent of those that have waited the longest.
+   * Renews the reservations for the first waiting gang that can start soon.
    *
-   * @param tried since when a gang has found no room, in regular rounds
+   * @param regularRounds the number of regular rounds so far
+   * @param minRounds the number of regular rounds for which a gang must have found no room, unless
+   *     preemption may free room for it
    */
-  void reserve(int regularRounds, int tried, Moment now, WallTime wall) {
-    // What a plan keeps for a gang is not touched.
+  void reserve(int regularRounds, int minRounds, Moment now, WallTime wall) {
+    // Reservations that others made for the gang are left alone.
     reservedHere.forEach((machine, gang) -> candidates.reservations().remove(machine, gang));
     reservedHere.clear();
     pausedUntil.values().removeIf(until -> !until.isAfter(now));
-    Job held = null;
-    int looked = 0;
+    Job reservedFor = null;
+    int examined = 0;
     List<Job> order = new ArrayList<>(waiting);
     order.sort(Comparator.comparing((Job gang) -> !overdue(gang, wall)));
     for (Job gang : order) {
-      int patience = preemption.mayFreeRoom(gang) ? 0 : tried;
-      boolean inVain = gang.rankedFrom() >= 0 && regularRounds - gang.rankedFrom() >= patience;
-      if (!inVain || pausedUntil.containsKey(gang) || gang.nextPending(0, now) < 0) {
+      int requiredRounds = preemption.mayFreeRoom(gang) ? 0 : minRounds;
+      boolean waitedEnough =
+          gang.rankedFrom() >= 0 && regularRounds - gang.rankedFrom() >= requiredRounds;
+      if (!waitedEnough || pausedUntil.containsKey(gang) || gang.nextPending(0, now) < 0) {
         continue;
       }
-      if (looked++ >= MAX_GANGS_PER_ROUND) {
+      if (examined++ >= MAX_GANGS_PER_ROUND) {
         break;
       }
       if (reserve(gang, now, wall)) {
-        held = gang;
+        reservedFor = gang;
         break;
       }
     }
-    quota.reserveFor(held == null ? Map.of() : Map.of(held.spec().team(), held));
+    quota.reserveFor(
+        reservedFor == null ? Map.of() : Map.of(reservedFor.spec().team(), reservedFor));
   }
 
-  /** Whether it is among the largest and has waited for long. */
+  /** Whether a gang has waited for long and is a large job or of an underserved class. */
   private boolean overdue(Job gang, WallTime wall) {
     return wall.since(gang.accepted()).compareTo(LargeJobBonus.BONUS_AFTER) >= 0
         && (largest.isLarge(gang) || servedShares.underserved(ServedShares.TeamClass.of(gang)));
   }
 
   private boolean reserve(Job gang, Moment now, WallTime wall) {
-    Moment allowed = quotaAvailableAt(gang, now);
-    GangStart choice = allowed == NEVER ? null : earliestStart(gang, now);
+    Moment quotaAt = quotaAvailableAt(gang, now);
+    GangStart choice = quotaAt == NEVER ? null : earliestStart(gang, now);
     if (choice == null) {
       return false;
     }
     boolean presses = overdue(gang, wall);
-    Moment opens = choice.at().isAfter(allowed) ? choice.at() : allowed;
-    if (opens.isAfter(now.plus(presses ? MAX_TIME_TO_START_OVERDUE : MAX_TIME_TO_START))
+    Moment startAt = choice.at().isAfter(quotaAt) ? choice.at() : quotaAt;
+    if (startAt.isAfter(now.plus(presses ? MAX_TIME_TO_START_OVERDUE : MAX_TIME_TO_START))
         || !presses
             && choice.tasksPerMachine().size()
                 > Math.max(1, fleet.machines().size() / MAX_FLEET_DIVISOR)) {
       return false;
     }
-    Moment first = candidates.expectedStarts().merge(gang, opens, (a, b) -> a.isAfter(b) ? b : a);
-    if (now.past(first, START_GRACE)) {
+    Moment firstEstimate =
+        candidates.expectedStarts().merge(gang, startAt, (a, b) -> a.isAfter(b) ? b : a);
+    if (now.past(firstEstimate, START_GRACE)) {
       candidates.expectedStarts().remove(gang);
       pausedUntil.put(gang, now.plus(MAX_TIME_TO_START));
       return false;
@@ -173,11 +181,14 @@
     return true;
   }
 
-  /** When its team's limit should have room for all of a gang, if nothing else of it starts. */
+  /**
+   * The time at which the team's limit should allow the whole gang, if the team starts nothing
+   * else.
+   */
   private Moment quotaAvailableAt(Job gang, Moment now) {
     Room needed = gang.spec().room().times(gang.pendingCount());
-    Room rest = quota.remaining(gang.spec().team());
-    if (needed.fits(rest)) {
+    Room remaining = quota.remaining(gang.spec().team());
+    if (needed.fits(remaining)) {
       return now;
     }
     List<Placement> own = new ArrayList<>();
@@ -191,8 +202,8 @@
     }
     own.sort(Comparator.comparing(Placement::endsBy));
     for (Placement placement : own) {
-      rest = rest.plus(placement.job().spec().room());
-      if (needed.fits(rest)) {
+      remaining = remaining.plus(placement.job().spec().room());
+      if (needed.fits(remaining)) {
         return placement.endsBy().isAfter(now) ? placement.endsBy() : now;
       }
     }
@@ -215,7 +226,7 @@
     return best;
   }
 
-  /** When how much of a machine comes free. */
+  /** Adds the times at which places for the gang become free on a machine. */
   private void addReleases(Machine machine, Job gang, Moment now, List<CapacityRelease> openings) {
     Room task = gang.spec().room();
     Room free = reserve.freeFor(gang.spec(), machine);
@@ -273,22 +284,22 @@
     if (at == null) {
       return null;
     }
-    List<Machine> most = new ArrayList<>(room.keySet());
-    most.sort(
+    List<Machine> byPlaces = new ArrayList<>(room.keySet());
+    byPlaces.sort(
         Comparator.comparingInt((Machine machine) -> -room.get(machine))
             .thenComparing(Machine::id));
-    Map<Machine, Integer> shares = new LinkedHashMap<>();
+    Map<Machine, Integer> perMachine = new LinkedHashMap<>();
     ZoneAllocation chosen = new ZoneAllocation(gang);
-    for (Machine machine : most) {
+    for (Machine machine : byPlaces) {
       int share = chosen.allocate(machine, Math.min(room.get(machine), needed - chosen.total()));
       if (share > 0) {
-        shares.put(machine, share);
+        perMachine.put(machine, share);
       }
     }
-    return new GangStart(at, shares);
+    return new GangStart(at, perMachine);
   }
 
-  /** How many tasks of a gang go to each zone, where it is to be spread. */
+  /** Counts the tasks of a gang in each zone, and enforces the zone limit of a spread job. */
   static final class ZoneAllocation {
     private final Job gang;
     private final Map<String, Integer> perZone = new HashMap<>();
@@ -298,11 +309,11 @@
       this.gang = gang;
     }
 
-    /** Takes as many of these places as the zone's share allows; returns how many. */
+    /** Allocates as many of the places as the zone limit allows; returns the number allocated. */
     int allocate(Machine machine, int places) {
       int before = perZone.getOrDefault(machine.zone(), 0);
-      int most = gang.spec().spread() ? gang.spec().zoneLimit() - before : places;
-      int share = Math.max(0, Math.min(places, most));
+      int byPlaces = gang.spec().spread() ? gang.spec().zoneLimit() - before : places;
+      int share = Math.max(0, Math.min(places, byPlaces));
       perZone.put(machine.zone(), before + share);
       total += share;
       return share;
--- a/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
+++ b/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
@@ -20,58 +20,76 @@
 import org.oakwalk.core.job.Priority;
 
 /**
- * Sees to it that the largest jobs of a class are started in time. The order prefers what is soon
- * complete, so under overload they wait for as long as anything smaller comes, even where their
- * class as a whole is served well. What the order does by itself is left alone; only what still
- * waits when {@link #BONUS_AFTER} is over is helped:
+ * Adds a bonus to the scores of the largest jobs of a class, so that they start in time. The queue
+ * order prefers jobs that are soon complete, so under overload the largest jobs would wait for as
+ * long as smaller ones arrive, even where their class as a whole is well served. Only jobs that
+ * have waited for {@link #BONUS_AFTER} get a bonus:
  *
  * <ul>
- *   <li>One of which nothing has begun gains a bonus for its first task, which is little to the
- *       others: a tenth of what is placed at most. Those within {@link #START_TARGET} go first.
- *   <li>An array has begun only when as many of its tasks have as its team's limit allows at once.
- *       For the rest of these tasks it gains the same bonus, a task a round, out of another tenth,
- *       unless a plan says when they start.
- *   <li>The others gain one while too little of the largest of their class is served, and only
- *       while no other class of any team is left behind.
+ *   <li>A job without any started task gets it for its first task. At most a tenth of all placed
+ *       tasks are such first tasks, so other jobs lose little. Jobs that have waited for less than
+ *       {@link #START_TARGET} get the larger bonus.
+ *   <li>An array that has started gets the same bonus, for one task a round, until as many of its
+ *       tasks have started as its team's limit and the fleet allow at once (ramp-up). This uses at
+ *       most another tenth of all placed tasks. A plan that sets the start of these tasks takes
+ *       precedence.
+ *   <li>Other large jobs get one while the large jobs of their class are underserved as a whole,
+ *       and only while no other class of any team is underserved.
  * </ul>
  *
- * <p>Where all jobs of a class are about as large, they are the class, and {@link ServedShares}
- * sees to it. The wait counts from the job's acceptance, whoever led meanwhile. Gangs start whole
- * and have machines kept for them instead, see {@link GangReservations}.
+ * <p>If most jobs of a class have about the same size, none of them counts as large, and {@link
+ * ServedShares} protects the class as a whole. The wait is counted from the job's acceptance, also
+ * across changes of the leader. Gangs, whose tasks start together, have machines reserved for them
+ * instead, see {@link GangReservations}.
  */
 final class LargeJobBonus {
-  /** How long a job may wait until it is helped. */
+  /** The wait after which a large job may get a bonus. */
   static final Span BONUS_AFTER = Span.seconds(150);
 
-  /** By when the largest jobs should have started. */
+  /** The time after acceptance by which large jobs should have started. */
   private static final Span START_TARGET = Span.seconds(240);
 
-  /** In this time the bonus grows by another guarantee's. */
+  /** The time in which the bonus grows by the size of one guarantee bonus. */
   private static final Span BONUS_GROWTH_PERIOD = Span.seconds(30);
 
+  /** Upper bound of a growing bonus, as a multiple of the guarantee bonus. */
   private static final double MAX_BONUS_FACTOR = 3;
+
+  /** Share of the placed tasks up to which underserved large jobs get a bonus. */
   private static final double MAX_UNDERSERVED_SHARE = 0.2;
+
+  /** Share of the placed tasks up to which first tasks get a bonus. */
   private static final double MAX_FIRST_TASK_SHARE = 0.1;
+
+  /** Share of the placed tasks up to which the ramp-up of arrays gets a bonus. */
   private static final double MAX_RAMP_UP_SHARE = 0.1;
 
-  /** Somewhat more than a tenth, since a leader does not know all jobs that ever were. */
+  /**
+   * The part of a class that counts as large. It is somewhat more than a tenth, since a leader does
+   * not know all earlier jobs of the class.
+   */
   private static final double LARGE_JOB_SHARE = 0.15;
 
-  /** What is open when a leader rises is mostly large, since the small are done sooner. */
+  /**
+   * The same for jobs accepted under earlier leaders. The jobs that are open when a leader takes
+   * over are mostly large, since small ones complete sooner.
+   */
   private static final double INHERITED_LARGE_JOB_SHARE = 0.3;
 
+  /** Large jobs of a class are underserved if less than this share of their tasks is served. */
   private static final double UNDERSERVED_BELOW = 0.6;
 
-  /** So many jobs of a team's class are met in each round before their turn. */
+  /** Bound on the jobs of a team's class that get a bonus in one round. */
   private static final int MAX_BOOSTED_PER_ROUND = 8;
 
+  /** Half-life of the counts of placed and finished tasks. */
   private static final int HALF_LIFE_SECONDS = 120;
 
   private static final Comparator<TrackedJob> OLDEST_FIRST =
       Comparator.comparing((TrackedJob part) -> part.job.accepted().millis())
           .thenComparing(part -> part.job.id().value());
 
-  /** What is known of a job. */
+  /** The state kept for an open job. */
   private static final class TrackedJob {
     final Job job;
     boolean large;
@@ -82,9 +100,9 @@
     }
   }
 
-  /** A team's jobs of one class. */
+  /** Task counts of the large jobs of one team and class. */
   private static final class LargeJobTally {
-    /** Large ones with waiting tasks. */
+    /** Large jobs with waiting tasks. */
     final TreeSet<TrackedJob> waiting = new TreeSet<>(OLDEST_FIRST);
 
     double arrived;
@@ -105,16 +123,19 @@
   private final Map<ServedShares.TeamClass, LargeJobTally> tallies = new LinkedHashMap<>();
   private final Map<String, JobSizeHistogram> sizes = new HashMap<>();
 
-  /** What may be large, once others of its class have come that it can be compared with. */
+  /**
+   * Jobs that have yet to be classified as large or not; they wait until other jobs of the class
+   * have arrived for comparison.
+   */
   private final Deque<TrackedJob> unclassified = new ArrayDeque<>();
 
-  /** What jobs gain in this round. */
+  /** The bonus of each boosted job in this round. */
   private final Map<Job, Double> bonuses = new LinkedHashMap<>();
 
-  /** Those of them of which a single task is placed in this round. */
+  /** Boosted jobs of which only one task is placed in this round. */
   private final Set<Job> oneTaskOnly = new LinkedHashSet<>();
 
-  /** Classes of which a favoured job has found no place in this round. */
+  /** Classes of which a boosted job found no room in this round. */
   private final Set<ServedShares.TeamClass> classesWithoutRoom = new HashSet<>();
 
   private Moment decayedAt;
@@ -124,9 +145,9 @@
   private double placedUnderserved;
 
   /**
-   * Nothing is known yet.
+   * Creates an instance that knows no jobs.
    *
-   * @param guaranteeBonus what a guarantee adds to a score
+   * @param guaranteeBonus the score bonus of a job within its team's guarantee
    * @param planned by when jobs have to start after a plan
    * @param maxTasksAtOnce how many tasks of a job can run at once at most
    */
@@ -141,12 +162,12 @@
     this.servedShares = servedShares;
   }
 
-  /** A job has come, changed or ended. */
+  /** To be called when a job was accepted, changed or ended. */
   void update(Job job) {
-    boolean counts = !job.over() && !job.suspect() && belowProduction(job);
+    boolean active = !job.over() && !job.suspect() && belowProduction(job);
     TrackedJob part = tracked.get(job);
     if (part == null) {
-      if (!counts) {
+      if (!active) {
         return;
       }
       part = new TrackedJob(job);
@@ -157,30 +178,30 @@
       }
     }
     if (part.large) {
-      LargeJobTally account =
+      LargeJobTally tally =
           tallies.computeIfAbsent(ServedShares.TeamClass.of(job), key -> new LargeJobTally());
-      int served = counts ? started(job) : 0;
-      account.served += served - part.served;
+      int served = active ? started(job) : 0;
+      tally.served += served - part.served;
       part.served = served;
-      if (counts && job.pendingCount() > 0) {
-        account.waiting.add(part);
+      if (active && job.pendingCount() > 0) {
+        tally.waiting.add(part);
       } else {
-        account.waiting.remove(part);
+        tally.waiting.remove(part);
       }
-      account.arrived -= counts ? 0 : job.spec().tasks();
-      account.finished += !counts && job.state() == Job.State.DONE ? job.spec().tasks() : 0;
+      tally.arrived -= active ? 0 : job.spec().tasks();
+      tally.finished += !active && job.state() == Job.State.DONE ? job.spec().tasks() : 0;
     }
-    if (!counts) {
+    if (!active) {
       tracked.remove(job);
     }
   }
 
-  /** Nothing goes before production. */
+  /** Whether the job can be boosted; jobs of the highest priority need no bonus. */
   private static boolean belowProduction(Job job) {
     return job.spec().priority().compareTo(Priority.PRODUCTION) < 0;
   }
 
-  /** Whether it is one of the largest of its class. */
+  /** Whether the job is one of the largest of its class. */
   boolean isLarge(Job job) {
     JobSizeHistogram known = sizes.get(job.spec().jobClass());
     return known != null
@@ -188,7 +209,7 @@
             job.spec(), job.inherited() ? INHERITED_LARGE_JOB_SHARE : LARGE_JOB_SHARE);
   }
 
-  /** Lets time pass, and finds out which jobs are favoured in this round. */
+  /** Starts a round: decays old counts and selects the jobs that get a bonus. */
   void beginRound(Moment now, WallTime wall) {
     decay(now);
     while (!unclassified.isEmpty()
@@ -198,7 +219,7 @@
     bonuses.clear();
     oneTaskOnly.clear();
     classesWithoutRoom.clear();
-    tallies.forEach((key, account) -> bonus(key, account, wall));
+    tallies.forEach((key, tally) -> selectBoosted(key, tally, wall));
   }
 
   private void classify(TrackedJob part) {
@@ -218,101 +239,101 @@
       placedFirst *= keep;
       placedRampUp *= keep;
       placedUnderserved *= keep;
-      tallies.values().forEach(account -> account.finished *= keep);
+      tallies.values().forEach(tally -> tally.finished *= keep);
     }
     decayedAt = now;
   }
 
-  private void bonus(ServedShares.TeamClass key, LargeJobTally account, WallTime wall) {
-    if (account.waiting.isEmpty()
-        || wall.since(account.waiting.first().job.accepted()).compareTo(BONUS_AFTER) < 0) {
+  private void selectBoosted(ServedShares.TeamClass key, LargeJobTally tally, WallTime wall) {
+    if (tally.waiting.isEmpty()
+        || wall.since(tally.waiting.first().job.accepted()).compareTo(BONUS_AFTER) < 0) {
       return;
     }
     boolean first = placedFirst <= MAX_FIRST_TASK_SHARE * placed;
     boolean rest = placedRampUp <= MAX_RAMP_UP_SHARE * placed;
-    double far = account.shortfall();
+    double shortfall = tally.shortfall();
     boolean all =
-        far > 0
+        shortfall > 0
             && placedUnderserved <= MAX_UNDERSERVED_SHARE * placed
             && !servedShares.othersUnderserved(key);
-    int met = 0;
+    int boosted = 0;
     int late = 0;
-    for (TrackedJob part : account.waiting) {
-      Span age = wall.since(part.job.accepted());
-      if (age.compareTo(BONUS_AFTER) < 0 || met >= MAX_BOOSTED_PER_ROUND) {
+    for (TrackedJob part : tally.waiting) {
+      Span waited = wall.since(part.job.accepted());
+      if (waited.compareTo(BONUS_AFTER) < 0 || boosted >= MAX_BOOSTED_PER_ROUND) {
         break;
       }
-      // Those that are late already must not make the others late as well.
-      boolean tooLate = age.compareTo(START_TARGET) >= 0;
+      // Jobs past the start target must not make the others miss it as well.
+      boolean tooLate = waited.compareTo(START_TARGET) >= 0;
       if (tooLate && late >= MAX_BOOSTED_PER_ROUND / 2) {
         continue;
       }
       if (started(part.job) == 0
           ? first
           : rest && !rampedUp(part.job) && !planned(part.job, wall)) {
-        bonuses.put(part.job, (tooLate ? 1 : bonusFactor(age)) * guaranteeBonus);
+        bonuses.put(part.job, (tooLate ? 1 : bonusFactor(waited)) * guaranteeBonus);
         oneTaskOnly.add(part.job);
       } else if (all) {
-        bonuses.put(part.job, (1 + far) * guaranteeBonus);
+        bonuses.put(part.job, (1 + shortfall) * guaranteeBonus);
       } else {
         continue;
       }
-      met++;
+      boosted++;
       late += tooLate ? 1 : 0;
     }
   }
 
-  /** Whether as many of its tasks have begun as can run at once. */
+  /** Whether as many of the job's tasks have started as can run at the same time. */
   private boolean rampedUp(Job job) {
     JobSpec spec = job.spec();
     return started(job) >= Math.min(spec.tasks(), maxTasksAtOnce.applyAsInt(spec));
   }
 
-  /** How many tasks of a job are done or on machines. */
+  /** The number of tasks of a job that are done or on machines. */
   private static int started(Job job) {
     return job.doneCount() + job.activeCount();
   }
 
-  /** Whether a plan says when its tasks start; what else would start now may break its promises. */
+  /** Whether a plan sets the start of the job's tasks; an earlier start may break the plan. */
   private boolean planned(Job job, WallTime wall) {
     return planned.timeToStart(job, wall).isPresent();
   }
 
-  /** How many guarantees' bonus a wait of this length is worth. */
+  /** The bonus for a wait of this length, as a multiple of the guarantee bonus. */
   private static double bonusFactor(Span waited) {
     return Math.min(
         MAX_BONUS_FACTOR,
         1 + waited.minus(BONUS_AFTER).asSeconds() / BONUS_GROWTH_PERIOD.asSeconds());
   }
 
-  /** Jobs that are met on their own in this round. */
+  /** Jobs that have a bonus in this round. */
   Set<Job> boostedJobs() {
     return bonuses.keySet();
   }
 
-  /** What the job gains in this round. */
+  /** The job's bonus in this round; 0 for a job that is not boosted. */
   double bonus(Job job) {
     return bonuses.getOrDefault(job, 0.0);
   }
 
-  /** Whether it is favoured for a single task in this round. */
+  /** Whether the job is boosted for only one task in this round. */
   boolean oneTaskOnly(Job job) {
     return oneTaskOnly.contains(job);
   }
 
-  /** The job found no place: if it is favoured, others of its class need not be met now. */
+  /** Records that a job found no room; its class is then skipped if the job is boosted. */
   void recordNoRoom(Job job) {
     if (bonuses.containsKey(job)) {
       classesWithoutRoom.add(ServedShares.TeamClass.of(job));
     }
   }
 
-  /** Whether the job is favoured, but another of its class found no place in this round. */
+  /** Whether the job is boosted, but a boosted job of its class found no room in this round. */
   boolean classHasNoRoom(Job job) {
     return bonuses.containsKey(job) && classesWithoutRoom.contains(ServedShares.TeamClass.of(job));
   }
 
-  /** Tasks of a job were placed. */
+  /** Records that tasks of a job were placed. */
   void recordPlaced(Job job, int tasks) {
     placed += tasks;
     if (oneTaskOnly.contains(job)) {
--- a/src/main/java/org/oakwalk/core/placement/MachineDistance.java
+++ b/src/main/java/org/oakwalk/core/placement/MachineDistance.java
@@ -9,27 +9,33 @@
 import org.oakwalk.core.job.Room;
 
 /**
- * How far a machine is from an ideal one, which has the lowest use of each resource seen on any
- * machine, and holds the task's image already. {@link MachineSearch} finds the nearest.
+ * The distance of a machine from an ideal one for a task. The ideal machine has, for each resource,
+ * the lowest utilization found on any machine, and has the task's image in its cache. {@link
+ * MachineSearch} finds the nearest machine.
  */
 public final class MachineDistance {
   private static final double LONG_FETCH_SECONDS = 10;
   private static final double SERVICE_IMAGE_FACTOR = 5;
 
-  /** Long tasks keep together likewise; short ones don't matter, since they end soon. */
+  /**
+   * Time by which a task may prolong the use of a machine until the term reaches its maximum. The
+   * term packs long tasks onto the same machines, so that the others can be emptied; short tasks
+   * hardly count, since they end soon.
+   */
   private static final double LONG_OCCUPATION_SECONDS = 60;
 
   /**
-   * A machine that holds a replica can't be emptied for long, so replicas keep together: spread
-   * evenly, they would hold on to the whole fleet when there is little else to do. Those of one job
-   * keep apart all the same, since they should not be lost together.
+   * Distance added for a replica on a machine that holds no other replica. A machine with a replica
+   * can't be emptied for a long time, so replicas are packed: spread evenly, they would keep the
+   * whole fleet in use at times of low load. Replicas of the same job are kept apart all the same,
+   * so that they are not lost together.
    */
   private static final double NO_REPLICA_PENALTY = 0.3;
 
   private final Policy.Hosts policy;
   private final CapacityReserve reserve;
 
-  /** Judges machines on which nothing is kept for others. */
+  /** Computes distances where no room is reserved. */
   public MachineDistance(Policy.Hosts policy) {
     this(policy, CapacityReserve.NONE);
   }
@@ -40,10 +46,11 @@
   }
 
   /**
-   * What counts for a machine's distance beside its use: the image, company or the time that it is
-   * kept busy, and errors.
+   * The terms of a machine's squared distance other than its utilization: the image to be fetched,
+   * the packing of replicas or long tasks, recent errors of the job, and cached images that would
+   * be evicted.
    *
-   * @param run how long the task should run
+   * @param run the expected run time of the task
    */
   double otherTerms(Job job, Machine machine, Span run, Moment now) {
     JobSpec spec = job.spec();
@@ -55,7 +62,7 @@
         + reserve.imageEvictionPenalty(spec, machine);
   }
 
-  /** Whether the task fits under the mark. */
+  /** Whether the task fits on the machine within the utilization limit for CPU and memory. */
   public boolean fits(JobSpec spec, Machine machine) {
     Room room = spec.room();
     Room free = reserve.freeFor(spec, machine);
@@ -68,15 +75,18 @@
   }
 
   /**
-   * The mark keeps a tenth of a machine free against overload. Where a single task takes more than
-   * that tenth, the mark would leave a whole place unused, so such a task may use all.
+   * Whether the utilization limit is kept. The limit leaves a tenth of a machine free by default,
+   * as a protection against overload. A task larger than that part is exempt, since the limit would
+   * leave a whole place unused.
    */
   private boolean leavesSpare(double asked, double free, double whole) {
-    double spared = (1 - policy.mark()) * whole;
-    return asked > spared || free - asked >= spared - 1e-9;
+    double spare = (1 - policy.mark()) * whole;
+    return asked > spare || free - asked >= spare - 1e-9;
   }
 
-  /** How much longer a task would keep the machine from being empty. */
+  /**
+   * The time by which a task would delay the moment when the machine is empty, scaled to 0 to 1.
+   */
   private static double addedOccupation(Machine machine, Span run, Moment now) {
     if (machine.holdsReplica()) {
       return 0;
@@ -88,11 +98,11 @@
 
   private static double replicaPenalty(JobSpec spec, Machine machine) {
     double own = spec.tasks() == 1 ? 0 : machine.countOf(spec.id());
-    // Where a machine leaves soon, a replica would have to move again.
+    // On a machine that is in use only for a while, the replica would soon have to move again.
     return (machine.holdsReplica() ? own : NO_REPLICA_PENALTY) + (machine.leavesSoon() ? 1 : 0);
   }
 
-  /** Replicas are waited for, so for them the image counts more than an even load. */
+  /** Users wait for replicas, so a cached image counts more for them than an even load. */
   private double imageWeight(JobSpec spec) {
     return spec.service() ? SERVICE_IMAGE_FACTOR * policy.imageWeight() : policy.imageWeight();
   }
--- a/src/main/java/org/oakwalk/core/placement/MachineSearch.java
+++ b/src/main/java/org/oakwalk/core/placement/MachineSearch.java
@@ -8,10 +8,10 @@
 import org.oakwalk.core.job.Job;
 
 /**
- * Finds machines for the tasks of one job, one after the other. What the distance needs of each
- * machine is worked out once, and again only for the one that has just been given a task: an array
- * of thousands on hundreds of machines would else look at everything a million times, and hold up
- * reports and renewals meanwhile.
+ * Finds machines for the tasks of one job, one task after the other. The values on which a
+ * machine's distance depends are cached and recomputed only for the machine that has just received
+ * a task. Without the cache, placing an array of thousands of tasks on hundreds of machines would
+ * evaluate machines a million times and delay reports and lease renewals.
  */
 final class MachineSearch {
   private final MachineDistance distances;
@@ -27,9 +27,10 @@
   private int lastFound = -1;
 
   /**
-   * A search among these machines.
+   * Prepares a search.
    *
-   * @param run how long a task should run
+   * @param machines the machines on which the job may run
+   * @param run the expected run time of a task
    */
   MachineSearch(MachineDistance hosts, Job job, List<Machine> machines, Span run, Moment now) {
     this.distances = hosts;
@@ -58,8 +59,8 @@
   }
 
   /**
-   * The machine with room that is nearest to the ideal one, which has the lowest use of each
-   * resource seen on any; null if there is none. The first of equals is taken.
+   * Returns the machine with room that is nearest to the ideal one, see {@link MachineDistance}, or
+   * null if there is none. Of equally distant machines the first is returned.
    */
   Machine nearest(TaskId task) {
     double leastCpu = least(cpu);
@@ -74,7 +75,7 @@
                 + square(memory[i] - leastMemory)
                 + square(gpu[i] - leastGpu)
                 + otherTerms[i];
-        // A run would be refused while a machine still reports an older attempt.
+        // A worker refuses a task while it still reports an older attempt of it.
         if (distance < bestDistance && !machines.get(i).remembers(task)) {
           bestDistance = distance;
           lastFound = i;
@@ -84,7 +85,7 @@
     return lastFound < 0 ? null : machines.get(lastFound);
   }
 
-  /** Whether a task has room anywhere. */
+  /** Whether any of the machines has room for a task. */
   boolean anyFits() {
     for (boolean fit : fits) {
       if (fit) {
@@ -94,7 +95,7 @@
     return false;
   }
 
-  /** A task was put on the machine that was found last. */
+  /** To be called when a task was placed on the machine that was found last. */
   void placedOnLastFound() {
     evaluate(lastFound);
   }
--- a/src/main/java/org/oakwalk/core/placement/PlannedDeadlines.java
+++ b/src/main/java/org/oakwalk/core/placement/PlannedDeadlines.java
@@ -7,11 +7,11 @@
 import org.oakwalk.core.job.Job;
 
 /**
- * Times that a plan sets for open jobs, beside their own deadlines. The order of the queue and what
- * is rented follow whichever comes first.
+ * Deadlines that a plan sets for open jobs, in addition to the jobs' own. The order of the queue
+ * and the number of rented machines follow whichever deadline is earlier.
  */
 public interface PlannedDeadlines {
-  /** No plan at all. */
+  /** No plan: sets no deadlines. */
   PlannedDeadlines NONE =
       new PlannedDeadlines() {
         @Override
@@ -31,18 +31,23 @@
       };
 
   /**
-   * Time left for a job as it counts in the order.
+   * The time left for a job, as used for its urgency score.
    *
-   * @param steady whether it stays as it is until {@link #takeChangedJobs} names the job
+   * @param span the time left
+   * @param fixed whether the value stays the same as time passes, until {@link #takeChangedJobs}
+   *     returns the job
    */
   record TimeLeft(Span span, boolean fixed) {}
 
-  /** The time left until the rest of a job has to be started; empty if no plan covers it. */
+  /** The time left until the rest of a job has to start; empty if no plan covers the job. */
   Optional<TimeLeft> timeToStart(Job job, WallTime now);
 
-  /** The time left until all of a job should be done, less what run times may differ. */
+  /**
+   * The time left until a job should be complete, less an allowance for the variation of run times;
+   * empty if no plan covers the job.
+   */
   Optional<Span> timeToEnd(Job job, WallTime now);
 
-  /** Jobs whose times have moved by a notable part since this was asked last. */
+  /** Jobs whose deadlines have changed notably since the last call. */
   List<Job> takeChangedJobs();
 }
--- a/src/main/java/org/oakwalk/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/oakwalk/core/placement/PreemptionPlanner.java
@@ -16,9 +16,9 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Room;
 
-/** Finds tasks that may be stopped to make room for a more urgent one, at the least loss. */
+/** Selects tasks to preempt for a job of higher precedence, so that the least work is lost. */
 final class PreemptionPlanner {
-  /** Seconds of work that a job's lateness counts as. */
+  /** Cost of a preemption that makes a job miss a target, in seconds of lost work. */
   private static final double MISSED_TARGET_COST_SECONDS = 60;
 
   private final Stoppable stoppable;
@@ -46,39 +46,40 @@
     this.runTimes = runTimes;
   }
 
-  /** What a stop of a task would lose. */
+  /** The cost of preempting a task, in seconds of work. */
   private record VictimCost(Placement placement, double seconds) {}
 
   private final Map<Job, Long> maxRestartableRuns = new IdentityHashMap<>();
   private long inspections;
 
-  /** Tasks on one machine whose end would make room. */
+  /** Tasks to preempt on one machine, and the cost of doing so. */
   record PreemptionPlan(Machine machine, List<Placement> victims, double cost) {}
 
-  /** A round begins: what is remembered of the one before holds no more. */
+  /** Starts a round: clears what was cached in the one before. */
   void beginRound() {
     maxRestartableRuns.clear();
   }
 
-  /** How many machines were looked into task by task, for tests that bound the work. */
+  /** The number of machines inspected task by task; used by tests that bound the work. */
   long inspections() {
     return inspections;
   }
 
   /**
-   * Plans for tasks of the job, one a machine and the cheapest first; each holds as long as nothing
-   * changes on its machine. Only machines with a task that may be stopped, or is being stopped, are
-   * looked into: mostly there are few, while jobs that wait ask many times a second.
+   * Returns plans that make room for one task of the job each, at most one for each machine,
+   * cheapest first. A plan is valid as long as nothing changes on its machine. Only machines with a
+   * task that may be preempted or is being stopped are inspected: usually there are few of them,
+   * while waiting jobs call this many times a second.
    */
   List<PreemptionPlan> plans(Job job, List<Machine> machines, Moment now, WallTime wall) {
     List<PreemptionPlan> plans = new ArrayList<>();
-    boolean claims = quota.withinGuarantee(job);
-    Set<Stoppable.Sort> yielding = stoppable.sorts(sort -> preemptible(sort, job, claims));
-    Set<Machine> concerned = stoppable.concerned(yielding);
+    boolean guaranteed = quota.withinGuarantee(job);
+    Set<Stoppable.Sort> preemptible = stoppable.sorts(sort -> preemptible(sort, job, guaranteed));
+    Set<Machine> concerned = stoppable.concerned(preemptible);
     Room asked = job.spec().room();
     for (Machine machine : machines) {
       if (concerned.contains(machine)) {
-        PreemptionPlan plan = planFor(machine, job, asked, yielding, now, wall);
+        PreemptionPlan plan = planFor(machine, job, asked, preemptible, now, wall);
         if (plan != null) {
           plans.add(plan);
         }
@@ -90,21 +91,21 @@
     return plans;
   }
 
-  /** Whether anything is being stopped, or could be for this job. */
+  /** Whether any task is being stopped, or could be preempted for this job. */
   boolean mayFreeRoom(Job job) {
-    boolean claims = quota.withinGuarantee(job);
-    return stoppable.anyHalting() || stoppable.any(sort -> preemptible(sort, job, claims));
+    boolean guaranteed = quota.withinGuarantee(job);
+    return stoppable.anyHalting() || stoppable.any(sort -> preemptible(sort, job, guaranteed));
   }
 
-  /** Tasks on a machine whose end would make this much room; none if too few may be stopped. */
+  /** The tasks to preempt on a machine to free this room; empty if that is not possible. */
   List<Placement> victims(Machine machine, Job job, Room asked, Moment now, WallTime wall) {
-    boolean claims = quota.withinGuarantee(job);
-    Set<Stoppable.Sort> yielding = stoppable.sorts(sort -> preemptible(sort, job, claims));
-    PreemptionPlan plan = planFor(machine, job, asked, yielding, now, wall);
+    boolean guaranteed = quota.withinGuarantee(job);
+    Set<Stoppable.Sort> preemptible = stoppable.sorts(sort -> preemptible(sort, job, guaranteed));
+    PreemptionPlan plan = planFor(machine, job, asked, preemptible, now, wall);
     return plan == null ? List.of() : plan.victims();
   }
 
-  /** Whether a task may be stopped for a job. */
+  /** Whether a task may be preempted for a job. */
   boolean preemptible(Placement placement, Job job) {
     return preemptible(placement.sort(), job, quota.withinGuarantee(job))
         && !exchange.excludesPreemption(job, placement);
@@ -114,25 +115,25 @@
       Machine machine,
       Job job,
       Room asked,
-      Set<Stoppable.Sort> yielding,
+      Set<Stoppable.Sort> preemptible,
       Moment now,
       WallTime wall) {
     inspections++;
     Room free = reserve.freeFor(job.spec(), machine);
     List<Placement> candidates = new ArrayList<>();
-    Room most = free;
+    Room maxFree = free;
     for (Placement placement : machine.placements()) {
       if (placement.halting()) {
-        // Its room comes free without another stop.
+        // Its room is freed without another preemption.
         free = free.plus(placement.job().spec().room());
-        most = most.plus(placement.job().spec().room());
-      } else if (yielding.contains(placement.sort())
+        maxFree = maxFree.plus(placement.job().spec().room());
+      } else if (preemptible.contains(placement.sort())
           && !exchange.excludesPreemption(job, placement)) {
         candidates.add(placement);
-        most = most.plus(placement.job().spec().room());
+        maxFree = maxFree.plus(placement.job().spec().room());
       }
     }
-    if (!asked.fits(most)) {
+    if (!asked.fits(maxFree)) {
       return null;
     }
     if (asked.fits(free)) {
@@ -159,50 +160,54 @@
   }
 
   /**
-   * Whether it is work of the lowest priority that saves its progress, which fills idle machines
-   * and gives way at once. Where a stop would lose the work, batch waits for it to end.
+   * Whether these are tasks of the lowest priority that save checkpoints. They fill idle machines
+   * and may be preempted for jobs of normal priority. Without checkpoints the work would be lost,
+   * so such jobs wait for the tasks to end.
    */
   static boolean lowPriorityWithCheckpoints(Stoppable.Sort sort) {
     return sort.priority() == Priority.LOW && sort.saves();
   }
 
-  private boolean preemptible(Stoppable.Sort sort, Job job, boolean claims) {
+  private boolean preemptible(Stoppable.Sort sort, Job job, boolean guaranteed) {
     Priority asking = job.spec().priority();
-    boolean stops = claims || asking.compareTo(Priority.NORMAL) > 0;
+    boolean stops = guaranteed || asking.compareTo(Priority.NORMAL) > 0;
     if (stops && sort.priority().compareTo(asking) < 0) {
       return true;
     }
-    // What is left behind would be stopped each time it comes to run.
+    // Tasks of an underserved class would be preempted each time they start.
     if (asking == Priority.NORMAL
         && lowPriorityWithCheckpoints(sort)
         && !servedShares.underserved(new ServedShares.TeamClass(sort.team(), sort.jobClass()))) {
       return true;
     }
-    return claims
+    return guaranteed
         && !sort.service()
         && !sort.team().equals(job.spec().team())
         && quota.exceedsGuarantee(sort.team());
   }
 
   /**
-   * Seconds of work that a stop would lose; more if the job would be in time but for the stop,
-   * since one task that starts again makes its whole array late.
+   * The seconds of work that a preemption would lose, plus a surcharge if it would make the job
+   * miss a target: one task that is restarted makes its whole array late.
    */
   private double preemptionCost(Placement placement, Moment now, WallTime wall) {
     Moment since = placement.runningSince();
     Span ran = since == null ? Span.millis(0) : now.since(since);
     Job job = placement.job();
     long slack = maxRestartableRuns.computeIfAbsent(job, each -> maxRestartableRun(each, wall));
-    // With one task of a gang all are lost, and the only task of a large job is its beginning.
-    boolean first = job.doneCount() == 0 && job.activeCount() == 1 && job.spec().tasks() > 1;
-    int lost = job.spec().gang() ? Math.max(1, job.activeCount()) : 1;
-    return lost * ran.asSeconds()
-        + (ran.millis() >= slack || first ? MISSED_TARGET_COST_SECONDS : 0);
+    // Stopping one task of a gang loses the work of all. The only running task of a job with
+    // several
+    // tasks gets the surcharge as well, since without it the job would be back at its beginning.
+    boolean lastActive = job.doneCount() == 0 && job.activeCount() == 1 && job.spec().tasks() > 1;
+    int restarted = job.spec().gang() ? Math.max(1, job.activeCount()) : 1;
+    return restarted * ran.asSeconds()
+        + (ran.millis() >= slack || lastActive ? MISSED_TARGET_COST_SECONDS : 0);
   }
 
   /**
-   * How long a task of the job may have run, in milliseconds, so that a run afresh still meets the
-   * same target as the present one. Kept for a round: all tasks that could be stopped are asked.
+   * The longest time, in milliseconds, that a task of the job may have run so that a restart still
+   * meets the same target as the present run. Cached for a round, since it is needed for every task
+   * that could be preempted.
    */
   private long maxRestartableRun(Job job, WallTime wall) {
     Span afterARun = wall.since(job.accepted()).plus(runTimes.expected(job.spec()));
--- a/src/main/java/org/oakwalk/core/placement/Quota.java
+++ b/src/main/java/org/oakwalk/core/placement/Quota.java
@@ -15,13 +15,16 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Room;
 
-/** Teams' guarantees and limits against what they use. */
+/** Compares the resource use of teams with their guarantees and limits. */
 public final class Quota {
   private final Map<String, Settings.Team> teams;
   private final Fleet fleet;
   private Set<Job> guaranteed = Set.of();
 
-  /** Gangs for which their teams' limits are kept free, so that they start whole some day. */
+  /**
+   * The gang of each team for which the free part of the team's limit is reserved. Without it,
+   * single tasks would use up the limit and the gang would never start.
+   */
   private final Map<String, Job> waitingGangs = new HashMap<>();
 
   public Quota(Map<String, Settings.Team> teams, Fleet fleet) {
@@ -30,8 +33,8 @@
   }
 
   /**
-   * Whether the team may use this much more. What is in doubt counts in full, since all of it may
-   * be this team's.
+   * Whether the limit of the job's team allows this many more of the job's tasks. Machines whose
+   * tasks are not known yet count in full, since all of those may be the team's.
    */
   public boolean allows(Job job, double count) {
     Settings.Team team = teams.get(job.spec().team());
@@ -48,12 +51,12 @@
         && (team.gpusMax() <= 0 || use.gpus() <= team.gpusMax() + 1e-6);
   }
 
-  /** How many places of this room the team's limit leaves, beside what it uses or may use. */
+  /** The number of further tasks of this size that the team's limit allows. */
   public int placesLeft(String name, Room room) {
     return Math.max(0, remaining(name).count(room));
   }
 
-  /** How many tasks of this job its team's limit allows at once. */
+  /** The number of tasks of this job that its team's limit allows at the same time. */
   public int maxTasksAtOnce(JobSpec spec) {
     Settings.Team team = teams.get(spec.team());
     if (team == null) {
@@ -62,13 +65,16 @@
     return remainingAfter(team, Room.NONE).count(spec.room());
   }
 
-  /** Keeps what is free of their teams' limits for these gangs from now on, and for no others. */
+  /** Reserves the free part of the teams' limits for these gangs, and for no others any more. */
   void reserveFor(Map<String, Job> gangs) {
     waitingGangs.clear();
     waitingGangs.putAll(gangs);
   }
 
-  /** What batch work of a team has to leave of its limit; services start all the same. */
+  /**
+   * The part of the team's limit that this job must leave to a waiting gang; none for jobs of
+   * priority HIGH and above, which start all the same.
+   */
   private Room reservedForGang(Job job) {
     Job gang = waitingGangs.get(job.spec().team());
     boolean waits = gang != null && gang.open() && gang.activeCount() == 0;
@@ -77,17 +83,17 @@
         : Room.NONE;
   }
 
-  /** The rest of a team's limit, without regard to what is kept; negative where it is exceeded. */
+  /** The unused part of a team's limit, including reservations; negative where it is exceeded. */
   Room remaining(String name) {
     Settings.Team team = teams.get(name);
     if (team == null) {
-      // The settings name it no more; what it has waits.
+      // The team was removed from the settings; its jobs wait.
       return Room.NONE;
     }
     return remainingAfter(team, fleet.use(name).plus(fleet.roomInDoubt()));
   }
 
-  /** What a team's limit leaves beside this use; a limit of zero is none. */
+  /** The part of a team's limit that this use leaves; a limit of zero means unlimited. */
   private static Room remainingAfter(Settings.Team team, Room use) {
     return new Room(
         team.cpusMax() <= 0 ? Double.MAX_VALUE : team.cpusMax() - use.cpus(),
@@ -96,11 +102,12 @@
   }
 
   /**
-   * Finds the jobs that are within their teams' guarantees: those that fit in together with all
-   * unfinished jobs that their team submitted before them. So they are a team's first ones, and the
-   * rest need not be looked at.
+   * Determines the jobs that are within their teams' guarantees: a job is if it fits into the
+   * guarantee together with all unfinished jobs that the team submitted before it. So these are a
+   * team's oldest jobs, and the rest need not be examined.
    *
-   * @return the jobs that are within a guarantee now and were not before, or the other way round
+   * @return the jobs that have come to be within a guarantee, or have ceased to be, since the last
+   *     call
    */
   public List<Job> updateGuarantees(JobBook jobs) {
     Set<Job> before = guaranteed;
@@ -132,14 +139,14 @@
     }
   }
 
-  /** Whether the job was within its team's guarantee at the last survey. */
+  /** Whether the job was within its team's guarantee at the last update. */
   public boolean withinGuarantee(Job job) {
     return guaranteed.contains(job);
   }
 
   /**
-   * Whether the team uses more than it is guaranteed, so that others may claim it back. Of a team
-   * without any guarantee, such as a guest, that is all it uses.
+   * Whether the team uses more than its guarantee, so that other teams may preempt its tasks. This
+   * holds for any use by a team without a guarantee.
    */
   public boolean exceedsGuarantee(String name) {
     Settings.Team team = teams.get(name);
--- a/src/main/java/org/oakwalk/core/placement/SlowMachineDetector.java
+++ b/src/main/java/org/oakwalk/core/placement/SlowMachineDetector.java
@@ -8,12 +8,13 @@
 import org.oakwalk.core.fleet.Placement;
 
 /**
- * Tells slow machines from slow jobs: a task is late if it runs far longer than others of its own
- * job did elsewhere, and a machine on which late tasks come one after the other is slow.
+ * Detects slow machines, as opposed to slow jobs. A task is late if it runs far longer than other
+ * tasks of its own job; a machine with several late tasks in succession is slow.
  */
 public final class SlowMachineDetector {
   /**
-   * Of tasks on sound machines fewer than one in a hundred took so much longer than its job's mean.
+   * Run time, relative to the mean of its job, above which a task is late. Fewer than one in a
+   * hundred tasks on healthy machines exceed it.
    */
   private static final double LATE_FACTOR = 1.6;
 
@@ -23,7 +24,7 @@
     this.runTimes = runTimes;
   }
 
-  /** A task has completed after running this long. */
+  /** Records the run time of a completed task. */
   public void completed(Placement placement, Span ran) {
     if (late(placement, ran)) {
       placement.machine().late(placement);
@@ -32,7 +33,7 @@
     }
   }
 
-  /** Looks at what is running, since tasks on a slow machine take long to complete. */
+  /** Checks running tasks as well, since tasks on a slow machine take long to complete. */
   public void checkRunning(Collection<Machine> machines, Moment now) {
     for (Machine machine : machines) {
       for (Placement placement : machine.placements()) {
@@ -45,9 +46,9 @@
   }
 
   private boolean late(Placement placement, Span ran) {
-    Optional<Span> usual = runTimes.typical(placement.job().spec());
+    Optional<Span> typicalRun = runTimes.typical(placement.job().spec());
     return placement.watched()
-        && usual.isPresent()
-        && ran.compareTo(usual.get().times(LATE_FACTOR)) > 0;
+        && typicalRun.isPresent()
+        && ran.compareTo(typicalRun.get().times(LATE_FACTOR)) > 0;
   }
 }
