--- a/src/main/java/org/oakwalk/core/placement/JobScorer.java
+++ b/src/main/java/org/oakwalk/core/placement/JobScorer.java
@@ -10,15 +10,17 @@
 import org.oakwalk.core.job.Room;
 
 /**
- * The order in which tasks leave the queue: alpha times importance plus the rest of alpha times
- * urgency, where urgency grows with a near deadline, a short rest of run time and a long wait.
+ * Computes the scores by which waiting tasks are ordered: alpha times importance plus (1 - alpha)
+ * times urgency. Importance follows from priority and size; urgency grows with a near deadline, a
+ * short remaining time and a long wait.
  */
 public final class JobScorer {
   private static final double HOUR_MS = 3_600_000.0;
 
-  /** By how much the urgency of a deadline may have grown before it is worked out anew. */
+  /** Relative growth of a deadline's urgency after which the score has to be recomputed. */
   static final double TOLERANCE = 0.05;
 
+  /** Bounds how often scores are recomputed close to a deadline. */
   private static final long MIN_VALIDITY_MS = 100;
 
   private final Policy.Scoring weights;
@@ -34,9 +36,9 @@
   /**
    * Scores the waiting tasks of a job.
    *
-   * @param remaining expected time until it could be complete; zero if it has no end
-   * @param wait how long its tasks have been waiting
-   * @param largest room of the largest machine, against which requests are measured
+   * @param remaining the expected time until the job could be complete; zero for services
+   * @param wait the time for which its tasks have been waiting
+   * @param largest the resources of the largest machine, relative to which requests are measured
    * @param guaranteed whether the job is within its team's guarantee
    */
   public double score(
@@ -52,8 +54,9 @@
   }
 
   /**
-   * One over the hours left to the deadline. A job without one counts as farthest away, and so does
-   * one that can't be in time any more: its hurry would only make others late.
+   * One over the hours left to the deadline, or the corresponding value of a plan if that is
+   * larger. It is zero for a job without a deadline and for one that can't meet its deadline any
+   * more, since preferring that job would only make others late.
    */
   private double deadlineUrgency(Job job, Span remaining, WallTime now) {
     Span age = now.since(job.accepted());
@@ -69,14 +72,14 @@
         .orElse(own);
   }
 
-  /** How much a score grows by waiting until this moment, whichever job it is. */
+  /** The part of a score that grows with waiting, up to this time; the same for all jobs. */
   double waitTerm(Moment until) {
     return (1 - weights.alpha()) * weights.waitWeight() * until.millis() / HOUR_MS;
   }
 
   /**
-   * For how long the score of a job stays within {@link #TOLERANCE} of what it is now, its wait
-   * apart, which grows alike for all; null if for good.
+   * The time for which the score of a job, without the part that grows with waiting, stays within
+   * {@link #TOLERANCE} of its present value; null if there is no limit.
    */
   Span validFor(Job job, Span remaining, WallTime now) {
     Span age = now.since(job.accepted());
@@ -91,7 +94,7 @@
     if (due == null) {
       return planned;
     }
-    // At the latest when the job can't be in time any more.
+    // The score changes at the latest when the job can't meet its deadline any more.
     long reachable = due.minus(age).minus(remaining).millis() + 1;
     Span own =
         Span.millis(Math.max(1, Math.min(reachable, validity(due.minus(age).millis()).millis())));
@@ -102,7 +105,7 @@
     return Span.millis(Math.max(MIN_VALIDITY_MS, Math.round(left * TOLERANCE)));
   }
 
-  /** Jobs whose planned times have moved since this was asked last. */
+  /** Jobs whose planned deadlines have changed since the last call. */
   List<Job> takeReplannedJobs() {
     return targets.planned().takeChangedJobs();
   }
@@ -111,7 +114,7 @@
     return remaining.millis() <= 0 ? 0 : 1 / Math.max(remaining.millis() / HOUR_MS, floorHours);
   }
 
-  /** Steps between priorities are wide enough that urgency alone does not bridge them. */
+  /** The steps between priorities are so large that urgency does not outweigh them. */
   private static double importance(Priority priority) {
     return switch (priority) {
       case LOW -> 1;
--- a/src/main/java/org/oakwalk/core/placement/JobSizeHistogram.java
+++ b/src/main/java/org/oakwalk/core/placement/JobSizeHistogram.java
@@ -4,26 +4,27 @@
 import org.oakwalk.core.job.Room;
 
 /**
- * How large the jobs of a class are, by tasks times room, in steps of a fifth. It tells the larger
- * ones without keeping what has been.
+ * A histogram of the sizes of a class's jobs, where the size is the number of tasks times the
+ * resources of a task. Adjacent buckets differ by about a fifth. It identifies the largest jobs
+ * without keeping the earlier ones.
  */
 final class JobSizeHistogram {
-  /** Where more than this part of a class is as large, its largest are no sort of their own. */
+  /** If more than this part of a class has the same size as a job, the job is not a large one. */
   private static final double MAX_EQUAL_SHARE = 0.5;
 
   private static final int BUCKETS = 160;
   private static final int BUCKETS_PER_DOUBLING = 4;
 
-  /** The step of the size one, so that small fractions have steps as well. */
+  /** The bucket of size 1; those below it are for smaller sizes. */
   private static final int UNIT_BUCKET = 32;
 
-  /** What counts as one: sizes are compared within a class, so any measure will do. */
+  /** The resources of size 1. Sizes are compared only within a class, so any unit will do. */
   private static final Room UNIT = new Room(1, 1, 4);
 
   private final int[] counts = new int[BUCKETS];
   private int total;
 
-  /** Tasks times room. */
+  /** The number of tasks times the resources of a task. */
   static double size(JobSpec spec) {
     return spec.tasks() * spec.room().share(UNIT);
   }
@@ -33,15 +34,16 @@
     return (int) Math.max(0, Math.min(BUCKETS - 1, step));
   }
 
-  /** Another job has come. */
+  /** Adds a job. */
   void add(JobSpec spec) {
     counts[bucket(size(spec))]++;
     total++;
   }
 
   /**
-   * Whether the job is among this part of its class, counted from the largest. No job is where most
-   * are as large: then they are the class.
+   * Whether the job is among the largest of its class.
+   *
+   * @param part the part of the class that counts as largest; no job does if most have its size
    */
   boolean amongLargest(JobSpec spec, double part) {
     int larger = 0;
--- a/src/main/java/org/oakwalk/core/placement/JobTargets.java
+++ b/src/main/java/org/oakwalk/core/placement/JobTargets.java
@@ -6,12 +6,12 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.job.JobSpec;
 
-/** When jobs should be complete: by their own deadlines and by what is expected of their class. */
+/** The times by which jobs should start and be complete: their deadlines and class objectives. */
 public final class JobTargets {
   private final List<Settings.Objective> objectives;
   private final PlannedDeadlines planned;
 
-  /** Targets without any plan. */
+  /** Creates targets without a plan. */
   public JobTargets(List<Settings.Objective> objectives) {
     this(objectives, PlannedDeadlines.NONE);
   }
@@ -21,15 +21,16 @@
     this.planned = planned;
   }
 
-  /** What a plan says beside these targets. */
+  /** The deadlines that a plan sets in addition to these targets. */
   PlannedDeadlines planned() {
     return planned;
   }
 
   /**
-   * The earliest target, measured from the submission, that a job can still meet.
+   * The earliest completion target, measured from the submission, that a job can still meet.
    *
-   * @param earliest when it could be complete at the earliest, measured from the submission
+   * @param earliest the earliest time at which the job could be complete, measured from the
+   *     submission
    */
   public Optional<Span> earliestReachable(JobSpec spec, Span earliest) {
     Span best = spec.due().orElse(null);
@@ -49,7 +50,7 @@
     return Optional.ofNullable(best);
   }
 
-  /** The latest target of a job, measured from the submission, that lies before this; or none. */
+  /** The latest completion target of a job before this time, both measured from the submission. */
   Optional<Span> latestBefore(JobSpec spec, Span bound) {
     Span best = spec.due().filter(due -> due.compareTo(bound) < 0).orElse(null);
     for (Settings.Objective objective : objectives) {
@@ -73,7 +74,7 @@
     };
   }
 
-  /** Within what time a task of this class should start, if anything is expected. */
+  /** The time within which a task of this job should start, if its class has such an objective. */
   public Optional<Span> startTarget(JobSpec spec) {
     return objectives.stream()
         .filter(o -> o.kind().equals("wait") && o.jobClass().equals(spec.jobClass()))
--- a/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
+++ b/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
@@ -148,16 +148,16 @@
    * Creates an instance that knows no jobs.
    *
    * @param guaranteeBonus the score bonus of a job within its team's guarantee
-   * @param planned by when jobs have to start after a plan
+   * @param planned the deadlines that a plan sets
    * @param maxTasksAtOnce how many tasks of a job can run at once at most
    */
   LargeJobBonus(
       double guaranteeBonus,
       ServedShares servedShares,
       PlannedDeadlines planned,
-      ToIntFunction<JobSpec> atOnce) {
+      ToIntFunction<JobSpec> maxTasksAtOnce) {
     this.planned = planned;
-    this.maxTasksAtOnce = atOnce;
+    this.maxTasksAtOnce = maxTasksAtOnce;
     this.guaranteeBonus = guaranteeBonus;
     this.servedShares = servedShares;
   }
--- a/src/main/java/org/oakwalk/core/placement/Placer.java
+++ b/src/main/java/org/oakwalk/core/placement/Placer.java
@@ -23,12 +23,16 @@
 import org.oakwalk.core.job.Priority;
 
 /**
- * One round: waiting tasks leave in the order of their scores for the nearest fitting machine. Jobs
- * that fare like one that found no room are not looked at one by one, so that a round costs what it
- * places and not what waits.
+ * Runs placement rounds: takes waiting tasks in the order of their scores and places each on the
+ * nearest machine with room. When a job found no room, equivalent jobs are skipped together, so
+ * that the cost of a round depends on the number of tasks placed and not on the length of the
+ * queue.
  */
 public final class Placer {
-  /** So many jobs of a kind may be met without a place, in search of one to keep a machine for. */
+  /**
+   * Bound on the jobs of an equivalence class that are tried in a round without finding room, in
+   * search of one for which a machine can be reserved.
+   */
   private static final int MAX_MISSES_PER_CLASS = 8;
 
   private final Fleet fleet;
@@ -45,24 +49,29 @@
   private final LargeJobBonus largeJobs;
   private final GangReservations gangReservations;
 
-  /** Services that began to wait a moment ago, each of which may be worth a warm place. */
+  /**
+   * Services that have just begun to wait, for which room may be made where their image is cached.
+   */
   private final Set<Job> newlyWaitingServices = new LinkedHashSet<>();
 
   private int regularRounds;
   private int placed;
   private long searches;
 
-  /** Whether the last job to find no place was kept from one by what its machines remember. */
+  /**
+   * Whether the last job that found no room only did so because machines with room still report an
+   * older attempt of the task.
+   */
   private boolean blockedByPastAttempt;
 
   private Moment now = new Moment(0);
 
   /**
-   * Places tasks on a fleet.
+   * Creates a placer for a fleet.
    *
-   * @param mayStop whether budgets allow that tasks are stopped for others
-   * @param reserve room that is kept for some jobs
-   * @param takes who takes room under terms of their own
+   * @param mayStop whether disruption budgets allow these placements to be preempted
+   * @param reserve room that is reserved for certain jobs
+   * @param exchange the exchange terms under which some jobs take room from others
    */
   public Placer(
       Fleet fleet,
@@ -74,7 +83,7 @@
       Span suspectAfter,
       Predicate<List<Placement>> mayStop,
       CapacityReserve reserve,
-      CapacityExchange takes) {
+      CapacityExchange exchange) {
     this.reserve = reserve;
     this.fleet = fleet;
     this.jobs = jobs;
@@ -86,10 +95,10 @@
     this.ranking = new Ranking(jobs, runTimes, new JobScorer(policy.scoring(), targets), quota);
     PreemptionPlanner preemption =
         new PreemptionPlanner(
-            fleet.stoppable(), quota, targets, runTimes, servedShares, reserve, takes);
+            fleet.stoppable(), quota, targets, runTimes, servedShares, reserve, exchange);
     this.unplacedJobs =
         new UnplacedJobHandler(
-            fleet, candidates, quota, targets, mayStop, preemption, reserve, takes);
+            fleet, candidates, quota, targets, mayStop, preemption, reserve, exchange);
     this.largeJobs =
         new LargeJobBonus(
             policy.scoring().guaranteeBonus(),
@@ -101,25 +110,30 @@
             fleet, candidates, quota, preemption, unplacedJobs, servedShares, largeJobs, reserve);
   }
 
-  /** Keeps a machine for a gang that has to start whole. */
+  /** Reserves a machine for a gang. */
   public void reserveMachine(Machine machine, Job job) {
     unplacedJobs.reserveMachine(machine, job);
   }
 
-  /** How many scores and searches for hosts there were so far, for tests that bound the work. */
+  /**
+   * The number of scores computed and machine searches begun so far; used by tests that bound the
+   * work.
+   */
   public long evaluations() {
     return ranking.evaluations() + searches;
   }
 
   /**
-   * Places what can be placed.
+   * Runs a round and places as many tasks as possible.
    *
-   * @param inheritedToo whether tasks of older jobs that have not been seen are surely nowhere
-   * @return how many tasks were placed
+   * @param inheritedToo whether jobs accepted under earlier leaders may be placed, since it is
+   *     known which of their tasks are running
+   * @param regular whether this is a regular round and not one caused by a change
+   * @return the number of tasks placed
    */
-  public int runRound(boolean inheritedToo, boolean regular, Moment at, WallTime wall) {
+  public int runRound(boolean inheritedToo, boolean regular, Moment time, WallTime wall) {
     placed = 0;
-    now = at;
+    now = time;
     regularRounds += regular ? 1 : 0;
     unplacedJobs.beginRound(now, wall);
     candidates.refresh(now);
@@ -151,13 +165,13 @@
   }
 
   private void placeInOrder(boolean inheritedToo) {
-    // These may fare better than others of their kind.
-    Set<Job> each = new LinkedHashSet<>(newlyWaitingServices);
-    each.addAll(candidates.reservations().values());
-    each.addAll(largeJobs.boostedJobs());
+    // These may find room where others of their equivalence class do not.
+    Set<Job> individual = new LinkedHashSet<>(newlyWaitingServices);
+    individual.addAll(candidates.reservations().values());
+    individual.addAll(largeJobs.boostedJobs());
     Ranking.RankingTraversal walk =
-        ranking.new RankingTraversal(inheritedToo, each, this::bonus, largeJobs::bonus);
-    Map<Ranking.EquivalenceClass, Integer> inVain = new HashMap<>();
+        ranking.new RankingTraversal(inheritedToo, individual, this::bonus, largeJobs::bonus);
+    Map<Ranking.EquivalenceClass, Integer> misses = new HashMap<>();
     for (Job job = walk.next(); job != null; job = walk.next()) {
       if (job.nextPending(0, now) < 0
           || largeJobs.classHasNoRoom(job) && !newlyWaitingServices.contains(job)) {
@@ -169,28 +183,29 @@
       }
       if (verdict == ClassDecision.SKIP_CLASS
           || verdict == ClassDecision.MISSED
-              && inVain.merge(walk.equivalenceClass(), 1, Integer::sum) >= MAX_MISSES_PER_CLASS) {
+              && misses.merge(walk.equivalenceClass(), 1, Integer::sum) >= MAX_MISSES_PER_CLASS) {
         walk.skipClass();
       }
     }
   }
 
-  /** What a class that is left behind gains: as much as by a guarantee, or up to twice that. */
+  /** The bonus of an underserved class: one to two times that of a guarantee. */
   private double bonus(Ranking.EquivalenceClass kind) {
     if (kind.priority().compareTo(Priority.HIGH) >= 0 || !servedShares.mayBoost()) {
       return 0;
     }
-    double far = servedShares.shortfall(new ServedShares.TeamClass(kind.team(), kind.jobClass()));
-    return far <= 0 ? 0 : (1 + far) * policy.scoring().guaranteeBonus();
+    double shortfall =
+        servedShares.shortfall(new ServedShares.TeamClass(kind.team(), kind.jobClass()));
+    return shortfall <= 0 ? 0 : (1 + shortfall) * policy.scoring().guaranteeBonus();
   }
 
-  /** What meeting a job tells of the others of its kind. */
+  /** What the result for a job implies for the others of its equivalence class. */
   private enum ClassDecision {
-    /** Nothing. */
+    /** The next job is tried as usual. */
     CONTINUE,
-    /** It found no place, but the next one may. */
+    /** The job found no room, but the next one may. */
     MISSED,
-    /** They would fare alike. */
+    /** The others would find no room either. */
     SKIP_CLASS
   }
 
@@ -218,7 +233,7 @@
       case NO_ROOM -> {
         reserve.onNoRoom(job);
         if (job.spec().gang()) {
-          // The oldest have machines kept for them, and are met beside the others.
+          // Gangs with reserved machines are tried individually.
           return ClassDecision.SKIP_CLASS;
         }
         boolean stopped = unplacedJobs.preemptFor(job);
@@ -243,10 +258,13 @@
   }
 
   private enum JobOutcome {
+    /** All tasks that the job may start in this round were placed. */
     DONE_FOR_ROUND,
+    /** No machine has room. */
     NO_ROOM,
+    /** The team's limit was reached, or the rest of a gang is being stopped. */
     HELD_BACK,
-    /** Room is being made where the image is. */
+    /** Room is being made on a machine that has the image. */
     PREEMPTING_FOR_IMAGE
   }
 
@@ -260,7 +278,7 @@
     if (!quota.allows(job, 1)) {
       return JobOutcome.HELD_BACK;
     }
-    // All tasks of a job share the list, unless where one goes says where the next may go.
+    // All tasks of a job share one search, unless a placement restricts the zones of the next.
     boolean zonesMatter = spec.oneZone() || spec.spread();
     MachineSearch search = search(job, zones);
     int index = job.nextPending(0, now);
@@ -284,7 +302,7 @@
         search.placedOnLastFound();
       }
       if (largeJobs.oneTaskOnly(job)) {
-        // The others have their turn in the order, from the next round on.
+        // The other tasks follow in the ordinary order, from the next round on.
         return JobOutcome.DONE_FOR_ROUND;
       }
       index = job.nextPending(index + 1, now);
@@ -295,7 +313,7 @@
     return JobOutcome.DONE_FOR_ROUND;
   }
 
-  /** How many tasks of a job could run at once if nothing else did. */
+  /** The number of tasks of a job that could run at the same time if nothing else ran. */
   private int maxTasksAtOnce(JobSpec spec) {
     return Math.min(
         quota.maxTasksAtOnce(spec), Ranking.places(candidates.machineCounts(), spec.room()));
@@ -307,33 +325,33 @@
     return new MachineSearch(distances, job, candidates.eligibleWithFreeRoom(job, zones), run, now);
   }
 
-  /** All tasks of a gang find a place in one round, or none is placed. */
+  /** Places all tasks of a gang in one round, or none. */
   private JobOutcome placeGang(Job job, Map<String, Integer> zones) {
-    int missing = job.pendingCount();
+    int needed = job.pendingCount();
     if (job.activeCount() > 0) {
-      // What is left of a broken gang ends first; then all start again together.
+      // The gang has lost a task: the remaining ones are stopped before all restart together.
       haltGang(job);
       return JobOutcome.HELD_BACK;
     }
-    if (!quota.allows(job, missing)) {
+    if (!quota.allows(job, needed)) {
       return JobOutcome.HELD_BACK;
     }
     Map<Machine, Integer> shares = new LinkedHashMap<>();
-    GangReservations.ZoneAllocation found = new GangReservations.ZoneAllocation(job);
+    GangReservations.ZoneAllocation allocation = new GangReservations.ZoneAllocation(job);
     List<Machine> machines = candidates.eligibleWithFreeRoom(job, zones);
-    // What is kept for it first.
+    // Machines reserved for the gang come first.
     machines.sort(Comparator.comparing(machine -> candidates.reservations().get(machine) != job));
     for (Machine machine : machines) {
       int room =
           Math.min(
-              missing - found.total(),
+              needed - allocation.total(),
               reserve.freeFor(job.spec(), machine).count(job.spec().room()));
-      int share = room > 0 ? found.allocate(machine, room) : 0;
+      int share = room > 0 ? allocation.allocate(machine, room) : 0;
       if (share > 0) {
         shares.put(machine, share);
       }
     }
-    if (found.total() < missing) {
+    if (allocation.total() < needed) {
       return JobOutcome.NO_ROOM;
     }
     Attempt attempt = fleet.nextAttempt();
--- a/src/main/java/org/oakwalk/core/placement/Ranking.java
+++ b/src/main/java/org/oakwalk/core/placement/Ranking.java
@@ -27,26 +27,30 @@
 import org.oakwalk.core.job.Room;
 
 /**
- * The jobs with waiting tasks, each kind in the order of their scores. The order is kept rather
- * than worked out anew in each round: a score is looked at again when its job has changed, when its
- * deadline has come nearer by a twentieth or can't be met any more, or when run times or the number
- * of places have moved by more than {@link #MAX_DRIFT}. In between it differs from what it would be
- * by no more than that; what all gain by waiting is left out, since it does not change the order.
- * So a long queue costs little as long as nothing happens in it.
+ * The jobs with waiting tasks, ordered by score within each equivalence class. The order is
+ * maintained incrementally: a score is recomputed only when its job has changed, when the time to
+ * its deadline has shrunk by a twentieth, when the deadline has become unreachable, or when
+ * estimated run times or the number of places have changed by more than {@link #MAX_DRIFT}. Between
+ * these updates a kept score deviates from the exact one by no more than that. The part of the
+ * score that grows with waiting is the same for all jobs and left out. So a long queue costs little
+ * as long as nothing changes in it.
  *
- * <p>All scores of a class rest on the same learned run time and all of a kind on the same number
- * of places, also of jobs that come later: else jobs that are alike would leave in the order of
- * what was learned when they came, and the wait of some would have no end as long as others come.
+ * <p>All scores of a job class use the same learned run time factor, and all of an equivalence
+ * class the same number of places, including jobs that arrive later. Otherwise equal jobs would be
+ * ordered by the estimates at the time of their arrival, and some would starve as long as others
+ * arrive.
  */
 final class Ranking {
-  /** By how much what all scores of a kind rest on may move before they are worked out anew. */
+  /** Relative change of a shared input of scores above which they are recomputed. */
   private static final double MAX_DRIFT = 0.15;
 
   /**
-   * Jobs that fare alike in a round: where there is no room for one, there is none for the others.
+   * A class of jobs that are equivalent for placement: if there is no room for one, there is none
+   * for the others.
    *
-   * @param together how many tasks have to start at once
-   * @param alone set for a job whose own tasks decide where the others may go
+   * @param tasksAtOnce the number of tasks that have to start together
+   * @param onlyJob set for a job that forms a class of its own, since the placement of its active
+   *     tasks restricts the others, or since it is probed as a suspect
    */
   record EquivalenceClass(
       String team,
@@ -66,8 +70,8 @@
 
     static EquivalenceClass of(Job job, boolean guaranteed) {
       JobSpec spec = job.spec();
-      boolean bound = spec.gang() || spec.oneZone() || spec.spread();
-      boolean single = bound && job.activeCount() > 0 || job.suspect();
+      boolean constrained = spec.gang() || spec.oneZone() || spec.spread();
+      boolean separate = constrained && job.activeCount() > 0 || job.suspect();
       return new EquivalenceClass(
           spec.team(),
           spec.jobClass(),
@@ -82,11 +86,17 @@
           spec.oneZone(),
           spec.spread(),
           spec.gang() ? job.pendingCount() : 1,
-          single ? Optional.of(job.id()) : Optional.empty());
+          separate ? Optional.of(job.id()) : Optional.empty());
     }
   }
 
-  /** A job in its place. */
+  /**
+   * A job with its position in the order.
+   *
+   * @param sortKey the score without the part that grows with waiting
+   * @param accepted the revision of the job's acceptance, which breaks ties
+   * @param rescoreAt when the score has to be recomputed; null if only after a change
+   */
   record RankedJob(
       Job job,
       EquivalenceClass equivalenceClass,
@@ -100,7 +110,7 @@
   private static final Comparator<RankedJob> HIGHEST_FIRST =
       Comparator.comparingDouble((RankedJob entry) -> -entry.sortKey()).thenComparing(OLDEST_FIRST);
 
-  /** All entries of a kind, and the number of places that their scores rest on. */
+  /** The jobs of an equivalence class, and the number of places used for their scores. */
   private static final class RankedGroup {
     final TreeSet<RankedJob> entries = new TreeSet<>(HIGHEST_FIRST);
     double places;
@@ -117,7 +127,7 @@
   private final Map<Job, RankedJob> byJob = new IdentityHashMap<>();
   private final Map<EquivalenceClass, RankedGroup> groups = new LinkedHashMap<>();
 
-  /** By how much guesses are off, by class, as the scores have it. */
+  /** The run time factor of each job class, as used for the present scores. */
   private final Map<String, Double> guessFactors = new HashMap<>();
 
   private final TreeSet<RankedJob> byRescoreTime =
@@ -135,7 +145,7 @@
     this.quota = quota;
   }
 
-  /** How many scores have been worked out, for tests that bound the work. */
+  /** The number of scores computed so far; used by tests that bound the work. */
   long evaluations() {
     return evaluations;
   }
@@ -143,15 +153,15 @@
   /**
    * Brings the order up to date.
    *
-   * @param machines how many machines of each type take tasks
-   * @param regraded jobs that came to be within a guarantee or fell out of one
-   * @return the jobs that were looked at because they had changed
+   * @param machines the number of machines of each type that accept tasks
+   * @param regraded jobs that have come to be within a guarantee, or have ceased to be
+   * @return the jobs that have changed since the last call
    */
   List<Job> refresh(
-      Map<MachineType, Integer> machines, List<Job> regraded, Moment at, WallTime dayTime) {
+      Map<MachineType, Integer> machines, List<Job> regraded, Moment time, WallTime wallTime) {
     machineCounts = machines;
-    now = at;
-    wall = dayTime;
+    now = time;
+    wall = wallTime;
     List<Job> touched = jobs.takeTouched();
     Room before = largestMachine;
     largestMachine = largestMachine();
@@ -192,11 +202,11 @@
     classes.forEach(jobClass -> guessFactors.put(jobClass, runTimes.guessFactor(jobClass)));
     List<Job> drifted = new ArrayList<>();
     groups.forEach(
-        (kind, group) -> {
-          double places = places(kind.room());
+        (equivalenceClass, group) -> {
+          double places = places(equivalenceClass.room());
           if (drifted(group.places, places)) {
             group.places = places;
-          } else if (!classes.contains(kind.jobClass())) {
+          } else if (!classes.contains(equivalenceClass.jobClass())) {
             return;
           }
           group.entries.forEach(entry -> drifted.add(entry.job()));
@@ -208,7 +218,7 @@
     return Math.abs(to - from) > MAX_DRIFT * from;
   }
 
-  /** The one place where a job's place is changed. */
+  /** Recomputes a job's position; no other method changes the order. */
   private void rerank(Job job) {
     RankedJob old = byJob.remove(job);
     if (old != null) {
@@ -223,19 +233,21 @@
       return;
     }
     evaluations++;
-    EquivalenceClass kind = EquivalenceClass.of(job, quota.withinGuarantee(job));
+    EquivalenceClass equivalenceClass = EquivalenceClass.of(job, quota.withinGuarantee(job));
     RankedGroup group =
-        groups.computeIfAbsent(kind, added -> new RankedGroup(places(added.room())));
+        groups.computeIfAbsent(equivalenceClass, added -> new RankedGroup(places(added.room())));
     Span remaining = remaining(job, group);
     double key =
-        scorer.score(job, remaining, Span.millis(0), largestMachine, kind.guaranteed(), wall)
+        scorer.score(
+                job, remaining, Span.millis(0), largestMachine, equivalenceClass.guaranteed(), wall)
             - scorer.waitTerm(job.waitingSince());
-    Span holds = scorer.validFor(job, remaining, wall);
+    Span validity = scorer.validFor(job, remaining, wall);
     RankedJob entry =
-        new RankedJob(job, kind, key, job.stamp(), holds == null ? null : now.plus(holds));
+        new RankedJob(
+            job, equivalenceClass, key, job.stamp(), validity == null ? null : now.plus(validity));
     byJob.put(job, entry);
     group.entries.add(entry);
-    if (holds != null) {
+    if (validity != null) {
       byRescoreTime.add(entry);
     }
     removeGroupIfEmpty(old);
@@ -248,8 +260,9 @@
   }
 
   /**
-   * The time until a job could be complete: a run of one task, and before it what all machines
-   * together need for the others. Of two jobs with equal tasks the one with fewer left goes first.
+   * The estimated time until a job could be complete: the time that all machines together need for
+   * its waiting tasks, plus the run of one task. So of two jobs with equal tasks the one with fewer
+   * tasks left comes first.
    */
   private Span remaining(Job job, RankedGroup group) {
     double factor = guessFactors.computeIfAbsent(job.spec().jobClass(), runTimes::guessFactor);
@@ -261,58 +274,60 @@
     return places(machineCounts, task);
   }
 
-  /** How many tasks of this room so many machines of these types hold when they are empty. */
+  /** The number of tasks of this size that these machines could hold if they were empty. */
   static int places(Map<MachineType, Integer> machines, Room task) {
     int places = 0;
-    for (Map.Entry<MachineType, Integer> kind : machines.entrySet()) {
-      places += kind.getValue() * kind.getKey().room().count(task);
+    for (Map.Entry<MachineType, Integer> equivalenceClass : machines.entrySet()) {
+      places += equivalenceClass.getValue() * equivalenceClass.getKey().room().count(task);
     }
     return places;
   }
 
-  /** Walks down the order; kinds can be left out on the way. */
+  /** Iterates over the jobs by decreasing score; equivalence classes can be skipped on the way. */
   final class RankingTraversal {
     private final PriorityQueue<Cursor> cursors = new PriorityQueue<>();
     private final ToDoubleFunction<EquivalenceClass> bonus;
     private Cursor last;
 
     /**
-     * A walk from the top.
+     * Starts at the highest score.
      *
-     * @param inheritedToo whether jobs of older leaders are part of it
-     * @param each jobs that are met even if their kind is left out
-     * @param bonus what a kind's scores gain at this moment
-     * @param favour what each of those gains, if it is more than its kind does
+     * @param inheritedToo whether jobs accepted under earlier leaders are included
+     * @param individual jobs that are returned even if their equivalence class is skipped
+     * @param bonus the present score bonus of an equivalence class
+     * @param jobBonus the bonus of an individual job, which applies if it is the larger one
      */
     RankingTraversal(
         boolean inheritedToo,
-        Set<Job> each,
+        Set<Job> individual,
         ToDoubleFunction<EquivalenceClass> bonus,
-        ToDoubleFunction<Job> favour) {
+        ToDoubleFunction<Job> jobBonus) {
       this.bonus = bonus;
       groups.forEach(
-          (kind, group) -> {
-            if (inheritedToo || !kind.inherited()) {
+          (equivalenceClass, group) -> {
+            if (inheritedToo || !equivalenceClass.inherited()) {
               add(
-                  group.entries.stream().filter(entry -> !each.contains(entry.job())).iterator(),
+                  group.entries.stream()
+                      .filter(entry -> !individual.contains(entry.job()))
+                      .iterator(),
                   0);
             }
           });
-      for (Job job : each) {
+      for (Job job : individual) {
         RankedJob entry = byJob.get(job);
         if (entry != null && (inheritedToo || !entry.equivalenceClass().inherited())) {
-          add(List.of(entry).iterator(), favour.applyAsDouble(job));
+          add(List.of(entry).iterator(), jobBonus.applyAsDouble(job));
         }
       }
     }
 
-    private void add(Iterator<RankedJob> entries, double favour) {
+    private void add(Iterator<RankedJob> entries, double jobBonus) {
       if (entries.hasNext()) {
-        cursors.add(new Cursor(entries, bonus, favour));
+        cursors.add(new Cursor(entries, bonus, jobBonus));
       }
     }
 
-    /** The next job, or null. */
+    /** Returns the next job, or null if there is none. */
     Job next() {
       if (last != null && last.advance()) {
         cursors.add(last);
@@ -321,12 +336,12 @@
       return last == null ? null : last.head.job();
     }
 
-    /** The kind of the job met last. */
+    /** The equivalence class of the job returned last. */
     EquivalenceClass equivalenceClass() {
       return last.head.equivalenceClass();
     }
 
-    /** Leaves out the others of the kind that was met last, unless each is to be met. */
+    /** Skips the rest of the equivalence class of the job returned last, except individual jobs. */
     void skipClass() {
       last = null;
     }
@@ -337,13 +352,13 @@
     private final double bonus;
     private RankedJob head;
 
-    Cursor(Iterator<RankedJob> entries, ToDoubleFunction<EquivalenceClass> bonus, double favour) {
+    Cursor(Iterator<RankedJob> entries, ToDoubleFunction<EquivalenceClass> bonus, double jobBonus) {
       this.entries = entries;
       this.head = entries.next();
-      this.bonus = Math.max(bonus.applyAsDouble(head.equivalenceClass()), favour);
+      this.bonus = Math.max(bonus.applyAsDouble(head.equivalenceClass()), jobBonus);
     }
 
-    /** Goes on to the next entry, if there is one. */
+    /** Moves to the next job; returns false if there is none. */
     boolean advance() {
       if (!entries.hasNext()) {
         return false;
--- a/src/main/java/org/oakwalk/core/placement/RunTimeEstimates.java
+++ b/src/main/java/org/oakwalk/core/placement/RunTimeEstimates.java
@@ -8,14 +8,19 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 
-/** Learns per class of jobs by how much its owners' guesses are off. */
+/**
+ * Estimates run times: learns for each job class and job the mean ratio of actual run times to the
+ * users' guesses.
+ */
 public final class RunTimeEstimates {
+  /** Weight that the mean so far keeps when a run is added, once there have been many. */
   private static final double MIN_HISTORY_WEIGHT = 0.95;
+
   private static final double MIN_RATIO = 0.2;
   private static final double MAX_RATIO = 5;
   private static final int MIN_RUNS_FOR_TYPICAL = 4;
 
-  /** How the run times of one job compare with its guess, and how many were seen. */
+  /** The mean ratio of run times to guesses, and the number of runs. */
   private static final class GuessRatio {
     double mean = 1;
     int seen;
@@ -30,7 +35,7 @@
   private final Map<String, GuessRatio> byClass = new HashMap<>();
   private final Map<JobId, GuessRatio> byJob = new HashMap<>();
 
-  /** A task of this job took this long. */
+  /** Records the run time of a completed task. */
   public void record(Job job, Span ran) {
     double guess = job.spec().guess().asSeconds();
     if (guess > 0) {
@@ -45,19 +50,19 @@
     return expected(spec, guessFactor(spec.jobClass()));
   }
 
-  /** The same, where guesses for the job's class are taken to be off by this factor. */
+  /** The expected run time if the factor of the job's class is as given. */
   Span expected(JobSpec spec, double classFactor) {
     GuessRatio job = byJob.get(spec.id());
     return spec.guess().times(job != null && job.seen >= 2 ? job.mean : classFactor);
   }
 
-  /** By how much guesses for this class are off. */
+  /** The mean ratio of run times to guesses for this class; 1 if there has been no run. */
   double guessFactor(String jobClass) {
     GuessRatio kind = byClass.get(jobClass);
     return kind == null ? 1 : kind.mean;
   }
 
-  /** How long tasks of this job usually run, once enough of them have ended. */
+  /** The mean run time of this job's tasks, once enough of them have completed. */
   Optional<Span> typical(JobSpec spec) {
     GuessRatio job = byJob.get(spec.id());
     return job == null || job.seen < MIN_RUNS_FOR_TYPICAL
@@ -65,7 +70,7 @@
         : Optional.of(spec.guess().times(job.mean));
   }
 
-  /** Forgets a job that is over. */
+  /** Discards what was learned of a job that is over. */
   public void forget(JobId id) {
     byJob.remove(id);
   }
--- a/src/main/java/org/oakwalk/core/placement/ServedShares.java
+++ b/src/main/java/org/oakwalk/core/placement/ServedShares.java
@@ -10,24 +10,30 @@
 import org.oakwalk.core.job.Job;
 
 /**
- * How much of each team's classes of jobs is served, so that none is left behind for good while
- * overload lasts: the ordinary order prefers short and urgent work, and if enough of that comes,
- * the rest would wait until it ends. A class of which clearly less than half has been served counts
- * as left behind; it gains a bonus until a quarter of what is placed goes to such classes.
+ * Tracks which share of the tasks of each team and job class has been served, so that no class
+ * starves during a long overload. The ordinary order prefers short and urgent tasks, and as long as
+ * enough of those arrive, all others would wait. A class is underserved if the share of its tasks
+ * that are done or on machines is below {@link #UNDERSERVED_BELOW}; it then gets a score bonus as
+ * long as no more than a quarter of the placed tasks belong to underserved classes.
  */
 final class ServedShares {
   private static final double UNDERSERVED_BELOW = 0.6;
+
+  /** Share of the placed tasks up to which underserved classes get a bonus. */
   private static final double MAX_UNDERSERVED_SHARE = 0.25;
 
-  /** Jobs count only once they have waited for a while: what has just come is not behind. */
+  /**
+   * Time after which a job counts as arrived, since a job that has just come is not underserved.
+   */
   static final Span COUNTED_AFTER = Span.seconds(30);
 
   /**
-   * After this time half of what was done is forgotten, so that old merits don't count for long.
+   * Half-life of the counts of finished and placed tasks, so that tasks served long ago do not make
+   * up for ones that wait now.
    */
   private static final double HALF_LIFE_SECONDS = 120;
 
-  /** A team's jobs of one class. */
+  /** A job class of one team. */
   record TeamClass(String team, String jobClass) {
     static TeamClass of(Job job) {
       return new TeamClass(job.spec().team(), job.spec().jobClass());
@@ -40,7 +46,7 @@
     double finished;
   }
 
-  /** What a job adds to its account. */
+  /** The part that an open job has in the tally of its class. */
   private static final class JobContribution {
     final Job job;
     int served;
@@ -58,77 +64,79 @@
   private double placed;
   private double placedUnderserved;
 
-  /** A job has come, changed or ended. */
+  /** To be called when a job was accepted, changed or ended. */
   void update(Job job) {
-    JobContribution part = contributions.get(job);
-    boolean counts = !job.over() && !job.suspect();
-    ServedTally account = tallies.computeIfAbsent(TeamClass.of(job), key -> new ServedTally());
-    if (part == null) {
-      if (counts) {
-        part = new JobContribution(job);
-        contributions.put(job, part);
-        notYetCounted.add(part);
+    JobContribution contribution = contributions.get(job);
+    boolean active = !job.over() && !job.suspect();
+    ServedTally tally = tallies.computeIfAbsent(TeamClass.of(job), key -> new ServedTally());
+    if (contribution == null) {
+      if (active) {
+        contribution = new JobContribution(job);
+        contributions.put(job, contribution);
+        notYetCounted.add(contribution);
       } else {
         return;
       }
     }
-    int served = counts ? job.doneCount() + job.activeCount() : 0;
-    account.served += served - part.served;
-    part.served = served;
-    if (!counts) {
+    int served = active ? job.doneCount() + job.activeCount() : 0;
+    tally.served += served - contribution.served;
+    contribution.served = served;
+    if (!active) {
       contributions.remove(job);
-      if (part.counted) {
-        account.arrived -= job.spec().tasks();
-        part.counted = false;
+      if (contribution.counted) {
+        tally.arrived -= job.spec().tasks();
+        contribution.counted = false;
       }
-      account.finished += job.state() == Job.State.DONE ? job.spec().tasks() : 0;
+      tally.finished += job.state() == Job.State.DONE ? job.spec().tasks() : 0;
     }
   }
 
-  /** Lets time pass. */
+  /** Starts a round: counts jobs that have become old enough and decays old counts. */
   void beginRound(Moment now) {
     while (!notYetCounted.isEmpty() && now.past(notYetCounted.peek().job.seen(), COUNTED_AFTER)) {
-      JobContribution part = notYetCounted.poll();
-      if (contributions.get(part.job) == part) {
-        part.counted = true;
-        tallies.get(TeamClass.of(part.job)).arrived += part.job.spec().tasks();
+      JobContribution contribution = notYetCounted.poll();
+      if (contributions.get(contribution.job) == contribution) {
+        contribution.counted = true;
+        tallies.get(TeamClass.of(contribution.job)).arrived += contribution.job.spec().tasks();
       }
     }
     if (decayedAt != null) {
       double keep = Math.pow(0.5, now.since(decayedAt).asSeconds() / HALF_LIFE_SECONDS);
-      tallies.values().forEach(account -> account.finished *= keep);
+      tallies.values().forEach(tally -> tally.finished *= keep);
       placed *= keep;
       placedUnderserved *= keep;
     }
     decayedAt = now;
   }
 
-  /** Whether a class of a team is left behind. */
+  /** Whether a class of a team is underserved. */
   boolean underserved(TeamClass key) {
     return shortfall(key) > 0;
   }
 
-  /** Whether any class of any team but this one is. */
+  /** Whether any class other than this one is underserved, of any team. */
   boolean othersUnderserved(TeamClass key) {
     return tallies.keySet().stream().anyMatch(other -> !other.equals(key) && underserved(other));
   }
 
-  /** By how much it is: zero if not, one if nothing of it has been served. */
+  /**
+   * The degree to which a class is underserved: 0 if it is not, 1 if none of it has been served.
+   */
   double shortfall(TeamClass key) {
-    ServedTally account = tallies.get(key);
-    if (account == null || account.arrived <= 0) {
+    ServedTally tally = tallies.get(key);
+    if (tally == null || tally.arrived <= 0) {
       return 0;
     }
-    double share = (account.served + account.finished) / (account.arrived + account.finished);
+    double share = (tally.served + tally.finished) / (tally.arrived + tally.finished);
     return Math.max(0, UNDERSERVED_BELOW - share) / UNDERSERVED_BELOW;
   }
 
-  /** Whether what is left behind may go first now. */
+  /** Whether underserved classes may get a bonus now. */
   boolean mayBoost() {
     return placedUnderserved <= MAX_UNDERSERVED_SHARE * placed;
   }
 
-  /** Tasks of a class were placed. */
+  /** Records that tasks of a class were placed. */
   void recordPlaced(TeamClass key, int tasks) {
     placed += tasks;
     placedUnderserved += underserved(key) ? tasks : 0;
--- a/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
+++ b/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
@@ -15,12 +15,20 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Room;
 
-/** Makes room for a job that found none: stops less urgent tasks, or keeps a machine for it. */
+/**
+ * Handles jobs that found no room: preempts tasks of lower precedence, or reserves a machine until
+ * enough room is free on it.
+ */
 final class UnplacedJobHandler {
   private static final int MAX_PREEMPTIONS_PER_ROUND = 16;
+
+  /** Bound on the reservations for jobs that are not gangs. */
   private static final int MAX_RESERVATIONS = 3;
+
+  /** Bound on the tasks preempted to start a replica where its image is cached. */
   private static final int MAX_VICTIMS_FOR_IMAGE = 2;
 
+  /** How long a replica may wait for room on a machine that has its image. */
   private static final Span MAX_IMAGE_WAIT = Span.millis(2000);
 
   private final Fleet fleet;
@@ -43,9 +51,9 @@
       Predicate<List<Placement>> mayStop,
       PreemptionPlanner preemption,
       CapacityReserve reserve,
-      CapacityExchange takes) {
+      CapacityExchange exchange) {
     this.reserve = reserve;
-    this.exchange = takes;
+    this.exchange = exchange;
     this.mayStop = mayStop;
     this.fleet = fleet;
     this.candidates = candidates;
@@ -54,21 +62,25 @@
     this.preemption = preemption;
   }
 
-  /** A round begins; it has its own bound on stops. */
-  void beginRound(Moment at, WallTime dayTime) {
-    now = at;
-    wall = dayTime;
+  /** Starts a round and resets the count of preemptions. */
+  void beginRound(Moment time, WallTime wallTime) {
+    now = time;
+    wall = wallTime;
     stopped = 0;
     preemption.beginRound();
   }
 
-  /** Stops less urgent tasks for those of a job that found no room; true if there were any. */
+  /**
+   * Makes room for a job that found none, by exchange or by preemption.
+   *
+   * @return whether room is being freed or could be freed for the job
+   */
   boolean preemptFor(Job job) {
-    boolean stops =
+    boolean mayPreempt =
         job.spec().priority().compareTo(Priority.NORMAL) > 0 || quota.withinGuarantee(job);
-    boolean displaces = job.spec().priority() == Priority.NORMAL;
+    boolean mayPreemptLow = job.spec().priority() == Priority.NORMAL;
     if (job.suspect()
-        || !(stops || displaces)
+        || !(mayPreempt || mayPreemptLow)
         || stopped >= MAX_PREEMPTIONS_PER_ROUND
         || !preemption.mayFreeRoom(job)
         || reserve.claimsFreedRoom(job)) {
@@ -80,18 +92,18 @@
     }
     Iterator<PreemptionPlanner.PreemptionPlan> plans =
         preemption.plans(job, machines, now, wall).iterator();
-    boolean any = plans.hasNext();
+    boolean anyPlan = plans.hasNext();
     int missing = job.pendingCount();
     while (missing > 0 && stopped < MAX_PREEMPTIONS_PER_ROUND && plans.hasNext()) {
-      // Nobody else may take the room, and no second task of this job counts on it.
+      // The machine is reserved, so that no other job takes the room that is being freed.
       missing -= carryOut(plans.next(), job) ? 1 : 0;
     }
-    return any;
+    return anyPlan;
   }
 
   /**
-   * Stops less urgent tasks on a machine that is kept for a gang, until so many of the gang's have
-   * room there.
+   * Preempts tasks on a machine that is reserved for a gang, so that this number of the gang's
+   * tasks have room there.
    */
   void preemptForGang(Job gang, Machine machine, int tasks) {
     Room needed = gang.spec().room().times(tasks);
@@ -117,7 +129,9 @@
     return true;
   }
 
-  /** Whether getting the image there would take longer than a task of this class may wait. */
+  /**
+   * Whether fetching the image there would take longer than the start target of the job's class.
+   */
   boolean fetchTooSlow(JobSpec spec, Machine machine) {
     return !machine.hasImage(spec.image())
         && targets
@@ -126,7 +140,7 @@
             .isPresent();
   }
 
-  /** Whether a job of this kind may still be worth a place where its image is. */
+  /** Whether a job may still wait for room on a machine that has its image. */
   static boolean mayWaitForImage(Job job, Moment now) {
     return job.spec().service()
         && job.spec().priority().compareTo(Priority.NORMAL) > 0
@@ -134,22 +148,23 @@
   }
 
   /**
-   * Makes room for a replica where its image is, since the fetch alone would miss what is expected
-   * of its start. Returns false if there is no such place; then it starts wherever there is room.
+   * Makes room for a replica on a machine that has its image, since fetching the image would miss
+   * the start target. Returns false if there is no such machine; the replica is then placed
+   * wherever there is room.
    */
   boolean preemptWhereImageIs(Job job, Map<String, Integer> zones) {
     if (!mayWaitForImage(job, now)) {
       return false;
     }
-    List<Machine> warm = candidates.eligible(job, zones);
-    warm.removeIf(machine -> !machine.hasImage(job.spec().image()));
-    if (warm.stream().anyMatch(machine -> candidates.reservations().get(machine) == job)) {
+    List<Machine> withImage = candidates.eligible(job, zones);
+    withImage.removeIf(machine -> !machine.hasImage(job.spec().image()));
+    if (withImage.stream().anyMatch(machine -> candidates.reservations().get(machine) == job)) {
       return true;
     }
     if (!preemption.mayFreeRoom(job)) {
       return false;
     }
-    List<PreemptionPlanner.PreemptionPlan> plans = preemption.plans(job, warm, now, wall);
+    List<PreemptionPlanner.PreemptionPlan> plans = preemption.plans(job, withImage, now, wall);
     if (plans.isEmpty() || plans.get(0).victims().size() > MAX_VICTIMS_FOR_IMAGE) {
       return false;
     }
@@ -159,18 +174,23 @@
     return made;
   }
 
-  /** Keeps a machine for a job that is to start there, whatever else may find room. */
+  /** Reserves a machine for a job, unless the machine is reserved already. */
   void reserveMachine(Machine machine, Job job) {
     candidates.reservations().putIfAbsent(machine, job);
   }
 
-  /** Whether more machines may be kept for jobs that find no room. */
+  /** Whether further machines may be reserved for jobs that are not gangs. */
   boolean mayReserve() {
     return candidates.reservations().values().stream().filter(job -> !job.spec().gang()).count()
         < MAX_RESERVATIONS;
   }
 
-  /** Keeps the machine nearest to fitting for the job; false if there is none. */
+  /**
+   * Reserves the machine that lacks the least room for the job.
+   *
+   * @return false if no eligible machine is large enough; true also if the job has a reservation
+   *     already or the bound on reservations is reached
+   */
   boolean reserveNearest(Job job) {
     if (candidates.reservations().containsValue(job) || !mayReserve()) {
       return true;
@@ -178,8 +198,8 @@
     Machine nearest = null;
     double least = Double.MAX_VALUE;
     for (Machine machine : candidates.eligible(job, candidates.tasksPerZone(job))) {
-      Room lack = job.spec().room().minus(machine.free());
-      double shortage = lack.share(machine.type().room());
+      Room shortfall = job.spec().room().minus(machine.free());
+      double shortage = shortfall.share(machine.type().room());
       if (job.spec().room().fits(machine.type().room()) && shortage < least) {
         least = shortage;
         nearest = machine;
@@ -191,7 +211,7 @@
     return nearest != null;
   }
 
-  /** The job needs no machine to be kept for it any more. */
+  /** Drops all reservations of a job. */
   void releaseReservations(Job job) {
     candidates.reservations().values().removeIf(job::equals);
   }
