--- a/src/main/java/org/oakwalk/core/placement/CapacityReserve.java
+++ b/src/main/java/org/oakwalk/core/placement/CapacityReserve.java
@@ -28,7 +28,7 @@
     return machine.free();
   }
 
-  /** The room that is free on a machine without any of the room reserved there. */
+  /** The free room on a machine, less all room that is reserved there. */
   default Room unreserved(Machine machine) {
     return machine.free();
   }
--- a/src/main/java/org/oakwalk/core/placement/GangReservations.java
+++ b/src/main/java/org/oakwalk/core/placement/GangReservations.java
@@ -24,12 +24,12 @@
  * regular round, so that it never depends on a lost machine. Tasks that end well before the gang
  * can start may be backfilled on the reserved machines.
  *
- * <p>Only one gang has reservations at a time: several gangs that each hold part of their machines
- * would never start, and machines idle while reserved. The gang with the highest priority comes
- * first, then the oldest; a gang that has waited for {@link LargeJobBonus#BONUS_AFTER} and is among
- * the largest jobs of its class, or of an underserved class, goes before all others. Machines are
- * reserved only if the gang can start soon; if it does not start in time, another gang gets its
- * turn.
+ * <p>Only one gang gets reservations at a time: several gangs that each hold part of the machines
+ * they need would never start, and reserved machines that stand idle are lost to all jobs. The gang
+ * with the highest priority comes first, then the oldest; a gang that has waited for {@link
+ * LargeJobBonus#BONUS_AFTER} and is among the largest jobs of its class, or of an underserved
+ * class, goes before all others. Machines are reserved only if the gang can start soon; if it does
+ * not start in time, another gang gets its turn.
  */
 final class GangReservations {
   /** At most one in this many machines may be reserved for a gang that is not overdue. */
@@ -53,9 +53,9 @@
   private final CandidateMachines candidates;
   private final Quota quota;
   private final PreemptionPlanner preemption;
-  private final UnplacedJobHandler roomMaker;
+  private final UnplacedJobHandler unplacedJobs;
   private final ServedShares servedShares;
-  private final LargeJobBonus largest;
+  private final LargeJobBonus largeJobs;
   private final CapacityReserve reserve;
 
   private final TreeSet<Job> waiting =
@@ -82,12 +82,12 @@
       CapacityReserve reserve) {
     this.reserve = reserve;
     this.servedShares = servedShares;
-    this.largest = largest;
+    this.largeJobs = largest;
     this.fleet = fleet;
     this.candidates = candidates;
     this.quota = quota;
     this.preemption = preemption;
-    this.roomMaker = roomMaker;
+    this.unplacedJobs = roomMaker;
   }
 
   /** To be called when a job was accepted, changed or ended. */
@@ -116,7 +116,7 @@
    *     preemption may free room for it
    */
   void reserve(int regularRounds, int minRounds, Moment now, WallTime wall) {
-    // Reservations that others made for the gang are left alone.
+    // Reservations made elsewhere, such as by an exchange, are left alone.
     reservedHere.forEach((machine, gang) -> candidates.reservations().remove(machine, gang));
     reservedHere.clear();
     pausedUntil.values().removeIf(until -> !until.isAfter(now));
@@ -146,20 +146,20 @@
   /** Whether a gang has waited for long and is a large job or of an underserved class. */
   private boolean overdue(Job gang, WallTime wall) {
     return wall.since(gang.accepted()).compareTo(LargeJobBonus.BONUS_AFTER) >= 0
-        && (largest.isLarge(gang) || servedShares.underserved(ServedShares.TeamClass.of(gang)));
+        && (largeJobs.isLarge(gang) || servedShares.underserved(ServedShares.TeamClass.of(gang)));
   }
 
   private boolean reserve(Job gang, Moment now, WallTime wall) {
     Moment quotaAt = quotaAvailableAt(gang, now);
-    GangStart choice = quotaAt == NEVER ? null : earliestStart(gang, now);
-    if (choice == null) {
+    GangStart start = quotaAt == NEVER ? null : earliestStart(gang, now);
+    if (start == null) {
       return false;
     }
-    boolean presses = overdue(gang, wall);
-    Moment startAt = choice.at().isAfter(quotaAt) ? choice.at() : quotaAt;
-    if (startAt.isAfter(now.plus(presses ? MAX_TIME_TO_START_OVERDUE : MAX_TIME_TO_START))
-        || !presses
-            && choice.tasksPerMachine().size()
+    boolean isOverdue = overdue(gang, wall);
+    Moment startAt = start.at().isAfter(quotaAt) ? start.at() : quotaAt;
+    if (startAt.isAfter(now.plus(isOverdue ? MAX_TIME_TO_START_OVERDUE : MAX_TIME_TO_START))
+        || !isOverdue
+            && start.tasksPerMachine().size()
                 > Math.max(1, fleet.machines().size() / MAX_FLEET_DIVISOR)) {
       return false;
     }
@@ -170,14 +170,14 @@
       pausedUntil.put(gang, now.plus(MAX_TIME_TO_START));
       return false;
     }
-    for (Machine machine : choice.tasksPerMachine().keySet()) {
+    for (Machine machine : start.tasksPerMachine().keySet()) {
       if (candidates.reservations().put(machine, gang) != gang) {
         reservedHere.put(machine, gang);
       }
     }
-    choice
+    start
         .tasksPerMachine()
-        .forEach((machine, tasks) -> roomMaker.preemptForGang(gang, machine, tasks));
+        .forEach((machine, tasks) -> unplacedJobs.preemptForGang(gang, machine, tasks));
     return true;
   }
 
@@ -217,22 +217,22 @@
       addReleases(machine, gang, now, byZone.computeIfAbsent(zone, name -> new ArrayList<>()));
     }
     GangStart best = null;
-    for (List<CapacityRelease> openings : byZone.values()) {
-      GangStart choice = startWith(gang, openings);
-      if (choice != null && (best == null || best.at().isAfter(choice.at()))) {
-        best = choice;
+    for (List<CapacityRelease> releases : byZone.values()) {
+      GangStart start = earliestStartFrom(gang, releases);
+      if (start != null && (best == null || best.at().isAfter(start.at()))) {
+        best = start;
       }
     }
     return best;
   }
 
   /** Adds the times at which places for the gang become free on a machine. */
-  private void addReleases(Machine machine, Job gang, Moment now, List<CapacityRelease> openings) {
+  private void addReleases(Machine machine, Job gang, Moment now, List<CapacityRelease> releases) {
     Room task = gang.spec().room();
     Room free = reserve.freeFor(gang.spec(), machine);
     int count = free.count(task);
     if (count > 0) {
-      openings.add(new CapacityRelease(now, machine, count));
+      releases.add(new CapacityRelease(now, machine, count));
     }
     if (!task.fits(machine.type().room())) {
       return;
@@ -251,7 +251,7 @@
       free = free.plus(placement.job().spec().room());
       int then = free.count(task);
       if (then > count) {
-        openings.add(new CapacityRelease(ends.get(placement), machine, then - count));
+        releases.add(new CapacityRelease(ends.get(placement), machine, then - count));
         count = then;
       }
     }
@@ -267,17 +267,17 @@
     return placement.endsBy().isAfter(now) ? placement.endsBy() : now;
   }
 
-  private static GangStart startWith(Job gang, List<CapacityRelease> openings) {
-    openings.sort(Comparator.comparing(CapacityRelease::at));
+  private static GangStart earliestStartFrom(Job gang, List<CapacityRelease> releases) {
+    releases.sort(Comparator.comparing(CapacityRelease::at));
     Map<Machine, Integer> room = new LinkedHashMap<>();
     int needed = gang.pendingCount();
     ZoneAllocation zones = new ZoneAllocation(gang);
     Moment at = null;
-    for (CapacityRelease opening : openings) {
-      room.merge(opening.machine(), opening.places(), Integer::sum);
-      zones.allocate(opening.machine(), opening.places());
+    for (CapacityRelease release : releases) {
+      room.merge(release.machine(), release.places(), Integer::sum);
+      zones.allocate(release.machine(), release.places());
       if (zones.total() >= needed) {
-        at = opening.at();
+        at = release.at();
         break;
       }
     }
@@ -312,8 +312,8 @@
     /** Allocates as many of the places as the zone limit allows; returns the number allocated. */
     int allocate(Machine machine, int places) {
       int before = perZone.getOrDefault(machine.zone(), 0);
-      int byPlaces = gang.spec().spread() ? gang.spec().zoneLimit() - before : places;
-      int share = Math.max(0, Math.min(places, byPlaces));
+      int limit = gang.spec().spread() ? gang.spec().zoneLimit() - before : places;
+      int share = Math.max(0, Math.min(places, limit));
       perZone.put(machine.zone(), before + share);
       total += share;
       return share;
--- a/src/main/java/org/oakwalk/core/placement/JobSizeHistogram.java
+++ b/src/main/java/org/oakwalk/core/placement/JobSizeHistogram.java
@@ -30,8 +30,8 @@
   }
 
   private static int bucket(double size) {
-    long step = UNIT_BUCKET + Math.round(BUCKETS_PER_DOUBLING * Math.log(size) / Math.log(2));
-    return (int) Math.max(0, Math.min(BUCKETS - 1, step));
+    long index = UNIT_BUCKET + Math.round(BUCKETS_PER_DOUBLING * Math.log(size) / Math.log(2));
+    return (int) Math.max(0, Math.min(BUCKETS - 1, index));
   }
 
   /** Adds a job. */
--- a/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
+++ b/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
@@ -86,8 +86,8 @@
   private static final int HALF_LIFE_SECONDS = 120;
 
   private static final Comparator<TrackedJob> OLDEST_FIRST =
-      Comparator.comparing((TrackedJob part) -> part.job.accepted().millis())
-          .thenComparing(part -> part.job.id().value());
+      Comparator.comparing((TrackedJob entry) -> entry.job.accepted().millis())
+          .thenComparing(entry -> entry.job.id().value());
 
   /** The state kept for an open job. */
   private static final class TrackedJob {
@@ -149,7 +149,7 @@
    *
    * @param guaranteeBonus the score bonus of a job within its team's guarantee
    * @param planned the deadlines that a plan sets
-   * @param maxTasksAtOnce how many tasks of a job can run at once at most
+   * @param maxTasksAtOnce the largest number of tasks of a job that can run at the same time
    */
   LargeJobBonus(
       double guaranteeBonus,
@@ -165,28 +165,28 @@
   /** To be called when a job was accepted, changed or ended. */
   void update(Job job) {
     boolean active = !job.over() && !job.suspect() && belowProduction(job);
-    TrackedJob part = tracked.get(job);
-    if (part == null) {
+    TrackedJob entry = tracked.get(job);
+    if (entry == null) {
       if (!active) {
         return;
       }
-      part = new TrackedJob(job);
-      tracked.put(job, part);
+      entry = new TrackedJob(job);
+      tracked.put(job, entry);
       sizes.computeIfAbsent(job.spec().jobClass(), name -> new JobSizeHistogram()).add(job.spec());
       if (!job.spec().gang()) {
-        unclassified.add(part);
+        unclassified.add(entry);
       }
     }
-    if (part.large) {
+    if (entry.large) {
       LargeJobTally tally =
           tallies.computeIfAbsent(ServedShares.TeamClass.of(job), key -> new LargeJobTally());
       int served = active ? started(job) : 0;
-      tally.served += served - part.served;
-      part.served = served;
+      tally.served += served - entry.served;
+      entry.served = served;
       if (active && job.pendingCount() > 0) {
-        tally.waiting.add(part);
+        tally.waiting.add(entry);
       } else {
-        tally.waiting.remove(part);
+        tally.waiting.remove(entry);
       }
       tally.arrived -= active ? 0 : job.spec().tasks();
       tally.finished += !active && job.state() == Job.State.DONE ? job.spec().tasks() : 0;
@@ -222,12 +222,12 @@
     tallies.forEach((key, tally) -> selectBoosted(key, tally, wall));
   }
 
-  private void classify(TrackedJob part) {
-    Job job = part.job;
-    if (tracked.get(job) != part || !isLarge(job)) {
+  private void classify(TrackedJob entry) {
+    Job job = entry.job;
+    if (tracked.get(job) != entry || !isLarge(job)) {
       return;
     }
-    part.large = true;
+    entry.large = true;
     update(job);
     tallies.get(ServedShares.TeamClass.of(job)).arrived += job.spec().tasks();
   }
@@ -250,16 +250,16 @@
       return;
     }
     boolean first = placedFirst <= MAX_FIRST_TASK_SHARE * placed;
-    boolean rest = placedRampUp <= MAX_RAMP_UP_SHARE * placed;
+    boolean rampUp = placedRampUp <= MAX_RAMP_UP_SHARE * placed;
     double shortfall = tally.shortfall();
-    boolean all =
+    boolean underserved =
         shortfall > 0
             && placedUnderserved <= MAX_UNDERSERVED_SHARE * placed
             && !servedShares.othersUnderserved(key);
     int boosted = 0;
     int late = 0;
-    for (TrackedJob part : tally.waiting) {
-      Span waited = wall.since(part.job.accepted());
+    for (TrackedJob entry : tally.waiting) {
+      Span waited = wall.since(entry.job.accepted());
       if (waited.compareTo(BONUS_AFTER) < 0 || boosted >= MAX_BOOSTED_PER_ROUND) {
         break;
       }
@@ -268,13 +268,13 @@
       if (tooLate && late >= MAX_BOOSTED_PER_ROUND / 2) {
         continue;
       }
-      if (started(part.job) == 0
+      if (started(entry.job) == 0
           ? first
-          : rest && !rampedUp(part.job) && !planned(part.job, wall)) {
-        bonuses.put(part.job, (tooLate ? 1 : bonusFactor(waited)) * guaranteeBonus);
-        oneTaskOnly.add(part.job);
-      } else if (all) {
-        bonuses.put(part.job, (1 + shortfall) * guaranteeBonus);
+          : rampUp && !rampedUp(entry.job) && !planned(entry.job, wall)) {
+        bonuses.put(entry.job, (tooLate ? 1 : bonusFactor(waited)) * guaranteeBonus);
+        oneTaskOnly.add(entry.job);
+      } else if (underserved) {
+        bonuses.put(entry.job, (1 + shortfall) * guaranteeBonus);
       } else {
         continue;
       }
--- a/src/main/java/org/oakwalk/core/placement/MachineDistance.java
+++ b/src/main/java/org/oakwalk/core/placement/MachineDistance.java
@@ -14,7 +14,9 @@
  * MachineSearch} finds the nearest machine.
  */
 public final class MachineDistance {
+  /** Fetch time from which on the image term is at its maximum. */
   private static final double LONG_FETCH_SECONDS = 10;
+
   private static final double SERVICE_IMAGE_FACTOR = 5;
 
   /**
--- a/src/main/java/org/oakwalk/core/placement/MachineSearch.java
+++ b/src/main/java/org/oakwalk/core/placement/MachineSearch.java
@@ -32,8 +32,8 @@
    * @param machines the machines on which the job may run
    * @param run the expected run time of a task
    */
-  MachineSearch(MachineDistance hosts, Job job, List<Machine> machines, Span run, Moment now) {
-    this.distances = hosts;
+  MachineSearch(MachineDistance distances, Job job, List<Machine> machines, Span run, Moment now) {
+    this.distances = distances;
     this.job = job;
     this.run = run;
     this.now = now;
--- a/src/main/java/org/oakwalk/core/placement/Placer.java
+++ b/src/main/java/org/oakwalk/core/placement/Placer.java
@@ -128,7 +128,7 @@
    *
    * @param inheritedToo whether jobs accepted under earlier leaders may be placed, since it is
    *     known which of their tasks are running
-   * @param regular whether this is a regular round and not one caused by a change
+   * @param regular whether this is a regular, periodic round rather than one triggered by an event
    * @return the number of tasks placed
    */
   public int runRound(boolean inheritedToo, boolean regular, Moment time, WallTime wall) {
@@ -169,33 +169,35 @@
     Set<Job> individual = new LinkedHashSet<>(newlyWaitingServices);
     individual.addAll(candidates.reservations().values());
     individual.addAll(largeJobs.boostedJobs());
-    Ranking.RankingTraversal walk =
+    Ranking.RankingTraversal traversal =
         ranking.new RankingTraversal(inheritedToo, individual, this::bonus, largeJobs::bonus);
     Map<Ranking.EquivalenceClass, Integer> misses = new HashMap<>();
-    for (Job job = walk.next(); job != null; job = walk.next()) {
+    for (Job job = traversal.next(); job != null; job = traversal.next()) {
       if (job.nextPending(0, now) < 0
           || largeJobs.classHasNoRoom(job) && !newlyWaitingServices.contains(job)) {
         continue;
       }
-      ClassDecision verdict = placeAndHandleMiss(job);
-      if (verdict != ClassDecision.CONTINUE) {
+      ClassDecision decision = placeAndHandleMiss(job);
+      if (decision != ClassDecision.CONTINUE) {
         largeJobs.recordNoRoom(job);
       }
-      if (verdict == ClassDecision.SKIP_CLASS
-          || verdict == ClassDecision.MISSED
-              && misses.merge(walk.equivalenceClass(), 1, Integer::sum) >= MAX_MISSES_PER_CLASS) {
-        walk.skipClass();
+      if (decision == ClassDecision.SKIP_CLASS
+          || decision == ClassDecision.MISSED
+              && misses.merge(traversal.equivalenceClass(), 1, Integer::sum)
+                  >= MAX_MISSES_PER_CLASS) {
+        traversal.skipClass();
       }
     }
   }
 
   /** The bonus of an underserved class: one to two times that of a guarantee. */
-  private double bonus(Ranking.EquivalenceClass kind) {
-    if (kind.priority().compareTo(Priority.HIGH) >= 0 || !servedShares.mayBoost()) {
+  private double bonus(Ranking.EquivalenceClass equivalenceClass) {
+    if (equivalenceClass.priority().compareTo(Priority.HIGH) >= 0 || !servedShares.mayBoost()) {
       return 0;
     }
     double shortfall =
-        servedShares.shortfall(new ServedShares.TeamClass(kind.team(), kind.jobClass()));
+        servedShares.shortfall(
+            new ServedShares.TeamClass(equivalenceClass.team(), equivalenceClass.jobClass()));
     return shortfall <= 0 ? 0 : (1 + shortfall) * policy.scoring().guaranteeBonus();
   }
 
--- a/src/main/java/org/oakwalk/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/oakwalk/core/placement/PreemptionPlanner.java
@@ -36,9 +36,9 @@
       RunTimeEstimates runTimes,
       ServedShares servedShares,
       CapacityReserve reserve,
-      CapacityExchange takes) {
+      CapacityExchange exchange) {
     this.reserve = reserve;
-    this.exchange = takes;
+    this.exchange = exchange;
     this.servedShares = servedShares;
     this.stoppable = stoppable;
     this.quota = quota;
@@ -139,22 +139,24 @@
     if (asked.fits(free)) {
       return new PreemptionPlan(machine, List.of(), imageCost(job, machine));
     }
-    List<VictimCost> losses = new ArrayList<>();
-    candidates.forEach(each -> losses.add(new VictimCost(each, preemptionCost(each, now, wall))));
-    losses.sort(Comparator.comparingDouble(VictimCost::seconds));
+    List<VictimCost> victimCosts = new ArrayList<>();
+    candidates.forEach(
+        each -> victimCosts.add(new VictimCost(each, preemptionCost(each, now, wall))));
+    victimCosts.sort(Comparator.comparingDouble(VictimCost::seconds));
     List<Placement> victims = new ArrayList<>();
     double cost = imageCost(job, machine);
-    for (VictimCost loss : losses) {
+    for (VictimCost victimCost : victimCosts) {
       if (asked.fits(free)) {
         break;
       }
-      victims.add(loss.placement());
-      cost += 1 + loss.seconds();
-      free = free.plus(loss.placement().job().spec().room());
+      victims.add(victimCost.placement());
+      cost += 1 + victimCost.seconds();
+      free = free.plus(victimCost.placement().job().spec().room());
     }
     return asked.fits(free) ? new PreemptionPlan(machine, victims, cost) : null;
   }
 
+  /** The cost of fetching the image, in the same unit as the cost of preemptions. */
   private static double imageCost(Job job, Machine machine) {
     return machine.hasImage(job.spec().image()) ? 0 : 5;
   }
@@ -170,8 +172,8 @@
 
   private boolean preemptible(Stoppable.Sort sort, Job job, boolean guaranteed) {
     Priority asking = job.spec().priority();
-    boolean stops = guaranteed || asking.compareTo(Priority.NORMAL) > 0;
-    if (stops && sort.priority().compareTo(asking) < 0) {
+    boolean mayPreempt = guaranteed || asking.compareTo(Priority.NORMAL) > 0;
+    if (mayPreempt && sort.priority().compareTo(asking) < 0) {
       return true;
     }
     // Tasks of an underserved class would be preempted each time they start.
@@ -194,14 +196,13 @@
     Moment since = placement.runningSince();
     Span ran = since == null ? Span.millis(0) : now.since(since);
     Job job = placement.job();
-    long slack = maxRestartableRuns.computeIfAbsent(job, each -> maxRestartableRun(each, wall));
-    // Stopping one task of a gang loses the work of all. The only running task of a job with
-    // several
-    // tasks gets the surcharge as well, since without it the job would be back at its beginning.
+    long maxRun = maxRestartableRuns.computeIfAbsent(job, each -> maxRestartableRun(each, wall));
+    // Stopping one task of a gang loses the work of all its tasks. The only running task of a job
+    // with several tasks gets the surcharge too, since the job would be back at its beginning.
     boolean lastActive = job.doneCount() == 0 && job.activeCount() == 1 && job.spec().tasks() > 1;
     int restarted = job.spec().gang() ? Math.max(1, job.activeCount()) : 1;
     return restarted * ran.asSeconds()
-        + (ran.millis() >= slack || lastActive ? MISSED_TARGET_COST_SECONDS : 0);
+        + (ran.millis() >= maxRun || lastActive ? MISSED_TARGET_COST_SECONDS : 0);
   }
 
   /**
--- a/src/main/java/org/oakwalk/core/placement/Quota.java
+++ b/src/main/java/org/oakwalk/core/placement/Quota.java
@@ -83,7 +83,10 @@
         : Room.NONE;
   }
 
-  /** The unused part of a team's limit, including reservations; negative where it is exceeded. */
+  /**
+   * The unused part of a team's limit, regardless of reservations for gangs; negative where the
+   * limit is exceeded.
+   */
   Room remaining(String name) {
     Settings.Team team = teams.get(name);
     if (team == null) {
@@ -145,8 +148,8 @@
   }
 
   /**
-   * Whether the team uses more than its guarantee, so that other teams may preempt its tasks. This
-   * holds for any use by a team without a guarantee.
+   * Whether the team uses more than its guarantee, so that other teams may preempt its tasks. For a
+   * team without a guarantee, such as guests, this holds for any use.
    */
   public boolean exceedsGuarantee(String name) {
     Settings.Team team = teams.get(name);
--- a/src/main/java/org/oakwalk/core/placement/Ranking.java
+++ b/src/main/java/org/oakwalk/core/placement/Ranking.java
@@ -138,10 +138,10 @@
   private WallTime wall = new WallTime(0);
   private long evaluations;
 
-  Ranking(JobBook jobs, RunTimeEstimates runTimes, JobScorer score, Quota quota) {
+  Ranking(JobBook jobs, RunTimeEstimates runTimes, JobScorer scorer, Quota quota) {
     this.jobs = jobs;
     this.runTimes = runTimes;
-    this.scorer = score;
+    this.scorer = scorer;
     this.quota = quota;
   }
 
@@ -154,11 +154,14 @@
    * Brings the order up to date.
    *
    * @param machines the number of machines of each type that accept tasks
-   * @param regraded jobs that have come to be within a guarantee, or have ceased to be
+   * @param guaranteeChanges jobs that have come to be within a guarantee, or have ceased to be
    * @return the jobs that have changed since the last call
    */
   List<Job> refresh(
-      Map<MachineType, Integer> machines, List<Job> regraded, Moment time, WallTime wallTime) {
+      Map<MachineType, Integer> machines,
+      List<Job> guaranteeChanges,
+      Moment time,
+      WallTime wallTime) {
     machineCounts = machines;
     now = time;
     wall = wallTime;
@@ -169,7 +172,7 @@
       List.copyOf(byJob.keySet()).forEach(this::rerank);
     }
     touched.forEach(this::rerank);
-    regraded.forEach(this::rerank);
+    guaranteeChanges.forEach(this::rerank);
     scorer.takeReplannedJobs().forEach(this::rerank);
     while (!byRescoreTime.isEmpty() && !byRescoreTime.first().rescoreAt().isAfter(now)) {
       rerank(byRescoreTime.first().job());
@@ -237,14 +240,18 @@
     RankedGroup group =
         groups.computeIfAbsent(equivalenceClass, added -> new RankedGroup(places(added.room())));
     Span remaining = remaining(job, group);
-    double key =
+    double sortKey =
         scorer.score(
                 job, remaining, Span.millis(0), largestMachine, equivalenceClass.guaranteed(), wall)
             - scorer.waitTerm(job.waitingSince());
     Span validity = scorer.validFor(job, remaining, wall);
     RankedJob entry =
         new RankedJob(
-            job, equivalenceClass, key, job.stamp(), validity == null ? null : now.plus(validity));
+            job,
+            equivalenceClass,
+            sortKey,
+            job.stamp(),
+            validity == null ? null : now.plus(validity));
     byJob.put(job, entry);
     group.entries.add(entry);
     if (validity != null) {
@@ -277,8 +284,8 @@
   /** The number of tasks of this size that these machines could hold if they were empty. */
   static int places(Map<MachineType, Integer> machines, Room task) {
     int places = 0;
-    for (Map.Entry<MachineType, Integer> equivalenceClass : machines.entrySet()) {
-      places += equivalenceClass.getValue() * equivalenceClass.getKey().room().count(task);
+    for (Map.Entry<MachineType, Integer> count : machines.entrySet()) {
+      places += count.getValue() * count.getKey().room().count(task);
     }
     return places;
   }
--- a/src/main/java/org/oakwalk/core/placement/RunTimeEstimates.java
+++ b/src/main/java/org/oakwalk/core/placement/RunTimeEstimates.java
@@ -13,10 +13,12 @@
  * users' guesses.
  */
 public final class RunTimeEstimates {
-  /** Weight that the mean so far keeps when a run is added, once there have been many. */
-  private static final double MIN_HISTORY_WEIGHT = 0.95;
+  /** Largest weight that the mean so far keeps when a run is added, so that it follows changes. */
+  private static final double MAX_HISTORY_WEIGHT = 0.95;
 
+  /** Bounds to which a single ratio is clamped. */
   private static final double MIN_RATIO = 0.2;
+
   private static final double MAX_RATIO = 5;
   private static final int MIN_RUNS_FOR_TYPICAL = 4;
 
@@ -27,7 +29,7 @@
 
     void add(double ratio) {
       seen++;
-      double weight = Math.max(1.0 / (seen + 1), 1 - MIN_HISTORY_WEIGHT);
+      double weight = Math.max(1.0 / (seen + 1), 1 - MAX_HISTORY_WEIGHT);
       mean += weight * (ratio - mean);
     }
   }
@@ -58,8 +60,8 @@
 
   /** The mean ratio of run times to guesses for this class; 1 if there has been no run. */
   double guessFactor(String jobClass) {
-    GuessRatio kind = byClass.get(jobClass);
-    return kind == null ? 1 : kind.mean;
+    GuessRatio ratio = byClass.get(jobClass);
+    return ratio == null ? 1 : ratio.mean;
   }
 
   /** The mean run time of this job's tasks, once enough of them have completed. */
--- a/src/main/java/org/oakwalk/core/placement/ServedShares.java
+++ b/src/main/java/org/oakwalk/core/placement/ServedShares.java
@@ -17,6 +17,7 @@
  * long as no more than a quarter of the placed tasks belong to underserved classes.
  */
 final class ServedShares {
+  /** A class is underserved if less than this share of its tasks is served. */
   private static final double UNDERSERVED_BELOW = 0.6;
 
   /** Share of the placed tasks up to which underserved classes get a bonus. */
--- a/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
+++ b/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
@@ -95,7 +95,9 @@
     boolean anyPlan = plans.hasNext();
     int missing = job.pendingCount();
     while (missing > 0 && stopped < MAX_PREEMPTIONS_PER_ROUND && plans.hasNext()) {
-      // The machine is reserved, so that no other job takes the room that is being freed.
+      // Each plan reserves its machine, so that no other job takes the room that is being freed,
+      // and
+      // no second task of this job counts on it.
       missing -= carryOut(plans.next(), job) ? 1 : 0;
     }
     return anyPlan;
--- a/src/test/java/org/oakwalk/core/placement/JobTargetsTest.java
+++ b/src/test/java/org/oakwalk/core/placement/JobTargetsTest.java
@@ -16,7 +16,7 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Room;
 
-/** When a job that starts afresh misses a target that its present run meets. */
+/** Whether a restarted task makes its job miss a target that the present run would meet. */
 class JobTargetsTest {
   private static JobSpec job(String jobClass, Optional<Span> due) {
     return new JobSpec(
@@ -40,35 +40,39 @@
         due);
   }
 
-  /** Against the plain way: the next target of both, compared. */
+  /**
+   * Compares the result of {@link JobTargets#latestBefore} with the definition: the earliest
+   * reachable targets of the present run and of the restarted one differ.
+   */
   @Test
   void latestBeforeMatchesComparisonOfReachableTargets() {
-    UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(3L);
+    UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(3L);
     int missed = 0;
     for (int i = 0; i < 20_000; i++) {
       List<Settings.Objective> objectives = new ArrayList<>();
-      for (int k = chance.nextInt(4); k > 0; k--) {
-        String kind = List.of("finished", "deadline", "wait").get(chance.nextInt(3));
-        String jobClass = chance.nextInt(4) == 0 ? "other" : "own";
+      for (int k = random.nextInt(4); k > 0; k--) {
+        String kind = List.of("finished", "deadline", "wait").get(random.nextInt(3));
+        String jobClass = random.nextInt(4) == 0 ? "other" : "own";
         objectives.add(
             new Settings.Objective(
-                kind, jobClass, 5 * chance.nextInt(20), 1, 0.5 * chance.nextInt(5)));
+                kind, jobClass, 5 * random.nextInt(20), 1, 0.5 * random.nextInt(5)));
       }
       JobTargets targets = new JobTargets(objectives);
       JobSpec spec =
           job(
               "own",
-              chance.nextBoolean()
+              random.nextBoolean()
                   ? Optional.empty()
-                  : Optional.of(Span.seconds(chance.nextInt(100))));
-      Span end = Span.seconds(chance.nextInt(120));
-      Span ran = Span.seconds(chance.nextInt(60));
+                  : Optional.of(Span.seconds(random.nextInt(100))));
+      Span end = Span.seconds(random.nextInt(120));
+      Span ran = Span.seconds(random.nextInt(60));
       Optional<Span> reached = targets.earliestReachable(spec, end.minus(ran));
-      boolean plain = reached.isPresent() && !reached.equals(targets.earliestReachable(spec, end));
-      boolean quick =
+      boolean expected =
+          reached.isPresent() && !reached.equals(targets.earliestReachable(spec, end));
+      boolean actual =
           targets.latestBefore(spec, end).filter(t -> end.minus(t).compareTo(ran) <= 0).isPresent();
-      assertThat(quick).as("%s %s %s %s", objectives, spec.due(), end, ran).isEqualTo(plain);
-      missed += plain ? 1 : 0;
+      assertThat(actual).as("%s %s %s %s", objectives, spec.due(), end, ran).isEqualTo(expected);
+      missed += expected ? 1 : 0;
     }
     assertThat(missed).isGreaterThan(1_000);
   }
--- a/src/test/java/org/oakwalk/core/placement/MachineSearchTest.java
+++ b/src/test/java/org/oakwalk/core/placement/MachineSearchTest.java
@@ -32,7 +32,7 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Room;
 
-/** The search that keeps figures chooses what one that looks at everything anew chooses. */
+/** The search, which caches the terms of the distance, chooses the same machines as one without. */
 class MachineSearchTest {
   private static final int SEEDS = 40;
   private static final Moment NOW = new Moment(1_000_000);
@@ -75,7 +75,7 @@
     }
   }
 
-  /** The definition: nearest to the machine that has the lowest use of each resource. */
+  /** The definition: nearest to an ideal machine with the lowest utilization of each resource. */
   private Machine exhaustiveSearch(Job job, List<Machine> machines, Span run) {
     Machine best = null;
     double bestDistance = Double.MAX_VALUE;
--- a/src/test/java/org/oakwalk/core/placement/PreemptionPlannerTest.java
+++ b/src/test/java/org/oakwalk/core/placement/PreemptionPlannerTest.java
@@ -26,13 +26,13 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Room;
 
-/** What it costs to ask whether stops would make room for a job. */
+/** The work and the costs of planning preemptions. */
 class PreemptionPlannerTest {
   private static final Moment NOW = new Moment(1_000_000);
 
   /**
-   * A task that is being stopped anywhere was reason enough to look into every task of the fleet,
-   * for each job that waits and in each round: more than half of a busy leader's processor time.
+   * Guards against inspecting every task of the fleet, for each waiting job and in each round, as
+   * soon as any task is being stopped. That took more than half of a busy leader's CPU time.
    */
   @ParameterizedTest
   @ValueSource(ints = {100, 1_000, 5_000})
@@ -68,7 +68,10 @@
         .contains(stopped.machine());
   }
 
-  /** A gang starts again whole: one of its tasks seemed the cheapest though all were lost. */
+  /**
+   * Guards against preempting a gang's task because it seems the cheapest: all tasks of the gang
+   * are restarted then, so the work of all is lost.
+   */
   @Test
   void gangVictimCostsTheWorkOfAllGangTasks() {
     Fleet fleet = MachineSearchTest.fleet();
@@ -95,11 +98,11 @@
     List<PreemptionPlanner.PreemptionPlan> plans =
         preemption.plans(asking, all, NOW, new WallTime(0));
     assertThat(plans).hasSize(3);
-    PreemptionPlanner.PreemptionPlan least =
+    PreemptionPlanner.PreemptionPlan cheapest =
         plans.stream()
             .min(Comparator.comparingDouble(PreemptionPlanner.PreemptionPlan::cost))
             .orElseThrow();
-    assertThat(least.machine()).isEqualTo(all.get(0));
+    assertThat(cheapest.machine()).isEqualTo(all.get(0));
   }
 
   private static void run(Fleet fleet, Job job, int index, Machine machine, Moment since) {
--- a/src/test/java/org/oakwalk/core/placement/RankingTest.java
+++ b/src/test/java/org/oakwalk/core/placement/RankingTest.java
@@ -40,7 +40,7 @@
 import org.oakwalk.core.store.KnownJob;
 import org.oakwalk.core.store.StoreView;
 
-/** The order that is kept is the plain one, and a long queue costs rounds nothing. */
+/** The incremental order equals the exact one, and a long queue does not make rounds slower. */
 class RankingTest {
   private static final int SEEDS = 20;
   private static final int STEPS = 120;
@@ -79,7 +79,7 @@
   private final Quota quota = new Quota(teams, fleet);
   private int numbers;
 
-  /** Whether jobs differ in all ways, rather than in what one class of users lets them differ. */
+  /** Whether random jobs differ in shape, priority, size and constraints. */
   private boolean varied = true;
 
   @TestFactory
@@ -103,28 +103,28 @@
       if (known.size() < 60) {
         known.add(job(random, now, wall));
       }
-      Job changing = known.get(random.nextInt(known.size()));
-      change(changing, random, now);
+      Job changed = known.get(random.nextInt(known.size()));
+      change(changed, random, now);
       ranking.refresh(machines, quota.updateGuarantees(jobs), now, wall);
-      List<Job> met = new ArrayList<>();
+      List<Job> order = new ArrayList<>();
       Ranking.RankingTraversal walk =
-          ranking.new RankingTraversal(true, new HashSet<>(List.of(changing)), kind -> 0, job -> 0);
+          ranking.new RankingTraversal(true, new HashSet<>(List.of(changed)), kind -> 0, job -> 0);
       for (Job next = walk.next(); next != null; next = walk.next()) {
-        met.add(next);
+        order.add(next);
       }
-      assertThat(met)
+      assertThat(order)
           .containsExactlyInAnyOrderElementsOf(
               jobs.all().stream().filter(job -> job.open() && job.pendingCount() > 0).toList());
-      for (int i = 1; i < met.size(); i++) {
-        double before = scoreFromScratch(met.get(i - 1), machines, now, wall);
-        double after = scoreFromScratch(met.get(i), machines, now, wall);
+      for (int i = 1; i < order.size(); i++) {
+        double before = scoreFromScratch(order.get(i - 1), machines, now, wall);
+        double after = scoreFromScratch(order.get(i), machines, now, wall);
         assertThat(before)
             .isGreaterThanOrEqualTo(after - JobScorer.TOLERANCE * 1.1 * Math.abs(after));
       }
     }
   }
 
-  /** The definition, worked out anew. */
+  /** The definition: the score computed from scratch. */
   private double scoreFromScratch(
       Job job, Map<MachineType, Integer> machines, Moment now, WallTime wall) {
     int places = machines.get(TYPE) * TYPE.room().count(job.spec().room());
@@ -178,13 +178,12 @@
   }
 
   /**
-   * Jobs of one class that are alike but for their age leave in the order in which they came. In
-   * room-overload-late 21 of 316 small jobs waited for up to 276 s while later ones of the very
-   * same kind were served within seconds. What the leader had learned of their class's run times
-   * moved by a few hundredths between their submissions; a kept score was worked out anew only once
-   * that had moved by 15%, and the wait counts for far less. The log showed it: "ranked j-1071 key
-   * 143.70 factor 0.962" at 85 s, which then was never ranked again, and "ranked j-1120 key 145.75
-   * factor 0.948" at 134 s, which began at once.
+   * Guards against starvation of equal jobs: jobs of one class that differ only in age must be
+   * ranked by age. If each score used the run time factor learned by the time of its job's arrival,
+   * small changes of the factor would outweigh the wait, as scores are recomputed only after a
+   * change of 15%. In the scenario room-overload-late, 21 of 316 small jobs waited for up to 276 s
+   * while later equal ones were served within seconds; a change of the factor from 0.962 to 0.948
+   * had raised the later ones' sort key from 143.70 to 145.75.
    */
   @Test
   void olderOfEqualJobsIsRankedFirst() {
@@ -196,18 +195,18 @@
       long millis = 1_000_000 + i * 1000L;
       Job job = equalJob(new Moment(millis), new WallTime(millis));
       inOrder.add(job);
-      // Runs get a little shorter, as guessed, and longer again, by less than a seventh in all.
+      // Run times alternate between 0.93 and 1.0 of the guess, less than the limit for rescoring.
       double ratio = i % 20 < 10 ? 0.93 : 1.0;
       runTimes.record(job, job.spec().guess().times(ratio));
       ranking.refresh(machines, List.of(), new Moment(millis), new WallTime(millis));
     }
     Ranking.RankingTraversal walk =
         ranking.new RankingTraversal(true, Set.of(), kind -> 0, job -> 0);
-    List<Job> met = new ArrayList<>();
+    List<Job> order = new ArrayList<>();
     for (Job next = walk.next(); next != null; next = walk.next()) {
-      met.add(next);
+      order.add(next);
     }
-    assertThat(met).containsExactlyElementsOf(inOrder);
+    assertThat(order).containsExactlyElementsOf(inOrder);
   }
 
   private Job equalJob(Moment now, WallTime wall) {
@@ -220,8 +219,9 @@
   }
 
   /**
-   * Overload that lasts took most of a leader's processor time, since each round looked at each
-   * waiting job on each machine. What a round works out may depend on what has changed alone.
+   * Guards against rounds whose cost grows with the queue. Evaluating each waiting job on each
+   * machine in each round took most of a leader's CPU time during a long overload; the work of a
+   * round may depend only on what has changed.
    */
   @Test
   void roundCostDoesNotGrowWithQueueLength() {
@@ -233,7 +233,10 @@
     assertThat(many).isLessThanOrEqualTo(few * 5 / 4);
   }
 
-  /** Scores and searches in 30 s of a full fleet of 40 machines, one task of which ends a round. */
+  /**
+   * The scores and searches in 30 s on a full fleet of 40 machines, where at most one task ends in
+   * each round.
+   */
   private long evaluationsWith(int waiting) {
     varied = false;
     fleet.types(Map.of("m", TYPE));
@@ -263,7 +266,7 @@
     for (Machine machine : fleet.machines()) {
       report(machine, 1, List.of(), new Moment(millis));
     }
-    // The queue is new to the leader, and all that may still be in time comes nearer to its end.
+    // Warm-up: the queue is new to the leader, and deadlines that can still be met come nearer.
     for (int i = 0; i < 150; i++) {
       millis += 2000;
       placer.runRound(true, true, new Moment(millis), new WallTime(millis));
