--- a/src/main/java/org/oakwalk/core/placement/GangReservations.java
+++ b/src/main/java/org/oakwalk/core/placement/GangReservations.java
@@ -76,18 +76,18 @@
       CandidateMachines candidates,
       Quota quota,
       PreemptionPlanner preemption,
-      UnplacedJobHandler roomMaker,
+      UnplacedJobHandler unplacedJobs,
       ServedShares servedShares,
-      LargeJobBonus largest,
+      LargeJobBonus largeJobs,
       CapacityReserve reserve) {
     this.reserve = reserve;
     this.servedShares = servedShares;
-    this.largeJobs = largest;
+    this.largeJobs = largeJobs;
     this.fleet = fleet;
     this.candidates = candidates;
     this.quota = quota;
     this.preemption = preemption;
-    this.unplacedJobs = roomMaker;
+    this.unplacedJobs = unplacedJobs;
   }
 
   /** To be called when a job was accepted, changed or ended. */
--- a/src/test/java/org/oakwalk/core/placement/MachineSearchTest.java
+++ b/src/test/java/org/oakwalk/core/placement/MachineSearchTest.java
@@ -32,7 +32,7 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Room;
 
-/** The search, which caches the terms of the distance, chooses the same machines as one without. */
+/** The search, which caches the terms of the distance, chooses the same machines as a full one. */
 class MachineSearchTest {
   private static final int SEEDS = 40;
   private static final Moment NOW = new Moment(1_000_000);
--- a/src/test/java/org/oakwalk/core/placement/RankingTest.java
+++ b/src/test/java/org/oakwalk/core/placement/RankingTest.java
@@ -40,7 +40,10 @@
 import org.oakwalk.core.store.KnownJob;
 import org.oakwalk.core.store.StoreView;
 
-/** The incremental order equals the exact one, and a long queue does not make rounds slower. */
+/**
+ * The incremental order matches the exact one within the tolerance, and a long queue does not make
+ * rounds slower.
+ */
 class RankingTest {
   private static final int SEEDS = 20;
   private static final int STEPS = 120;
@@ -107,9 +110,11 @@
       change(changed, random, now);
       ranking.refresh(machines, quota.updateGuarantees(jobs), now, wall);
       List<Job> order = new ArrayList<>();
-      Ranking.RankingTraversal walk =
-          ranking.new RankingTraversal(true, new HashSet<>(List.of(changed)), kind -> 0, job -> 0);
-      for (Job next = walk.next(); next != null; next = walk.next()) {
+      Ranking.RankingTraversal traversal =
+          ranking
+          .new RankingTraversal(
+              true, new HashSet<>(List.of(changed)), equivalenceClass -> 0, job -> 0);
+      for (Job next = traversal.next(); next != null; next = traversal.next()) {
         order.add(next);
       }
       assertThat(order)
@@ -182,8 +187,9 @@
    * ranked by age. If each score used the run time factor learned by the time of its job's arrival,
    * small changes of the factor would outweigh the wait, as scores are recomputed only after a
    * change of 15%. In the scenario room-overload-late, 21 of 316 small jobs waited for up to 276 s
-   * while later equal ones were served within seconds; a change of the factor from 0.962 to 0.948
-   * had raised the later ones' sort key from 143.70 to 145.75.
+   * while later equal ones were served within seconds; one of them had been ranked with factor
+   * 0.962 and sort key 143.70 and never again, while one ranked 49 s later, with factor 0.948 and
+   * sort key 145.75, started at once.
    */
   @Test
   void olderOfEqualJobsIsRankedFirst() {
@@ -195,15 +201,16 @@
       long millis = 1_000_000 + i * 1000L;
       Job job = equalJob(new Moment(millis), new WallTime(millis));
       inOrder.add(job);
-      // Run times alternate between 0.93 and 1.0 of the guess, less than the limit for rescoring.
+      // Run times alternate between 0.93 and 1.0 of the guess; the change is too small for
+      // rescoring.
       double ratio = i % 20 < 10 ? 0.93 : 1.0;
       runTimes.record(job, job.spec().guess().times(ratio));
       ranking.refresh(machines, List.of(), new Moment(millis), new WallTime(millis));
     }
-    Ranking.RankingTraversal walk =
-        ranking.new RankingTraversal(true, Set.of(), kind -> 0, job -> 0);
+    Ranking.RankingTraversal traversal =
+        ranking.new RankingTraversal(true, Set.of(), equivalenceClass -> 0, job -> 0);
     List<Job> order = new ArrayList<>();
-    for (Job next = walk.next(); next != null; next = walk.next()) {
+    for (Job next = traversal.next(); next != null; next = traversal.next()) {
       order.add(next);
     }
     assertThat(order).containsExactlyElementsOf(inOrder);
