--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -20,9 +20,9 @@
 import org.oakwalk.core.fleet.CommandDispatcher;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
+import org.oakwalk.core.fleet.MachineRegistry;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.fleet.Registry;
 import org.oakwalk.core.headroom.Headroom;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
@@ -59,7 +59,7 @@
   private final RelayEnds relays;
   private final Fleet fleet;
   private final CommandDispatcher dispatcher;
-  private final Registry registry;
+  private final MachineRegistry registry;
   private final ResultWriter results;
   private final Recovery recovery;
   private final RunTimes runTimes = new RunTimes();
@@ -115,10 +115,10 @@
               if (above(report)) {
                 higherToken.accept(report.token());
               } else {
-                fleet.report(report, false, clock);
+                fleet.handleReport(report, false, clock);
               }
             });
-    this.registry = new Registry(outbox, fleet, guard, settings.state());
+    this.registry = new MachineRegistry(outbox, fleet, guard, settings.state());
     this.results = new ResultWriter(outbox, jobs, view, guard, settings.state());
     this.recovery =
         new Recovery(
@@ -217,7 +217,7 @@
 
   /** Whether a worker shows a higher token than this leader has told it. */
   boolean above(Report report) {
-    return fleet.above(report);
+    return fleet.showsUnissuedToken(report);
   }
 
   /** A job was stored, finished or withdrawn. */
@@ -232,34 +232,35 @@
 
   private void haltAll(Job job) {
     List<Placement> placements = fleet.placementsOf(job);
-    placements.forEach(placement -> fleet.halt(placement, Span.millis(0), Fleet.Why.WITHDRAWN));
-    dispatcher.recall(placements);
+    placements.forEach(
+        placement -> fleet.halt(placement, Span.millis(0), Fleet.StopReason.WITHDRAWN));
+    dispatcher.cancelStarts(placements);
   }
 
   /** Whether what older leaders left has been read, so that reports can be made use of. */
   boolean readsReports() {
-    return recovery.readsReports();
+    return recovery.acceptsReports();
   }
 
   /** A worker was answered before its report could be made use of. */
   void answered(MachineId machine, Moment now) {
-    recovery.renewedUnread(now);
+    recovery.leaseRenewedBeforeReports(now);
     if (!recovery.complete()) {
-      dispatcher.answered(machine, now);
+      dispatcher.responseSent(machine, now);
     }
   }
 
   /** Orders for a worker that reports, or nothing if the report can't be used yet. */
   Optional<Response.Orders> report(Report report, boolean carried, Moment now) {
     clock = now;
-    Optional<Machine> machine = fleet.report(report, true, now);
-    if (machine.isEmpty() || fleet.mustLapse(machine.get(), now)) {
+    Optional<Machine> machine = fleet.handleReport(report, true, now);
+    if (machine.isEmpty() || fleet.mustNotRenewLease(machine.get(), now)) {
       return Optional.empty();
     }
-    machine.get().carried(carried);
+    machine.get().reportForwarded(carried);
     answered(report.machine(), now);
     evacuate(machine.get(), now);
-    if (machine.get().startsByAnswersOnly()) {
+    if (machine.get().commandStartLimitReached()) {
       // What is placed after this answer would wait for the next one.
       placing.ifPresent(wall -> round(now, wall));
     }
@@ -279,7 +280,7 @@
           placement.runningSince() == null ? 0 : now.since(placement.runningSince()).asSeconds();
       boolean endsInTime = !placement.job().spec().service() && expected.asSeconds() - ran < left;
       if (!placement.halting() && !endsInTime) {
-        fleet.halt(placement, placement.job().spec().saveTime(), Fleet.Why.RECLAIMED);
+        fleet.halt(placement, placement.job().spec().saveTime(), Fleet.StopReason.RECLAIMED);
       }
     }
   }
@@ -295,7 +296,7 @@
   }
 
   void peerSettled(NodeId peer, Moment now) {
-    recovery.settled(peer, now);
+    recovery.peerRelinquished(peer, now);
   }
 
   /** Whether starts may be ordered: not while the token is in doubt for long. */
@@ -312,12 +313,12 @@
       nextRegular = now;
       completed = Optional.of(now);
     }
-    if (!recovery.readsReports()) {
+    if (!recovery.acceptsReports()) {
       return;
     }
-    fleet.lapse(now, recovery.lastForeignRenewal());
-    dispatcher.push(now);
-    dispatcher.ask(now);
+    fleet.expireLeases(now, recovery.lastUnseenRenewal());
+    dispatcher.pushTokens(now);
+    dispatcher.probeSilentMachines(now);
     if (active) {
       relays.tick(now);
       registry.tick(now);
@@ -342,7 +343,7 @@
   private void tellRecovery(Moment now) {
     if (completed.isPresent() && !recoveryTold) {
       recoveryTold = true;
-      LOG.info("{}; first round {}", recovery.took(), now.since(completed.get()));
+      LOG.info("{}; first round {}", recovery.summary(), now.since(completed.get()));
     }
   }
 
@@ -441,12 +442,12 @@
   }
 
   @Override
-  public void stopping(Placement placement, Fleet.Why why) {
+  public void stopRequested(Placement placement, Fleet.StopReason why) {
     gate.stopped(placement, why);
   }
 
   @Override
-  public void left(Placement placement, Moment now) {
+  public void placementEnded(Placement placement, Moment now) {
     mover.left(placement, now);
   }
 
--- a/src/main/java/org/oakwalk/core/capacity/Boots.java
+++ b/src/main/java/org/oakwalk/core/capacity/Boots.java
@@ -107,7 +107,7 @@
     boolean noneComes = noneComes(record);
     int inARow = noneComes ? Math.min(MOST_IN_A_ROW, record.givenUp) : 0;
     Span late = usual(sort, type).times(GIVEN_UP_AFTER * (1 + inARow * PATIENCE_GAINED));
-    boolean known = noneComes || usual(sort, type).compareTo(type.boot().times(USUAL_MOST)) > 0;
+    boolean known = noneComes || usual(sort, type).compareTo(type.bootTime().times(USUAL_MOST)) > 0;
     Span most = known ? patience.times(MOST_PATIENCE) : patience;
     return late.compareTo(most) < 0 ? late : most;
   }
@@ -116,7 +116,7 @@
   private Span usual(Sort sort, MachineType type) {
     Record record = records.get(sort);
     double seconds = record == null ? 0 : record.seconds + record.deviation;
-    return Span.seconds(Math.max(type.boot().asSeconds(), seconds));
+    return Span.seconds(Math.max(type.bootTime().asSeconds(), seconds));
   }
 
   private Record record(Sort sort, MachineType type) {
@@ -124,7 +124,7 @@
         sort,
         s -> {
           Record record = new Record();
-          record.seconds = type.boot().asSeconds();
+          record.seconds = type.bootTime().asSeconds();
           return record;
         });
   }
--- a/src/main/java/org/oakwalk/core/capacity/BoundWork.java
+++ b/src/main/java/org/oakwalk/core/capacity/BoundWork.java
@@ -102,11 +102,11 @@
     for (Machine machine : fleet.machines()) {
       if (machine.zone().equals(zone) && spec.allows(machine.type().name(), zone, machine.spot())) {
         switch (machine.state()) {
-          case BOOTING, ENROLLING -> places += machine.type().room().count(spec.room());
+          case BOOTING, REGISTERING -> places += machine.type().room().count(spec.room());
           case UP ->
               places +=
-                  machine.takesTasks(now, suspectAfter) ? machine.free().count(spec.room()) : 0;
-          case UNCONFIRMED, LAPSED, RETURNING, GONE -> {}
+                  machine.acceptsTasks(now, suspectAfter) ? machine.free().count(spec.room()) : 0;
+          case UNCONFIRMED, LEASE_EXPIRED, RETURNING, GONE -> {}
         }
       }
     }
--- a/src/main/java/org/oakwalk/core/capacity/Capacity.java
+++ b/src/main/java/org/oakwalk/core/capacity/Capacity.java
@@ -17,12 +17,12 @@
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
+import org.oakwalk.core.fleet.MachineRegistry;
 import org.oakwalk.core.fleet.MachineType;
-import org.oakwalk.core.fleet.Registry;
 import org.oakwalk.core.fleet.Rental;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
 import org.oakwalk.core.job.JobSpec;
@@ -49,7 +49,7 @@
   private final Outbox outbox;
   private final Fleet fleet;
   private final JobBook jobs;
-  private final Registry registry;
+  private final MachineRegistry registry;
   private final Policy.Capacity policy;
   private final Settings.CloudLimits limits;
   private final Span suspectAfter;
@@ -86,7 +86,7 @@
       Outbox outbox,
       Fleet fleet,
       JobBook jobs,
-      Registry registry,
+      MachineRegistry registry,
       Policy.Capacity policy,
       Settings settings,
       RunTimes runTimes,
@@ -180,7 +180,7 @@
       // one that boots, it would be given up later, as if boots had failed.
       return;
     }
-    Moment rented = new Moment(now.millis() - rental.held().millis());
+    Moment rented = new Moment(now.millis() - rental.rentedFor().millis());
     fleet
         .add(
             rental.id(),
@@ -193,7 +193,7 @@
         .ifPresent(
             added -> {
               LOG.info("machine {} found in the list", added.id());
-              added.listed(rental.status());
+              added.cloudStatus(rental.status());
               if (rental.status() == Rental.Status.FAILED) {
                 returnMachine(added);
               }
@@ -201,7 +201,7 @@
   }
 
   private void returnMachine(Machine machine) {
-    fleet.returning(machine);
+    fleet.startReturn(machine);
     releasing.add(machine);
   }
 
@@ -224,8 +224,8 @@
             for (Machine machine : batch) {
               releasing.remove(machine);
               returned.add(machine.id());
-              fleet.gone(machine, now);
-              registry.gone(machine.id());
+              fleet.confirmGone(machine, now);
+              registry.machineGone(machine.id());
             }
           }
         });
@@ -301,7 +301,8 @@
   private int held(MachineType type) {
     int held = 0;
     for (Machine machine : fleet.machines()) {
-      if (machine.type().name().equals(type.name()) && machine.duty() == Duty.IN_USE) {
+      if (machine.type().name().equals(type.name())
+          && machine.schedulingMode() == SchedulingMode.ACTIVE) {
         held++;
       }
     }
@@ -391,7 +392,8 @@
     for (Machine machine : fleet.machines()) {
       boolean serves =
           machine.state() == Machine.State.UP
-              && (machine.duty() == Duty.IN_USE || machine.duty() == Duty.NEXT);
+              && (machine.schedulingMode() == SchedulingMode.ACTIVE
+                  || machine.schedulingMode() == SchedulingMode.DRAIN_PENDING);
       up += serves && machine.type().name().equals(type.name()) ? 1 : 0;
     }
     return up - enough;
@@ -405,13 +407,15 @@
   private boolean counts(Machine machine, Moment now) {
     return switch (machine.state()) {
       case BOOTING ->
-          !now.past(machine.known(), boots.replacedAfter(Boots.Sort.of(machine), machine.type()));
-      case ENROLLING, UNCONFIRMED -> true;
+          !now.past(
+              machine.knownSince(), boots.replacedAfter(Boots.Sort.of(machine), machine.type()));
+      case REGISTERING, UNCONFIRMED -> true;
       // Many silent at once are out of reach for a while; to rent as many again would be waste.
       case UP ->
-          machine.duty() == Duty.IN_USE
-              && !now.past(machine.heard(), health.listens(now) ? suspectAfter : OUT_OF_REACH);
-      case LAPSED, RETURNING, GONE -> false;
+          machine.schedulingMode() == SchedulingMode.ACTIVE
+              && !now.past(
+                  machine.lastReportAt(), health.listens(now) ? suspectAfter : OUT_OF_REACH);
+      case LEASE_EXPIRED, RETURNING, GONE -> false;
     };
   }
 }
--- a/src/main/java/org/oakwalk/core/capacity/CatalogueKeeper.java
+++ b/src/main/java/org/oakwalk/core/capacity/CatalogueKeeper.java
@@ -59,6 +59,6 @@
 
   private static boolean same(Map<String, MachineType> one, Map<String, MachineType> other) {
     return one.keySet().equals(other.keySet())
-        && one.values().stream().allMatch(type -> type.sameBut(other.get(type.name())));
+        && one.values().stream().allMatch(type -> type.equalsExceptPrices(other.get(type.name())));
   }
 }
--- a/src/main/java/org/oakwalk/core/capacity/Demand.java
+++ b/src/main/java/org/oakwalk/core/capacity/Demand.java
@@ -57,7 +57,7 @@
     Optional<Span> dawn = planned.ends(job, now);
     if (dawn.isPresent() && !urgent(spec, now.since(job.accepted()), dawn.get())) {
       // All groups of a plan share the machines one after the other, so parts of places add up.
-      double time = dawn.get().minus(type.fetch(spec.imageGb())).asSeconds() * EARLY;
+      double time = dawn.get().minus(type.fetchTime(spec.imageGb())).asSeconds() * EARLY;
       return open / Math.max(1, Math.floor(time / run));
     }
     if (idle(spec)) {
@@ -65,7 +65,7 @@
       return Math.min(open, Math.ceil(open * run / IDLE_SPREAD.asSeconds()));
     }
     double left = target(spec).minus(now.since(job.accepted())).asSeconds() * 0.8;
-    left -= type.fetch(spec.imageGb()).asSeconds();
+    left -= type.fetchTime(spec.imageGb()).asSeconds();
     double waves = Math.max(1, Math.floor(left / run));
     return Math.min(open, Math.max(Math.ceil(open / waves), job.activeCount()));
   }
@@ -83,8 +83,8 @@
     if (idle(spec) || dawn.isPresent() && !urgent(spec, now.since(job.accepted()), dawn.get())) {
       return false;
     }
-    Span slack = target(spec).minus(runTimes.expected(spec)).minus(type.fetch(spec.imageGb()));
-    return slack.compareTo(type.boot().times(SOONEST_BOOTS)) < 0;
+    Span slack = target(spec).minus(runTimes.expected(spec)).minus(type.fetchTime(spec.imageGb()));
+    return slack.compareTo(type.bootTime().times(SOONEST_BOOTS)) < 0;
   }
 
   /** Whether nobody waits for the job: it is of the lowest priority, and no time is set for it. */
--- a/src/main/java/org/oakwalk/core/capacity/Health.java
+++ b/src/main/java/org/oakwalk/core/capacity/Health.java
@@ -6,9 +6,9 @@
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Policy;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -79,15 +79,16 @@
     answering = 0;
     for (Machine machine : List.copyOf(fleet.machines())) {
       machine
-          .takeBoot()
+          .takeBootTime()
           .ifPresent(took -> boots.came(Boots.Sort.of(machine), machine.type(), took));
       switch (machine.state()) {
         case BOOTING -> {
           if (listens(now)
               && now.past(
-                  machine.known(), boots.givenUpAfter(Boots.Sort.of(machine), machine.type()))) {
+                  machine.knownSince(),
+                  boots.givenUpAfter(Boots.Sort.of(machine), machine.type()))) {
             LOG.info("machine {} never came up", machine.id());
-            if (!machine.listedAsUp()) {
+            if (!machine.listedAsRunning()) {
               boots.failed(Boots.Sort.of(machine), machine.type(), now);
             }
             giveBack.accept(machine);
@@ -99,23 +100,24 @@
           answering += answersOnly(machine, now) ? 1 : 0;
           // Reports come at their own times, so of machines that a cut takes all at once some seem
           // silent well before the others; who is overdue already counts as well.
-          quiet += now.past(machine.heard(), suspectAfter.times(OVERDUE)) ? 1 : 0;
-          if (now.past(machine.heard(), patience(machine))) {
+          quiet += now.past(machine.lastReportAt(), suspectAfter.times(OVERDUE)) ? 1 : 0;
+          if (now.past(machine.lastReportAt(), patience(machine))) {
             silent.add(machine);
-          } else if (unfit(machine) && !machine.duty().endsWhenEmpty()) {
+          } else if (unfit(machine) && !machine.schedulingMode().returnedWhenEmpty()) {
             LOG.info(
                 "machine {} {} and is left out",
                 machine.id(),
                 machine.slow() ? "is slow" : "fails its tasks");
-            machine.duty(Duty.UNFIT);
+            machine.schedulingMode(SchedulingMode.UNFIT);
           }
-          if (machine.duty().endsWhenEmpty()
+          if (machine.schedulingMode().returnedWhenEmpty()
               && machine.idle()
-              && (machine.duty() == Duty.CORDONED || now.past(machine.known(), PAID_AT_LEAST))) {
+              && (machine.schedulingMode() == SchedulingMode.CORDONED
+                  || now.past(machine.knownSince(), PAID_AT_LEAST))) {
             giveBack.accept(machine);
           }
         }
-        case LAPSED -> {
+        case LEASE_EXPIRED -> {
           lapsed++;
           unreached += notReached(machine, now) ? 1 : 0;
           answering += answersOnly(machine, now) ? 1 : 0;
@@ -124,14 +126,14 @@
         }
         case UNCONFIRMED -> {
           unconfirmed++;
-          if (machine.returnable() && now.past(machine.known(), CONFIRMS_WITHIN)) {
+          if (machine.returnable() && now.past(machine.knownSince(), CONFIRMS_WITHIN)) {
             quiet++;
             silent.add(machine);
-          } else if (machine.returnable() && now.past(machine.known(), LAST_CONFIRM_WITHIN)) {
+          } else if (machine.returnable() && now.past(machine.knownSince(), LAST_CONFIRM_WITHIN)) {
             unanswered.add(machine);
           }
         }
-        case ENROLLING, RETURNING, GONE -> {}
+        case REGISTERING, RETURNING, GONE -> {}
       }
     }
     // Many silent machines at once are out of reach rather than broken. They are left alone, also
@@ -153,7 +155,7 @@
       for (Machine machine : silent) {
         // One machine that does not answer a new leader holds up all older jobs.
         if (machine.state() == Machine.State.UNCONFIRMED
-            || now.past(machine.heard(), policy.suspectAfter())) {
+            || now.past(machine.lastReportAt(), policy.suspectAfter())) {
           LOG.info("machine {} is silent, {} tasks", machine.id(), machine.placements().size());
           giveBack.accept(machine);
         }
@@ -162,19 +164,19 @@
   }
 
   private boolean notReached(Machine machine, Moment now) {
-    return machine.carried() || now.past(machine.heard(), suspectAfter);
+    return machine.reportForwarded() || now.past(machine.lastReportAt(), suspectAfter);
   }
 
   /** Whether it has ceased to report, but answers commands. */
   private boolean answersOnly(Machine machine, Moment now) {
-    return now.past(machine.heard(), suspectAfter)
-        && machine.commanded().past(machine.heard(), suspectAfter)
-        && !now.past(machine.commanded(), suspectAfter.times(ASKED_AGAIN));
+    return now.past(machine.lastReportAt(), suspectAfter)
+        && machine.lastCommandReplyAt().past(machine.lastReportAt(), suspectAfter)
+        && !now.past(machine.lastCommandReplyAt(), suspectAfter.times(ASKED_AGAIN));
   }
 
   /** A machine that can't reach this node is off trying to now and then. */
   private Span patience(Machine machine) {
-    return machine.carried() ? suspectAfter.plus(ON_ITS_WAY) : suspectAfter;
+    return machine.reportForwarded() ? suspectAfter.plus(ON_ITS_WAY) : suspectAfter;
   }
 
   /**
--- a/src/main/java/org/oakwalk/core/capacity/Renter.java
+++ b/src/main/java/org/oakwalk/core/capacity/Renter.java
@@ -12,10 +12,10 @@
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
@@ -104,7 +104,8 @@
 
   /** Whether a plan empties it: its replacement is to come up where it was. */
   private static boolean leaves(Machine machine) {
-    return machine.duty() == Duty.NEXT || machine.duty() == Duty.CORDONED;
+    return machine.schedulingMode() == SchedulingMode.DRAIN_PENDING
+        || machine.schedulingMode() == SchedulingMode.CORDONED;
   }
 
   private boolean free(Boots.Sort market, Moment now) {
--- a/src/main/java/org/oakwalk/core/capacity/Surplus.java
+++ b/src/main/java/org/oakwalk/core/capacity/Surplus.java
@@ -7,10 +7,10 @@
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Policy;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -61,18 +61,18 @@
       if (machine.type().name().equals(type.name())
           && which.test(machine)
           && machine.state() == Machine.State.UP
-          && machine.duty() == Duty.RETIRING
-          && !now.past(machine.heard(), suspectAfter)) {
+          && machine.schedulingMode() == SchedulingMode.RETIRING
+          && !now.past(machine.lastReportAt(), suspectAfter)) {
         candidates.add(machine);
       }
     }
     // The cheap ones first, then those that would take longest to empty: what is nearly empty goes.
     candidates.sort(
-        Comparator.comparing((Machine machine) -> machine.leavesSoon() ? 1 : 0)
+        Comparator.comparing((Machine machine) -> machine.removalPlanned() ? 1 : 0)
             .thenComparingDouble(machine -> type.price(machine.spot()))
-            .thenComparing(Machine::emptyBy, Comparator.reverseOrder()));
+            .thenComparing(Machine::expectedEmptyAt, Comparator.reverseOrder()));
     List<Machine> kept = candidates.subList(0, Math.min(count, candidates.size()));
-    kept.forEach(machine -> machine.duty(Duty.IN_USE));
+    kept.forEach(machine -> machine.schedulingMode(SchedulingMode.ACTIVE));
     return kept.size();
   }
 
@@ -86,28 +86,28 @@
     for (Machine machine : fleet.machines()) {
       if (!machine.type().name().equals(type.name())
           || machine.state() != Machine.State.UP
-          || machine.duty() != Duty.IN_USE) {
+          || machine.schedulingMode() != SchedulingMode.ACTIVE) {
         continue;
       }
-      if (!machine.hears()) {
+      if (!machine.receivesResponses()) {
         // It is empty as it gets no tasks, not as there are none. It may be one of a whole zone,
         // and
         // those that hear have to do without it meanwhile.
         left--;
-      } else if (now.past(machine.known(), policy.idle()) && !machine.holdsReplica()) {
+      } else if (now.past(machine.knownSince(), policy.idle()) && !machine.holdsReplica()) {
         candidates.add(machine);
       }
     }
     candidates.sort(
-        Comparator.comparing((Machine machine) -> machine.leavesSoon() ? 0 : 1)
+        Comparator.comparing((Machine machine) -> machine.removalPlanned() ? 0 : 1)
             .thenComparingDouble(machine -> -type.price(machine.spot()))
-            .thenComparing(Machine::emptyBy));
+            .thenComparing(Machine::expectedEmptyAt));
     int ordinaryLeft = ordinarySurplus;
     for (Machine machine : candidates) {
       if (left > 0 && (machine.spot() || ordinaryLeft > 0)) {
         left--;
         ordinaryLeft -= machine.spot() ? 0 : 1;
-        machine.duty(Duty.RETIRING);
+        machine.schedulingMode(SchedulingMode.RETIRING);
         LOG.info("machine {} is not needed any more", machine.id());
       }
     }
@@ -118,9 +118,9 @@
     int gone = 0;
     for (Machine machine : fleet.machines()) {
       if (gone < surplus
-          && machine.duty() == Duty.NEXT
+          && machine.schedulingMode() == SchedulingMode.DRAIN_PENDING
           && machine.type().name().equals(type.name())
-          && machine.duty(Duty.CORDONED)) {
+          && machine.schedulingMode(SchedulingMode.CORDONED)) {
         gone++;
         LOG.info("machine {} can be done without", machine.id());
       }
--- a/src/main/java/org/oakwalk/core/drain/Caution.java
+++ b/src/main/java/org/oakwalk/core/drain/Caution.java
@@ -6,8 +6,8 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.capacity.Capacity;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
 import org.oakwalk.core.job.Priority;
@@ -86,8 +86,10 @@
   /** Whether several machines that plans would leave alone were left out soon after they came. */
   private boolean newOnesFail(Moment now) {
     return fleet.machines().stream()
-            .filter(machine -> machine.duty() == Duty.UNFIT && !machine.leavesSoon())
-            .filter(machine -> !now.past(machine.known(), NEW_FOR))
+            .filter(
+                machine ->
+                    machine.schedulingMode() == SchedulingMode.UNFIT && !machine.removalPlanned())
+            .filter(machine -> !now.past(machine.knownSince(), NEW_FOR))
             .count()
         >= SEVERAL;
   }
--- a/src/main/java/org/oakwalk/core/drain/Drainer.java
+++ b/src/main/java/org/oakwalk/core/drain/Drainer.java
@@ -12,9 +12,9 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.capacity.Capacity;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.oakwalk.core.job.JobBook;
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
@@ -131,9 +131,11 @@
         continue;
       }
       boolean claimed = claims.containsKey(machine);
-      machine.leavesSoon(claimed);
+      machine.removalPlanned(claimed);
       boolean chosen = onItsWay(machine);
-      if (chosen && (!claimed || waits.isPresent()) && machine.duty(Duty.IN_USE)) {
+      if (chosen
+          && (!claimed || waits.isPresent())
+          && machine.schedulingMode(SchedulingMode.ACTIVE)) {
         // Nobody empties it any more, so it serves again.
         LOG.info("machine {} takes tasks again", machine.id());
         since.remove(machine);
@@ -154,7 +156,7 @@
   private Map<Machine, List<Followed>> claims(List<Followed> plans) {
     Map<Machine, List<Followed>> claims = new LinkedHashMap<>();
     for (Machine machine : fleet.machines()) {
-      if (machine.state() != Machine.State.UP && machine.state() != Machine.State.LAPSED) {
+      if (machine.state() != Machine.State.UP && machine.state() != Machine.State.LEASE_EXPIRED) {
         continue;
       }
       for (Followed plan : plans) {
@@ -183,7 +185,7 @@
     choose(followed, claims, now);
     cordon(followed, now);
     for (Machine machine : followed.members) {
-      if (machine.duty() == Duty.CORDONED) {
+      if (machine.schedulingMode() == SchedulingMode.CORDONED) {
         // Of several plans the most patient one counts.
         Span patience =
             claims.get(machine).stream()
@@ -204,12 +206,14 @@
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : plan.members) {
       if (machine.state() == Machine.State.UP
-          && (machine.duty() == Duty.IN_USE || machine.duty() == Duty.RETIRING)) {
+          && (machine.schedulingMode() == SchedulingMode.ACTIVE
+              || machine.schedulingMode() == SchedulingMode.RETIRING)) {
         candidates.add(machine);
       }
     }
     candidates.sort(
-        Comparator.comparing((Machine machine) -> machine.duty() == Duty.RETIRING ? 0 : 1)
+        Comparator.comparing(
+                (Machine machine) -> machine.schedulingMode() == SchedulingMode.RETIRING ? 0 : 1)
             .thenComparingInt(machine -> machine.placements().size())
             .thenComparing(Machine::id));
     // Replicas move one after the other, so some of their machines are always among those that go:
@@ -234,7 +238,8 @@
       }
       // Whoever else wants it as well must have a step left for it too.
       List<Followed> all = claims.get(machine);
-      if (all.stream().noneMatch(Followed::full) && machine.duty(Duty.NEXT)) {
+      if (all.stream().noneMatch(Followed::full)
+          && machine.schedulingMode(SchedulingMode.DRAIN_PENDING)) {
         since.put(machine, now);
         all.forEach(claim -> claim.onTheirWay++);
         chosen++;
@@ -247,7 +252,8 @@
   }
 
   private static boolean onItsWay(Machine machine) {
-    return machine.duty() == Duty.NEXT || machine.duty() == Duty.CORDONED;
+    return machine.schedulingMode() == SchedulingMode.DRAIN_PENDING
+        || machine.schedulingMode() == SchedulingMode.CORDONED;
   }
 
   /**
@@ -259,18 +265,18 @@
     Progress mine = followed.mine;
     Map<String, Integer> spare = new HashMap<>();
     for (Machine machine : followed.members) {
-      if (machine.duty() != Duty.NEXT) {
+      if (machine.schedulingMode() != SchedulingMode.DRAIN_PENDING) {
         continue;
       }
       String type = machine.type().name();
       if (spare.computeIfAbsent(type, name -> capacity.spare(machine.type())) > 0) {
         spare.merge(type, -1, Integer::sum);
-        machine.duty(Duty.CORDONED);
+        machine.schedulingMode(SchedulingMode.CORDONED);
         since.put(machine, now);
         LOG.info("drain {}: machine {} is emptied", plan.name(), machine.id());
       } else if (now.past(
           since.computeIfAbsent(machine, m -> now), capacity.bootsWithin(machine))) {
-        machine.duty(Duty.IN_USE);
+        machine.schedulingMode(SchedulingMode.ACTIVE);
         since.remove(machine);
         mine.nextChoice = now.plus(FRUITLESS);
         mine.waits = "replacements don't come";
--- a/src/main/java/org/oakwalk/core/drain/Evictor.java
+++ b/src/main/java/org/oakwalk/core/drain/Evictor.java
@@ -6,10 +6,10 @@
 import java.util.Optional;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.oakwalk.core.job.Job;
 
 /**
@@ -51,7 +51,7 @@
         }
       } else if (impatient) {
         if (gate.allows(List.of(placement))) {
-          fleet.halt(placement, placement.job().spec().saveTime(), Fleet.Why.DRAINED);
+          fleet.halt(placement, placement.job().spec().saveTime(), Fleet.StopReason.DRAINED);
         } else {
           held = Optional.of("budget of " + placement.job().spec().team());
         }
@@ -86,11 +86,11 @@
       return Optional.of("budget of " + job.spec().team());
     }
     Span grace = job.spec().saveTime();
-    tasks.forEach(task -> fleet.halt(task, grace, Fleet.Why.DRAINED));
+    tasks.forEach(task -> fleet.halt(task, grace, Fleet.StopReason.DRAINED));
     return Optional.empty();
   }
 
   private static boolean stays(Machine machine) {
-    return machine.duty() == Duty.IN_USE && machine.state() == Machine.State.UP;
+    return machine.schedulingMode() == SchedulingMode.ACTIVE && machine.state() == Machine.State.UP;
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/Gate.java
+++ b/src/main/java/org/oakwalk/core/drain/Gate.java
@@ -70,7 +70,7 @@
     Map<Job, Integer> up = new HashMap<>();
     for (Machine machine : fleet.machines()) {
       boolean heard =
-          machine.state() == Machine.State.UP && !now.past(machine.heard(), suspectAfter);
+          machine.state() == Machine.State.UP && !now.past(machine.lastReportAt(), suspectAfter);
       for (Placement placement : machine.placements()) {
         if (heard && !placement.halting() && placement.state() == Placement.State.RUNNING) {
           up.merge(placement.job(), 1, Integer::sum);
@@ -125,7 +125,7 @@
   }
 
   /** A task is stopped: the one place where that is written down, whoever wants it. */
-  public void stopped(Placement placement, Fleet.Why why) {
+  public void stopped(Placement placement, Fleet.StopReason why) {
     accounts.forEach(
         (budget, account) -> {
           if (budget.covers(placement.job().spec())) {
--- a/src/main/java/org/oakwalk/core/drain/Mover.java
+++ b/src/main/java/org/oakwalk/core/drain/Mover.java
@@ -7,10 +7,10 @@
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Room;
 import org.oakwalk.core.placement.Quota;
@@ -101,10 +101,10 @@
     if (to == null || !gate.allows(List.of(placement))) {
       return false;
     }
-    to.promise(placement.job().spec().room());
+    to.reserve(placement.job().spec().room());
     moves.put(placement.task(), new Move(placement, to, now));
     LOG.info("task {} moves from {} to {}", placement.task(), placement.machine().id(), to.id());
-    fleet.halt(placement, placement.job().spec().saveTime(), Fleet.Why.MOVED);
+    fleet.halt(placement, placement.job().spec().saveTime(), Fleet.StopReason.MOVED);
     return true;
   }
 
@@ -116,12 +116,12 @@
     JobSpec spec = placement.job().spec();
     Machine from = placement.machine();
     return fleet.machines().stream()
-        .filter(machine -> machine != from && (anywhere || !machine.leavesSoon()))
+        .filter(machine -> machine != from && (anywhere || !machine.removalPlanned()))
         .filter(machine -> takes(machine, spec, now))
         .filter(machine -> spec.allows(machine.type().name(), machine.zone(), machine.spot()))
         .filter(machine -> machine.zone().equals(from.zone()) || !spec.oneZone() && !spec.spread())
         .min(
-            Comparator.comparingInt((Machine machine) -> machine.leavesSoon() ? 1 : 0)
+            Comparator.comparingInt((Machine machine) -> machine.removalPlanned() ? 1 : 0)
                 .thenComparingInt(machine -> machine.hasImage(spec.image()) ? 0 : 1)
                 .thenComparingInt(machine -> machine.zone().equals(from.zone()) ? 0 : 1)
                 .thenComparingDouble(machine -> machine.used().share(machine.type().room()))
@@ -136,8 +136,8 @@
 
   /** Whether a machine that is not to be emptied has room for a task now. */
   private boolean takes(Machine machine, JobSpec spec, Moment now) {
-    return machine.duty() == Duty.IN_USE
-        && machine.takesTasks(now, suspectAfter)
+    return machine.schedulingMode() == SchedulingMode.ACTIVE
+        && machine.acceptsTasks(now, suspectAfter)
         && spec.room().fits(free(machine));
   }
 
@@ -148,12 +148,12 @@
       return;
     }
     JobSpec spec = placement.job().spec();
-    move.to.promiseEnds(spec.room());
+    move.to.releaseReservation(spec.room());
     boolean starts =
         placement.job().open()
             && placement.job().isFree(placement.task().index())
             && takes(move.to, spec, now)
-            && !move.to.remembers(placement.task())
+            && !move.to.refusesNewAttempt(placement.task())
             && quota.allows(placement.job(), 1);
     move.enter(starts ? State.STARTING : State.HOMELESS);
     if (starts) {
@@ -175,9 +175,9 @@
             move -> {
               Placement at = fleet.placementOf(move.from.task()).orElse(null);
               if (move.state == State.STOPPING) {
-                if (at == move.from && !move.to.takesTasks(now, suspectAfter)) {
+                if (at == move.from && !move.to.acceptsTasks(now, suspectAfter)) {
                   // It hangs, died or is taken back: another place is found when the task is gone.
-                  move.to.promiseEnds(move.from.job().spec().room());
+                  move.to.releaseReservation(move.from.job().spec().room());
                   move.enter(State.HOMELESS);
                 }
                 return false;
--- a/src/main/java/org/oakwalk/core/exchange/Exchange.java
+++ b/src/main/java/org/oakwalk/core/exchange/Exchange.java
@@ -144,7 +144,7 @@
   private boolean mayServe(Live live, Moment now) {
     return fleet
         .find(live.take.machine())
-        .filter(machine -> machine.takesTasks(now, suspectAfter))
+        .filter(machine -> machine.acceptsTasks(now, suspectAfter))
         .isPresent();
   }
 
@@ -222,7 +222,7 @@
   private void goOn(Live live, Moment now, WallTime wall) {
     Machine machine = live.keeps;
     Optional<Job> taker = taker(live);
-    if (machine == null || !machine.takesTasks(now, suspectAfter) && !patient(live, now)) {
+    if (machine == null || !machine.acceptsTasks(now, suspectAfter) && !patient(live, now)) {
       end(live, "its machine is gone", now, wall);
     } else if (taker.isEmpty()) {
       withoutTaker(live, now, wall);
@@ -283,14 +283,15 @@
       }
     } else {
       live.victims.stream()
-          .filter(victim -> victim.state() != Placement.State.OVER && !victim.halting())
+          .filter(victim -> victim.state() != Placement.State.ENDED && !victim.halting())
           .filter(victim -> toll.mayGive(victim, taker))
           .forEach(victims::add);
     }
     if (!victims.isEmpty() && !gate.allows(victims)) {
       return;
     }
-    victims.forEach(victim -> fleet.halt(victim, victim.job().spec().saveTime(), Fleet.Why.TAKEN));
+    victims.forEach(
+        victim -> fleet.halt(victim, victim.job().spec().saveTime(), Fleet.StopReason.TAKEN));
     open.change(live, live.take.stopping(), now);
   }
 
--- a/src/main/java/org/oakwalk/core/exchange/Live.java
+++ b/src/main/java/org/oakwalk/core/exchange/Live.java
@@ -28,14 +28,14 @@
   /** Keeps its room on this machine, and nowhere else. */
   void keep(Machine machine) {
     letGo();
-    machine.promise(take.room());
+    machine.reserve(take.room());
     keeps = machine;
   }
 
   /** Keeps no room any more. */
   void letGo() {
     if (keeps != null) {
-      keeps.promiseEnds(take.room());
+      keeps.releaseReservation(take.room());
       keeps = null;
     }
   }
--- a/src/main/java/org/oakwalk/core/exchange/OpenTakes.java
+++ b/src/main/java/org/oakwalk/core/exchange/OpenTakes.java
@@ -129,7 +129,7 @@
     long here =
         fleet
             .find(live.take.machine())
-            .map(machine -> machine.countOf(live.take.taker()))
+            .map(machine -> machine.taskCountOf(live.take.taker()))
             .orElse(0L);
     long takes =
         open.values().stream()
--- a/src/main/java/org/oakwalk/core/exchange/Starts.java
+++ b/src/main/java/org/oakwalk/core/exchange/Starts.java
@@ -30,8 +30,8 @@
   /** Whether this task of a job may start there now, if there is room; -1 stands for none. */
   boolean may(Job job, int index, Machine machine, Moment now) {
     return index >= 0
-        && machine.takesTasks(now, suspectAfter)
-        && !machine.remembers(new TaskId(job.id(), index))
+        && machine.acceptsTasks(now, suspectAfter)
+        && !machine.refusesNewAttempt(new TaskId(job.id(), index))
         && quota.allows(job, 1);
   }
 
@@ -56,8 +56,8 @@
   /** A machine with room for a task of this job, one with its image if there is one; or null. */
   Machine roomFor(Job job, Moment now) {
     return fleet.machines().stream()
-        .filter(machine -> machine.takesTasks(now, suspectAfter))
-        .filter(machine -> !machine.duty().fillsUp())
+        .filter(machine -> machine.acceptsTasks(now, suspectAfter))
+        .filter(machine -> !machine.schedulingMode().backfillOnly())
         .filter(
             machine ->
                 job.spec().allows(machine.type().name(), machine.zone(), machine.spot())
--- a/src/main/java/org/oakwalk/core/exchange/Toll.java
+++ b/src/main/java/org/oakwalk/core/exchange/Toll.java
@@ -139,7 +139,7 @@
   }
 
   private static double fetch(Machine machine, JobSpec spec) {
-    return machine.type().fetch(spec.imageGb()).asSeconds();
+    return machine.type().fetchTime(spec.imageGb()).asSeconds();
   }
 
   private List<Placement> gang(Job job, Map<Job, List<Placement>> gangs) {
--- a/src/main/java/org/oakwalk/core/fleet/CommandDispatcher.java
+++ b/src/main/java/org/oakwalk/core/fleet/CommandDispatcher.java
@@ -25,31 +25,31 @@
  */
 public final class CommandDispatcher {
   private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
-  private static final Span PUSH_EVERY = Span.millis(1000);
-  private static final int MOST_ORDERS = 200;
+  private static final Span TOKEN_PUSH_INTERVAL = Span.millis(1000);
+  private static final int MAX_ORDERS_PER_COMMAND = 200;
 
   /**
    * How many machines are shown the token between two ticks. All at once, a thousand commands would
    * be worked off before the reports that make most of them needless.
    */
-  private static final int MOST_PUSHED = 50;
+  private static final int MAX_TOKEN_PUSHES_PER_TICK = 50;
 
   /** So many machines that don't report are asked at a time: most may be out of reach for long. */
-  private static final int MOST_ASKED = 5;
+  private static final int MAX_CONCURRENT_PROBES = 5;
 
   /** A little after it is suspected, since many a report is merely late. */
-  private static final double SURELY_SILENT = 1.1;
+  private static final double PROBE_DELAY_FACTOR = 1.1;
 
   /** Who has just been answered has the token, and reports so within half a second. */
-  private static final Span CONFIRMS_BY_ITSELF = Span.millis(1000);
+  private static final Span CONFIRMATION_WAIT = Span.millis(1000);
 
   private final Outbox outbox;
   private final Fleet fleet;
-  private final Consumer<Report> reported;
-  private final Map<MachineId, Moment> pushed = new HashMap<>();
-  private final Map<MachineId, Moment> answered = new HashMap<>();
+  private final Consumer<Report> reportHandler;
+  private final Map<MachineId, Moment> lastTokenPush = new HashMap<>();
+  private final Map<MachineId, Moment> lastResponse = new HashMap<>();
   private final Span suspectAfter;
-  private int asking;
+  private int activeProbes;
   private Moment clock = new Moment(Long.MIN_VALUE / 2);
 
   public CommandDispatcher(
@@ -57,7 +57,7 @@
     this.suspectAfter = suspectAfter;
     this.outbox = outbox;
     this.fleet = fleet;
-    this.reported = reported;
+    this.reportHandler = reported;
   }
 
   /** Sends what is due. */
@@ -66,21 +66,21 @@
     for (Machine machine : fleet.takeCommandable()) {
       // A machine whose reports another controller carries is not reached by command either: its
       // orders go out with the answer.
-      if (machine.session().isEmpty() || machine.address().isEmpty() || machine.carried()) {
+      if (machine.session().isEmpty() || machine.address().isEmpty() || machine.reportForwarded()) {
         continue;
       }
       List<Order> orders = new ArrayList<>();
       for (Placement placement : machine.placements()) {
-        if (orders.size() >= MOST_ORDERS) {
+        if (orders.size() >= MAX_ORDERS_PER_COMMAND) {
           break;
         }
         if (placement.halting()) {
-          if (placement.takeCommand()) {
+          if (placement.takeDueCommand()) {
             orders.add(Fleet.haltOrder(placement));
           }
         } else if (machine.state() == Machine.State.UP
-            && startsByCommand(machine, placement.task())
-            && placement.takeCommand()) {
+            && mayStartByCommand(machine, placement.task())
+            && placement.takeDueCommand()) {
           orders.add(new Order.Run(placement.task(), placement.attempt()));
         }
       }
@@ -94,49 +94,49 @@
    * Not beside an ended attempt, which has to be cleared in the same breath, and only so often in a
    * session. What does not start by command starts with the answer to the next report.
    */
-  private static boolean startsByCommand(Machine machine, TaskId task) {
-    return !machine.leftovers().remembers(task) && machine.openRuns().takesByCommand(task);
+  private static boolean mayStartByCommand(Machine machine, TaskId task) {
+    return !machine.unmatched().hasEnded(task) && machine.pendingStarts().allowsCommandStart(task);
   }
 
   /**
    * Keeps starts of these tasks from leaving, as far as they still wait for a socket: their job was
    * withdrawn, which their user is about to be told.
    */
-  public void recall(List<Placement> placements) {
+  public void cancelStarts(List<Placement> placements) {
     placements.stream()
         .filter(placement -> placement.state() == Placement.State.ORDERED)
         .map(Placement::machine)
-        .filter(Machine::commanding)
+        .filter(Machine::commandInFlight)
         .map(Machine::address)
         .distinct()
         .forEach(outbox::recall);
   }
 
   /** A machine's report was answered under this token, whatever it is used for. */
-  public void answered(MachineId machine, Moment now) {
-    answered.put(machine, now);
+  public void responseSent(MachineId machine, Moment now) {
+    lastResponse.put(machine, now);
   }
 
   /**
    * Shows the token to machines that have not confirmed it yet, or that don't seem to hear; the
    * answer shows that they do.
    */
-  public void push(Moment now) {
+  public void pushTokens(Moment now) {
     int sent = 0;
     for (Machine machine : fleet.machines()) {
-      if (sent == MOST_PUSHED) {
+      if (sent == MAX_TOKEN_PUSHES_PER_TICK) {
         return;
       }
       boolean asked =
           machine.state() == Machine.State.UNCONFIRMED
-              || machine.state() == Machine.State.UP && !machine.hearing().hears();
+              || machine.state() == Machine.State.UP && !machine.delivery().working();
       if (asked
-          && !machine.commanding()
+          && !machine.commandInFlight()
           && !machine.address().isEmpty()
-          && !within(pushed, PUSH_EVERY, machine, now)
-          && !within(answered, CONFIRMS_BY_ITSELF, machine, now)) {
+          && !within(lastTokenPush, TOKEN_PUSH_INTERVAL, machine, now)
+          && !within(lastResponse, CONFIRMATION_WAIT, machine, now)) {
         sent++;
-        pushed.put(machine.id(), now);
+        lastTokenPush.put(machine.id(), now);
         send(machine, machine.session().orElse(SessionId.FIRST), List.of(), () -> {});
       }
     }
@@ -146,21 +146,21 @@
    * Asks machines that have ceased to report. One that can't reach any controller, but is reached,
    * tells what has ended there and whether its session is over.
    */
-  public void ask(Moment now) {
+  public void probeSilentMachines(Moment now) {
     for (Machine machine : fleet.machines()) {
-      if (asking >= MOST_ASKED) {
+      if (activeProbes >= MAX_CONCURRENT_PROBES) {
         return;
       }
       boolean silent =
-          (machine.state() == Machine.State.UP || machine.state() == Machine.State.LAPSED)
-              && now.past(machine.heard(), suspectAfter.times(SURELY_SILENT));
+          (machine.state() == Machine.State.UP || machine.state() == Machine.State.LEASE_EXPIRED)
+              && now.past(machine.lastReportAt(), suspectAfter.times(PROBE_DELAY_FACTOR));
       if (silent
-          && !machine.commanding()
+          && !machine.commandInFlight()
           && !machine.address().isEmpty()
-          && now.past(machine.hearing().asked(), suspectAfter)) {
-        asking++;
-        machine.hearing().ask(now);
-        send(machine, machine.session().orElse(SessionId.FIRST), List.of(), () -> asking--);
+          && now.past(machine.delivery().lastProbeAt(), suspectAfter)) {
+        activeProbes++;
+        machine.delivery().probed(now);
+        send(machine, machine.session().orElse(SessionId.FIRST), List.of(), () -> activeProbes--);
       }
     }
   }
@@ -172,32 +172,32 @@
   }
 
   private void send(Machine machine, SessionId session, List<Order> orders, Runnable settled) {
-    List<Machine.Try> runs = new ArrayList<>();
+    List<Machine.TaskAttempt> runs = new ArrayList<>();
     for (Order order : orders) {
       if (order instanceof Order.Run) {
-        runs.add(new Machine.Try(order.task(), order.attempt()));
+        runs.add(new Machine.TaskAttempt(order.task(), order.attempt()));
       }
     }
     Token token = machine.fence().current();
-    runs.forEach(run -> machine.openRuns().sentByCommand(run, token));
+    runs.forEach(run -> machine.pendingStarts().sentByCommand(run, token));
     if (!runs.isEmpty()) {
       LOG.debug("starts sent to {} by command: {}", machine.id(), runs);
     }
-    machine.commanding(true);
+    machine.commandInFlight(true);
     outbox.call(
         new Request.Command(machine.address(), token, session, orders),
         answer -> {
-          machine.commanding(false);
+          machine.commandInFlight(false);
           settled.run();
           if (!(answer instanceof Answer.Nothing)) {
-            runs.forEach(machine.openRuns()::commandSettled);
+            runs.forEach(machine.pendingStarts()::commandAnswered);
           }
           if (answer instanceof Answer.Commanded commanded) {
-            machine.hearing().answered(clock);
-            reported.accept(commanded.report());
+            machine.delivery().commandReplied(clock);
+            reportHandler.accept(commanded.report());
             if (!commanded.executed() && machine.state() == Machine.State.UNCONFIRMED) {
               // The session was a guess; the report told the right one.
-              pushed.remove(machine.id());
+              lastTokenPush.remove(machine.id());
             }
           }
         });
--- a/src/main/java/org/oakwalk/core/fleet/Fence.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fence.java
@@ -11,7 +11,7 @@
 final class Fence {
   private final Token granted;
   private Token current;
-  private boolean shown;
+  private boolean confirmed;
 
   Fence(Token granted) {
     this.granted = granted;
@@ -24,26 +24,26 @@
   }
 
   /** Whether this leader has sent this token to the machine, or may have. */
-  boolean covers(Token token) {
+  boolean mayHaveIssued(Token token) {
     return token.compareTo(granted) >= 0 && token.compareTo(current) <= 0;
   }
 
   /** A newer report carried this token. */
-  void shows(Token token) {
-    shown = token.equals(current);
+  void observe(Token token) {
+    confirmed = token.equals(current);
   }
 
   /** Whether a higher token may be sent; not before the last one has arrived. */
-  boolean raisable(Token to) {
-    return shown && to.compareTo(current) > 0;
+  boolean canRaiseTo(Token to) {
+    return confirmed && to.compareTo(current) > 0;
   }
 
   /** From now on this token goes with what the machine is told. */
   void raise(Token to) {
-    if (!raisable(to)) {
+    if (!canRaiseTo(to)) {
       throw new IllegalStateException("token " + current + " can't be raised to " + to);
     }
     current = to;
-    shown = false;
+    confirmed = false;
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -34,7 +34,7 @@
  */
 public final class Fleet {
   private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-  private static final Span LAPSE_MARGIN = Span.millis(500);
+  private static final Span LEASE_EXPIRY_MARGIN = Span.millis(500);
 
   /**
    * How long before a task was placed its user may have been told of the withdrawal, by another
@@ -46,10 +46,10 @@
    * How many ended attempts a machine lists, only since their starts may come once more, before its
    * token is raised. Each raise costs one more report.
    */
-  private static final int MOST_KEPT = 16;
+  private static final int MAX_KEPT_ENDED_ATTEMPTS = 16;
 
   /** Why a task is stopped. */
-  public enum Why {
+  public enum StopReason {
     /** Its user has withdrawn the job. */
     WITHDRAWN(false),
     /** It runs or is done elsewhere. */
@@ -69,7 +69,7 @@
 
     private final boolean voluntary;
 
-    Why(boolean voluntary) {
+    StopReason(boolean voluntary) {
       this.voluntary = voluntary;
     }
 
@@ -88,10 +88,10 @@
     void placed(Job job, Moment now);
 
     /** A task is to be stopped. */
-    default void stopping(Placement placement, Why why) {}
+    default void stopRequested(Placement placement, StopReason why) {}
 
     /** A task is surely on its machine no more. */
-    default void left(Placement placement, Moment now) {}
+    default void placementEnded(Placement placement, Moment now) {}
 
     /** A machine takes tasks from now on, or has room again. */
     void roomChanged();
@@ -105,19 +105,19 @@
   private final Listener listener;
   private final Map<MachineId, Machine> machines = new LinkedHashMap<>();
   private final Map<TaskId, Placement> byTask = new HashMap<>();
-  private final Map<String, Room> teamUse = new HashMap<>();
+  private final Map<String, Room> teamUsage = new HashMap<>();
   private Map<String, MachineType> types = Map.of();
   private final Set<MachineId> gone = new HashSet<>();
-  private final Set<Machine> toCommand = new LinkedHashSet<>();
-  private final Stoppable stoppable = new Stoppable();
+  private final Set<Machine> commandable = new LinkedHashSet<>();
+  private final PreemptionIndex preemptionIndex = new PreemptionIndex();
   private final Reconciler reconciler;
   private long attempts;
 
   /** The last moment at which an older leader may have renewed a lease; null if not known yet. */
-  private Moment foreignRenewal;
+  private Moment lastUnseenRenewal;
 
   /** Asked for with every task that is placed, so it is kept until a machine's doubt changes. */
-  private Room inDoubt;
+  private Room unaccountedRoom;
 
   public Fleet(
       Token token,
@@ -148,44 +148,44 @@
   }
 
   /** What a team's tasks take, placements that may yet start included. */
-  public Room use(String team) {
-    return teamUse.getOrDefault(team, Room.NONE);
+  public Room teamUsage(String team) {
+    return teamUsage.getOrDefault(team, Room.NONE);
   }
 
   /** What there is that could be stopped for others. */
-  public Stoppable stoppable() {
-    return stoppable;
+  public PreemptionIndex preemptionIndex() {
+    return preemptionIndex;
   }
 
   /**
    * Room of which it is not known whose tasks take it: machines that have not told what runs there,
    * and tasks that no placement stands for, such as those of a job whose record can't be read.
    */
-  public Room roomInDoubt() {
-    if (inDoubt == null) {
-      inDoubt = Room.NONE;
+  public Room unaccountedRoom() {
+    if (unaccountedRoom == null) {
+      unaccountedRoom = Room.NONE;
       for (Machine machine : machines.values()) {
-        inDoubt =
-            inDoubt.plus(
-                machine.inDoubt() ? machine.type().room() : machine.leftovers().strayRoom());
+        unaccountedRoom =
+            unaccountedRoom.plus(
+                machine.unverified() ? machine.type().room() : machine.unmatched().orphanRoom());
       }
     }
-    return inDoubt;
+    return unaccountedRoom;
   }
 
   /** A machine's doubt has changed. */
-  void doubtChanged() {
-    inDoubt = null;
+  void unaccountedRoomChanged() {
+    unaccountedRoom = null;
   }
 
   /** Whether an attempt that an earlier leader ordered may be on a machine unseen. */
-  public boolean anyUnconfirmed() {
-    return machines.values().stream().anyMatch(Machine::inDoubt);
+  public boolean anyUnverified() {
+    return machines.values().stream().anyMatch(Machine::unverified);
   }
 
-  void settled(Machine machine) {
-    machine.settled();
-    inDoubt = null;
+  void markVerified(Machine machine) {
+    machine.markVerified();
+    unaccountedRoom = null;
   }
 
   /** Adds a machine; without its type it is left out, unless older leaders may have used it. */
@@ -204,12 +204,12 @@
     boolean typeKnown = kind != null;
     Machine machine =
         new Machine(
-            id, address, typeKnown ? kind : withoutBounds(type), zone, spot, state, token, known);
+            id, address, typeKnown ? kind : unboundedType(type), zone, spot, state, token, known);
     if (!typeKnown) {
-      machine.duty(Duty.UNFIT);
+      machine.schedulingMode(SchedulingMode.UNFIT);
     }
     machines.put(id, machine);
-    inDoubt = null;
+    unaccountedRoom = null;
     return Optional.of(machine);
   }
 
@@ -222,7 +222,7 @@
    * Stands in for the type of a registered machine that the cloud no longer offers. Whatever runs
    * there fits, which makes quotas err on the safe side; new tasks it gets none.
    */
-  private static MachineType withoutBounds(String name) {
+  private static MachineType unboundedType(String name) {
     Room all = new Room(Double.MAX_VALUE, Double.MAX_VALUE, Double.MAX_VALUE);
     return new MachineType(name, all, 0, 0, 0, 0, Span.seconds(0), List.of());
   }
@@ -230,43 +230,44 @@
   /** Puts a task on a machine. The order goes out by command or with the next response. */
   public Placement place(
       Job job, int index, Attempt attempt, Machine machine, Span expected, Moment now) {
-    Placement placement = hold(job, new TaskId(job.id(), index), attempt, machine, expected, now);
-    toCommand.add(machine);
+    Placement placement =
+        addPlacement(job, new TaskId(job.id(), index), attempt, machine, expected, now);
+    commandable.add(machine);
     listener.placed(job, now);
     LOG.debug("task {} try {} placed on {}", placement.task(), placement.attempt(), machine.id());
     return placement;
   }
 
-  Placement hold(
+  Placement addPlacement(
       Job job, TaskId task, Attempt attempt, Machine machine, Span expected, Moment now) {
     job.take(task.index());
     Placement placement = new Placement(job, task, attempt, machine, now, expected);
     machine.add(placement);
     byTask.put(task, placement);
-    stoppable.held(placement);
-    teamUse.merge(job.spec().team(), job.spec().room(), Room::plus);
+    preemptionIndex.added(placement);
+    teamUsage.merge(job.spec().team(), job.spec().room(), Room::plus);
     return placement;
   }
 
   /** Wants a placement stopped. */
-  public void halt(Placement placement, Span grace, Why why) {
+  public void halt(Placement placement, Span grace, StopReason why) {
     if (!placement.halting()) {
-      listener.stopping(placement, why);
+      listener.stopRequested(placement, why);
     }
-    stoppable.halts(placement);
+    preemptionIndex.haltRequested(placement);
     placement.halt(grace);
-    toCommand.add(placement.machine());
+    commandable.add(placement.machine());
   }
 
   /** Machines with orders that have not been sent yet; the caller takes them over. */
   List<Machine> takeCommandable() {
     List<Machine> taken = new ArrayList<>();
-    for (Machine machine : toCommand) {
-      if (!machine.commanding()) {
+    for (Machine machine : commandable) {
+      if (!machine.commandInFlight()) {
         taken.add(machine);
       }
     }
-    taken.forEach(toCommand::remove);
+    taken.forEach(commandable::remove);
     return taken;
   }
 
@@ -278,7 +279,7 @@
    * Whether a worker shows a higher token than it can have from this leader. A late report of a
    * machine that is gone may show any that the leader has told.
    */
-  public boolean above(Report report) {
+  public boolean showsUnissuedToken(Report report) {
     Machine machine = machines.get(report.machine());
     Token told = machine == null ? view.standsUntil(token) : machine.fence().current();
     return report.token().compareTo(told) > 0;
@@ -298,8 +299,8 @@
    * @param own whether the worker sent it by itself, rather than as the answer to a command
    * @return the machine, unless the report could not be used
    */
-  public Optional<Machine> report(Report report, boolean own, Moment now) {
-    return reconciler.report(report, own, now);
+  public Optional<Machine> handleReport(Report report, boolean own, Moment now) {
+    return reconciler.handleReport(report, own, now);
   }
 
   /** Whether the cloud has confirmed that a machine is no more. */
@@ -326,7 +327,7 @@
   }
 
   /** The machine may take tasks from now on. */
-  public void up(Machine machine) {
+  public void markUp(Machine machine) {
     boolean found = machine.state() == Machine.State.UNCONFIRMED;
     machine.enter(Machine.State.UP);
     if (found) {
@@ -339,44 +340,46 @@
   }
 
   /** The attempt is surely not on its machine any more. */
-  void lose(Placement placement, Moment now) {
-    stoppable.lost(placement);
-    placement.enter(Placement.State.OVER, now);
+  void removePlacement(Placement placement, Moment now) {
+    preemptionIndex.removed(placement);
+    placement.enter(Placement.State.ENDED, now);
     placement.machine().remove(placement, now);
     byTask.remove(placement.task(), placement);
     placement.job().release(placement.task().index(), now);
     Room room = placement.job().spec().room();
-    teamUse.computeIfPresent(placement.job().spec().team(), (team, use) -> use.minus(room));
-    listener.left(placement, now);
+    teamUsage.computeIfPresent(placement.job().spec().team(), (team, use) -> use.minus(room));
+    listener.placementEnded(placement, now);
     listener.roomChanged();
   }
 
-  void loseAll(Machine machine, Moment now) {
+  void removeAllPlacements(Machine machine, Moment now) {
     for (Placement placement : machine.placementsCopy()) {
       LOG.debug("task {} lost with {}", placement.task(), machine.id());
-      lose(placement, now);
+      removePlacement(placement, now);
     }
-    machine.leftovers().clear();
-    inDoubt = null;
+    machine.unmatched().clear();
+    unaccountedRoom = null;
   }
 
   /**
    * Whether this machine's lease must not be renewed, so that what is held up can't start there.
    */
-  public boolean mustLapse(Machine machine, Moment now) {
-    return machine.mustLapse(now, timing.graceLimit().surelyNotPassed());
+  public boolean mustNotRenewLease(Machine machine, Moment now) {
+    return machine.mustNotRenewLease(now, timing.graceLimit().surelyNotPassed());
   }
 
   /** Orders for a machine that has just reported by itself. */
   public List<Order> respond(Machine machine, Moment now) {
-    machine.renewed(now);
-    List<Order> orders = new ArrayList<>(clears(machine));
-    raise(machine);
+    machine.leaseRenewedAt(now);
+    List<Order> orders = new ArrayList<>(clearOrders(machine));
+    raiseTokenIfDue(machine);
     for (Placement placement : machine.placements()) {
       if (placement.halting()) {
-        if (runLost(placement, now)) {
+        if (mustRepeatStart(placement, now)) {
           orders.add(new Order.Run(placement.task(), placement.attempt()));
-          machine.openRuns().sentInResponse(new Machine.Try(placement.task(), placement.attempt()));
+          machine
+              .pendingStarts()
+              .sentInResponse(new Machine.TaskAttempt(placement.task(), placement.attempt()));
           orders.add(new Order.Halt(placement.task(), placement.attempt(), Span.millis(0)));
         } else {
           orders.add(haltOrder(placement));
@@ -384,10 +387,12 @@
       } else if (placement.state() == Placement.State.ORDERED
           && machine.state() == Machine.State.UP) {
         orders.add(new Order.Run(placement.task(), placement.attempt()));
-        machine.openRuns().sentInResponse(new Machine.Try(placement.task(), placement.attempt()));
+        machine
+            .pendingStarts()
+            .sentInResponse(new Machine.TaskAttempt(placement.task(), placement.attempt()));
       }
     }
-    for (Machine.Try stray : machine.leftovers().strays()) {
+    for (Machine.TaskAttempt stray : machine.unmatched().orphans()) {
       orders.add(new Order.Halt(stray.task(), stray.attempt(), Span.millis(0)));
     }
     return orders;
@@ -400,15 +405,15 @@
    * comes. The task is held here until then, so it is nowhere else. Of a withdrawn job nothing may
    * start so late that its user was told {@code cancel} ago.
    */
-  private boolean runLost(Placement placement, Moment now) {
+  private boolean mustRepeatStart(Placement placement, Moment now) {
     Machine machine = placement.machine();
     boolean inTime =
         placement.job().state() != Job.State.WITHDRAWN
-            || !now.past(placement.ordered(), timing.cancel().minus(START_MARGIN));
+            || !now.past(placement.orderedAt(), timing.cancel().minus(START_MARGIN));
     return placement.state() == Placement.State.ORDERED
         && (machine.state() == Machine.State.UP || machine.state() == Machine.State.RETURNING)
-        && !machine.commanding()
-        && machine.runOpen(new Machine.Try(placement.task(), placement.attempt()))
+        && !machine.commandInFlight()
+        && machine.mayStillStart(new Machine.TaskAttempt(placement.task(), placement.attempt()))
         && inTime;
   }
 
@@ -422,17 +427,17 @@
    * the worker forgets the attempt only as it gets the task's next one, on account of which it
    * refuses older ones.
    */
-  private List<Order> clears(Machine machine) {
+  private List<Order> clearOrders(Machine machine) {
     List<Order> orders = new ArrayList<>();
     machine
-        .leftovers()
+        .unmatched()
         .uncleared()
         .forEach(
             (attempt, done) -> {
-              boolean repeats = machine.openRuns().mayRepeat(attempt.task());
-              if ((!repeats || startsAnew(machine, attempt))
-                  && (!done || settled(attempt.task()))
-                  && !machine.runOpen(attempt)) {
+              boolean repeats = machine.pendingStarts().mayRepeat(attempt.task());
+              if ((!repeats || startsNextAttempt(machine, attempt))
+                  && (!done || markVerified(attempt.task()))
+                  && !machine.mayStillStart(attempt)) {
                 orders.add(new Order.Clear(attempt.task(), attempt.attempt()));
               }
             });
@@ -440,7 +445,7 @@
   }
 
   /** Whether the answer that is being written starts another attempt at the task. */
-  private static boolean startsAnew(Machine machine, Machine.Try ended) {
+  private static boolean startsNextAttempt(Machine machine, Machine.TaskAttempt ended) {
     Placement next = machine.placement(ended.task());
     return next != null
         && !next.attempt().equals(ended.attempt())
@@ -455,18 +460,18 @@
    * that were sent by command before, so what has ended may be cleared. Not while a command is
    * under way, which the answer may overtake.
    */
-  private void raise(Machine machine) {
+  private void raiseTokenIfDue(Machine machine) {
     boolean due =
-        machine.openRuns().repeatable() >= OpenRuns.MOST_BY_COMMAND / 2
-            || machine.keptEnded() >= MOST_KEPT;
+        machine.pendingStarts().repeatableCount() >= PendingStarts.MAX_COMMAND_STARTED_TASKS / 2
+            || machine.repeatableEndedCount() >= MAX_KEPT_ENDED_ATTEMPTS;
     Token highest = view.standsUntil(token);
-    if (due && !machine.commanding() && machine.fence().raisable(highest)) {
+    if (due && !machine.commandInFlight() && machine.fence().canRaiseTo(highest)) {
       machine.fence().raise(highest);
       LOG.debug("machine {} gets token {}", machine.id(), highest);
     }
   }
 
-  private boolean settled(TaskId task) {
+  private boolean markVerified(TaskId task) {
     Optional<Job> job = jobs.find(task.job());
     if (job.isPresent() && job.get().open()) {
       return job.get().isStoredDone(task.index());
@@ -484,21 +489,22 @@
    * older leader may last have renewed leases are over a lease later, and what was ordered is void
    * in later ones.
    */
-  boolean nothingOlderLeft(Machine machine, Token reported) {
-    if (reported.compareTo(token) >= 0 || foreignRenewal == null) {
+  boolean olderAttemptsOver(Machine machine, Token reported) {
+    if (reported.compareTo(token) >= 0 || lastUnseenRenewal == null) {
       return false;
     }
-    Moment renewed = foreignRenewal.isAfter(machine.known()) ? foreignRenewal : machine.known();
-    return view.contact().past(renewed, timing.lease().surelyPassed().plus(LAPSE_MARGIN));
+    Moment renewed =
+        lastUnseenRenewal.isAfter(machine.knownSince()) ? lastUnseenRenewal : machine.knownSince();
+    return view.contact().past(renewed, timing.lease().surelyPassed().plus(LEASE_EXPIRY_MARGIN));
   }
 
   /** Declares lapsed what has surely lost its lease. */
-  public void lapse(Moment now, Moment lastForeignRenewal) {
-    foreignRenewal = lastForeignRenewal;
-    Span lease = timing.lease().surelyPassed().plus(LAPSE_MARGIN);
+  public void expireLeases(Moment now, Moment lastForeignRenewal) {
+    lastUnseenRenewal = lastForeignRenewal;
+    Span lease = timing.lease().surelyPassed().plus(LEASE_EXPIRY_MARGIN);
     for (Machine machine : machines.values()) {
-      Moment renewed = machine.renewed();
-      if (machine.inDoubt() && lastForeignRenewal.isAfter(renewed)) {
+      Moment renewed = machine.leaseRenewedAt();
+      if (machine.unverified() && lastForeignRenewal.isAfter(renewed)) {
         renewed = lastForeignRenewal;
       }
       // A follower may have done so in the leader's place, which the store's copy tells.
@@ -506,41 +512,41 @@
       // A later leader may renew leases as well. Only a read of the store that began after the
       // lease
       // had run out, and still showed this leader, tells that nobody did.
-      if (mayLapse(machine) && view.contact().past(renewed, lease)) {
+      if (canExpire(machine) && view.contact().past(renewed, lease)) {
         LOG.info("machine {} has lapsed with {} tasks", machine.id(), machine.placements().size());
         if (machine.state() != Machine.State.RETURNING) {
-          machine.enter(Machine.State.LAPSED);
+          machine.enter(Machine.State.LEASE_EXPIRED);
         }
         machine.endSession();
         // It may report again without hearing; asking it by command tells at once.
-        machine.hearing().deaf(Hearing.State.NOT_THE_ANSWERS, now);
-        settled(machine);
-        loseAll(machine, now);
+        machine.delivery().markFailing(ResponseDelivery.State.RESPONSES_NOT_RECEIVED, now);
+        markVerified(machine);
+        removeAllPlacements(machine, now);
       }
     }
   }
 
-  private static boolean mayLapse(Machine machine) {
+  private static boolean canExpire(Machine machine) {
     return switch (machine.state()) {
       case UNCONFIRMED, UP -> true;
       case RETURNING ->
-          machine.inDoubt() || !machine.idle() || !machine.leftovers().strays().isEmpty();
-      case LAPSED -> !machine.idle();
-      case BOOTING, ENROLLING, GONE -> false;
+          machine.unverified() || !machine.idle() || !machine.unmatched().orphans().isEmpty();
+      case LEASE_EXPIRED -> !machine.idle();
+      case BOOTING, REGISTERING, GONE -> false;
     };
   }
 
   /** The machine is to be returned; what is on it counts until the cloud has confirmed. */
-  public void returning(Machine machine) {
+  public void startReturn(Machine machine) {
     machine.enter(Machine.State.RETURNING);
   }
 
   /** The cloud has confirmed that the machine is gone. */
-  public void gone(Machine machine, Moment now) {
+  public void confirmGone(Machine machine, Moment now) {
     machine.enter(Machine.State.GONE);
-    loseAll(machine, now);
+    removeAllPlacements(machine, now);
     machines.remove(machine.id());
-    inDoubt = null;
+    unaccountedRoom = null;
     gone.add(machine.id());
     LOG.info("machine {} returned", machine.id());
   }
--- a/src/main/java/org/oakwalk/core/fleet/Images.java
+++ b/src/main/java/org/oakwalk/core/fleet/ImageCache.java
@@ -4,25 +4,25 @@
 import java.util.Map;
 
 /** The images that a machine should hold: those used last, as far as its cache goes. */
-final class Images {
+final class ImageCache {
   private final double cacheGb;
-  private final Map<String, Double> held = new LinkedHashMap<>(16, 0.75f, true);
+  private final Map<String, Double> imageSizesGb = new LinkedHashMap<>(16, 0.75f, true);
 
-  Images(double cacheGb) {
+  ImageCache(double cacheGb) {
     this.cacheGb = cacheGb;
   }
 
-  boolean has(String image) {
-    return held.containsKey(image);
+  boolean contains(String image) {
+    return imageSizesGb.containsKey(image);
   }
 
   /** Whether getting an image of this size would push another one out. */
-  boolean pushesOut(String other, double gb) {
+  boolean wouldEvict(String other, double gb) {
     double sum = gb;
-    for (double size : held.values()) {
+    for (double size : imageSizesGb.values()) {
       sum += size;
     }
-    for (Map.Entry<String, Double> entry : held.entrySet()) {
+    for (Map.Entry<String, Double> entry : imageSizesGb.entrySet()) {
       if (sum <= cacheGb) {
         return false;
       }
@@ -35,10 +35,10 @@
   }
 
   void use(String image, double gb) {
-    held.put(image, gb);
-    double sum = held.values().stream().mapToDouble(Double::doubleValue).sum();
-    var oldest = held.entrySet().iterator();
-    while (sum > cacheGb && held.size() > 1) {
+    imageSizesGb.put(image, gb);
+    double sum = imageSizesGb.values().stream().mapToDouble(Double::doubleValue).sum();
+    var oldest = imageSizesGb.entrySet().iterator();
+    while (sum > cacheGb && imageSizesGb.size() > 1) {
       sum -= oldest.next().getValue();
       oldest.remove();
     }
--- a/src/main/java/org/oakwalk/core/fleet/Machine.java
+++ b/src/main/java/org/oakwalk/core/fleet/Machine.java
@@ -27,13 +27,13 @@
     /** Rented; its worker has not reported. */
     BOOTING,
     /** It reports, and is being written to the registry. */
-    ENROLLING,
+    REGISTERING,
     /** From the registry of earlier leaders; it has not yet confirmed this leader's token. */
     UNCONFIRMED,
     /** Takes tasks. */
     UP,
     /** Its lease has surely run out: nothing that was ordered before is on it. */
-    LAPSED,
+    LEASE_EXPIRED,
     /** It is being returned. */
     RETURNING,
     /** It is gone. */
@@ -43,53 +43,53 @@
   private static final Map<State, Set<State>> LEGAL = new EnumMap<>(State.class);
 
   static {
-    LEGAL.put(State.BOOTING, EnumSet.of(State.ENROLLING, State.RETURNING));
-    LEGAL.put(State.ENROLLING, EnumSet.of(State.UP, State.RETURNING));
-    LEGAL.put(State.UNCONFIRMED, EnumSet.of(State.UP, State.LAPSED, State.RETURNING));
-    LEGAL.put(State.UP, EnumSet.of(State.LAPSED, State.RETURNING));
-    LEGAL.put(State.LAPSED, EnumSet.of(State.UP, State.RETURNING));
+    LEGAL.put(State.BOOTING, EnumSet.of(State.REGISTERING, State.RETURNING));
+    LEGAL.put(State.REGISTERING, EnumSet.of(State.UP, State.RETURNING));
+    LEGAL.put(State.UNCONFIRMED, EnumSet.of(State.UP, State.LEASE_EXPIRED, State.RETURNING));
+    LEGAL.put(State.UP, EnumSet.of(State.LEASE_EXPIRED, State.RETURNING));
+    LEGAL.put(State.LEASE_EXPIRED, EnumSet.of(State.UP, State.RETURNING));
     LEGAL.put(State.RETURNING, EnumSet.of(State.GONE));
     LEGAL.put(State.GONE, EnumSet.noneOf(State.class));
   }
 
   /** One attempt at one task, as orders name it. */
-  public record Try(TaskId task, Attempt attempt) {}
+  public record TaskAttempt(TaskId task, Attempt attempt) {}
 
   private final MachineId id;
   private final MachineType type;
   private final String zone;
   private final boolean spot;
-  private final Moment known;
+  private final Moment knownSince;
   private String address;
   private State state;
-  private final Sessions sessions = new Sessions();
-  private Moment renewed;
-  private Moment heard;
+  private final SessionTracker sessions = new SessionTracker();
+  private Moment leaseRenewedAt;
+  private Moment lastReportAt;
   private Moment reclaimedAt;
   private Moment idleSince;
   private Moment blockedUntil;
-  private Rental.Status listed;
-  private Optional<Span> boot = Optional.empty();
-  private boolean inDoubt;
-  private boolean manyInOne;
-  private boolean carried;
-  private Duty duty = Duty.IN_USE;
-  private boolean leavesSoon;
-  private final Conduct conduct = new Conduct();
-  private Room promised = Room.NONE;
+  private Rental.Status cloudStatus;
+  private Optional<Span> bootTime = Optional.empty();
+  private boolean unverified;
+  private boolean representsUnreadableList;
+  private boolean reportForwarded;
+  private SchedulingMode schedulingMode = SchedulingMode.ACTIVE;
+  private boolean removalPlanned;
+  private final MachineHealth health = new MachineHealth();
+  private Room reserved = Room.NONE;
   private Room used = Room.NONE;
-  private Room free;
-  private Room freeOfUsed;
-  private Room freeOfStray;
-  private Room freeOfPromised;
+  private Room cachedFree;
+  private Room cachedUsed;
+  private Room cachedOrphanRoom;
+  private Room cachedReserved;
   private int replicas;
-  private Moment emptyBy = new Moment(Long.MIN_VALUE / 2);
+  private Moment expectedEmptyAt = new Moment(Long.MIN_VALUE / 2);
   private final Map<TaskId, Placement> placements = new LinkedHashMap<>();
-  private final Images images;
-  private final Leftovers leftovers = new Leftovers();
-  private boolean commanding;
-  private final OpenRuns openRuns = new OpenRuns();
-  private final Hearing hearing = new Hearing();
+  private final ImageCache images;
+  private final UnmatchedAttempts unmatched = new UnmatchedAttempts();
+  private boolean commandInFlight;
+  private final PendingStarts pendingStarts = new PendingStarts();
+  private final ResponseDelivery delivery = new ResponseDelivery();
   private final Fence fence;
 
   Machine(
@@ -105,14 +105,14 @@
     this.fence = new Fence(granted);
     this.address = address;
     this.type = type;
-    this.images = new Images(type.cacheGb());
+    this.images = new ImageCache(type.cacheGb());
     this.zone = zone;
     this.spot = spot;
     this.state = state;
-    this.inDoubt = state == State.UNCONFIRMED;
-    this.known = known;
-    this.heard = known;
-    this.renewed = known;
+    this.unverified = state == State.UNCONFIRMED;
+    this.knownSince = known;
+    this.lastReportAt = known;
+    this.leaseRenewedAt = known;
     this.idleSince = known;
     this.blockedUntil = known;
   }
@@ -145,48 +145,48 @@
    * Whether tasks that older leaders ordered may be here unseen. Being returned does not settle
    * that, only the cloud's confirmation does.
    */
-  public boolean inDoubt() {
-    return inDoubt;
+  public boolean unverified() {
+    return unverified;
   }
 
-  void settled() {
-    inDoubt = false;
+  void markVerified() {
+    unverified = false;
   }
 
   /**
    * This stands for machines whose list can't be read. The cloud would confirm at once that there
    * is none of this name, which tells nothing of them: only time does, until their leases are over.
    */
-  public void standsForMany() {
-    manyInOne = true;
+  public void markUnreadableList() {
+    representsUnreadableList = true;
   }
 
   /** Whether the cloud's answer to a return would settle what may be here. */
   public boolean returnable() {
-    return !manyInOne || !inDoubt;
+    return !representsUnreadableList || !unverified;
   }
 
   /** Since when this leader has known the machine; for a booting one, when it was rented. */
-  public Moment known() {
-    return known;
+  public Moment knownSince() {
+    return knownSince;
   }
 
   public Optional<SessionId> session() {
-    return sessions.present();
+    return sessions.current();
   }
 
   /** When it last reported by itself, directly or by way of another controller. */
-  public Moment heard() {
-    return heard;
+  public Moment lastReportAt() {
+    return lastReportAt;
   }
 
   /** When it last answered a command. */
-  public Moment commanded() {
-    return hearing.commanded();
+  public Moment lastCommandReplyAt() {
+    return delivery.lastCommandReplyAt();
   }
 
-  public Moment renewed() {
-    return renewed;
+  public Moment leaseRenewedAt() {
+    return leaseRenewedAt;
   }
 
   public Moment idleSince() {
@@ -195,7 +195,7 @@
 
   /** Errors of this job's tasks here since one last succeeded. */
   public int errorsOf(Job job) {
-    return conduct.errorsOf(job);
+    return health.errorsOf(job);
   }
 
   /**
@@ -204,12 +204,12 @@
    * everywhere don't count.
    */
   public boolean faulty() {
-    return conduct.faulty();
+    return health.faulty();
   }
 
   /** What it is there for while it is up. */
-  public Duty duty() {
-    return duty;
+  public SchedulingMode schedulingMode() {
+    return schedulingMode;
   }
 
   /**
@@ -217,21 +217,21 @@
    *
    * @return whether it has changed; a weightier reason against the machine stays
    */
-  public boolean duty(Duty next) {
-    if (next == duty || !duty.mayBecome(next)) {
+  public boolean schedulingMode(SchedulingMode next) {
+    if (next == schedulingMode || !schedulingMode.canTransitionTo(next)) {
       return false;
     }
-    duty = next;
+    schedulingMode = next;
     return true;
   }
 
   /** Whether it is kept in use only for a while, so that what has no end should go elsewhere. */
-  public boolean leavesSoon() {
-    return leavesSoon;
+  public boolean removalPlanned() {
+    return removalPlanned;
   }
 
-  public void leavesSoon(boolean on) {
-    leavesSoon = on;
+  public void removalPlanned(boolean on) {
+    removalPlanned = on;
   }
 
   /** When the cloud takes it away, if it gave notice; else null. */
@@ -245,24 +245,24 @@
 
   /** What is free; asked for by every search of a round, so it is kept until something changes. */
   public Room free() {
-    Room stray = leftovers.strayRoom();
-    if (freeOfUsed != used || freeOfStray != stray || freeOfPromised != promised) {
-      freeOfUsed = used;
-      freeOfStray = stray;
-      freeOfPromised = promised;
-      free = type.room().minus(used).minus(stray).minus(promised);
+    Room stray = unmatched.orphanRoom();
+    if (cachedUsed != used || cachedOrphanRoom != stray || cachedReserved != reserved) {
+      cachedUsed = used;
+      cachedOrphanRoom = stray;
+      cachedReserved = reserved;
+      cachedFree = type.room().minus(used).minus(stray).minus(reserved);
     }
-    return free;
+    return cachedFree;
   }
 
   /** Keeps room for a task that is on its way here from another machine. */
-  public void promise(Room room) {
-    promised = promised.plus(room);
+  public void reserve(Room room) {
+    reserved = reserved.plus(room);
   }
 
   /** The task has come, or will not come. */
-  public void promiseEnds(Room room) {
-    promised = promised.minus(room);
+  public void releaseReservation(Room room) {
+    reserved = reserved.minus(room);
   }
 
   public Collection<Placement> placements() {
@@ -278,12 +278,12 @@
   }
 
   /** When the last of its tasks that have an end should be over. */
-  public Moment emptyBy() {
-    return emptyBy;
+  public Moment expectedEmptyAt() {
+    return expectedEmptyAt;
   }
 
   /** Tasks of this job that are on it. */
-  public long countOf(JobId job) {
+  public long taskCountOf(JobId job) {
     return placements.keySet().stream().filter(task -> task.job().equals(job)).count();
   }
 
@@ -297,104 +297,104 @@
   }
 
   /** Whether tasks may be put on it now; if it fills up, only those that don't hold it up. */
-  public boolean takesTasks(Moment now, Span suspectAfter) {
+  public boolean acceptsTasks(Moment now, Span suspectAfter) {
     return state == State.UP
-        && (duty == Duty.IN_USE || duty.fillsUp())
+        && (schedulingMode == SchedulingMode.ACTIVE || schedulingMode.backfillOnly())
         && session().isPresent()
-        && hearing.hears()
-        && !now.past(heard, suspectAfter)
+        && delivery.working()
+        && !now.past(lastReportAt, suspectAfter)
         && !blockedUntil.isAfter(now);
   }
 
   /** Whether, as far as is known, it has the image. */
   public boolean hasImage(String image) {
-    return images.has(image);
+    return images.contains(image);
   }
 
   /** Whether getting an image of this size would push another one out that it has. */
-  public boolean pushesOut(String other, double gb) {
-    return images.pushesOut(other, gb);
+  public boolean wouldEvictImage(String other, double gb) {
+    return images.wouldEvict(other, gb);
   }
 
   /** How the cloud's list showed it when it became known from there. */
-  public void listed(Rental.Status status) {
-    listed = status;
+  public void cloudStatus(Rental.Status status) {
+    cloudStatus = status;
   }
 
   /** Whether the cloud said that it is up already, so that its time to come up tells nothing. */
-  public boolean listedAsUp() {
-    return listed == Rental.Status.RUNNING;
+  public boolean listedAsRunning() {
+    return cloudStatus == Rental.Status.RUNNING;
   }
 
   /** It reports for the first time since it was rented. */
   void booted(Moment now) {
-    boot = Optional.of(now.since(known));
+    bootTime = Optional.of(now.since(knownSince));
   }
 
   /** How long it took to come up; told once. */
-  public Optional<Span> takeBoot() {
-    Optional<Span> took = boot;
-    boot = Optional.empty();
+  public Optional<Span> takeBootTime() {
+    Optional<Span> took = bootTime;
+    bootTime = Optional.empty();
     return took;
   }
 
   /** Whether its last report came by way of another controller. */
-  public boolean carried() {
-    return carried;
+  public boolean reportForwarded() {
+    return reportForwarded;
   }
 
-  public void carried(boolean on) {
-    carried = on;
+  public void reportForwarded(boolean on) {
+    reportForwarded = on;
   }
 
   void address(String current) {
     address = current;
   }
 
-  void heard(Moment now) {
-    heard = now;
+  void lastReportAt(Moment now) {
+    lastReportAt = now;
   }
 
-  void renewed(Moment now) {
-    renewed = now;
+  void leaseRenewedAt(Moment now) {
+    leaseRenewedAt = now;
   }
 
   void reclaimedAt(Moment at) {
     reclaimedAt = at;
-    duty(Duty.RECLAIMED);
+    schedulingMode(SchedulingMode.RECLAIMED);
   }
 
   void blockedUntil(Moment until) {
     blockedUntil = until;
   }
 
-  void failed(Job job) {
-    conduct.failed(job);
+  void recordFailure(Job job) {
+    health.recordFailure(job);
   }
 
   /** A task here runs far longer than others of its job. */
-  public void late(Placement placement) {
-    if (placement.turnsLate()) {
-      conduct.late();
+  public void recordLateTask(Placement placement) {
+    if (placement.markLate()) {
+      health.recordLateTask();
     }
   }
 
   /** A task ran no longer than others of its job. */
-  public void inTime() {
-    conduct.inTime();
+  public void recordTimelyTask() {
+    health.recordTimelyTask();
   }
 
   /** Whether tasks take far longer here than elsewhere. */
   public boolean slow() {
-    return conduct.slow();
+    return health.slow();
   }
 
-  void succeeded() {
-    conduct.succeeded();
+  void recordSuccess() {
+    health.recordSuccess();
   }
 
   /** Which of its sessions is the present one, and what has been heard of it. */
-  Sessions sessions() {
+  SessionTracker sessions() {
     return sessions;
   }
 
@@ -403,7 +403,7 @@
     boolean first = session().isEmpty();
     boolean fresh = sessions.advance(reported, number, own);
     if (first || fresh) {
-      openRuns.clear();
+      pendingStarts.clear();
     }
     return fresh;
   }
@@ -411,13 +411,13 @@
   /** The present session is over: reports that still come from it count for nothing. */
   void endSession() {
     sessions.end();
-    openRuns.clear();
+    pendingStarts.clear();
   }
 
   void add(Placement placement) {
     placements.put(placement.task(), placement);
     replicas += placement.job().spec().service() ? 1 : 0;
-    emptyBy = later(emptyBy, placement.endsBy());
+    expectedEmptyAt = later(expectedEmptyAt, placement.expectedEnd());
     used = used.plus(placement.job().spec().room());
     images.use(placement.job().spec().image(), placement.job().spec().imageGb());
   }
@@ -425,9 +425,9 @@
   void remove(Placement placement, Moment now) {
     if (placements.remove(placement.task(), placement)) {
       replicas -= placement.job().spec().service() ? 1 : 0;
-      emptyBy = new Moment(Long.MIN_VALUE / 2);
+      expectedEmptyAt = new Moment(Long.MIN_VALUE / 2);
       for (Placement left : placements.values()) {
-        emptyBy = later(emptyBy, left.endsBy());
+        expectedEmptyAt = later(expectedEmptyAt, left.expectedEnd());
       }
       used = placements.isEmpty() ? Room.NONE : used.minus(placement.job().spec().room());
       if (placements.isEmpty()) {
@@ -441,39 +441,40 @@
   }
 
   /** What its last report showed that no placement stands for. */
-  Leftovers leftovers() {
-    return leftovers;
+  UnmatchedAttempts unmatched() {
+    return unmatched;
   }
 
   /**
    * Whether an ended attempt at this task is still on the machine, so that a run is refused. One
    * that is kept only since its start may come once more gives way to the next attempt.
    */
-  public boolean remembers(TaskId task) {
-    return leftovers.remembers(task) && !(openRuns.mayRepeat(task) && !openRuns.containsAny(task));
+  public boolean refusesNewAttempt(TaskId task) {
+    return unmatched.hasEnded(task)
+        && !(pendingStarts.mayRepeat(task) && !pendingStarts.containsAny(task));
   }
 
   /** Whether as many starts as may be have come by command under its present token. */
-  public boolean startsByAnswersOnly() {
-    return openRuns.full();
+  public boolean commandStartLimitReached() {
+    return pendingStarts.full();
   }
 
   /** Whether a command is out and unanswered. */
-  boolean commanding() {
-    return commanding;
+  boolean commandInFlight() {
+    return commandInFlight;
   }
 
-  void commanding(boolean on) {
-    commanding = on;
+  void commandInFlight(boolean on) {
+    commandInFlight = on;
   }
 
   /** Whether it takes what it is told; one that reports need not. */
-  public boolean hears() {
-    return hearing.hears();
+  public boolean receivesResponses() {
+    return delivery.working();
   }
 
-  Hearing hearing() {
-    return hearing;
+  ResponseDelivery delivery() {
+    return delivery;
   }
 
   /** The token under which it is spoken to. */
@@ -482,15 +483,15 @@
   }
 
   /** Ended attempts that it has to list, since commands that start their tasks may come again. */
-  long keptEnded() {
-    return leftovers.uncleared().keySet().stream()
-        .filter(ended -> openRuns.mayRepeat(ended.task()))
+  long repeatableEndedCount() {
+    return unmatched.uncleared().keySet().stream()
+        .filter(ended -> pendingStarts.mayRepeat(ended.task()))
         .count();
   }
 
   /** Runs that may still be executed later. */
-  OpenRuns openRuns() {
-    return openRuns;
+  PendingStarts pendingStarts() {
+    return pendingStarts;
   }
 
   /**
@@ -498,12 +499,13 @@
    * and its job has been withdrawn for so long. A session that others' reports keep alive would let
    * it in whenever it arrives.
    */
-  boolean mustLapse(Moment now, Span limit) {
+  boolean mustNotRenewLease(Moment now, Span limit) {
     for (Placement placement : placements.values()) {
       Moment withdrawn = placement.job().withdrawnAfter();
       if (withdrawn != null
           && now.past(withdrawn, limit)
-          && openRuns.inCommand(new Try(placement.task(), placement.attempt()))) {
+          && pendingStarts.commandUnanswered(
+              new TaskAttempt(placement.task(), placement.attempt()))) {
         return true;
       }
     }
@@ -511,8 +513,8 @@
   }
 
   /** Whether a run of this attempt may still be executed later. */
-  boolean runOpen(Try attempt) {
-    return openRuns.contains(attempt);
+  boolean mayStillStart(TaskAttempt attempt) {
+    return pendingStarts.contains(attempt);
   }
 
   /** The one place where the state changes. */
--- /dev/null
+++ b/src/main/java/org/oakwalk/core/fleet/MachineHealth.java
@@ -0,0 +1,55 @@
+package org.oakwalk.core.fleet;
+
+import java.util.HashMap;
+import java.util.Map;
+import org.oakwalk.core.job.Job;
+
+/** How tasks fare on a machine, as far as that tells of the machine rather than of its jobs. */
+final class MachineHealth {
+  /** Late tasks, less those in time, after which the machine itself must be slow. */
+  private static final int SLOW_THRESHOLD = 3;
+
+  /** Errors of one job, or jobs with errors, after which the machine itself is suspected. */
+  private static final int ERRORS_PER_JOB_THRESHOLD = 3;
+
+  private static final int FAILED_JOBS_THRESHOLD = 3;
+
+  private final Map<Job, Integer> errorsByJob = new HashMap<>();
+  private int lateScore;
+  private boolean slow;
+
+  int errorsOf(Job job) {
+    return errorsByJob.getOrDefault(job, 0);
+  }
+
+  boolean faulty() {
+    int jobs = 0;
+    boolean elsewhere = false;
+    for (Map.Entry<Job, Integer> entry : errorsByJob.entrySet()) {
+      jobs += entry.getKey().suspect() ? 0 : 1;
+      elsewhere |= entry.getValue() >= ERRORS_PER_JOB_THRESHOLD && entry.getKey().doneCount() > 0;
+    }
+    return jobs >= FAILED_JOBS_THRESHOLD || elsewhere;
+  }
+
+  void recordFailure(Job job) {
+    errorsByJob.merge(job, 1, Integer::sum);
+  }
+
+  void recordSuccess() {
+    errorsByJob.clear();
+  }
+
+  void recordLateTask() {
+    lateScore++;
+    slow |= lateScore >= SLOW_THRESHOLD;
+  }
+
+  void recordTimelyTask() {
+    lateScore = Math.max(0, lateScore - 1);
+  }
+
+  boolean slow() {
+    return slow;
+  }
+}
--- a/src/main/java/org/oakwalk/core/fleet/Registry.java
+++ b/src/main/java/org/oakwalk/core/fleet/MachineRegistry.java
@@ -32,44 +32,44 @@
  * transaction that removes it. So no write that is applied late can take a machine out that is
  * still there: docs/safety.md has the argument.
  */
-public final class Registry {
-  private static final Span RETRY = Span.millis(500);
+public final class MachineRegistry {
+  private static final Span RETRY_DELAY = Span.millis(500);
 
   /** Machines that come up within this time are written together. */
-  private static final Span SPACING = Span.millis(200);
+  private static final Span COMMIT_INTERVAL = Span.millis(200);
 
   /** Most machines under one key, so that a damaged one leaves few in doubt. */
-  private static final int MOST_UNDER_A_KEY = 50;
+  private static final int MAX_MACHINES_PER_KEY = 50;
 
   /** What a machine's record takes beside its texts. */
-  private static final int BYTES_OF_A_RECORD = 24;
+  private static final int RECORD_OVERHEAD_BYTES = 24;
 
-  private static final int BYTES_OF_A_KEY = 120;
+  private static final int KEY_OVERHEAD_BYTES = 120;
 
   /** Part of the service's limits that is used, since sizes are estimates. */
-  private static final double FILL = 0.8;
+  private static final double USABLE_LIMIT_FRACTION = 0.8;
 
-  private static final double LARGEST_COMMIT = 60 * 1024 * FILL;
+  private static final double MAX_COMMIT_BYTES = 60 * 1024 * USABLE_LIMIT_FRACTION;
 
   /** What is stored under one key; without a version it is not known how it stands. */
-  private static final class Group {
+  private static final class MachineBatch {
     private final String key;
-    private Optional<Revision> stamp;
+    private Optional<Revision> revision;
     private final Map<MachineId, StoredValue.MachineRecord> members = new LinkedHashMap<>();
-    private int written;
+    private int storedCount;
 
-    Group(String key, Optional<Revision> stamp, List<StoredValue.MachineRecord> records) {
+    MachineBatch(String key, Optional<Revision> stamp, List<StoredValue.MachineRecord> records) {
       this.key = key;
-      this.stamp = stamp;
+      this.revision = stamp;
       records.forEach(record -> members.put(record.id(), record));
-      written = members.size();
+      storedCount = members.size();
     }
 
-    boolean outdated() {
-      return members.size() < written;
+    boolean needsRewrite() {
+      return members.size() < storedCount;
     }
 
-    Change.Put put() {
+    Change.Put toPut() {
       return new Change.Put(
           key,
           new StoredValue.MachinesRecord(List.copyOf(members.values())),
@@ -81,18 +81,19 @@
   private final Fleet fleet;
   private final Guard guard;
   private final int changesPerCommit;
-  private final double largestValue;
-  private final Map<String, Group> groups = new LinkedHashMap<>();
-  private long keys;
+  private final double maxValueBytes;
+  private final Map<String, MachineBatch> batches = new LinkedHashMap<>();
+  private long lastKeyNumber;
   private boolean writing;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
 
-  public Registry(Outbox outbox, Fleet fleet, Guard guard, Settings.StateLimits limits) {
+  public MachineRegistry(Outbox outbox, Fleet fleet, Guard guard, Settings.StateLimits limits) {
     this.outbox = outbox;
     this.fleet = fleet;
     this.guard = guard;
     this.changesPerCommit = limits.changesPerCommit();
-    this.largestValue = Math.min(limits.valueKb() * 1024 * FILL, LARGEST_COMMIT / 2);
+    this.maxValueBytes =
+        Math.min(limits.valueKb() * 1024 * USABLE_LIMIT_FRACTION, MAX_COMMIT_BYTES / 2);
   }
 
   /**
@@ -100,56 +101,56 @@
    * under an earlier one as well, if the answer to a write got lost and its leader fell before it
    * removed what it had written twice; they leave this one.
    */
-  public void found(String key, Revision stamp, List<StoredValue.MachineRecord> records) {
-    Group group = new Group(key, Optional.of(stamp), records);
-    groups.values().forEach(other -> group.members.keySet().removeAll(other.members.keySet()));
-    groups.put(key, group);
+  public void restore(String key, Revision stamp, List<StoredValue.MachineRecord> records) {
+    MachineBatch group = new MachineBatch(key, Optional.of(stamp), records);
+    batches.values().forEach(other -> group.members.keySet().removeAll(other.members.keySet()));
+    batches.put(key, group);
   }
 
   /** The machine is surely gone. */
-  public void gone(MachineId id) {
-    groups.values().forEach(group -> group.members.remove(id));
+  public void machineGone(MachineId id) {
+    batches.values().forEach(group -> group.members.remove(id));
   }
 
   /** What one transaction does to the list. */
-  private static final class Plan {
+  private static final class RegistryTransaction {
     final List<Guard> guards = new ArrayList<>();
     final List<Change> changes = new ArrayList<>();
 
     /** Written by it, with how many machines. */
-    final Map<Group, Integer> written = new HashMap<>();
+    final Map<MachineBatch, Integer> batchSizes = new HashMap<>();
 
     /** Those of them that are new. */
-    final List<Group> fresh = new ArrayList<>();
+    final List<MachineBatch> newBatches = new ArrayList<>();
 
-    final List<Group> removed = new ArrayList<>();
+    final List<MachineBatch> removedBatches = new ArrayList<>();
 
     /** How the others stood before. */
-    final Map<Group, Optional<Revision>> before = new HashMap<>();
+    final Map<MachineBatch, Optional<Revision>> previousRevisions = new HashMap<>();
 
-    final List<Machine> entering = new ArrayList<>();
+    final List<Machine> registering = new ArrayList<>();
     double bytes;
 
     /** More are waiting that found no room in it. */
-    boolean full;
+    boolean incomplete;
 
-    void put(Group group, double size) {
-      changes.add(group.put());
-      written.put(group, group.members.size());
+    void put(MachineBatch group, double size) {
+      changes.add(group.toPut());
+      batchSizes.put(group, group.members.size());
       bytes += size;
     }
   }
 
   public void tick(Moment now) {
-    if (writing || nextTry.isAfter(now)) {
+    if (writing || nextAttemptAt.isAfter(now)) {
       return;
     }
-    Plan plan = new Plan();
+    RegistryTransaction plan = new RegistryTransaction();
     plan.guards.add(guard);
-    enter(plan);
+    addRegistering(plan);
     boolean entering = !plan.changes.isEmpty();
     if (!entering) {
-      rewrite(plan);
+      addRewrites(plan);
     }
     if (plan.changes.isEmpty()) {
       return;
@@ -163,26 +164,26 @@
         answer -> {
           writing = false;
           if (answer instanceof Answer.Committed committed) {
-            nextTry = plan.full ? now : now.plus(SPACING);
+            nextAttemptAt = plan.incomplete ? now : now.plus(COMMIT_INTERVAL);
             applied(plan, committed.epoch());
           } else {
             // Not known to be stored, so the machines take no tasks yet.
-            nextTry = now.plus(RETRY);
+            nextAttemptAt = now.plus(RETRY_DELAY);
             failed(plan, answer instanceof Answer.Refused);
           }
         });
   }
 
-  private void applied(Plan plan, Revision at) {
-    plan.written.forEach(
+  private void applied(RegistryTransaction plan, Revision at) {
+    plan.batchSizes.forEach(
         (group, count) -> {
-          group.stamp = Optional.of(at);
-          group.written = count;
+          group.revision = Optional.of(at);
+          group.storedCount = count;
         });
-    plan.removed.forEach(group -> groups.remove(group.key));
-    for (Machine machine : plan.entering) {
-      if (machine.state() == Machine.State.ENROLLING) {
-        fleet.up(machine);
+    plan.removedBatches.forEach(group -> batches.remove(group.key));
+    for (Machine machine : plan.registering) {
+      if (machine.state() == Machine.State.REGISTERING) {
+        fleet.markUp(machine);
       }
     }
   }
@@ -190,14 +191,14 @@
   /**
    * A transaction was refused, or nobody knows what became of it. In the latter case a new key is
    * removed by the next one, which writes its machines under yet another: whoever is moved comes
-   * before its key in the order of {@link #groups}, so it can't be removed first.
+   * before its key in the order of {@link #batches}, so it can't be removed first.
    */
-  private void failed(Plan plan, boolean refused) {
+  private void failed(RegistryTransaction plan, boolean refused) {
     if (refused) {
-      plan.before.forEach((group, stamp) -> group.stamp = stamp);
-      plan.fresh.forEach(group -> groups.remove(group.key));
+      plan.previousRevisions.forEach((group, stamp) -> group.revision = stamp);
+      plan.newBatches.forEach(group -> batches.remove(group.key));
     } else {
-      plan.fresh.forEach(group -> group.members.clear());
+      plan.newBatches.forEach(group -> group.members.clear());
     }
   }
 
@@ -205,11 +206,11 @@
    * Writes machines that have come up under a new key. One at a time: where all nodes together ask
    * for too much, the service has a single change to spare far sooner than several at once.
    */
-  private void enter(Plan plan) {
+  private void addRegistering(RegistryTransaction plan) {
     List<StoredValue.MachineRecord> records = new ArrayList<>();
-    double size = BYTES_OF_A_KEY;
+    double size = KEY_OVERHEAD_BYTES;
     for (Machine machine : fleet.machines()) {
-      if (machine.state() != Machine.State.ENROLLING) {
+      if (machine.state() != Machine.State.REGISTERING) {
         continue;
       }
       StoredValue.MachineRecord record =
@@ -219,66 +220,69 @@
               machine.type().name(),
               machine.zone(),
               machine.spot());
-      size += size(record);
-      if (!records.isEmpty() && (records.size() >= MOST_UNDER_A_KEY || size > largestValue)) {
-        plan.full = true;
+      size += estimatedBytes(record);
+      if (!records.isEmpty() && (records.size() >= MAX_MACHINES_PER_KEY || size > maxValueBytes)) {
+        plan.incomplete = true;
         break;
       }
       records.add(record);
-      plan.entering.add(machine);
+      plan.registering.add(machine);
     }
     if (!records.isEmpty()) {
-      plan.put(group(records, plan), size);
+      plan.put(newBatch(records, plan), size);
     }
   }
 
-  private Group group(List<StoredValue.MachineRecord> records, Plan plan) {
-    Group group =
-        new Group(
-            Keys.machines(new Token(guard.stamp().value()), ++keys), Optional.empty(), records);
-    groups.put(group.key, group);
-    plan.fresh.add(group);
+  private MachineBatch newBatch(List<StoredValue.MachineRecord> records, RegistryTransaction plan) {
+    MachineBatch group =
+        new MachineBatch(
+            Keys.machines(new Token(guard.stamp().value()), ++lastKeyNumber),
+            Optional.empty(),
+            records);
+    batches.put(group.key, group);
+    plan.newBatches.add(group);
     return group;
   }
 
   /** Takes out what is gone. */
-  private void rewrite(Plan plan) {
-    for (Group group : List.copyOf(groups.values())) {
-      if (!group.outdated()) {
+  private void addRewrites(RegistryTransaction plan) {
+    for (MachineBatch group : List.copyOf(batches.values())) {
+      if (!group.needsRewrite()) {
         continue;
       }
       if (plan.changes.size() + 2 > Math.max(2, changesPerCommit)
-          || plan.bytes + largestValue > LARGEST_COMMIT) {
+          || plan.bytes + maxValueBytes > MAX_COMMIT_BYTES) {
         return;
       }
-      plan.before.put(group, group.stamp);
+      plan.previousRevisions.put(group, group.revision);
       double size =
-          BYTES_OF_A_KEY + group.members.values().stream().mapToDouble(Registry::size).sum();
+          KEY_OVERHEAD_BYTES
+              + group.members.values().stream().mapToDouble(MachineRegistry::estimatedBytes).sum();
       if (group.members.isEmpty()) {
-        plan.removed.add(group);
+        plan.removedBatches.add(group);
         plan.changes.add(new Change.Remove(group.key));
-      } else if (group.stamp.isPresent()) {
-        plan.guards.add(new Guard(group.key, group.stamp.get()));
+      } else if (group.revision.isPresent()) {
+        plan.guards.add(new Guard(group.key, group.revision.get()));
         plan.put(group, size);
-        group.stamp = Optional.empty();
+        group.revision = Optional.empty();
       } else {
-        plan.put(group(List.copyOf(group.members.values()), plan), size);
-        plan.removed.add(group);
+        plan.put(newBatch(List.copyOf(group.members.values()), plan), size);
+        plan.removedBatches.add(group);
         plan.changes.add(new Change.Remove(group.key));
       }
     }
   }
 
   /** Bytes of a record as the service counts them, or somewhat more. */
-  private static double size(StoredValue.MachineRecord record) {
-    return BYTES_OF_A_RECORD
-        + bytes(record.id().value())
-        + bytes(record.address())
-        + bytes(record.type())
-        + bytes(record.zone());
+  private static double estimatedBytes(StoredValue.MachineRecord record) {
+    return RECORD_OVERHEAD_BYTES
+        + utf8Bytes(record.id().value())
+        + utf8Bytes(record.address())
+        + utf8Bytes(record.type())
+        + utf8Bytes(record.zone());
   }
 
-  private static int bytes(String text) {
+  private static int utf8Bytes(String text) {
     return text.chars().map(c -> c < 128 ? 1 : 3).sum();
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/MachineType.java
+++ b/src/main/java/org/oakwalk/core/fleet/MachineType.java
@@ -12,7 +12,7 @@
     double fetchGbPerSecond,
     double price,
     double spotPrice,
-    Span boot,
+    Span bootTime,
     List<String> zones) {
 
   public double price(boolean spot) {
@@ -20,14 +20,14 @@
   }
 
   /** Whether the other differs in nothing but its prices. */
-  public boolean sameBut(MachineType other) {
+  public boolean equalsExceptPrices(MachineType other) {
     return new MachineType(
-            name, room, cacheGb, fetchGbPerSecond, other.price, other.spotPrice, boot, zones)
+            name, room, cacheGb, fetchGbPerSecond, other.price, other.spotPrice, bootTime, zones)
         .equals(other);
   }
 
   /** How long an image of this size takes to arrive on an idle machine. */
-  public Span fetch(double imageGb) {
+  public Span fetchTime(double imageGb) {
     return fetchGbPerSecond <= 0 ? Span.seconds(0) : Span.seconds(imageGb / fetchGbPerSecond);
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/Placement.java
+++ b/src/main/java/org/oakwalk/core/fleet/Placement.java
@@ -23,42 +23,42 @@
     /** It saves its progress. */
     SAVING,
     /** It is over, one way or the other. */
-    OVER
+    ENDED
   }
 
   private static final Map<State, Set<State>> LEGAL = new EnumMap<>(State.class);
 
   static {
-    LEGAL.put(State.ORDERED, EnumSet.of(State.FETCHING, State.RUNNING, State.SAVING, State.OVER));
-    LEGAL.put(State.FETCHING, EnumSet.of(State.RUNNING, State.SAVING, State.OVER));
-    LEGAL.put(State.RUNNING, EnumSet.of(State.SAVING, State.FETCHING, State.OVER));
-    LEGAL.put(State.SAVING, EnumSet.of(State.OVER));
-    LEGAL.put(State.OVER, EnumSet.noneOf(State.class));
+    LEGAL.put(State.ORDERED, EnumSet.of(State.FETCHING, State.RUNNING, State.SAVING, State.ENDED));
+    LEGAL.put(State.FETCHING, EnumSet.of(State.RUNNING, State.SAVING, State.ENDED));
+    LEGAL.put(State.RUNNING, EnumSet.of(State.SAVING, State.FETCHING, State.ENDED));
+    LEGAL.put(State.SAVING, EnumSet.of(State.ENDED));
+    LEGAL.put(State.ENDED, EnumSet.noneOf(State.class));
   }
 
   private final Job job;
   private final TaskId task;
   private final Attempt attempt;
   private final Machine machine;
-  private final Moment ordered;
+  private final Moment orderedAt;
   private State state = State.ORDERED;
   private Moment runningSince;
   private Span haltGrace;
   private boolean runCommanded;
   private Span haltCommanded;
-  private boolean watched = true;
+  private boolean continuouslyObserved = true;
   private boolean late;
-  private final Moment endsBy;
-  private final Stoppable.Sort sort;
+  private final Moment expectedEnd;
+  private final PreemptionIndex.PreemptionKey preemptionKey;
 
   Placement(Job job, TaskId task, Attempt attempt, Machine machine, Moment ordered, Span expected) {
     this.job = job;
     this.task = task;
     this.attempt = attempt;
     this.machine = machine;
-    this.ordered = ordered;
-    this.sort = Stoppable.Sort.of(job.spec());
-    this.endsBy = job.spec().service() ? null : ordered.plus(expected);
+    this.orderedAt = ordered;
+    this.preemptionKey = PreemptionIndex.PreemptionKey.of(job.spec());
+    this.expectedEnd = job.spec().service() ? null : ordered.plus(expected);
   }
 
   public Job job() {
@@ -70,8 +70,8 @@
   }
 
   /** What decides who has to give way to whom. */
-  public Stoppable.Sort sort() {
-    return sort;
+  public PreemptionIndex.PreemptionKey preemptionKey() {
+    return preemptionKey;
   }
 
   public Attempt attempt() {
@@ -86,8 +86,8 @@
     return state;
   }
 
-  public Moment ordered() {
-    return ordered;
+  public Moment orderedAt() {
+    return orderedAt;
   }
 
   /** Since when it has been seen running, or null. */
@@ -96,21 +96,21 @@
   }
 
   /** When it should end; null if it has no end. */
-  public Moment endsBy() {
-    return endsBy;
+  public Moment expectedEnd() {
+    return expectedEnd;
   }
 
   /** Whether the machine has reported all the while, so that times mean something. */
-  public boolean watched() {
-    return watched;
+  public boolean continuouslyObserved() {
+    return continuouslyObserved;
   }
 
-  void unwatched() {
-    watched = false;
+  void markObservationGap() {
+    continuouslyObserved = false;
   }
 
   /** It runs far longer than it should; true if that is new. */
-  boolean turnsLate() {
+  boolean markLate() {
     boolean fresh = !late;
     late = true;
     return fresh;
@@ -133,7 +133,7 @@
   }
 
   /** Whether a direct command is due for it; asking marks it as sent. */
-  boolean takeCommand() {
+  boolean takeDueCommand() {
     if (halting()) {
       boolean due = !haltGrace.equals(haltCommanded);
       haltCommanded = haltGrace;
--- a/src/main/java/org/oakwalk/core/fleet/Stoppable.java
+++ b/src/main/java/org/oakwalk/core/fleet/PreemptionIndex.java
@@ -15,13 +15,13 @@
  * change. It tells at once when a stop would make no room for a job, and which few machines are
  * worth a look, where a search would look at every task of the fleet for each job that waits.
  */
-public final class Stoppable {
+public final class PreemptionIndex {
   /** What decides who has to give way to whom. */
-  public record Sort(
-      String team, String jobClass, Priority priority, boolean service, boolean saves) {
+  public record PreemptionKey(
+      String team, String jobClass, Priority priority, boolean service, boolean checkpoints) {
     /** The sort of a job's tasks. */
-    public static Sort of(JobSpec spec) {
-      return new Sort(
+    public static PreemptionKey of(JobSpec spec) {
+      return new PreemptionKey(
           spec.team(),
           spec.jobClass(),
           spec.priority(),
@@ -32,52 +32,53 @@
     // Asked for each task of the fleet when stops are planned; a record's own are ten times slower.
     @Override
     public int hashCode() {
-      int flags = (service ? 1 : 0) + (saves ? 2 : 0) + 4 * priority.ordinal();
+      int flags = (service ? 1 : 0) + (checkpoints ? 2 : 0) + 4 * priority.ordinal();
       return 31 * (31 * team.hashCode() + jobClass.hashCode()) + flags;
     }
 
     @Override
     public boolean equals(Object other) {
       return this == other
-          || other instanceof Sort sort
+          || other instanceof PreemptionKey sort
               && priority == sort.priority
               && service == sort.service
-              && saves == sort.saves
+              && checkpoints == sort.checkpoints
               && jobClass.equals(sort.jobClass)
               && team.equals(sort.team);
     }
   }
 
-  private final Map<Sort, Map<Machine, Integer>> counts = new HashMap<>();
+  private final Map<PreemptionKey, Map<Machine, Integer>> counts = new HashMap<>();
   private final Map<Machine, Integer> halting = new IdentityHashMap<>();
 
-  void held(Placement placement) {
+  void added(Placement placement) {
     counts
-        .computeIfAbsent(placement.sort(), sort -> new IdentityHashMap<>())
+        .computeIfAbsent(placement.preemptionKey(), sort -> new IdentityHashMap<>())
         .merge(placement.machine(), 1, Integer::sum);
   }
 
-  void halts(Placement placement) {
-    if (!placement.halting() && placement.state() != Placement.State.OVER) {
+  void haltRequested(Placement placement) {
+    if (!placement.halting() && placement.state() != Placement.State.ENDED) {
       halting.merge(placement.machine(), 1, Integer::sum);
-      less(placement);
+      decrement(placement);
     }
   }
 
-  void lost(Placement placement) {
+  void removed(Placement placement) {
     if (placement.halting()) {
-      less(halting, placement.machine());
+      decrement(halting, placement.machine());
     } else {
-      less(placement);
+      decrement(placement);
     }
   }
 
-  private void less(Placement placement) {
+  private void decrement(Placement placement) {
     counts.computeIfPresent(
-        placement.sort(), (sort, on) -> less(on, placement.machine()).isEmpty() ? null : on);
+        placement.preemptionKey(),
+        (sort, on) -> decrement(on, placement.machine()).isEmpty() ? null : on);
   }
 
-  private static Map<Machine, Integer> less(Map<Machine, Integer> counts, Machine machine) {
+  private static Map<Machine, Integer> decrement(Map<Machine, Integer> counts, Machine machine) {
     counts.computeIfPresent(machine, (key, count) -> count > 1 ? count - 1 : null);
     return counts;
   }
@@ -88,9 +89,9 @@
   }
 
   /** The sorts of which there is a task that is not being stopped, if they are wanted. */
-  public Set<Sort> sorts(Predicate<Sort> wanted) {
-    Set<Sort> found = new HashSet<>();
-    for (Sort sort : counts.keySet()) {
+  public Set<PreemptionKey> keys(Predicate<PreemptionKey> wanted) {
+    Set<PreemptionKey> found = new HashSet<>();
+    for (PreemptionKey sort : counts.keySet()) {
       if (wanted.test(sort)) {
         found.add(sort);
       }
@@ -99,7 +100,7 @@
   }
 
   /** Machines with a task of one of these sorts, or with one that is being stopped. */
-  public Set<Machine> concerned(Set<Sort> sorts) {
+  public Set<Machine> machinesWith(Set<PreemptionKey> sorts) {
     Set<Machine> machines = Collections.newSetFromMap(new IdentityHashMap<>());
     machines.addAll(halting.keySet());
     sorts.forEach(sort -> machines.addAll(counts.getOrDefault(sort, Map.of()).keySet()));
@@ -107,7 +108,7 @@
   }
 
   /** Whether there is a task of such a sort. */
-  public boolean any(Predicate<Sort> wanted) {
+  public boolean anyMatch(Predicate<PreemptionKey> wanted) {
     return counts.keySet().stream().anyMatch(wanted);
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/Reconciler.java
+++ b/src/main/java/org/oakwalk/core/fleet/Reconciler.java
@@ -18,10 +18,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(Reconciler.class);
 
   /** How long the way of a report may take at most to tell that a session ended too early. */
-  private static final Span ON_ITS_WAY = Span.seconds(1);
+  private static final Span MAX_REPORT_DELAY = Span.seconds(1);
 
   /** A worker waits longer for an answer; reports that come closer together were held back. */
-  private static final Span LEAST_WAIT = Span.seconds(3);
+  private static final Span MIN_RESPONSE_WAIT = Span.seconds(3);
 
   private final Fleet fleet;
   private final JobBook jobs;
@@ -42,7 +42,7 @@
    * @return the machine, unless the report could not be used, or is so old that its worker takes no
    *     answer
    */
-  Optional<Machine> report(Report report, boolean own, Moment now) {
+  Optional<Machine> handleReport(Report report, boolean own, Moment now) {
     if (fleet.isGone(report.machine())) {
       // Held back by a cut and late: the cloud has confirmed that this machine is no more.
       return Optional.empty();
@@ -66,7 +66,7 @@
       }
       LOG.info("machine {} reports unexpectedly", machine.id());
     }
-    if (own && machine.sessions().givenUp(report.session(), report.sequence())) {
+    if (own && machine.sessions().responseAbandoned(report.session(), report.sequence())) {
       return Optional.empty();
     }
     if (machine.state() == Machine.State.GONE) {
@@ -76,93 +76,93 @@
       if (own) {
         // The answer to a command has overtaken it. It tells nothing new, but that the machine
         // reports, and its worker takes the answer.
-        machine.heard(now);
+        machine.lastReportAt(now);
       }
       return Optional.of(machine);
     }
     boolean otherSession = machine.session().filter(report.session()::equals).isEmpty();
     boolean freshSession = machine.advance(report.session(), report.sequence(), own);
     if (own || !freshSession) {
-      listens(machine, report, freshSession, now);
+      checkDelivery(machine, report, freshSession, now);
     }
     if (otherSession) {
       // A session begins with a lease of its own, whoever told of it. Counted from the last answer
       // in the session before, it would seem to be over while tasks that came by command run.
-      machine.renewed(now);
+      machine.leaseRenewedAt(now);
     }
     machine.address(report.address());
-    if (now.past(machine.heard(), timing.suspectAfter())) {
+    if (now.past(machine.lastReportAt(), timing.suspectAfter())) {
       // Out of reach, or hanging: what ended meanwhile would seem to have run until now.
-      machine.placements().forEach(Placement::unwatched);
+      machine.placements().forEach(Placement::markObservationGap);
     }
-    machine.fence().shows(report.token());
-    machine.openRuns().fenced(report.token());
+    machine.fence().observe(report.token());
+    machine.pendingStarts().fenced(report.token());
     if (own) {
       // Only these are answered, and so renew a lease: a machine that merely does what it is told
       // loses all its tasks when its lease is over.
-      machine.heard(now);
-      machine.openRuns().responseSettled();
+      machine.lastReportAt(now);
+      machine.pendingStarts().responseResolved();
     }
     if (freshSession) {
       LOG.info("machine {} begins session {}", machine.id(), report.session());
-      fleet.loseAll(machine, now);
+      fleet.removeAllPlacements(machine, now);
     }
     if (report.notice().isPresent()) {
-      notice(machine, report.notice().get(), now);
+      handleReclaimNotice(machine, report.notice().get(), now);
     }
     reconcile(machine, report, now);
-    if (machine.inDoubt() && own && fleet.nothingOlderLeft(machine, report.token())) {
+    if (machine.unverified() && own && fleet.olderAttemptsOver(machine, report.token())) {
       LOG.info("machine {} does not hear, but what older leaders ordered is over", machine.id());
-      machine.hearing().deaf(Hearing.State.NOT_THE_TOKEN, now);
-      fleet.settled(machine);
+      machine.delivery().markFailing(ResponseDelivery.State.TOKEN_NOT_RECEIVED, now);
+      fleet.markVerified(machine);
     }
-    if (machine.inDoubt() && machine.fence().covers(report.token())) {
+    if (machine.unverified() && machine.fence().mayHaveIssued(report.token())) {
       // Until this report an older leader may have renewed its lease.
-      machine.renewed(now);
-      fleet.settled(machine);
+      machine.leaseRenewedAt(now);
+      fleet.markVerified(machine);
     }
     switch (machine.state()) {
       case BOOTING -> {
-        if (expected && !machine.listedAsUp()) {
+        if (expected && !machine.listedAsRunning()) {
           machine.booted(now);
         }
-        machine.enter(Machine.State.ENROLLING);
+        machine.enter(Machine.State.REGISTERING);
       }
-      case LAPSED -> {
+      case LEASE_EXPIRED -> {
         if (own) {
           // One that only answers commands is of no use: no session of it outlives its lease.
-          fleet.up(machine);
+          fleet.markUp(machine);
         }
       }
       case UNCONFIRMED -> {
-        if (!machine.inDoubt()) {
+        if (!machine.unverified()) {
           // By command, most often: its first own report is on its way, unless it can't send any.
-          machine.heard(now);
-          fleet.up(machine);
+          machine.lastReportAt(now);
+          fleet.markUp(machine);
         }
       }
-      case ENROLLING, UP, RETURNING, GONE -> {}
+      case REGISTERING, UP, RETURNING, GONE -> {}
     }
     return Optional.of(machine);
   }
 
   /** Whether the machine takes what it is told, as far as this report shows. */
-  private void listens(Machine machine, Report report, boolean freshSession, Moment now) {
-    if (machine.fence().covers(report.token())) {
-      machine.hearing().showsToken();
+  private void checkDelivery(Machine machine, Report report, boolean freshSession, Moment now) {
+    if (machine.fence().mayHaveIssued(report.token())) {
+      machine.delivery().tokenConfirmed();
     }
     Span lease = timing.lease();
     if (!freshSession) {
-      machine.hearing().sessionLives(lease.surelyPassed(), now);
-    } else if (now.past(machine.renewed(), LEAST_WAIT)
-        && !now.past(machine.renewed(), lease.minus(ON_ITS_WAY))) {
+      machine.delivery().sessionContinued(lease.surelyPassed(), now);
+    } else if (now.past(machine.leaseRenewedAt(), MIN_RESPONSE_WAIT)
+        && !now.past(machine.leaseRenewedAt(), lease.minus(MAX_REPORT_DELAY))) {
       // Had it taken the last answer, the session before would live on.
       LOG.info("machine {} does not hear", machine.id());
-      machine.hearing().deaf(Hearing.State.NOT_THE_ANSWERS, now);
+      machine.delivery().markFailing(ResponseDelivery.State.RESPONSES_NOT_RECEIVED, now);
     }
   }
 
-  private static void notice(Machine machine, Span left, Moment now) {
+  private static void handleReclaimNotice(Machine machine, Span left, Moment now) {
     Moment at = now.plus(left);
     if (machine.reclaimedAt() == null) {
       LOG.info("machine {} is taken back in {}", machine.id(), left);
@@ -171,8 +171,8 @@
   }
 
   private void reconcile(Machine machine, Report report, Moment now) {
-    Room strayed = machine.leftovers().strayRoom();
-    machine.leftovers().clear();
+    Room strayed = machine.unmatched().orphanRoom();
+    machine.unmatched().clear();
     List<Placement> missing = machine.placementsCopy();
     for (Report.Piece piece : report.pieces()) {
       Placement placement = machine.placement(piece.task());
@@ -180,20 +180,21 @@
         missing.remove(placement);
         observe(placement, piece, now);
       } else {
-        foreign(machine, piece, now);
+        handleUnmatched(machine, piece, now);
       }
     }
-    if (!strayed.equals(machine.leftovers().strayRoom())) {
-      fleet.doubtChanged();
+    if (!strayed.equals(machine.unmatched().orphanRoom())) {
+      fleet.unaccountedRoomChanged();
     }
     // A later attempt at its task is listed.
-    missing.removeIf(placement -> placement.state() == Placement.State.OVER);
+    missing.removeIf(placement -> placement.state() == Placement.State.ENDED);
     for (Placement placement : missing) {
       boolean seen = placement.state() != Placement.State.ORDERED;
-      boolean open = machine.runOpen(new Machine.Try(placement.task(), placement.attempt()));
+      boolean open =
+          machine.mayStillStart(new Machine.TaskAttempt(placement.task(), placement.attempt()));
       if (seen || (placement.halting() && !open)) {
         LOG.debug("task {} try {} is gone", placement.task(), placement.attempt());
-        fleet.lose(placement, now);
+        fleet.removePlacement(placement, now);
       }
     }
   }
@@ -214,16 +215,16 @@
       case ENDED -> {
         placement
             .machine()
-            .leftovers()
+            .unmatched()
             .uncleared(
-                new Machine.Try(placement.task(), placement.attempt()),
+                new Machine.TaskAttempt(placement.task(), placement.attempt()),
                 piece.cause() == Report.Cause.DONE);
-        over(placement, piece.cause(), now);
+        handleEnd(placement, piece.cause(), now);
       }
     }
   }
 
-  private void over(Placement placement, Report.Cause cause, Moment now) {
+  private void handleEnd(Placement placement, Report.Cause cause, Moment now) {
     Job job = placement.job();
     Machine machine = placement.machine();
     int index = placement.task().index();
@@ -231,15 +232,15 @@
     switch (cause) {
       case DONE -> {
         job.complete(index, now);
-        machine.succeeded();
+        machine.recordSuccess();
         Moment since = placement.runningSince();
-        boolean known = since != null && placement.watched();
+        boolean known = since != null && placement.continuouslyObserved();
         listener.completed(placement, known ? now.since(since) : null);
       }
       case ERROR -> {
         LOG.info("task {} failed on {}", placement.task(), machine.id());
         job.failedOn(machine.id(), now);
-        machine.failed(job);
+        machine.recordFailure(job);
         job.pause(index, true, now);
       }
       case NO_ROOM -> {
@@ -249,45 +250,45 @@
       case BUSY, UNKNOWN -> job.pause(index, false, now);
       case HALTED, OTHER -> {}
     }
-    fleet.lose(placement, now);
+    fleet.removePlacement(placement, now);
   }
 
   /** A piece that no placement stands for: left by an earlier leader, or ended before. */
-  private void foreign(Machine machine, Report.Piece piece, Moment now) {
-    Machine.Try attempt = new Machine.Try(piece.task(), piece.attempt());
+  private void handleUnmatched(Machine machine, Report.Piece piece, Moment now) {
+    Machine.TaskAttempt attempt = new Machine.TaskAttempt(piece.task(), piece.attempt());
     int index = piece.task().index();
     // What has ended says nothing new of a job that is over, which may be listed for long.
     Optional<Job> found =
         piece.ended() ? jobs.find(piece.task().job()) : jobs.findOrLoad(piece.task().job(), now);
     if (found.isEmpty() || index >= found.get().spec().tasks()) {
       if (piece.ended()) {
-        machine.leftovers().uncleared(attempt, piece.cause() == Report.Cause.DONE);
+        machine.unmatched().uncleared(attempt, piece.cause() == Report.Cause.DONE);
       } else {
         // How much it takes, and of whose limit, nobody knows.
-        machine.leftovers().stray(attempt, machine.type().room());
+        machine.unmatched().addOrphan(attempt, machine.type().room());
       }
       return;
     }
     Job job = found.get();
     if (piece.ended()) {
       boolean done = piece.cause() == Report.Cause.DONE;
-      machine.leftovers().uncleared(attempt, done);
+      machine.unmatched().uncleared(attempt, done);
       if (done && !job.isDone(index)) {
-        completeElsewhere(job, piece.task(), now);
+        completeFromOtherAttempt(job, piece.task(), now);
       }
       return;
     }
-    supersede(job, piece, now);
+    removeSuperseded(job, piece, now);
     if (!job.isFree(index)) {
       LOG.info("task {} try {} is on {} astray", piece.task(), piece.attempt(), machine.id());
-      machine.leftovers().stray(attempt, job.spec().room());
+      machine.unmatched().addOrphan(attempt, job.spec().room());
       return;
     }
     Placement adopted =
-        fleet.hold(job, piece.task(), piece.attempt(), machine, job.spec().guess(), now);
+        fleet.addPlacement(job, piece.task(), piece.attempt(), machine, job.spec().guess(), now);
     observe(adopted, piece, now);
     if (!job.open()) {
-      fleet.halt(adopted, Span.millis(0), Fleet.Why.WITHDRAWN);
+      fleet.halt(adopted, Span.millis(0), Fleet.StopReason.WITHDRAWN);
     }
   }
 
@@ -296,7 +297,7 @@
    * ordered the later one after it was certain that the earlier one was over; the report was held
    * up, and taken at its word it would have the later attempt stopped as one too many.
    */
-  private void supersede(Job job, Report.Piece piece, Moment now) {
+  private void removeSuperseded(Job job, Report.Piece piece, Moment now) {
     if (job.isDone(piece.task().index()) || piece.attempt().token().compareTo(fleet.token()) >= 0) {
       return;
     }
@@ -308,19 +309,19 @@
             earlier -> {
               LOG.info(
                   "task {} try {} is over, a later one is seen", earlier.task(), earlier.attempt());
-              fleet.lose(earlier, now);
+              fleet.removePlacement(earlier, now);
             });
   }
 
   /** Whether it has shown what is there now; one that is not registered has not either. */
   private static boolean confirmed(Machine machine) {
-    return machine.state() == Machine.State.UP && !machine.inDoubt();
+    return machine.state() == Machine.State.UP && !machine.unverified();
   }
 
-  private void completeElsewhere(Job job, TaskId task, Moment now) {
+  private void completeFromOtherAttempt(Job job, TaskId task, Moment now) {
     job.complete(task.index(), now);
     fleet
         .placementOf(task)
-        .ifPresent(other -> fleet.halt(other, Span.millis(0), Fleet.Why.NEEDLESS));
+        .ifPresent(other -> fleet.halt(other, Span.millis(0), Fleet.StopReason.NEEDLESS));
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/Rental.java
+++ b/src/main/java/org/oakwalk/core/fleet/Rental.java
@@ -11,7 +11,7 @@
     String zone,
     boolean spot,
     Status status,
-    Span held) {
+    Span rentedFor) {
 
   /** State of a rented machine. */
   public enum Status {
--- a/src/main/java/org/oakwalk/core/fleet/Leftovers.java
+++ b/src/main/java/org/oakwalk/core/fleet/UnmatchedAttempts.java
@@ -10,45 +10,45 @@
 import org.oakwalk.core.job.Room;
 
 /** What a machine's last report showed that no placement stands for. */
-final class Leftovers {
-  private final Map<Machine.Try, Boolean> uncleared = new LinkedHashMap<>();
+final class UnmatchedAttempts {
+  private final Map<Machine.TaskAttempt, Boolean> uncleared = new LinkedHashMap<>();
   private final Set<TaskId> unclearedTasks = new HashSet<>();
-  private final List<Machine.Try> strays = new ArrayList<>();
-  private Room strayRoom = Room.NONE;
+  private final List<Machine.TaskAttempt> orphans = new ArrayList<>();
+  private Room orphanRoom = Room.NONE;
 
   /** Begins to take over the pieces of a new report. */
   void clear() {
     uncleared.clear();
     unclearedTasks.clear();
-    strays.clear();
-    strayRoom = Room.NONE;
+    orphans.clear();
+    orphanRoom = Room.NONE;
   }
 
   /** An ended attempt is still reported; {@code done} tells whether it completed. */
-  void uncleared(Machine.Try attempt, boolean done) {
+  void uncleared(Machine.TaskAttempt attempt, boolean done) {
     uncleared.put(attempt, done);
     unclearedTasks.add(attempt.task());
   }
 
-  Map<Machine.Try, Boolean> uncleared() {
+  Map<Machine.TaskAttempt, Boolean> uncleared() {
     return uncleared;
   }
 
-  boolean remembers(TaskId task) {
+  boolean hasEnded(TaskId task) {
     return unclearedTasks.contains(task);
   }
 
   /** A task that should not be here, and takes this room if that is known. */
-  void stray(Machine.Try attempt, Room room) {
-    strays.add(attempt);
-    strayRoom = strayRoom.plus(room);
+  void addOrphan(Machine.TaskAttempt attempt, Room room) {
+    orphans.add(attempt);
+    orphanRoom = orphanRoom.plus(room);
   }
 
-  List<Machine.Try> strays() {
-    return strays;
+  List<Machine.TaskAttempt> orphans() {
+    return orphans;
   }
 
-  Room strayRoom() {
-    return strayRoom;
+  Room orphanRoom() {
+    return orphanRoom;
   }
 }
--- a/src/main/java/org/oakwalk/core/headroom/Headroom.java
+++ b/src/main/java/org/oakwalk/core/headroom/Headroom.java
@@ -116,7 +116,7 @@
       return;
     }
     List<HeadroomRow> target =
-        amounts.target(terms, inForce, jobs.all(), live, fleet.anyUnconfirmed(), now);
+        amounts.target(terms, inForce, jobs.all(), live, fleet.anyUnverified(), now);
     if (!target.equals(wanted) || kept.settled() && !target.equals(kept.stored())) {
       say(kept.stored(), target);
       wanted = target;
@@ -147,7 +147,7 @@
 
   private Set<String> live(Moment now) {
     for (Machine machine : fleet.machines()) {
-      if (machine.takesTasks(now, suspectAfter)) {
+      if (machine.acceptsTasks(now, suspectAfter)) {
         zoneSeen.put(machine.zone(), now);
       } else {
         // For a new leader, too, patience begins with its rise.
--- a/src/main/java/org/oakwalk/core/headroom/Refill.java
+++ b/src/main/java/org/oakwalk/core/headroom/Refill.java
@@ -8,10 +8,10 @@
 import java.util.function.Predicate;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Room;
 import org.slf4j.Logger;
@@ -63,13 +63,13 @@
     Plan best = null;
     for (Machine machine : fleet.machines()) {
       if (!machine.zone().equals(zone)
-          || machine.duty() != Duty.IN_USE
-          || !machine.takesTasks(now, suspectAfter)
+          || machine.schedulingMode() != SchedulingMode.ACTIVE
+          || !machine.acceptsTasks(now, suspectAfter)
           || !spec.allows(machine.type().name(), zone, machine.spot())) {
         continue;
       }
       coming += soon(machine, rooms).count(spec.room()) - rooms.beyond(machine).count(spec.room());
-      Span patience = machine.type().boot().times(BOOTS).plus(WAIT);
+      Span patience = machine.type().bootTime().times(BOOTS).plus(WAIT);
       Plan plan = now.past(since, patience) ? plan(machine, row, rooms, now) : null;
       if (plan != null && (best == null || cost(plan, row) < cost(best, row))) {
         best = plan;
@@ -85,7 +85,7 @@
             zone,
             stop.task(),
             best.machine().id());
-        fleet.halt(stop, stop.job().spec().saveTime(), Fleet.Why.PREEMPTED);
+        fleet.halt(stop, stop.job().spec().saveTime(), Fleet.StopReason.PREEMPTED);
       }
     }
   }
--- a/src/main/java/org/oakwalk/core/headroom/Rooms.java
+++ b/src/main/java/org/oakwalk/core/headroom/Rooms.java
@@ -6,8 +6,8 @@
 import java.util.IdentityHashMap;
 import java.util.List;
 import java.util.Map;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Machine;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Room;
@@ -89,7 +89,7 @@
   }
 
   private static boolean counts(Machine machine) {
-    return machine.duty() == Duty.IN_USE;
+    return machine.schedulingMode() == SchedulingMode.ACTIVE;
   }
 
   private int pass(Machine machine, HeadroomRow row) {
@@ -156,7 +156,7 @@
       return false;
     }
     for (String image : here.images) {
-      if (machine.pushesOut(image, spec.imageGb())) {
+      if (machine.wouldEvictImage(image, spec.imageGb())) {
         return true;
       }
     }
--- a/src/main/java/org/oakwalk/core/placement/Candidates.java
+++ b/src/main/java/org/oakwalk/core/placement/Candidates.java
@@ -55,7 +55,7 @@
     roomy.clear();
     kinds.clear();
     for (Machine machine : fleet.machines()) {
-      if (machine.takesTasks(now, suspectAfter)) {
+      if (machine.acceptsTasks(now, suspectAfter)) {
         all.add(machine);
         kinds.merge(machine.type(), 1, Integer::sum);
         Room free = machine.free();
@@ -114,7 +114,7 @@
       if (spec.allows(machine.type().name(), machine.zone(), machine.spot())
           && (only == null || only.equals(machine.zone()))
           && !full.contains(machine.zone())
-          && (!machine.duty().fillsUp() || fills(spec, machine, end))
+          && (!machine.schedulingMode().backfillOnly() || fills(spec, machine, end))
           && (holder == null
               || holder == job
               || reserve.serves(spec, machine)
@@ -150,7 +150,7 @@
    * until its longest task has ended, so what ends before that costs nothing.
    */
   private static boolean fills(JobSpec spec, Machine machine, Moment end) {
-    return !spec.service() && !spec.gang() && !end.isAfter(machine.emptyBy());
+    return !spec.service() && !spec.gang() && !end.isAfter(machine.expectedEmptyAt());
   }
 
   /** Machines on which a gang may wait, whichever zone; those kept for other gangs left out. */
@@ -158,7 +158,7 @@
     List<Machine> machines = new ArrayList<>();
     for (Machine machine : all) {
       if (job.spec().allows(machine.type().name(), machine.zone(), machine.spot())
-          && !machine.duty().fillsUp()
+          && !machine.schedulingMode().backfillOnly()
           && yields(reserved.get(machine), job)) {
         machines.add(machine);
       }
--- a/src/main/java/org/oakwalk/core/placement/GangKeeper.java
+++ b/src/main/java/org/oakwalk/core/placement/GangKeeper.java
@@ -185,11 +185,11 @@
         }
       }
     }
-    own.sort(Comparator.comparing(Placement::endsBy));
+    own.sort(Comparator.comparing(Placement::expectedEnd));
     for (Placement placement : own) {
       rest = rest.plus(placement.job().spec().room());
       if (needed.fits(rest)) {
-        return placement.endsBy().isAfter(now) ? placement.endsBy() : now;
+        return placement.expectedEnd().isAfter(now) ? placement.expectedEnd() : now;
       }
     }
     return NEVER;
@@ -249,7 +249,7 @@
     if (placement.job().spec().service()) {
       return NEVER;
     }
-    return placement.endsBy().isAfter(now) ? placement.endsBy() : now;
+    return placement.expectedEnd().isAfter(now) ? placement.expectedEnd() : now;
   }
 
   private static Choice soonest(Job gang, List<Opening> openings) {
--- a/src/main/java/org/oakwalk/core/placement/HostSearch.java
+++ b/src/main/java/org/oakwalk/core/placement/HostSearch.java
@@ -75,7 +75,7 @@
                 + square(gpu[i] - leastGpu)
                 + others[i];
         // A run would be refused while a machine still reports an older attempt.
-        if (distance < bestDistance && !machines.get(i).remembers(task)) {
+        if (distance < bestDistance && !machines.get(i).refusesNewAttempt(task)) {
           bestDistance = distance;
           found = i;
         }
--- a/src/main/java/org/oakwalk/core/placement/IdealHost.java
+++ b/src/main/java/org/oakwalk/core/placement/IdealHost.java
@@ -79,15 +79,15 @@
     if (machine.holdsReplica()) {
       return 0;
     }
-    Moment from = machine.emptyBy().isAfter(now) ? machine.emptyBy() : now;
+    Moment from = machine.expectedEmptyAt().isAfter(now) ? machine.expectedEmptyAt() : now;
     double longer = now.plus(run).since(from).asSeconds();
     return Math.min(1, Math.max(0, longer) / LONG_HOLD_SECONDS);
   }
 
   private static double company(JobSpec spec, Machine machine) {
-    double own = spec.tasks() == 1 ? 0 : machine.countOf(spec.id());
+    double own = spec.tasks() == 1 ? 0 : machine.taskCountOf(spec.id());
     // Where a machine leaves soon, a replica would have to move again.
-    return (machine.holdsReplica() ? own : ALONE) + (machine.leavesSoon() ? 1 : 0);
+    return (machine.holdsReplica() ? own : ALONE) + (machine.removalPlanned() ? 1 : 0);
   }
 
   /** Replicas are waited for, so for them the image counts more than an even load. */
@@ -99,7 +99,7 @@
     if (machine.hasImage(spec.image())) {
       return 0;
     }
-    double seconds = machine.type().fetch(spec.imageGb()).asSeconds();
+    double seconds = machine.type().fetchTime(spec.imageGb()).asSeconds();
     return Math.min(1, seconds / LONG_FETCH_SECONDS);
   }
 
--- a/src/main/java/org/oakwalk/core/placement/Pace.java
+++ b/src/main/java/org/oakwalk/core/placement/Pace.java
@@ -26,9 +26,9 @@
   /** A task has completed after running this long. */
   public void completed(Placement placement, Span ran) {
     if (late(placement, ran)) {
-      placement.machine().late(placement);
+      placement.machine().recordLateTask(placement);
     } else {
-      placement.machine().inTime();
+      placement.machine().recordTimelyTask();
     }
   }
 
@@ -37,8 +37,8 @@
     for (Machine machine : machines) {
       for (Placement placement : machine.placements()) {
         if (placement.state() == Placement.State.RUNNING
-            && late(placement, machine.heard().since(placement.runningSince()))) {
-          machine.late(placement);
+            && late(placement, machine.lastReportAt().since(placement.runningSince()))) {
+          machine.recordLateTask(placement);
         }
       }
     }
@@ -46,6 +46,8 @@
 
   private boolean late(Placement placement, Span ran) {
     Optional<Span> usual = runTimes.usual(placement.job().spec());
-    return placement.watched() && usual.isPresent() && ran.compareTo(usual.get().times(LATE)) > 0;
+    return placement.continuouslyObserved()
+        && usual.isPresent()
+        && ran.compareTo(usual.get().times(LATE)) > 0;
   }
 }
--- a/src/main/java/org/oakwalk/core/placement/Placer.java
+++ b/src/main/java/org/oakwalk/core/placement/Placer.java
@@ -85,7 +85,8 @@
     this.candidates = new Candidates(fleet, runTimes, suspectAfter, reserve);
     this.ranking = new Ranking(jobs, runTimes, new Score(policy.scoring(), targets), quota);
     Preemption preemption =
-        new Preemption(fleet.stoppable(), quota, targets, runTimes, servedShares, reserve, takes);
+        new Preemption(
+            fleet.preemptionIndex(), quota, targets, runTimes, servedShares, reserve, takes);
     this.roomMaker =
         new RoomMaker(fleet, candidates, quota, targets, mayStop, preemption, reserve, takes);
     this.largest =
@@ -337,7 +338,7 @@
   private void disband(Job job) {
     for (Placement placement : fleet.placementsOf(job)) {
       if (!placement.halting()) {
-        fleet.halt(placement, job.spec().saveTime(), Fleet.Why.GANG);
+        fleet.halt(placement, job.spec().saveTime(), Fleet.StopReason.GANG);
       }
     }
   }
--- a/src/main/java/org/oakwalk/core/placement/Preemption.java
+++ b/src/main/java/org/oakwalk/core/placement/Preemption.java
@@ -11,7 +11,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.fleet.Stoppable;
+import org.oakwalk.core.fleet.PreemptionIndex;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Room;
@@ -21,7 +21,7 @@
   /** Seconds of work that a job's lateness counts as. */
   private static final double LATENESS = 60;
 
-  private final Stoppable stoppable;
+  private final PreemptionIndex stoppable;
   private final ServedShares servedShares;
   private final Quota quota;
   private final Targets targets;
@@ -30,7 +30,7 @@
   private final Takes takes;
 
   Preemption(
-      Stoppable stoppable,
+      PreemptionIndex stoppable,
       Quota quota,
       Targets targets,
       RunTimes runTimes,
@@ -73,8 +73,8 @@
   List<Plan> plans(Job job, List<Machine> machines, Moment now, WallTime wall) {
     List<Plan> plans = new ArrayList<>();
     boolean claims = quota.guarantees(job);
-    Set<Stoppable.Sort> yielding = stoppable.sorts(sort -> yields(sort, job, claims));
-    Set<Machine> concerned = stoppable.concerned(yielding);
+    Set<PreemptionIndex.PreemptionKey> yielding = stoppable.keys(sort -> yields(sort, job, claims));
+    Set<Machine> concerned = stoppable.machinesWith(yielding);
     Room asked = job.spec().room();
     for (Machine machine : machines) {
       if (concerned.contains(machine)) {
@@ -93,27 +93,28 @@
   /** Whether anything is being stopped, or could be for this job. */
   boolean helps(Job job) {
     boolean claims = quota.guarantees(job);
-    return stoppable.anyHalting() || stoppable.any(sort -> yields(sort, job, claims));
+    return stoppable.anyHalting() || stoppable.anyMatch(sort -> yields(sort, job, claims));
   }
 
   /** Tasks on a machine whose end would make this much room; none if too few may be stopped. */
   List<Placement> victims(Machine machine, Job job, Room asked, Moment now, WallTime wall) {
     boolean claims = quota.guarantees(job);
-    Set<Stoppable.Sort> yielding = stoppable.sorts(sort -> yields(sort, job, claims));
+    Set<PreemptionIndex.PreemptionKey> yielding = stoppable.keys(sort -> yields(sort, job, claims));
     Plan plan = on(machine, job, asked, yielding, now, wall);
     return plan == null ? List.of() : plan.victims();
   }
 
   /** Whether a task may be stopped for a job. */
   boolean yields(Placement placement, Job job) {
-    return yields(placement.sort(), job, quota.guarantees(job)) && !takes.spares(job, placement);
+    return yields(placement.preemptionKey(), job, quota.guarantees(job))
+        && !takes.spares(job, placement);
   }
 
   private Plan on(
       Machine machine,
       Job job,
       Room asked,
-      Set<Stoppable.Sort> yielding,
+      Set<PreemptionIndex.PreemptionKey> yielding,
       Moment now,
       WallTime wall) {
     looks++;
@@ -125,7 +126,7 @@
         // Its room comes free without another stop.
         free = free.plus(placement.job().spec().room());
         most = most.plus(placement.job().spec().room());
-      } else if (yielding.contains(placement.sort()) && !takes.spares(job, placement)) {
+      } else if (yielding.contains(placement.preemptionKey()) && !takes.spares(job, placement)) {
         candidates.add(placement);
         most = most.plus(placement.job().spec().room());
       }
@@ -160,11 +161,11 @@
    * Whether it is work of the lowest priority that saves its progress, which fills idle machines
    * and gives way at once. Where a stop would lose the work, batch waits for it to end.
    */
-  static boolean savable(Stoppable.Sort sort) {
-    return sort.priority() == Priority.LOW && sort.saves();
+  static boolean savable(PreemptionIndex.PreemptionKey sort) {
+    return sort.priority() == Priority.LOW && sort.checkpoints();
   }
 
-  private boolean yields(Stoppable.Sort sort, Job job, boolean claims) {
+  private boolean yields(PreemptionIndex.PreemptionKey sort, Job job, boolean claims) {
     Priority asking = job.spec().priority();
     boolean stops = claims || asking.compareTo(Priority.NORMAL) > 0;
     if (stops && sort.priority().compareTo(asking) < 0) {
--- a/src/main/java/org/oakwalk/core/placement/Quota.java
+++ b/src/main/java/org/oakwalk/core/placement/Quota.java
@@ -40,8 +40,8 @@
     }
     Room use =
         fleet
-            .use(team.name())
-            .plus(fleet.roomInDoubt())
+            .teamUsage(team.name())
+            .plus(fleet.unaccountedRoom())
             .plus(job.spec().room().times(count))
             .plus(keptFrom(job));
     return (team.cpusMax() <= 0 || use.cpus() <= team.cpusMax() + 1e-6)
@@ -84,7 +84,7 @@
       // The settings name it no more; what it has waits.
       return Room.NONE;
     }
-    return left(team, fleet.use(name).plus(fleet.roomInDoubt()));
+    return left(team, fleet.teamUsage(name).plus(fleet.unaccountedRoom()));
   }
 
   /** What a team's limit leaves beside this use; a limit of zero is none. */
@@ -143,7 +143,7 @@
    */
   public boolean borrows(String name) {
     Settings.Team team = teams.get(name);
-    Room use = fleet.use(name);
+    Room use = fleet.teamUsage(name);
     return team != null && (use.cpus() > team.cpus() + 1e-6 || use.gpus() > team.gpus() + 1e-6);
   }
 }
--- a/src/main/java/org/oakwalk/core/placement/RoomMaker.java
+++ b/src/main/java/org/oakwalk/core/placement/RoomMaker.java
@@ -97,7 +97,8 @@
       List<Placement> victims = preemption.victims(machine, gang, needed, now, wall);
       if (!victims.isEmpty() && mayStop.test(victims)) {
         victims.forEach(
-            victim -> fleet.halt(victim, victim.job().spec().saveTime(), Fleet.Why.PREEMPTED));
+            victim ->
+                fleet.halt(victim, victim.job().spec().saveTime(), Fleet.StopReason.PREEMPTED));
         stopped += victims.size();
       }
     }
@@ -108,7 +109,7 @@
       return false;
     }
     for (Placement victim : plan.victims()) {
-      fleet.halt(victim, victim.job().spec().saveTime(), Fleet.Why.PREEMPTED);
+      fleet.halt(victim, victim.job().spec().saveTime(), Fleet.StopReason.PREEMPTED);
     }
     stopped += plan.victims().size();
     candidates.reserved().put(plan.machine(), job);
@@ -120,7 +121,7 @@
     return !machine.hasImage(spec.image())
         && targets
             .start(spec)
-            .filter(within -> within.compareTo(machine.type().fetch(spec.imageGb())) < 0)
+            .filter(within -> within.compareTo(machine.type().fetchTime(spec.imageGb())) < 0)
             .isPresent();
   }
 
--- a/src/main/java/org/oakwalk/core/planner/NightWork.java
+++ b/src/main/java/org/oakwalk/core/planner/NightWork.java
@@ -113,7 +113,7 @@
               plan.missing().getOrDefault(part.key().toString(), 0.0)));
     }
     double boot =
-        types.values().stream().mapToDouble(type -> type.boot().asSeconds()).max().orElse(0);
+        types.values().stream().mapToDouble(type -> type.bootTime().asSeconds()).max().orElse(0);
     double free = sorts.stream().mapToDouble(sort -> average(sort.pool().held())).sum();
     double more = sorts.stream().mapToDouble(sort -> average(sort.pool().more())).sum();
     return Optional.of(new Draft(plan, lines, Math.max(1, seconds - boot), free, more));
@@ -134,7 +134,7 @@
     }
     for (Settings.Team team : settings.teams().values()) {
       Room asked = night.groups().others(team.name());
-      Room use = fleet.use(team.name());
+      Room use = fleet.teamUsage(team.name());
       double cpus = Math.min(team.cpus(), asked.cpus()) - use.cpus();
       double gpus = Math.min(team.gpus(), asked.gpus()) - use.gpus();
       waiting = waiting.plus(new Room(Math.max(0, cpus), Math.max(0, gpus), 0));
@@ -148,7 +148,7 @@
     settings.teams().keySet().forEach(team -> left.put(team, 1.0));
     for (Machine machine : fleet.machines()) {
       for (Placement placement : machine.placements()) {
-        if (placement.endsBy() == null) {
+        if (placement.expectedEnd() == null) {
           JobSpec spec = placement.job().spec();
           left.merge(spec.team(), -ofLimit(spec.team(), spec.room()), Double::sum);
         }
@@ -245,7 +245,7 @@
     double run = Math.max(0.1, part.group().guess() * (mean + strays));
     double fetch =
         sorts.stream()
-            .mapToDouble(sort -> sort.type().fetch(sample.imageGb()).asSeconds())
+            .mapToDouble(sort -> sort.type().fetchTime(sample.imageGb()).asSeconds())
             .max()
             .orElse(0);
     double tail = Math.max(run, longest(part)) + fetch + gathers;
--- a/src/main/java/org/oakwalk/core/planner/Planner.java
+++ b/src/main/java/org/oakwalk/core/planner/Planner.java
@@ -297,7 +297,10 @@
   /** Whether what is asked for at the beginning of a window can't have come yet. */
   private boolean young(Span shortest, Map<String, MachineType> types, Moment now) {
     Span boot =
-        types.values().stream().map(MachineType::boot).max(Span::compareTo).orElse(Span.seconds(0));
+        types.values().stream()
+            .map(MachineType::bootTime)
+            .max(Span::compareTo)
+            .orElse(Span.seconds(0));
     Span since =
         open.values().stream()
             .map(window -> wall.since(window.opens()))
--- a/src/main/java/org/oakwalk/core/planner/RoomForecast.java
+++ b/src/main/java/org/oakwalk/core/planner/RoomForecast.java
@@ -10,10 +10,10 @@
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.oakwalk.core.job.Room;
 
 /**
@@ -99,9 +99,11 @@
 
   private static boolean held(Machine machine) {
     return switch (machine.state()) {
-      case ENROLLING, UNCONFIRMED -> true;
-      case UP -> machine.duty() == Duty.IN_USE || machine.duty() == Duty.NEXT;
-      case BOOTING, LAPSED, RETURNING, GONE -> false;
+      case REGISTERING, UNCONFIRMED -> true;
+      case UP ->
+          machine.schedulingMode() == SchedulingMode.ACTIVE
+              || machine.schedulingMode() == SchedulingMode.DRAIN_PENDING;
+      case BOOTING, LEASE_EXPIRED, RETURNING, GONE -> false;
     };
   }
 
@@ -132,14 +134,19 @@
           boots
               ? Math.max(
                   0,
-                  machine.type().boot().times(BOOT).minus(now.since(machine.known())).asSeconds())
+                  machine
+                      .type()
+                      .bootTime()
+                      .times(BOOT)
+                      .minus(now.since(machine.knownSince()))
+                      .asSeconds())
               : 0;
       add(free, up, until.asSeconds(), slot, 1);
       for (Placement placement : machine.placements()) {
         double end =
-            placement.endsBy() == null
+            placement.expectedEnd() == null
                 ? until.asSeconds()
-                : Math.max(slot, placement.endsBy().since(now).asSeconds());
+                : Math.max(slot, placement.expectedEnd().since(now).asSeconds());
         add(free, 0, end, slot, -placement.job().spec().room().share(machine.type().room()));
       }
     }
@@ -158,7 +165,7 @@
   private Outlook outlook(
       Sort sort, MachineType type, double[] free, int count, Span until, double slot) {
     Known account = known.getOrDefault(sort, new Known());
-    double boot = type.boot().asSeconds() * BOOT;
+    double boot = type.bootTime().asSeconds() * BOOT;
     double perHour = account.hours <= 0 ? 0 : account.losses / account.hours;
     // What is taken back is gone for a boot; what it was working on is lost as well.
     double there = 1 / (1 + perHour * 2 * boot / HOUR);
--- a/src/main/java/org/oakwalk/core/recovery/Recovery.java
+++ b/src/main/java/org/oakwalk/core/recovery/Recovery.java
@@ -14,8 +14,8 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
+import org.oakwalk.core.fleet.MachineRegistry;
 import org.oakwalk.core.fleet.MachineType;
-import org.oakwalk.core.fleet.Registry;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
 import org.oakwalk.core.job.ResultWriter;
@@ -46,33 +46,33 @@
     COMPLETE
   }
 
-  private static final Span RETRY = Span.millis(200);
+  private static final Span RETRY_DELAY = Span.millis(200);
 
   private final Outbox outbox;
   private final Fleet fleet;
   private final JobBook jobs;
   private final ResultWriter results;
-  private final Registry registry;
-  private final Moment rose;
-  private final Set<NodeId> unsettledPeers;
-  private final Moment relaysEnd;
-  private Moment lastForeignRenewal;
+  private final MachineRegistry registry;
+  private final Moment termStart;
+  private final Set<NodeId> peersOnOlderTokens;
+  private final Moment relayEnd;
+  private Moment lastUnseenRenewal;
   private Map<String, MachineType> types = Map.of();
   private State state = State.READING_RESULTS;
   private boolean reading;
-  private Optional<String> after = Optional.empty();
-  private final EnumMap<State, Moment> entered = new EnumMap<>(State.class);
+  private Optional<String> pageCursor = Optional.empty();
+  private final EnumMap<State, Moment> stateEnteredAt = new EnumMap<>(State.class);
   private int pages;
   private int registered;
   private Moment clock;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
 
   public Recovery(
       Outbox outbox,
       Fleet fleet,
       JobBook jobs,
       ResultWriter results,
-      Registry registry,
+      MachineRegistry registry,
       Set<NodeId> mayHoldGrace,
       Span graceLimit,
       Moment rose) {
@@ -81,15 +81,15 @@
     this.jobs = jobs;
     this.results = results;
     this.registry = registry;
-    this.rose = rose;
+    this.termStart = rose;
     this.clock = rose;
-    this.entered.put(State.READING_RESULTS, rose);
-    this.unsettledPeers = new HashSet<>(mayHoldGrace);
+    this.stateEnteredAt.put(State.READING_RESULTS, rose);
+    this.peersOnOlderTokens = new HashSet<>(mayHoldGrace);
     // A follower that kept a zone's leases alive under an older token stops once its copy of the
     // store shows the change of leader.
-    this.relaysEnd = rose.plus(StoreView.LAG.surelyPassed());
-    this.lastForeignRenewal =
-        mayHoldGrace.isEmpty() ? relaysEnd : rose.plus(graceLimit.surelyPassed());
+    this.relayEnd = rose.plus(StoreView.LAG.surelyPassed());
+    this.lastUnseenRenewal =
+        mayHoldGrace.isEmpty() ? relayEnd : rose.plus(graceLimit.surelyPassed());
   }
 
   public State state() {
@@ -97,7 +97,7 @@
   }
 
   /** Whether reports can be made use of. */
-  public boolean readsReports() {
+  public boolean acceptsReports() {
     return state == State.CONFIRMING || state == State.COMPLETE;
   }
 
@@ -109,8 +109,8 @@
    * The last moment at which a worker's lease may have been renewed unseen: by an earlier leader,
    * or by this one before it read reports.
    */
-  public Moment lastForeignRenewal() {
-    return lastForeignRenewal;
+  public Moment lastUnseenRenewal() {
+    return lastUnseenRenewal;
   }
 
   /**
@@ -118,18 +118,18 @@
    * yet. That renewed its lease later than the moment at which the list of machines was asked for,
    * from which the lease of a machine that is not heard again would else be counted.
    */
-  public void renewedUnread(Moment now) {
-    if (!readsReports() && now.isAfter(lastForeignRenewal)) {
-      lastForeignRenewal = now;
+  public void leaseRenewedBeforeReports(Moment now) {
+    if (!acceptsReports() && now.isAfter(lastUnseenRenewal)) {
+      lastUnseenRenewal = now;
     }
   }
 
   /** A peer says that it acts under no older token any more; only those that led lately matter. */
-  public void settled(NodeId peer, Moment now) {
-    if (unsettledPeers.remove(peer)
-        && unsettledPeers.isEmpty()
-        && lastForeignRenewal.isAfter(now)) {
-      lastForeignRenewal = now.isAfter(relaysEnd) ? now : relaysEnd;
+  public void peerRelinquished(NodeId peer, Moment now) {
+    if (peersOnOlderTokens.remove(peer)
+        && peersOnOlderTokens.isEmpty()
+        && lastUnseenRenewal.isAfter(now)) {
+      lastUnseenRenewal = now.isAfter(relayEnd) ? now : relayEnd;
       LOG.info("no peer acts under an older token, token {}", fleet.token());
     }
   }
@@ -141,18 +141,18 @@
   }
 
   private void step(Moment now) {
-    if (reading || nextTry.isAfter(now)) {
+    if (reading || nextAttemptAt.isAfter(now)) {
       return;
     }
     switch (state) {
-      case READING_RESULTS -> read(Keys.DONE, this::result, State.READING_MACHINES, now);
+      case READING_RESULTS -> read(Keys.DONE, this::restoreResults, State.READING_MACHINES, now);
       case READING_MACHINES -> {
         if (!types.isEmpty()) {
-          read(Keys.MACHINES, entry -> machine(entry, now), State.CONFIRMING, now);
+          read(Keys.MACHINES, entry -> restoreMachines(entry, now), State.CONFIRMING, now);
         }
       }
       case CONFIRMING -> {
-        if (!fleet.anyUnconfirmed()) {
+        if (!fleet.anyUnverified()) {
           enter(State.COMPLETE);
         }
       }
@@ -163,19 +163,19 @@
   private void read(String prefix, Consumer<Entry> take, State next, Moment now) {
     reading = true;
     outbox.call(
-        new Request.ReadPage(prefix, after, Request.Urgency.LEADERSHIP),
+        new Request.ReadPage(prefix, pageCursor, Request.Urgency.LEADERSHIP),
         answer -> {
           reading = false;
           if (!(answer instanceof Answer.Page page)) {
-            nextTry = now.plus(RETRY);
+            nextAttemptAt = now.plus(RETRY_DELAY);
             return;
           }
           pages++;
           page.entries().forEach(take);
           if (page.more() && !page.entries().isEmpty()) {
-            after = Optional.of(page.entries().get(page.entries().size() - 1).key());
+            pageCursor = Optional.of(page.entries().get(page.entries().size() - 1).key());
           } else {
-            after = Optional.empty();
+            pageCursor = Optional.empty();
             enter(next);
           }
           if (state != State.CONFIRMING) {
@@ -186,30 +186,30 @@
   }
 
   /** How long it took and what with; to be asked once it is complete. */
-  public String took() {
+  public String summary() {
     return "recovery took "
-        + entered.get(State.COMPLETE).since(rose)
+        + stateEnteredAt.get(State.COMPLETE).since(termStart)
         + ", token "
         + fleet.token()
         + ": results "
-        + part(State.READING_RESULTS)
+        + durationOf(State.READING_RESULTS)
         + ", machines "
-        + part(State.READING_MACHINES)
+        + durationOf(State.READING_MACHINES)
         + ", "
         + pages
         + " pages; confirmations "
-        + part(State.CONFIRMING)
+        + durationOf(State.CONFIRMING)
         + " of "
         + registered
         + " machines";
   }
 
-  private Span part(State of) {
-    return entered.get(State.values()[of.ordinal() + 1]).since(entered.get(of));
+  private Span durationOf(State of) {
+    return stateEnteredAt.get(State.values()[of.ordinal() + 1]).since(stateEnteredAt.get(of));
   }
 
   /** One that makes no sense is set aside: its tasks start again, and the others are restored. */
-  private void result(Entry entry) {
+  private void restoreResults(Entry entry) {
     Optional<Keys.Part> part = Keys.part(entry.key());
     if (part.isEmpty()) {
       LOG.error("{} is no name of a part of results", entry.key());
@@ -217,11 +217,11 @@
     }
     JobId id = part.get().job();
     results.found(id, entry.key(), entry.stamp());
-    jobs.find(id).ifPresent(job -> restore(job, part.get().chunk(), entry));
+    jobs.find(id).ifPresent(job -> markStoredTasks(job, part.get().chunk(), entry));
   }
 
   /** A part that can't be read holds nothing up: its tasks run again, unless workers tell. */
-  private static void restore(Job job, int chunk, Entry entry) {
+  private static void markStoredTasks(Job job, int chunk, Entry entry) {
     try {
       if (!(entry.value() instanceof StoredValue.DoneChunk done)) {
         throw new IllegalArgumentException("not a part of results");
@@ -235,7 +235,7 @@
     }
   }
 
-  private void machine(Entry entry, Moment now) {
+  private void restoreMachines(Entry entry, Moment now) {
     List<StoredValue.MachineRecord> records;
     if (entry.value() instanceof StoredValue.MachineRecord record) {
       records = List.of(record);
@@ -248,7 +248,7 @@
       records = List.of(new StoredValue.MachineRecord(id, "", "", "", false));
     }
     registered += records.size();
-    registry.found(entry.key(), entry.stamp(), records);
+    registry.restore(entry.key(), entry.stamp(), records);
     for (StoredValue.MachineRecord record : records) {
       // One whose write was in doubt for an earlier leader may be listed twice.
       if (fleet.find(record.id()).isEmpty()) {
@@ -262,7 +262,7 @@
                 Machine.State.UNCONFIRMED,
                 now)
             .filter(machine -> record.address().isEmpty() && Keys.listsMachines(entry.key()))
-            .ifPresent(Machine::standsForMany);
+            .ifPresent(Machine::markUnreadableList);
       }
     }
   }
@@ -273,6 +273,6 @@
       throw new IllegalStateException("recovery from " + state + " to " + next);
     }
     state = next;
-    entered.put(next, clock);
+    stateEnteredAt.put(next, clock);
   }
 }
--- a/src/main/java/org/oakwalk/model/Images.java
+++ b/src/main/java/org/oakwalk/model/Images.java
@@ -45,7 +45,8 @@
     if (waiting == null) {
       Map<TaskId, Runnable> begun = new LinkedHashMap<>();
       fetches.put(image, begun);
-      time.after(type.fetch(spec.imageGb()).millis(), () -> arrived(image, spec.imageGb(), begun));
+      time.after(
+          type.fetchTime(spec.imageGb()).millis(), () -> arrived(image, spec.imageGb(), begun));
       waiting = begun;
     }
     waiting.put(task, then);
--- a/src/main/java/org/oakwalk/model/SimCloud.java
+++ b/src/main/java/org/oakwalk/model/SimCloud.java
@@ -76,7 +76,7 @@
 
   private double bootSeconds(MachineType type) {
     if (quickestWithin < 0) {
-      return type.boot().asSeconds();
+      return type.bootTime().asSeconds();
     }
     // Spread evenly, however many there are.
     double share = quickOnes++ * GOLDEN_RATIO % 1;
--- a/src/main/java/org/oakwalk/wire/StateCodec.java
+++ b/src/main/java/org/oakwalk/wire/StateCodec.java
@@ -221,7 +221,7 @@
       item.put("fetch_gb_per_s", type.fetchGbPerSecond());
       item.put("price", type.price());
       item.put("spot_price", type.spotPrice());
-      item.put("boot_s", type.boot().asSeconds());
+      item.put("boot_s", type.bootTime().asSeconds());
       ArrayNode zones = item.putArray("zones");
       type.zones().forEach(zones::add);
     }
--- a/src/test/java/org/oakwalk/core/fleet/FenceTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/FenceTest.java
@@ -58,7 +58,7 @@
   private long sequence;
 
   @BeforeEach
-  void leadsWithOneMachine() {
+  void createFleetWithOneMachine() {
     view.listen(
         new StoreView.Listener() {
           @Override
@@ -101,7 +101,7 @@
     fleet.types(TYPES);
     job = jobs.find(new JobId("j-1")).orElseThrow();
     machine = report(GRANTED, List.of());
-    fleet.up(machine);
+    fleet.markUp(machine);
   }
 
   private Machine report(Token shown, List<Report.Piece> pieces) {
@@ -117,73 +117,73 @@
             shown,
             Optional.empty(),
             pieces);
-    return fleet.report(report, true, now).orElseThrow();
+    return fleet.handleReport(report, true, now).orElseThrow();
   }
 
   /** Tasks that were started by command and halted since, as a report lists them. */
-  private List<Report.Piece> ended(int first, int count) {
+  private List<Report.Piece> endedPieces(int first, int count) {
     List<Report.Piece> pieces = new ArrayList<>();
     for (int index = first; index < first + count; index++) {
       TaskId task = new TaskId(job.id(), index);
       Attempt attempt = fleet.nextAttempt();
-      Machine.Try started = new Machine.Try(task, attempt);
-      machine.openRuns().sentByCommand(started, fleet.tokenOf(MACHINE));
-      machine.openRuns().commandSettled(started);
+      Machine.TaskAttempt started = new Machine.TaskAttempt(task, attempt);
+      machine.pendingStarts().sentByCommand(started, fleet.tokenOf(MACHINE));
+      machine.pendingStarts().commandAnswered(started);
       pieces.add(new Report.Piece(task, attempt, Report.PieceState.ENDED, Report.Cause.HALTED));
     }
     return pieces;
   }
 
-  private long cleared() {
+  private long clearOrderCount() {
     return fleet.respond(machine, now).stream().filter(Order.Clear.class::isInstance).count();
   }
 
   @Test
-  void manyEndedAttemptsRaiseTheTokenAndAreClearedOnceItIsShown() {
-    List<Report.Piece> ended = ended(0, 16);
+  void endedAttemptsAreClearedOnceTheRaisedTokenIsConfirmed() {
+    List<Report.Piece> ended = endedPieces(0, 16);
     report(GRANTED, ended.subList(0, 15));
-    assertThat(cleared()).isZero();
+    assertThat(clearOrderCount()).isZero();
     assertThat(fleet.tokenOf(MACHINE)).isEqualTo(GRANTED);
     report(GRANTED, ended);
-    assertThat(cleared()).isZero();
+    assertThat(clearOrderCount()).isZero();
     assertThat(fleet.tokenOf(MACHINE)).isEqualTo(new Token(9));
     report(GRANTED, ended);
-    assertThat(cleared()).as("the answer was lost").isZero();
+    assertThat(clearOrderCount()).as("the answer was lost").isZero();
     report(new Token(9), ended);
-    assertThat(cleared()).isEqualTo(16);
+    assertThat(clearOrderCount()).isEqualTo(16);
   }
 
   @Test
-  void whatWasStartedUnderTheRaisedTokenIsKept() {
-    List<Report.Piece> ended = ended(0, 16);
+  void attemptsStartedUnderTheRaisedTokenAreNotCleared() {
+    List<Report.Piece> ended = endedPieces(0, 16);
     report(GRANTED, ended);
-    cleared();
-    List<Report.Piece> more = ended(20, 3);
+    clearOrderCount();
+    List<Report.Piece> more = endedPieces(20, 3);
     // Started by command before, and again under the raised token, so it may repeat under that.
     Report.Piece again = ended.get(4);
-    Machine.Try renewed = new Machine.Try(again.task(), again.attempt());
-    machine.openRuns().sentByCommand(renewed, fleet.tokenOf(MACHINE));
-    machine.openRuns().commandSettled(renewed);
+    Machine.TaskAttempt renewed = new Machine.TaskAttempt(again.task(), again.attempt());
+    machine.pendingStarts().sentByCommand(renewed, fleet.tokenOf(MACHINE));
+    machine.pendingStarts().commandAnswered(renewed);
     List<Report.Piece> all = new ArrayList<>(ended);
     all.addAll(more);
     report(new Token(9), all);
-    assertThat(cleared()).isEqualTo(15);
+    assertThat(clearOrderCount()).isEqualTo(15);
   }
 
   @Test
-  void aStartThatIsHeldUpIsVoidOnlyOnceTheRaisedTokenIsShown() {
+  void delayedStartIsVoidOnlyOnceTheRaisedTokenIsConfirmed() {
     TaskId task = new TaskId(job.id(), 50);
     Placement held = fleet.place(job, 50, fleet.nextAttempt(), machine, Span.seconds(1), now);
-    machine.openRuns().sentByCommand(new Machine.Try(task, held.attempt()), GRANTED);
-    fleet.halt(held, Span.millis(0), Fleet.Why.NEEDLESS);
-    List<Report.Piece> ended = ended(0, 16);
-    machine.commanding(true);
+    machine.pendingStarts().sentByCommand(new Machine.TaskAttempt(task, held.attempt()), GRANTED);
+    fleet.halt(held, Span.millis(0), Fleet.StopReason.NEEDLESS);
+    List<Report.Piece> ended = endedPieces(0, 16);
+    machine.commandInFlight(true);
     report(GRANTED, ended);
-    cleared();
+    clearOrderCount();
     assertThat(fleet.tokenOf(MACHINE)).as("while the command is under way").isEqualTo(GRANTED);
-    machine.commanding(false);
+    machine.commandInFlight(false);
     report(GRANTED, ended);
-    cleared();
+    clearOrderCount();
     assertThat(fleet.tokenOf(MACHINE)).isEqualTo(new Token(9));
     report(GRANTED, ended);
     assertThat(fleet.placementOf(task)).contains(held);
@@ -192,46 +192,46 @@
   }
 
   @Test
-  void aLeaderWhoseKeyIsGoneRaisesNothing() {
+  void leaderWithoutItsKeyDoesNotRaiseTheToken() {
     outbox.answered(
         watch.call(),
         new Answer.Changes(
             new Revision(30), List.of(new News(Keys.LEADER, Optional.empty(), new Revision(20)))));
     assertThat(view.standsUntil(GRANTED)).isEqualTo(GRANTED);
-    report(GRANTED, ended(0, 20));
-    cleared();
+    report(GRANTED, endedPieces(0, 20));
+    clearOrderCount();
     assertThat(fleet.tokenOf(MACHINE)).isEqualTo(GRANTED);
   }
 
   @Test
-  void aTokenIsRaisedOnlyOnceTheLastOneIsShown() {
+  void tokenIsRaisedOnlyOnceThePreviousOneIsConfirmed() {
     Fence fence = new Fence(GRANTED);
     assertThatThrownBy(() -> fence.raise(new Token(8))).isInstanceOf(IllegalStateException.class);
-    fence.shows(GRANTED);
-    assertThat(fence.raisable(GRANTED)).isFalse();
+    fence.observe(GRANTED);
+    assertThat(fence.canRaiseTo(GRANTED)).isFalse();
     fence.raise(new Token(9));
-    assertThat(fence.covers(GRANTED)).isTrue();
-    assertThat(fence.covers(new Token(9))).isTrue();
-    assertThat(fence.covers(new Token(10))).isFalse();
-    assertThat(fence.covers(new Token(6))).isFalse();
-    fence.shows(GRANTED);
-    assertThat(fence.raisable(new Token(12))).isFalse();
-    fence.shows(new Token(9));
-    assertThat(fence.raisable(new Token(12))).isTrue();
+    assertThat(fence.mayHaveIssued(GRANTED)).isTrue();
+    assertThat(fence.mayHaveIssued(new Token(9))).isTrue();
+    assertThat(fence.mayHaveIssued(new Token(10))).isFalse();
+    assertThat(fence.mayHaveIssued(new Token(6))).isFalse();
+    fence.observe(GRANTED);
+    assertThat(fence.canRaiseTo(new Token(12))).isFalse();
+    fence.observe(new Token(9));
+    assertThat(fence.canRaiseTo(new Token(12))).isTrue();
   }
 
   /** A start that still waits for a socket is held back when its job is withdrawn. */
   @Test
-  void startsOfAWithdrawnJobAreRecalledWhileTheirCommandIsOut() {
+  void startsOfAWithdrawnJobAreRecalledWhileTheirCommandIsUnanswered() {
     CommandDispatcher dispatcher =
         new CommandDispatcher(outbox, fleet, Span.seconds(5), answered -> {});
     Placement placement = fleet.place(job, 0, fleet.nextAttempt(), machine, Span.seconds(1), now);
     outbox.drain();
-    dispatcher.recall(List.of(placement));
+    dispatcher.cancelStarts(List.of(placement));
     assertThat(outbox.drain()).isEmpty();
     dispatcher.flush(now);
     outbox.drain();
-    dispatcher.recall(List.of(placement));
+    dispatcher.cancelStarts(List.of(placement));
     assertThat(outbox.drain()).containsExactly(new Effect.Recall("m-1:9000"));
   }
 }
--- a/src/test/java/org/oakwalk/core/fleet/RegistryTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/MachineRegistryTest.java
@@ -29,9 +29,9 @@
 import org.oakwalk.core.store.StoredValue;
 
 /** The list of machines against a store whose answers get lost and which applies writes late. */
-class RegistryTest {
+class MachineRegistryTest {
   private static final Guard GUARD = new Guard("leader", new Revision(1));
-  private static final int CHANGES = 4;
+  private static final int MAX_CHANGES_PER_COMMIT = 4;
 
   private final Outbox outbox = new Outbox();
   private final Fleet fleet =
@@ -51,25 +51,26 @@
             @Override
             public void roomChanged() {}
           });
-  private final Registry registry =
-      new Registry(outbox, fleet, GUARD, new Settings.StateLimits(100, 100, 1, CHANGES));
+  private final MachineRegistry registry =
+      new MachineRegistry(
+          outbox, fleet, GUARD, new Settings.StateLimits(100, 100, 1, MAX_CHANGES_PER_COMMIT));
   private final Map<String, StoredValue.MachinesRecord> store = new HashMap<>();
-  private final Map<String, Long> stamps = new HashMap<>(Map.of("leader", 1L));
+  private final Map<String, Long> revisions = new HashMap<>(Map.of("leader", 1L));
   private long epoch = 1;
-  private int changes;
-  private int machines;
+  private int changeCount;
+  private int machineCount;
   private long now;
 
-  RegistryTest() {
+  MachineRegistryTest() {
     fleet.types(
         Map.of(
             "t",
             new MachineType("t", new Room(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a"))));
   }
 
-  private Machine enrolling() {
-    MachineId id = new MachineId("host-%06d".formatted(++machines));
-    Machine.State state = Machine.State.ENROLLING;
+  private Machine addRegisteringMachine() {
+    MachineId id = new MachineId("host-%06d".formatted(++machineCount));
+    Machine.State state = Machine.State.REGISTERING;
     return fleet.add(id, "10.0.0.1:9000", "t", "a", false, state, new Moment(now)).orElseThrow();
   }
 
@@ -80,21 +81,21 @@
   }
 
   private Answer apply(Request.Commit commit) {
-    assertThat(commit.changes()).hasSizeLessThanOrEqualTo(CHANGES);
+    assertThat(commit.changes()).hasSizeLessThanOrEqualTo(MAX_CHANGES_PER_COMMIT);
     for (Guard guard : commit.guards()) {
-      if (stamps.getOrDefault(guard.key(), 0L) != guard.stamp().value()) {
+      if (revisions.getOrDefault(guard.key(), 0L) != guard.stamp().value()) {
         return new Answer.Conflict(List.of(guard.key()));
       }
     }
     epoch++;
     for (Change change : commit.changes()) {
-      changes++;
+      changeCount++;
       if (change instanceof Change.Put put) {
         store.put(put.key(), (StoredValue.MachinesRecord) put.value());
-        stamps.put(put.key(), epoch);
+        revisions.put(put.key(), epoch);
       } else if (change instanceof Change.Remove remove) {
         store.remove(remove.key());
-        stamps.remove(remove.key());
+        revisions.remove(remove.key());
       }
     }
     return new Answer.Committed(new Revision(epoch));
@@ -108,16 +109,16 @@
 
   /** A leader fell before it removed what a lost answer had made it write twice. */
   @Test
-  void machinesThatStandUnderTwoKeysLeaveTheSecond() {
+  void duplicateMachinesAreRemovedFromTheLaterKey() {
     List<StoredValue.MachineRecord> twice = List.of(record(1), record(2));
     store.put("machine/a", new StoredValue.MachinesRecord(twice));
     store.put("machine/b", new StoredValue.MachinesRecord(twice));
     store.put("machine/c", new StoredValue.MachinesRecord(List.of(record(2), record(3))));
     for (String key : List.of("machine/a", "machine/b", "machine/c")) {
-      stamps.put(key, ++epoch);
-      registry.found(key, new Revision(epoch), store.get(key).machines());
+      revisions.put(key, ++epoch);
+      registry.restore(key, new Revision(epoch), store.get(key).machines());
     }
-    settle();
+    commitPendingChanges();
     assertThat(store.keySet()).containsExactlyInAnyOrder("machine/a", "machine/c");
     assertThat(store.get("machine/a").machines()).isEqualTo(twice);
     assertThat(store.get("machine/c").machines()).containsExactly(record(3));
@@ -128,7 +129,7 @@
         new MachineId("host-%06d".formatted(number)), "10.0.0.1:9000", "t", "a", false);
   }
 
-  private void settle() {
+  private void commitPendingChanges() {
     for (int i = 0; i < 100; i++) {
       for (Effect.Call call : tick()) {
         outbox.answered(call.call(), apply((Request.Commit) call.request()));
@@ -136,41 +137,41 @@
     }
   }
 
-  private void leaves(Machine machine) {
-    fleet.returning(machine);
-    fleet.gone(machine, new Moment(now));
-    registry.gone(machine.id());
+  private void returnMachine(Machine machine) {
+    fleet.startReturn(machine);
+    fleet.confirmGone(machine, new Moment(now));
+    registry.machineGone(machine.id());
   }
 
   @Test
-  void manyMachinesTakeFewChanges() {
+  void machinesAreRegisteredInFewChanges() {
     for (int i = 0; i < 100; i++) {
-      enrolling();
+      addRegisteringMachine();
     }
-    settle();
+    commitPendingChanges();
     assertThat(fleet.machines()).allMatch(machine -> machine.state() == Machine.State.UP);
     assertThat(stored()).hasSize(100);
-    assertThat(changes).isLessThanOrEqualTo(10);
-    List.copyOf(fleet.machines()).forEach(this::leaves);
-    settle();
+    assertThat(changeCount).isLessThanOrEqualTo(10);
+    List.copyOf(fleet.machines()).forEach(this::returnMachine);
+    commitPendingChanges();
     assertThat(store).isEmpty();
   }
 
   /** Whatever is lost or late, a machine that takes tasks is in the store until it is gone. */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void whatTakesTasksStaysStored(long seed) {
+  void machinesThatAcceptTasksStayStored(long seed) {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     List<Request.Commit> late = new ArrayList<>();
     for (int step = 0; step < 400; step++) {
       if (fleet.machines().size() < 60) {
         for (int i = random.nextInt(4); i > 0; i--) {
-          enrolling();
+          addRegisteringMachine();
         }
       }
       for (Machine machine : List.copyOf(fleet.machines())) {
         if (random.nextInt(30) == 0) {
-          leaves(machine);
+          returnMachine(machine);
         }
       }
       for (Effect.Call call : tick()) {
@@ -198,6 +199,6 @@
               .allMatch(machine -> stored.contains(machine.id()));
       assertThat(all).as("step %d", step).isTrue();
     }
-    assertThat(machines).isGreaterThan(100);
+    assertThat(machineCount).isGreaterThan(100);
   }
 }
--- a/src/test/java/org/oakwalk/core/fleet/DutyTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/SchedulingModeTest.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.job.Room;
 
 /** Which duties a machine may come to from which: the whole table. */
-class DutyTest {
+class SchedulingModeTest {
   @ParameterizedTest
   @CsvSource({
     "IN_USE,    RETIRING NEXT CORDONED UNFIT RECLAIMED",
@@ -23,17 +23,17 @@
     "UNFIT,     RECLAIMED",
     "RECLAIMED, ''"
   })
-  void changesOnlyByTheTable(Duty from, String legal) {
+  void onlyLegalTransitionsChangeTheMode(SchedulingMode from, String legal) {
     List<String> allowed = List.of(Optional.ofNullable(legal).orElse("").split(" "));
-    for (Duty to : Duty.values()) {
+    for (SchedulingMode to : SchedulingMode.values()) {
       Machine machine = machine(from);
-      boolean changes = machine.duty(to);
+      boolean changes = machine.schedulingMode(to);
       assertThat(changes).as("%s to %s", from, to).isEqualTo(allowed.contains(to.name()));
-      assertThat(machine.duty()).isEqualTo(changes ? to : from);
+      assertThat(machine.schedulingMode()).isEqualTo(changes ? to : from);
     }
   }
 
-  private static Machine machine(Duty duty) {
+  private static Machine machine(SchedulingMode duty) {
     MachineType type =
         new MachineType("m", new Room(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
     Machine machine =
@@ -46,10 +46,10 @@
             Machine.State.UP,
             new Token(1),
             new Moment(1_000_000));
-    if (duty == Duty.CORDONED) {
-      machine.duty(Duty.NEXT);
+    if (duty == SchedulingMode.CORDONED) {
+      machine.schedulingMode(SchedulingMode.DRAIN_PENDING);
     }
-    machine.duty(duty);
+    machine.schedulingMode(duty);
     return machine;
   }
 }
--- a/src/test/java/org/oakwalk/core/fleet/StateTablesTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/StateTransitionsTest.java
@@ -24,7 +24,7 @@
 import org.oakwalk.core.job.Room;
 
 /** The whole tables of what machines and placements may become; everything else is refused. */
-class StateTablesTest {
+class StateTransitionsTest {
   private static final Moment NOW = new Moment(1_000_000);
 
   @ParameterizedTest
@@ -37,7 +37,7 @@
     "RETURNING,   GONE",
     "GONE,        ''"
   })
-  void machines(Machine.State from, String legal) {
+  void machineTransitions(Machine.State from, String legal) {
     for (Machine.State to : Machine.State.values()) {
       Machine machine = machine(from);
       if (to == from || allowed(legal).contains(to.name())) {
@@ -60,7 +60,7 @@
     "SAVING,   OVER",
     "OVER,     ''"
   })
-  void placements(Placement.State from, String legal) {
+  void placementTransitions(Placement.State from, String legal) {
     for (Placement.State to : Placement.State.values()) {
       Placement placement = placement();
       placement.enter(from, NOW);
@@ -83,7 +83,7 @@
     "DONE,      DONE",
     "WITHDRAWN, WITHDRAWN"
   })
-  void jobs(Job.State from, String legal) {
+  void jobTransitions(Job.State from, String legal) {
     for (Job.State to : Job.State.values()) {
       Job job = job();
       enter(job, from);
--- a/src/test/java/org/oakwalk/core/headroom/RoomsTest.java
+++ b/src/test/java/org/oakwalk/core/headroom/RoomsTest.java
@@ -18,11 +18,11 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
+import org.oakwalk.core.fleet.SchedulingMode;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
@@ -139,7 +139,7 @@
 
   @Test
   void whatIsLeftOfMachinesThatGoIsNoPlaceButNotGivenAway() {
-    machines.forEach(machine -> machine.duty(Duty.RETIRING));
+    machines.forEach(machine -> machine.schedulingMode(SchedulingMode.RETIRING));
     survey(2);
     assertThat(rooms.lacking()).isEqualTo(Map.of(KEY, Map.of("a", 2)));
     assertThat(machines.stream().filter(machine -> rooms.beyond(machine).gpus() == 0)).hasSize(2);
--- a/src/test/java/org/oakwalk/core/placement/PreemptionTest.java
+++ b/src/test/java/org/oakwalk/core/placement/PreemptionTest.java
@@ -20,7 +20,7 @@
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.fleet.Running;
+import org.oakwalk.core.fleet.PlacementTestSupport;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
@@ -47,10 +47,10 @@
       Job job = HostSearchTest.job(i, RandomSource.XO_RO_SHI_RO_128_PP.create(i));
       stopped = fleet.place(job, 0, fleet.nextAttempt(), all.get(i), Span.seconds(60), NOW);
     }
-    fleet.halt(stopped, Span.seconds(5), Fleet.Why.PREEMPTED);
+    fleet.halt(stopped, Span.seconds(5), Fleet.StopReason.PREEMPTED);
     Preemption preemption =
         new Preemption(
-            fleet.stoppable(),
+            fleet.preemptionIndex(),
             new Quota(Map.of(), fleet),
             new Targets(List.of()),
             new RunTimes(),
@@ -80,7 +80,7 @@
     run(fleet, gang, 1, all.get(2), new Moment(NOW.millis() - 10_000));
     Preemption preemption =
         new Preemption(
-            fleet.stoppable(),
+            fleet.preemptionIndex(),
             new Quota(Map.of(), fleet),
             new Targets(List.of()),
             new RunTimes(),
@@ -99,7 +99,7 @@
   private static void run(Fleet fleet, Job job, int index, Machine machine, Moment since) {
     Placement placement =
         fleet.place(job, index, fleet.nextAttempt(), machine, Span.seconds(60), since);
-    Running.since(placement, since);
+    PlacementTestSupport.markRunning(placement, since);
   }
 
   private static Job job(String id, JobSpec.Shape shape, Priority priority, int tasks) {
--- a/src/test/java/org/oakwalk/core/placement/RankingTest.java
+++ b/src/test/java/org/oakwalk/core/placement/RankingTest.java
@@ -287,7 +287,7 @@
   }
 
   private void report(Machine machine, long sequence, List<Report.Piece> pieces, Moment now) {
-    fleet.report(
+    fleet.handleReport(
         new Report(
             machine.id(),
             "",
--- a/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
@@ -14,9 +14,9 @@
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
+import org.oakwalk.core.fleet.MachineRegistry;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.fleet.Registry;
 import org.oakwalk.core.job.Arrays;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
@@ -37,7 +37,7 @@
 
 /** A new leader among records that can't be made sense of, and reads that fail. */
 class RecoveryTest {
-  private static final Moment ROSE = new Moment(1_000_000);
+  private static final Moment TERM_START = new Moment(1_000_000);
   private static final Token TOKEN = new Token(7);
   private static final Guard GUARD = new Guard(Keys.LEADER, new Revision(7));
   private static final Map<String, MachineType> TYPES =
@@ -47,7 +47,7 @@
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
-  private final JobBook jobs = knowsOneJob();
+  private final JobBook jobs = jobBookWithOneJob();
   private final Settings.StateLimits limits = new Settings.StateLimits(200, 100, 4, 8);
   private final Fleet fleet =
       new Fleet(
@@ -72,13 +72,13 @@
           fleet,
           jobs,
           new ResultWriter(outbox, jobs, view, GUARD, limits),
-          new Registry(outbox, fleet, GUARD, limits),
+          new MachineRegistry(outbox, fleet, GUARD, limits),
           Set.of(),
           Span.seconds(20),
-          ROSE);
-  private Moment now = ROSE;
+          TERM_START);
+  private Moment now = TERM_START;
 
-  private JobBook knowsOneJob() {
+  private JobBook jobBookWithOneJob() {
     JobSpec spec = Arrays.spec("j-1", 10);
     JobRecord record = new JobRecord(spec, JobRecord.Phase.OPEN, new WallTime(1));
     view.listen(
@@ -89,14 +89,14 @@
           @Override
           public void jobChanged(KnownJob job, Moment at) {}
         });
-    view.tick(ROSE);
+    view.tick(TERM_START);
     outbox.answered(
         ((Effect.Call) outbox.drain().get(0)).call(), page(Keys.job(spec.id()), record));
     outbox.drain();
-    return new JobBook(view, TOKEN, ROSE);
+    return new JobBook(view, TOKEN, TERM_START);
   }
 
-  private Effect.Call read(String prefix) {
+  private Effect.Call tickAndExpectRead(String prefix) {
     now = now.plus(Span.millis(250));
     recovery.tick(TYPES, now);
     List<Effect> effects = outbox.drain();
@@ -111,7 +111,7 @@
   }
 
   @Test
-  void resultsThatMakeNoSenseAreSetAside() {
+  void malformedResultsAreIgnored() {
     List<Answer> strange =
         List.of(
             page(Keys.DONE + "j-1/0", new StoredValue.DoneChunk("no bits")),
@@ -129,10 +129,10 @@
               fleet,
               jobs,
               new ResultWriter(outbox, jobs, view, GUARD, limits),
-              new Registry(outbox, fleet, GUARD, limits),
+              new MachineRegistry(outbox, fleet, GUARD, limits),
               Set.of(),
               Span.seconds(20),
-              ROSE);
+              TERM_START);
       fresh.tick(TYPES, now);
       outbox.answered(((Effect.Call) outbox.drain().get(0)).call(), answer);
       assertThat(jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isZero();
@@ -146,32 +146,36 @@
    * and then out of reach: its lease counts from that answer, not from when the list was asked for.
    */
   @Test
-  void whatIsAnsweredBeforeReportsAreReadRenewsALease() {
-    outbox.answered(read(Keys.DONE).call(), new Answer.Page(List.of(), false, new Revision(9)));
+  void responseBeforeReportsAreAcceptedRenewsTheLease() {
+    outbox.answered(
+        tickAndExpectRead(Keys.DONE).call(), new Answer.Page(List.of(), false, new Revision(9)));
     Effect.Call machines = (Effect.Call) outbox.drain().get(0);
     now = now.plus(Span.seconds(5));
-    recovery.renewedUnread(now);
+    recovery.leaseRenewedBeforeReports(now);
     Moment answered = now;
     outbox.answered(machines.call(), new Answer.Page(List.of(), false, new Revision(9)));
-    assertThat(recovery.readsReports()).isTrue();
-    recovery.renewedUnread(now.plus(Span.seconds(1)));
-    assertThat(recovery.lastForeignRenewal()).isEqualTo(answered);
+    assertThat(recovery.acceptsReports()).isTrue();
+    recovery.leaseRenewedBeforeReports(now.plus(Span.seconds(1)));
+    assertThat(recovery.lastUnseenRenewal()).isEqualTo(answered);
   }
 
   @Test
-  void eachStepIsTriedUntilItIsAnswered() {
+  void failedReadsAreRetriedInEachState() {
     for (Answer answer :
         List.of(new Answer.Nothing("lost"), new Answer.Refused(503, ""), new Answer.Ok())) {
-      outbox.answered(read(Keys.DONE).call(), answer);
+      outbox.answered(tickAndExpectRead(Keys.DONE).call(), answer);
       assertThat(recovery.state()).isEqualTo(Recovery.State.READING_RESULTS);
     }
-    outbox.answered(read(Keys.DONE).call(), new Answer.Page(List.of(), false, new Revision(9)));
+    outbox.answered(
+        tickAndExpectRead(Keys.DONE).call(), new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.state()).isEqualTo(Recovery.State.READING_MACHINES);
     Effect.Call machines = (Effect.Call) outbox.drain().get(0);
     outbox.answered(machines.call(), new Answer.Nothing("lost"));
-    outbox.answered(read(Keys.MACHINES).call(), new Answer.Refused(503, ""));
-    assertThat(recovery.readsReports()).isFalse();
-    outbox.answered(read(Keys.MACHINES).call(), new Answer.Page(List.of(), false, new Revision(9)));
+    outbox.answered(tickAndExpectRead(Keys.MACHINES).call(), new Answer.Refused(503, ""));
+    assertThat(recovery.acceptsReports()).isFalse();
+    outbox.answered(
+        tickAndExpectRead(Keys.MACHINES).call(),
+        new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.state()).isEqualTo(Recovery.State.CONFIRMING);
     recovery.tick(TYPES, now);
     assertThat(recovery.complete()).isTrue();
--- a/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
@@ -22,9 +22,9 @@
 import org.oakwalk.core.Token;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
+import org.oakwalk.core.fleet.MachineRegistry;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.fleet.Registry;
 import org.oakwalk.core.job.Arrays;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
@@ -54,13 +54,13 @@
   private Recovery recovery;
 
   @BeforeEach
-  void store() {
+  void storeJobs() {
     Arrays.store(store, "j-1", 3, JobRecord.Phase.OPEN);
     Arrays.store(store, "j-2", 3, JobRecord.Phase.OPEN);
     store.put(Keys.job(new JobId("j-3")), new StoredValue.Unreadable("of a later form"));
   }
 
-  private void rises() {
+  private void recover() {
     view.listen(
         new StoreView.Listener() {
           @Override
@@ -100,7 +100,7 @@
             fleet,
             jobs,
             new ResultWriter(outbox, jobs, view, guard, LIMITS),
-            new Registry(outbox, fleet, guard, LIMITS),
+            new MachineRegistry(outbox, fleet, guard, LIMITS),
             Set.of(),
             Span.seconds(20),
             now);
@@ -116,13 +116,13 @@
 
   /** Parts with names or bits that make no sense are left out, and hold up nothing. */
   @Test
-  void partsThatMakeNoSenseAreLeftOut() {
+  void malformedResultPartsAreIgnored() {
     store.put(Keys.DONE + "j-1/0", new StoredValue.DoneChunk("not hexadecimal"));
     store.put(Keys.DONE + "j-1/99999999999", new StoredValue.DoneChunk("01"));
     store.put(Keys.DONE + "j-1/262144", new StoredValue.DoneChunk("01"));
     store.put(Keys.DONE + "nobody", new StoredValue.DoneChunk("01"));
     store.put(Keys.DONE + "j-2/0", new StoredValue.DoneChunk("02"));
-    rises();
+    recover();
     assertThat(recovery.complete()).isTrue();
     assertThat(jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isZero();
     assertThat(jobs.find(new JobId("j-2")).orElseThrow().isStoredDone(1)).isTrue();
@@ -133,9 +133,9 @@
    * are over or unknown; not those that are not stored, nor of a job whose record can't be read.
    */
   @Test
-  void workersForgetOnlyWhatIsStoredOrAskedForByNobody() {
+  void onlyStoredOrObsoleteResultsAreCleared() {
     store.put(Keys.DONE + "j-2/0", new StoredValue.DoneChunk("02"));
-    rises();
+    recover();
     List<Report.Piece> pieces = new ArrayList<>();
     for (String task : List.of("j-1/0", "j-2/1", "j-3/0", "j-4/0")) {
       pieces.add(
@@ -147,7 +147,7 @@
     }
     Machine machine =
         fleet
-            .report(
+            .handleReport(
                 new Report(
                     new MachineId("host-000001"),
                     "10.0.0.1:9000",
--- a/src/test/java/org/oakwalk/wire/WireTest.java
+++ b/src/test/java/org/oakwalk/wire/WireTest.java
@@ -469,7 +469,7 @@
                 {"hosts":[{"ref":"host-000231","addr":"10.1.0.232:9000","flavor":"g8",
                  "region":"a","leftovers":true,"status":"running","held_s":61.5}],"more":false}
                 """));
-    assertThat(((Answer.Rentals) list).rentals().get(0).held()).isEqualTo(Span.millis(61500));
+    assertThat(((Answer.Rentals) list).rentals().get(0).rentedFor()).isEqualTo(Span.millis(61500));
   }
 
   @Test
