--- a/src/main/java/org/oakwalk/core/fleet/CommandDispatcher.java
+++ b/src/main/java/org/oakwalk/core/fleet/CommandDispatcher.java
@@ -20,8 +20,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Sends orders straight to the workers, one command at a time to each. A command without an answer
- * may still be executed later: its runs stay open until the worker's session ends.
+ * Sends orders to workers as direct commands, with at most one command in flight per worker. A
+ * command without a reply may still be executed later, so its starts remain pending until the
+ * worker's session ends or a higher fencing token is confirmed.
  */
 public final class CommandDispatcher {
   private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
@@ -29,18 +30,21 @@
   private static final int MAX_ORDERS_PER_COMMAND = 200;
 
   /**
-   * How many machines are shown the token between two ticks. All at once, a thousand commands would
-   * be worked off before the reports that make most of them needless.
+   * Limits token pushes per tick. With one push per machine of a large fleet at once, a thousand
+   * commands would be processed ahead of the reports that make most of them unnecessary.
    */
   private static final int MAX_TOKEN_PUSHES_PER_TICK = 50;
 
-  /** So many machines that don't report are asked at a time: most may be out of reach for long. */
+  /** Limits probes in flight, since most silent machines may be unreachable for a long time. */
   private static final int MAX_CONCURRENT_PROBES = 5;
 
-  /** A little after it is suspected, since many a report is merely late. */
+  /** Factor on the suspicion timeout before a probe, since many reports are merely late. */
   private static final double PROBE_DELAY_FACTOR = 1.1;
 
-  /** Who has just been answered has the token, and reports so within half a second. */
+  /**
+   * Time after a response in which no token is pushed: the worker has the token from the response
+   * and confirms it in a report within half a second.
+   */
   private static final Span CONFIRMATION_WAIT = Span.millis(1000);
 
   private final Outbox outbox;
@@ -52,20 +56,26 @@
   private int activeProbes;
   private Moment clock = new Moment(Long.MIN_VALUE / 2);
 
+  /**
+   * Creates a dispatcher for one term.
+   *
+   * @param suspectAfter time without a report after which a machine is suspected to be unreachable
+   * @param reportHandler receives the reports that workers send in reply to commands
+   */
   public CommandDispatcher(
-      Outbox outbox, Fleet fleet, Span suspectAfter, Consumer<Report> reported) {
+      Outbox outbox, Fleet fleet, Span suspectAfter, Consumer<Report> reportHandler) {
     this.suspectAfter = suspectAfter;
     this.outbox = outbox;
     this.fleet = fleet;
-    this.reportHandler = reported;
+    this.reportHandler = reportHandler;
   }
 
-  /** Sends what is due. */
+  /** Sends the halts and starts that are due to machines without a command in flight. */
   public void flush(Moment now) {
     clock = now;
     for (Machine machine : fleet.takeCommandable()) {
-      // A machine whose reports another controller carries is not reached by command either: its
-      // orders go out with the answer.
+      // A machine whose reports are forwarded by another controller can't be reached by command
+      // either: its orders are sent with the response to its next report.
       if (machine.session().isEmpty() || machine.address().isEmpty() || machine.reportForwarded()) {
         continue;
       }
@@ -91,16 +101,17 @@
   }
 
   /**
-   * Not beside an ended attempt, which has to be cleared in the same breath, and only so often in a
-   * session. What does not start by command starts with the answer to the next report.
+   * Whether a task may be started by command. It may not while the worker still lists an ended
+   * attempt, which has to be cleared together with the start, nor once the limit on starts by
+   * command is reached. Such tasks start with the response to the next report.
    */
   private static boolean mayStartByCommand(Machine machine, TaskId task) {
     return !machine.unmatched().hasEnded(task) && machine.pendingStarts().allowsCommandStart(task);
   }
 
   /**
-   * Keeps starts of these tasks from leaving, as far as they still wait for a socket: their job was
-   * withdrawn, which their user is about to be told.
+   * Cancels commands with starts of these tasks that still wait for a socket. Their job was
+   * withdrawn, and its user is about to be told so.
    */
   public void cancelStarts(List<Placement> placements) {
     placements.stream()
@@ -112,14 +123,14 @@
         .forEach(outbox::recall);
   }
 
-  /** A machine's report was answered under this token, whatever it is used for. */
+  /** Records that a response with this leader's token was sent to a machine's report. */
   public void responseSent(MachineId machine, Moment now) {
     lastResponse.put(machine, now);
   }
 
   /**
-   * Shows the token to machines that have not confirmed it yet, or that don't seem to hear; the
-   * answer shows that they do.
+   * Sends the fencing token, in commands without orders, to machines that have not confirmed it yet
+   * or do not seem to receive responses. A reply shows that they are reached.
    */
   public void pushTokens(Moment now) {
     int sent = 0;
@@ -127,10 +138,10 @@
       if (sent == MAX_TOKEN_PUSHES_PER_TICK) {
         return;
       }
-      boolean asked =
+      boolean due =
           machine.state() == Machine.State.UNCONFIRMED
               || machine.state() == Machine.State.UP && !machine.delivery().working();
-      if (asked
+      if (due
           && !machine.commandInFlight()
           && !machine.address().isEmpty()
           && !within(lastTokenPush, TOKEN_PUSH_INTERVAL, machine, now)
@@ -143,8 +154,8 @@
   }
 
   /**
-   * Asks machines that have ceased to report. One that can't reach any controller, but is reached,
-   * tells what has ended there and whether its session is over.
+   * Probes machines that have stopped reporting with commands without orders. A worker that can't
+   * reach any controller but can be reached itself replies with its ended tasks and its session.
    */
   public void probeSilentMachines(Moment now) {
     for (Machine machine : fleet.machines()) {
@@ -171,7 +182,7 @@
     return last != null && !now.past(last, span);
   }
 
-  private void send(Machine machine, SessionId session, List<Order> orders, Runnable settled) {
+  private void send(Machine machine, SessionId session, List<Order> orders, Runnable completed) {
     List<Machine.TaskAttempt> runs = new ArrayList<>();
     for (Order order : orders) {
       if (order instanceof Order.Run) {
@@ -181,14 +192,14 @@
     Token token = machine.fence().current();
     runs.forEach(run -> machine.pendingStarts().sentByCommand(run, token));
     if (!runs.isEmpty()) {
-      LOG.debug("starts sent to {} by command: {}", machine.id(), runs);
+      LOG.debug("sent starts to {} by command: {}", machine.id(), runs);
     }
     machine.commandInFlight(true);
     outbox.call(
         new Request.Command(machine.address(), token, session, orders),
         answer -> {
           machine.commandInFlight(false);
-          settled.run();
+          completed.run();
           if (!(answer instanceof Answer.Nothing)) {
             runs.forEach(machine.pendingStarts()::commandAnswered);
           }
@@ -196,7 +207,7 @@
             machine.delivery().commandReplied(clock);
             reportHandler.accept(commanded.report());
             if (!commanded.executed() && machine.state() == Machine.State.UNCONFIRMED) {
-              // The session was a guess; the report told the right one.
+              // The session was a guess, and the report holds the actual one: push again at once.
               lastTokenPush.remove(machine.id());
             }
           }
--- a/src/main/java/org/oakwalk/core/fleet/Fence.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fence.java
@@ -3,10 +3,10 @@
 import org.oakwalk.core.Token;
 
 /**
- * The fencing token under which a machine is spoken to. It begins as the leader's own and is raised
- * now and then, up to a revision at which the leader key still stood, so that each later leader's
- * token is higher. A worker that shows the raised one refuses all commands that were sent before,
- * whenever they come.
+ * The fencing token that one machine is addressed with. It starts as the leader's own token and is
+ * raised from time to time, at most to a revision at which the leader key was still held, so that
+ * the token of each later leader is higher. A worker that reports the raised token rejects all
+ * commands sent under lower ones, however late they arrive.
  */
 final class Fence {
   private final Token granted;
@@ -18,30 +18,30 @@
     this.current = granted;
   }
 
-  /** The token that goes with what the machine is told. */
+  /** The token to send with commands and responses to the machine. */
   Token current() {
     return current;
   }
 
-  /** Whether this leader has sent this token to the machine, or may have. */
+  /** Whether this leader may have sent this token to the machine. */
   boolean mayHaveIssued(Token token) {
     return token.compareTo(granted) >= 0 && token.compareTo(current) <= 0;
   }
 
-  /** A newer report carried this token. */
+  /** Records the token of a newer report. */
   void observe(Token token) {
     confirmed = token.equals(current);
   }
 
-  /** Whether a higher token may be sent; not before the last one has arrived. */
+  /** Whether this token may be sent next: it is higher, and the current one is confirmed. */
   boolean canRaiseTo(Token to) {
     return confirmed && to.compareTo(current) > 0;
   }
 
-  /** From now on this token goes with what the machine is told. */
+  /** Makes this the token to send from now on. */
   void raise(Token to) {
     if (!canRaiseTo(to)) {
-      throw new IllegalStateException("token " + current + " can't be raised to " + to);
+      throw new IllegalStateException("cannot raise token " + current + " to " + to);
     }
     current = to;
     confirmed = false;
--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -29,42 +29,43 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines of one term and what is on them. A placement leaves its machine only when it is
- * certain that the attempt is not there and cannot start there any more.
+ * The machines known in one term, and their placements. A placement is removed only when it is
+ * certain that the attempt is not on the machine and cannot start there any more.
  */
 public final class Fleet {
   private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
   private static final Span LEASE_EXPIRY_MARGIN = Span.millis(500);
 
   /**
-   * How long before a task was placed its user may have been told of the withdrawal, by another
-   * controller, and how long an answer to a report may take; with some time to spare.
+   * Margin before the cancel deadline within which no start of a withdrawn job is sent. It covers
+   * that another controller may have told the user of the withdrawal before the task was placed
+   * here, and the time that a response to a report may take, with some reserve.
    */
   private static final Span START_MARGIN = Span.seconds(10);
 
   /**
-   * How many ended attempts a machine lists, only since their starts may come once more, before its
-   * token is raised. Each raise costs one more report.
+   * Ended attempts listed only because duplicates of their starts may still arrive, from which on
+   * the machine's token is raised. Each raise costs one more report.
    */
   private static final int MAX_KEPT_ENDED_ATTEMPTS = 16;
 
-  /** Why a task is stopped. */
+  /** Reasons for stopping a task. */
   public enum StopReason {
     /** Its user has withdrawn the job. */
     WITHDRAWN(false),
-    /** It runs or is done elsewhere. */
+    /** The task runs or is done elsewhere. */
     NEEDLESS(false),
-    /** The cloud takes the machine. */
+    /** The cloud reclaims the machine. */
     RECLAIMED(false),
-    /** Others of its gang are lost. */
+    /** Other members of its gang are lost. */
     GANG(false),
-    /** For a more urgent one. */
+    /** A task of higher priority needs its room. */
     PREEMPTED(true),
-    /** Its room is taken for a while, and owed. */
+    /** Its room is lent to another team for a time and has to be given back. */
     TAKEN(true),
-    /** It starts again on another machine at once. */
+    /** It restarts on another machine at once. */
     MOVED(true),
-    /** Its machine is emptied. */
+    /** Its machine is being drained. */
     DRAINED(true);
 
     private final boolean voluntary;
@@ -73,27 +74,31 @@
       this.voluntary = voluntary;
     }
 
-    /** Whether it could as well be left, so that budgets have a say. */
+    /** Whether the stop is optional, so that disruption budgets apply to it. */
     public boolean voluntary() {
       return voluntary;
     }
   }
 
-  /** Told what becomes of tasks. */
+  /** Receives events of tasks and machines. */
   public interface Listener {
-    /** A task completed after running this long; the span is null if unknown. */
+    /**
+     * A task has completed.
+     *
+     * @param ran how long it ran, or null if that is unknown
+     */
     void completed(Placement placement, Span ran);
 
-    /** A task was put on a machine. */
+    /** A task was placed on a machine. */
     void placed(Job job, Moment now);
 
-    /** A task is to be stopped. */
+    /** A stop of a task was requested. */
     default void stopRequested(Placement placement, StopReason why) {}
 
-    /** A task is surely on its machine no more. */
+    /** An attempt is certain not to be on its machine any more. */
     default void placementEnded(Placement placement, Moment now) {}
 
-    /** A machine takes tasks from now on, or has room again. */
+    /** A machine now accepts tasks, or has more free room. */
     void roomChanged();
   }
 
@@ -113,10 +118,13 @@
   private final Reconciler reconciler;
   private long attempts;
 
-  /** The last moment at which an older leader may have renewed a lease; null if not known yet. */
+  /**
+   * The last moment at which a lease may have been renewed unknown to this fleet, mostly by an
+   * older leader; null if not determined yet.
+   */
   private Moment lastUnseenRenewal;
 
-  /** Asked for with every task that is placed, so it is kept until a machine's doubt changes. */
+  /** Cached, since it is read for each task that is placed; null if it has to be computed. */
   private Room unaccountedRoom;
 
   public Fleet(
@@ -135,6 +143,7 @@
     this.reconciler = new Reconciler(this, jobs, timing, listener);
   }
 
+  /** Sets the machine types that the cloud offers, by name. */
   public void types(Map<String, MachineType> current) {
     types = current;
   }
@@ -147,19 +156,20 @@
     return Optional.ofNullable(machines.get(id));
   }
 
-  /** What a team's tasks take, placements that may yet start included. */
+  /** Room of a team's placements, including those that may yet start. */
   public Room teamUsage(String team) {
     return teamUsage.getOrDefault(team, Room.NONE);
   }
 
-  /** What there is that could be stopped for others. */
+  /** Index of the placements that could be preempted. */
   public PreemptionIndex preemptionIndex() {
     return preemptionIndex;
   }
 
   /**
-   * Room of which it is not known whose tasks take it: machines that have not told what runs there,
-   * and tasks that no placement stands for, such as those of a job whose record can't be read.
+   * Room that may be used by tasks of an unknown team: that of machines which have not reported
+   * their tasks in this term, and that of orphans, such as tasks of a job whose record can't be
+   * read.
    */
   public Room unaccountedRoom() {
     if (unaccountedRoom == null) {
@@ -173,12 +183,12 @@
     return unaccountedRoom;
   }
 
-  /** A machine's doubt has changed. */
+  /** Invalidates the unaccounted room after a change of a machine's orphans. */
   void unaccountedRoomChanged() {
     unaccountedRoom = null;
   }
 
-  /** Whether an attempt that an earlier leader ordered may be on a machine unseen. */
+  /** Whether attempts that earlier leaders ordered may be on some machine without being known. */
   public boolean anyUnverified() {
     return machines.values().stream().anyMatch(Machine::unverified);
   }
@@ -188,7 +198,12 @@
     unaccountedRoom = null;
   }
 
-  /** Adds a machine; without its type it is left out, unless older leaders may have used it. */
+  /**
+   * Adds a machine. One of unknown type is added only if older leaders may have placed tasks on it.
+   *
+   * @param known when it became known, or was rented
+   * @return the machine, or empty if it was not added
+   */
   public Optional<Machine> add(
       MachineId id,
       String address,
@@ -213,28 +228,33 @@
     return Optional.of(machine);
   }
 
-  /** The next attempt number; all tasks of a gang share one, by which they find each other. */
+  /** A new attempt number. Tasks of a gang share one, by which they find each other. */
   public Attempt nextAttempt() {
     return Attempt.of(token, ++attempts);
   }
 
   /**
-   * Stands in for the type of a registered machine that the cloud no longer offers. Whatever runs
-   * there fits, which makes quotas err on the safe side; new tasks it gets none.
+   * A substitute for the type of a registered machine that the cloud no longer offers. Any task
+   * fits it, so that quotas err on the safe side; new tasks are not placed on the machine.
    */
   private static MachineType unboundedType(String name) {
     Room all = new Room(Double.MAX_VALUE, Double.MAX_VALUE, Double.MAX_VALUE);
     return new MachineType(name, all, 0, 0, 0, 0, Span.seconds(0), List.of());
   }
 
-  /** Puts a task on a machine. The order goes out by command or with the next response. */
+  /**
+   * Places a task on a machine. The start is sent by command or with the next response.
+   *
+   * @param expected expected time until the task ends
+   */
   public Placement place(
       Job job, int index, Attempt attempt, Machine machine, Span expected, Moment now) {
     Placement placement =
         addPlacement(job, new TaskId(job.id(), index), attempt, machine, expected, now);
     commandable.add(machine);
     listener.placed(job, now);
-    LOG.debug("task {} try {} placed on {}", placement.task(), placement.attempt(), machine.id());
+    LOG.debug(
+        "task {} attempt {} placed on {}", placement.task(), placement.attempt(), machine.id());
     return placement;
   }
 
@@ -249,17 +269,17 @@
     return placement;
   }
 
-  /** Wants a placement stopped. */
-  public void halt(Placement placement, Span grace, StopReason why) {
+  /** Requests that a placement be stopped. */
+  public void halt(Placement placement, Span grace, StopReason reason) {
     if (!placement.halting()) {
-      listener.stopRequested(placement, why);
+      listener.stopRequested(placement, reason);
     }
     preemptionIndex.haltRequested(placement);
     placement.halt(grace);
     commandable.add(placement.machine());
   }
 
-  /** Machines with orders that have not been sent yet; the caller takes them over. */
+  /** Removes and returns machines that have unsent orders and no command in flight. */
   List<Machine> takeCommandable() {
     List<Machine> taken = new ArrayList<>();
     for (Machine machine : commandable) {
@@ -276,34 +296,32 @@
   }
 
   /**
-   * Whether a worker shows a higher token than it can have from this leader. A late report of a
-   * machine that is gone may show any that the leader has told.
+   * Whether a worker reports a higher token than this leader can have issued to it. A late report
+   * of a machine that is gone may contain any token issued by this leader.
    */
   public boolean showsUnissuedToken(Report report) {
     Machine machine = machines.get(report.machine());
-    Token told = machine == null ? view.standsUntil(token) : machine.fence().current();
-    return report.token().compareTo(told) > 0;
+    Token issued = machine == null ? view.standsUntil(token) : machine.fence().current();
+    return report.token().compareTo(issued) > 0;
   }
 
-  /**
-   * The token under which a machine is spoken to; one that is not known yet by the leader's own.
-   */
+  /** The token that a machine is addressed with; for an unknown machine, the leader's own token. */
   public Token tokenOf(MachineId id) {
     Machine machine = machines.get(id);
     return machine == null ? token : machine.fence().current();
   }
 
   /**
-   * Takes over a report.
+   * Processes a report.
    *
-   * @param own whether the worker sent it by itself, rather than as the answer to a command
-   * @return the machine, unless the report could not be used
+   * @param unsolicited whether the worker sent it on its own, rather than in reply to a command
+   * @return the machine, or empty if the report can't be used
    */
-  public Optional<Machine> handleReport(Report report, boolean own, Moment now) {
-    return reconciler.handleReport(report, own, now);
+  public Optional<Machine> handleReport(Report report, boolean unsolicited, Moment now) {
+    return reconciler.handleReport(report, unsolicited, now);
   }
 
-  /** Whether the cloud has confirmed that a machine is no more. */
+  /** Whether the cloud has confirmed that a machine no longer exists. */
   boolean isGone(MachineId id) {
     return gone.contains(id);
   }
@@ -321,25 +339,27 @@
     return found;
   }
 
-  /** Where a task is, as far as this leader knows. */
+  /** The placement of a task, as far as it is known to this leader. */
   public Optional<Placement> placementOf(TaskId task) {
     return Optional.ofNullable(byTask.get(task));
   }
 
-  /** The machine may take tasks from now on. */
+  /** Marks a machine as up, so that it may get tasks. */
   public void markUp(Machine machine) {
-    boolean found = machine.state() == Machine.State.UNCONFIRMED;
+    boolean fromRegistry = machine.state() == Machine.State.UNCONFIRMED;
     machine.enter(Machine.State.UP);
-    if (found) {
-      // A whole fleet of them within a second or two, while work waits for the last.
-      LOG.debug("machine {} has confirmed", machine.id());
+    if (fromRegistry) {
+      // Not at level info: after a change of leader the whole fleet confirms within a second or
+      // two,
+      // while placement waits for the last machine.
+      LOG.debug("machine {} confirmed the token", machine.id());
     } else {
-      LOG.info("machine {} is up, zone {} spot {}", machine.id(), machine.zone(), machine.spot());
+      LOG.info("machine {} is up: zone {}, spot {}", machine.id(), machine.zone(), machine.spot());
     }
     listener.roomChanged();
   }
 
-  /** The attempt is surely not on its machine any more. */
+  /** Removes a placement whose attempt is certain not to be on its machine any more. */
   void removePlacement(Placement placement, Moment now) {
     preemptionIndex.removed(placement);
     placement.enter(Placement.State.ENDED, now);
@@ -354,7 +374,7 @@
 
   void removeAllPlacements(Machine machine, Moment now) {
     for (Placement placement : machine.placementsCopy()) {
-      LOG.debug("task {} lost with {}", placement.task(), machine.id());
+      LOG.debug("task {} lost on machine {}", placement.task(), machine.id());
       removePlacement(placement, now);
     }
     machine.unmatched().clear();
@@ -362,13 +382,14 @@
   }
 
   /**
-   * Whether this machine's lease must not be renewed, so that what is held up can't start there.
+   * Whether a machine's lease must not be renewed, so that a delayed start of a withdrawn job can't
+   * be executed on it.
    */
   public boolean mustNotRenewLease(Machine machine, Moment now) {
     return machine.mustNotRenewLease(now, timing.graceLimit().surelyNotPassed());
   }
 
-  /** Orders for a machine that has just reported by itself. */
+  /** The orders to send in response to an unsolicited report, which renews the machine's lease. */
   public List<Order> respond(Machine machine, Moment now) {
     machine.leaseRenewedAt(now);
     List<Order> orders = new ArrayList<>(clearOrders(machine));
@@ -392,18 +413,19 @@
             .sentInResponse(new Machine.TaskAttempt(placement.task(), placement.attempt()));
       }
     }
-    for (Machine.TaskAttempt stray : machine.unmatched().orphans()) {
-      orders.add(new Order.Halt(stray.task(), stray.attempt(), Span.millis(0)));
+    for (Machine.TaskAttempt orphan : machine.unmatched().orphans()) {
+      orders.add(new Order.Halt(orphan.task(), orphan.attempt(), Span.millis(0)));
     }
     return orders;
   }
 
   /**
-   * Whether a start by command had no answer, and its task is to be stopped. It may be executed any
-   * time in the session, which may last for days. So the worker is told to start it and, in the
-   * same answer, to stop it: then it knows the attempt, and the command has no effect when it
-   * comes. The task is held here until then, so it is nowhere else. Of a withdrawn job nothing may
-   * start so late that its user was told {@code cancel} ago.
+   * Whether to repeat the start of a task that is to be stopped, because a command with the start
+   * was not answered. The command may be executed at any time in the session, which may last for
+   * days. So the same response tells the worker to start the attempt and to stop it: the worker
+   * then knows the attempt, and the command has no effect when it arrives. Until then the placement
+   * remains, so the task is placed nowhere else. A task of a withdrawn job must not start when its
+   * user may have been told of the withdrawal longer ago than the cancel deadline allows.
    */
   private boolean mustRepeatStart(Placement placement, Moment now) {
     Machine machine = placement.machine();
@@ -422,10 +444,10 @@
   }
 
   /**
-   * Ended attempts that the worker may forget: their result is stored or needless, and no run of
-   * them can arrive any more, be it for the second time, which would start them again. If one can,
-   * the worker forgets the attempt only as it gets the task's next one, on account of which it
-   * refuses older ones.
+   * Orders to clear ended attempts from the worker's reports. Their result is stored or not needed,
+   * and no start of them can arrive any more, not even a duplicate, which would start them again.
+   * If a duplicate may arrive, the attempt is cleared only together with the start of the task's
+   * next attempt, after which the worker rejects older ones.
    */
   private List<Order> clearOrders(Machine machine) {
     List<Order> orders = new ArrayList<>();
@@ -434,9 +456,9 @@
         .uncleared()
         .forEach(
             (attempt, done) -> {
-              boolean repeats = machine.pendingStarts().mayRepeat(attempt.task());
-              if ((!repeats || startsNextAttempt(machine, attempt))
-                  && (!done || markVerified(attempt.task()))
+              boolean mayRepeat = machine.pendingStarts().mayRepeat(attempt.task());
+              if ((!mayRepeat || startsNextAttempt(machine, attempt))
+                  && (!done || resultStoredOrObsolete(attempt.task()))
                   && !machine.mayStillStart(attempt)) {
                 orders.add(new Order.Clear(attempt.task(), attempt.attempt()));
               }
@@ -444,7 +466,7 @@
     return orders;
   }
 
-  /** Whether the answer that is being written starts another attempt at the task. */
+  /** Whether the response being composed starts another attempt at the task. */
   private static boolean startsNextAttempt(Machine machine, Machine.TaskAttempt ended) {
     Placement next = machine.placement(ended.task());
     return next != null
@@ -455,10 +477,10 @@
   }
 
   /**
-   * Raises the token under which this machine is spoken to, once it has to list many ended attempts
-   * or takes hardly any more starts by command. When it shows the new token it refuses all starts
-   * that were sent by command before, so what has ended may be cleared. Not while a command is
-   * under way, which the answer may overtake.
+   * Raises the token that a machine is addressed with once it has to list many ended attempts or
+   * approaches the limit on starts by command. When it reports the new token, it rejects all starts
+   * that were sent by command before, so ended attempts may be cleared. The token is not raised
+   * while a command is in flight, since the response could overtake the command.
    */
   private void raiseTokenIfDue(Machine machine) {
     boolean due =
@@ -467,27 +489,27 @@
     Token highest = view.standsUntil(token);
     if (due && !machine.commandInFlight() && machine.fence().canRaiseTo(highest)) {
       machine.fence().raise(highest);
-      LOG.debug("machine {} gets token {}", machine.id(), highest);
+      LOG.debug("raising token of machine {} to {}", machine.id(), highest);
     }
   }
 
-  private boolean markVerified(TaskId task) {
+  private boolean resultStoredOrObsolete(TaskId task) {
     Optional<Job> job = jobs.find(task.job());
     if (job.isPresent() && job.get().open()) {
       return job.get().isStoredDone(task.index());
     }
-    // Of a job whose record can't be read nobody knows whether it still asks for the result.
+    // While the record of a job can't be read, the job may be open and need the result.
     return view.job(task.job())
         .map(known -> known.phase() != JobRecord.Phase.OPEN)
         .orElse(!view.unreadable(task.job()));
   }
 
   /**
-   * Whether nothing that older leaders ordered can be on a machine that reports under an older
-   * token, or start there. It has taken no answer of this leader, or it would show the token: while
-   * it sends a report, none to an earlier one is under way. So the sessions that lived when an
-   * older leader may last have renewed leases are over a lease later, and what was ordered is void
-   * in later ones.
+   * Whether no attempt that older leaders ordered can be on, or start on, a machine that reports an
+   * older token. The machine has received no response of this leader, or it would report the
+   * leader's token; and no response to an earlier report is in flight while it sends the next one.
+   * So sessions that existed when an older leader may last have renewed leases ended a lease later,
+   * and orders sent to them are void in later sessions.
    */
   boolean olderAttemptsOver(Machine machine, Token reported) {
     if (reported.compareTo(token) >= 0 || lastUnseenRenewal == null) {
@@ -498,27 +520,32 @@
     return view.contact().past(renewed, timing.lease().surelyPassed().plus(LEASE_EXPIRY_MARGIN));
   }
 
-  /** Declares lapsed what has surely lost its lease. */
-  public void expireLeases(Moment now, Moment lastForeignRenewal) {
-    lastUnseenRenewal = lastForeignRenewal;
+  /**
+   * Marks machines whose leases have certainly expired, and removes their placements.
+   *
+   * @param lastUnseenRenewal the last moment at which a lease may have been renewed unknown to this
+   *     fleet
+   */
+  public void expireLeases(Moment now, Moment lastUnseenRenewal) {
+    this.lastUnseenRenewal = lastUnseenRenewal;
     Span lease = timing.lease().surelyPassed().plus(LEASE_EXPIRY_MARGIN);
     for (Machine machine : machines.values()) {
       Moment renewed = machine.leaseRenewedAt();
-      if (machine.unverified() && lastForeignRenewal.isAfter(renewed)) {
-        renewed = lastForeignRenewal;
+      if (machine.unverified() && lastUnseenRenewal.isAfter(renewed)) {
+        renewed = lastUnseenRenewal;
       }
-      // A follower may have done so in the leader's place, which the store's copy tells.
+      // A follower may have renewed leases in the leader's place, as announced in the store.
       renewed = relays.lastRenewal(machine.zone(), renewed, now);
       // A later leader may renew leases as well. Only a read of the store that began after the
-      // lease
-      // had run out, and still showed this leader, tells that nobody did.
+      // expiry and still showed this leader proves that none did.
       if (canExpire(machine) && view.contact().past(renewed, lease)) {
-        LOG.info("machine {} has lapsed with {} tasks", machine.id(), machine.placements().size());
+        LOG.info(
+            "lease of machine {} expired with {} tasks", machine.id(), machine.placements().size());
         if (machine.state() != Machine.State.RETURNING) {
           machine.enter(Machine.State.LEASE_EXPIRED);
         }
         machine.endSession();
-        // It may report again without hearing; asking it by command tells at once.
+        // It may report again although responses do not reach it; a pushed token shows that soon.
         machine.delivery().markFailing(ResponseDelivery.State.RESPONSES_NOT_RECEIVED, now);
         markVerified(machine);
         removeAllPlacements(machine, now);
@@ -536,18 +563,18 @@
     };
   }
 
-  /** The machine is to be returned; what is on it counts until the cloud has confirmed. */
+  /** Marks a machine as being returned; its placements remain until the cloud has confirmed. */
   public void startReturn(Machine machine) {
     machine.enter(Machine.State.RETURNING);
   }
 
-  /** The cloud has confirmed that the machine is gone. */
+  /** Removes a machine that the cloud has confirmed as gone. */
   public void confirmGone(Machine machine, Moment now) {
     machine.enter(Machine.State.GONE);
     removeAllPlacements(machine, now);
     machines.remove(machine.id());
     unaccountedRoom = null;
     gone.add(machine.id());
-    LOG.info("machine {} returned", machine.id());
+    LOG.info("machine {} was returned", machine.id());
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/ImageCache.java
+++ b/src/main/java/org/oakwalk/core/fleet/ImageCache.java
@@ -3,7 +3,7 @@
 import java.util.LinkedHashMap;
 import java.util.Map;
 
-/** The images that a machine should hold: those used last, as far as its cache goes. */
+/** Predicts which images are in a machine's cache: the most recently used ones that fit. */
 final class ImageCache {
   private final double cacheGb;
   private final Map<String, Double> imageSizesGb = new LinkedHashMap<>(16, 0.75f, true);
@@ -16,7 +16,7 @@
     return imageSizesGb.containsKey(image);
   }
 
-  /** Whether getting an image of this size would push another one out. */
+  /** Whether fetching an image of this size would evict {@code other}. */
   boolean wouldEvict(String other, double gb) {
     double sum = gb;
     for (double size : imageSizesGb.values()) {
--- a/src/main/java/org/oakwalk/core/fleet/Machine.java
+++ b/src/main/java/org/oakwalk/core/fleet/Machine.java
@@ -20,23 +20,23 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.Room;
 
-/** A machine as one leader knows it. */
+/** A machine and its placements as known to one leader. */
 public final class Machine {
-  /** Life of a machine under one leader. */
+  /** Lifecycle state of a machine under one leader. */
   public enum State {
-    /** Rented; its worker has not reported. */
+    /** Rented; its worker has not reported yet. */
     BOOTING,
-    /** It reports, and is being written to the registry. */
+    /** Its worker reports, and the machine is being written to the registry. */
     REGISTERING,
-    /** From the registry of earlier leaders; it has not yet confirmed this leader's token. */
+    /** Read from the registry of earlier leaders; has not confirmed this leader's token yet. */
     UNCONFIRMED,
-    /** Takes tasks. */
+    /** Registered and confirmed: may get tasks. */
     UP,
-    /** Its lease has surely run out: nothing that was ordered before is on it. */
+    /** Its lease has certainly expired: no attempt that was ordered before is on it. */
     LEASE_EXPIRED,
-    /** It is being returned. */
+    /** Being returned to the cloud. */
     RETURNING,
-    /** It is gone. */
+    /** The cloud has confirmed that the machine no longer exists. */
     GONE
   }
 
@@ -52,7 +52,7 @@
     LEGAL.put(State.GONE, EnumSet.noneOf(State.class));
   }
 
-  /** One attempt at one task, as orders name it. */
+  /** Identifies an attempt at a task in orders and reports. */
   public record TaskAttempt(TaskId task, Attempt attempt) {}
 
   private final MachineId id;
@@ -142,8 +142,8 @@
   }
 
   /**
-   * Whether tasks that older leaders ordered may be here unseen. Being returned does not settle
-   * that, only the cloud's confirmation does.
+   * Whether attempts that older leaders ordered may be on the machine without being known here. A
+   * return to the cloud changes this only once the cloud has confirmed it.
    */
   public boolean unverified() {
     return unverified;
@@ -154,19 +154,20 @@
   }
 
   /**
-   * This stands for machines whose list can't be read. The cloud would confirm at once that there
-   * is none of this name, which tells nothing of them: only time does, until their leases are over.
+   * Marks this entry as a stand-in for the machines of a registry list that can't be read. The
+   * cloud would confirm at once that there is no machine of this name, which proves nothing about
+   * the actual ones: only the expiry of their leases does.
    */
   public void markUnreadableList() {
     representsUnreadableList = true;
   }
 
-  /** Whether the cloud's answer to a return would settle what may be here. */
+  /** Whether the cloud's confirmation of a return would prove that no attempts are left on it. */
   public boolean returnable() {
     return !representsUnreadableList || !unverified;
   }
 
-  /** Since when this leader has known the machine; for a booting one, when it was rented. */
+  /** When the machine became known to this leader; for a booting one, when it was rented. */
   public Moment knownSince() {
     return knownSince;
   }
@@ -175,47 +176,49 @@
     return sessions.current();
   }
 
-  /** When it last reported by itself, directly or by way of another controller. */
+  /** When its last unsolicited report arrived, directly or forwarded by another controller. */
   public Moment lastReportAt() {
     return lastReportAt;
   }
 
-  /** When it last answered a command. */
+  /** When it last replied to a command. */
   public Moment lastCommandReplyAt() {
     return delivery.lastCommandReplyAt();
   }
 
+  /** Moment from which its lease is counted: the last at which it may have been renewed here. */
   public Moment leaseRenewedAt() {
     return leaseRenewedAt;
   }
 
+  /** When its last placement was removed; if it never had any, when it became known. */
   public Moment idleSince() {
     return idleSince;
   }
 
-  /** Errors of this job's tasks here since one last succeeded. */
+  /** Errors of this job's tasks on this machine since a task last succeeded on it. */
   public int errorsOf(Job job) {
     return health.errorsOf(job);
   }
 
   /**
-   * Whether the machine rather than a job is to blame for the errors here: tasks of several jobs
-   * failed one after the other, or tasks of a job that completes elsewhere. Jobs that fail
-   * everywhere don't count.
+   * Whether errors are attributed to the machine rather than to a job: tasks of several jobs failed
+   * without a success in between, or several tasks of a job that completes tasks elsewhere. Jobs
+   * that fail on all machines are not counted.
    */
   public boolean faulty() {
     return health.faulty();
   }
 
-  /** What it is there for while it is up. */
+  /** Which tasks the machine accepts while it is up. */
   public SchedulingMode schedulingMode() {
     return schedulingMode;
   }
 
   /**
-   * The one place where the duty changes.
+   * Changes the scheduling mode if the transition is legal; all changes go through this method.
    *
-   * @return whether it has changed; a weightier reason against the machine stays
+   * @return whether it has changed; a reason of higher precedence remains in force
    */
   public boolean schedulingMode(SchedulingMode next) {
     if (next == schedulingMode || !schedulingMode.canTransitionTo(next)) {
@@ -225,42 +228,46 @@
     return true;
   }
 
-  /** Whether it is kept in use only for a while, so that what has no end should go elsewhere. */
+  /** Whether a drain plan will remove the machine, so that services should run elsewhere. */
   public boolean removalPlanned() {
     return removalPlanned;
   }
 
-  public void removalPlanned(boolean on) {
-    removalPlanned = on;
+  public void removalPlanned(boolean planned) {
+    removalPlanned = planned;
   }
 
-  /** When the cloud takes it away, if it gave notice; else null. */
+  /** When the cloud reclaims the machine, or null if it has given no notice. */
   public Moment reclaimedAt() {
     return reclaimedAt;
   }
 
+  /** Room of its placements. */
   public Room used() {
     return used;
   }
 
-  /** What is free; asked for by every search of a round, so it is kept until something changes. */
+  /**
+   * Room that is neither used nor reserved nor taken by orphans. The result is cached until one of
+   * these changes, since every search of a placement round reads it.
+   */
   public Room free() {
-    Room stray = unmatched.orphanRoom();
-    if (cachedUsed != used || cachedOrphanRoom != stray || cachedReserved != reserved) {
+    Room orphanRoom = unmatched.orphanRoom();
+    if (cachedUsed != used || cachedOrphanRoom != orphanRoom || cachedReserved != reserved) {
       cachedUsed = used;
-      cachedOrphanRoom = stray;
+      cachedOrphanRoom = orphanRoom;
       cachedReserved = reserved;
-      cachedFree = type.room().minus(used).minus(stray).minus(reserved);
+      cachedFree = type.room().minus(used).minus(orphanRoom).minus(reserved);
     }
     return cachedFree;
   }
 
-  /** Keeps room for a task that is on its way here from another machine. */
+  /** Reserves room for a task that is to be placed here, such as one moved from another machine. */
   public void reserve(Room room) {
     reserved = reserved.plus(room);
   }
 
-  /** The task has come, or will not come. */
+  /** Releases reserved room once the task is placed here, or will not be. */
   public void releaseReservation(Room room) {
     reserved = reserved.minus(room);
   }
@@ -269,6 +276,7 @@
     return placements.values();
   }
 
+  /** The placement of a task on this machine, or null. */
   public Placement placement(TaskId task) {
     return placements.get(task);
   }
@@ -277,17 +285,17 @@
     return other == null || one.isAfter(other) ? one : other;
   }
 
-  /** When the last of its tasks that have an end should be over. */
+  /** When the last of its tasks, services apart, is expected to end. */
   public Moment expectedEmptyAt() {
     return expectedEmptyAt;
   }
 
-  /** Tasks of this job that are on it. */
+  /** Number of placements of this job's tasks. */
   public long taskCountOf(JobId job) {
     return placements.keySet().stream().filter(task -> task.job().equals(job)).count();
   }
 
-  /** Whether a task without an end is on it. */
+  /** Whether it holds a replica of a service, which has no expected end. */
   public boolean holdsReplica() {
     return replicas > 0;
   }
@@ -296,7 +304,10 @@
     return placements.isEmpty();
   }
 
-  /** Whether tasks may be put on it now; if it fills up, only those that don't hold it up. */
+  /**
+   * Whether tasks may be placed on it now; in a backfill-only mode, only those that do not extend
+   * its use.
+   */
   public boolean acceptsTasks(Moment now, Span suspectAfter) {
     return state == State.UP
         && (schedulingMode == SchedulingMode.ACTIVE || schedulingMode.backfillOnly())
@@ -306,45 +317,48 @@
         && !blockedUntil.isAfter(now);
   }
 
-  /** Whether, as far as is known, it has the image. */
+  /** Whether the image is expected in its cache. */
   public boolean hasImage(String image) {
     return images.contains(image);
   }
 
-  /** Whether getting an image of this size would push another one out that it has. */
+  /** Whether fetching an image of this size would evict {@code other} from its cache. */
   public boolean wouldEvictImage(String other, double gb) {
     return images.wouldEvict(other, gb);
   }
 
-  /** How the cloud's list showed it when it became known from there. */
+  /** Sets its status in the cloud's list from which it became known. */
   public void cloudStatus(Rental.Status status) {
     cloudStatus = status;
   }
 
-  /** Whether the cloud said that it is up already, so that its time to come up tells nothing. */
+  /**
+   * Whether the cloud listed it as running when it became known, so that the time to its first
+   * report is no measure of a boot.
+   */
   public boolean listedAsRunning() {
     return cloudStatus == Rental.Status.RUNNING;
   }
 
-  /** It reports for the first time since it was rented. */
+  /** Records the boot time at the first report since the machine was rented. */
   void booted(Moment now) {
     bootTime = Optional.of(now.since(knownSince));
   }
 
-  /** How long it took to come up; told once. */
+  /** The measured boot time; empty if there is none or it was taken before. */
   public Optional<Span> takeBootTime() {
     Optional<Span> took = bootTime;
     bootTime = Optional.empty();
     return took;
   }
 
-  /** Whether its last report came by way of another controller. */
+  /** Whether its last report was forwarded by another controller. */
   public boolean reportForwarded() {
     return reportForwarded;
   }
 
-  public void reportForwarded(boolean on) {
-    reportForwarded = on;
+  public void reportForwarded(boolean forwarded) {
+    reportForwarded = forwarded;
   }
 
   void address(String current) {
@@ -372,19 +386,19 @@
     health.recordFailure(job);
   }
 
-  /** A task here runs far longer than others of its job. */
+  /** Records that a task runs far longer on it than others of its job; counted once a placement. */
   public void recordLateTask(Placement placement) {
     if (placement.markLate()) {
       health.recordLateTask();
     }
   }
 
-  /** A task ran no longer than others of its job. */
+  /** Records that a task took no longer than others of its job. */
   public void recordTimelyTask() {
     health.recordTimelyTask();
   }
 
-  /** Whether tasks take far longer here than elsewhere. */
+  /** Whether tasks take far longer on it than on other machines. */
   public boolean slow() {
     return health.slow();
   }
@@ -393,22 +407,26 @@
     health.recordSuccess();
   }
 
-  /** Which of its sessions is the present one, and what has been heard of it. */
+  /** The worker's current session and the progress of its reports. */
   SessionTracker sessions() {
     return sessions;
   }
 
-  /** Takes over a report's session and number; true if a new session has begun. */
-  boolean advance(SessionId reported, long number, boolean own) {
+  /**
+   * Records the session and sequence number of a report.
+   *
+   * @return whether a new session has begun
+   */
+  boolean advance(SessionId reported, long number, boolean unsolicited) {
     boolean first = session().isEmpty();
-    boolean fresh = sessions.advance(reported, number, own);
-    if (first || fresh) {
+    boolean newSession = sessions.advance(reported, number, unsolicited);
+    if (first || newSession) {
       pendingStarts.clear();
     }
-    return fresh;
+    return newSession;
   }
 
-  /** The present session is over: reports that still come from it count for nothing. */
+  /** Ends the current session; reports of it that still arrive are ignored. */
   void endSession() {
     sessions.end();
     pendingStarts.clear();
@@ -440,35 +458,36 @@
     return new ArrayList<>(placements.values());
   }
 
-  /** What its last report showed that no placement stands for. */
+  /** Attempts in its last report that have no placement. */
   UnmatchedAttempts unmatched() {
     return unmatched;
   }
 
   /**
-   * Whether an ended attempt at this task is still on the machine, so that a run is refused. One
-   * that is kept only since its start may come once more gives way to the next attempt.
+   * Whether the worker would reject a new attempt at this task because it still lists an ended one.
+   * An ended attempt that is kept only because a duplicate of its start command may still arrive is
+   * replaced by the next attempt.
    */
   public boolean refusesNewAttempt(TaskId task) {
     return unmatched.hasEnded(task)
         && !(pendingStarts.mayRepeat(task) && !pendingStarts.containsAny(task));
   }
 
-  /** Whether as many starts as may be have come by command under its present token. */
+  /** Whether the limit on starts by command under its current token is reached. */
   public boolean commandStartLimitReached() {
     return pendingStarts.full();
   }
 
-  /** Whether a command is out and unanswered. */
+  /** Whether a command was sent and has neither been answered nor failed. */
   boolean commandInFlight() {
     return commandInFlight;
   }
 
-  void commandInFlight(boolean on) {
-    commandInFlight = on;
+  void commandInFlight(boolean inFlight) {
+    commandInFlight = inFlight;
   }
 
-  /** Whether it takes what it is told; one that reports need not. */
+  /** Whether responses and commands reach it, as far as is known; its reports do not prove that. */
   public boolean receivesResponses() {
     return delivery.working();
   }
@@ -477,27 +496,30 @@
     return delivery;
   }
 
-  /** The token under which it is spoken to. */
+  /** The fencing token that it is addressed with. */
   Fence fence() {
     return fence;
   }
 
-  /** Ended attempts that it has to list, since commands that start their tasks may come again. */
+  /**
+   * Number of ended attempts that it has to keep listing because duplicates of the commands that
+   * start their tasks may still arrive.
+   */
   long repeatableEndedCount() {
     return unmatched.uncleared().keySet().stream()
         .filter(ended -> pendingStarts.mayRepeat(ended.task()))
         .count();
   }
 
-  /** Runs that may still be executed later. */
+  /** Starts that may still be executed. */
   PendingStarts pendingStarts() {
     return pendingStarts;
   }
 
   /**
-   * Whether its session has to end: a start was sent by command, may still be held up on the way,
-   * and its job has been withdrawn for so long. A session that others' reports keep alive would let
-   * it in whenever it arrives.
+   * Whether its session has to end, because a start was sent by command, may still be delayed in
+   * the network, and its job was withdrawn more than {@code limit} ago. Renewing the lease would
+   * keep the session alive, and the start would be executed whenever it arrives.
    */
   boolean mustNotRenewLease(Moment now, Span limit) {
     for (Placement placement : placements.values()) {
@@ -512,18 +534,19 @@
     return false;
   }
 
-  /** Whether a run of this attempt may still be executed later. */
+  /** Whether a start of this attempt may still be executed. */
   boolean mayStillStart(TaskAttempt attempt) {
     return pendingStarts.contains(attempt);
   }
 
-  /** The one place where the state changes. */
+  /** Changes the state; all changes go through this method. */
   void enter(State next) {
     if (next == state) {
       return;
     }
     if (!LEGAL.get(state).contains(next)) {
-      throw new IllegalStateException("machine " + id + " from " + state + " to " + next);
+      throw new IllegalStateException(
+          "illegal transition of machine " + id + " from " + state + " to " + next);
     }
     state = next;
   }
--- a/src/main/java/org/oakwalk/core/fleet/MachineHealth.java
+++ b/src/main/java/org/oakwalk/core/fleet/MachineHealth.java
@@ -4,14 +4,18 @@
 import java.util.Map;
 import org.oakwalk.core.job.Job;
 
-/** How tasks fare on a machine, as far as that tells of the machine rather than of its jobs. */
+/** Task outcomes on a machine that indicate a fault of the machine rather than of its jobs. */
 final class MachineHealth {
-  /** Late tasks, less those in time, after which the machine itself must be slow. */
+  /** Late tasks, less timely ones, from which on the machine itself is considered slow. */
   private static final int SLOW_THRESHOLD = 3;
 
-  /** Errors of one job, or jobs with errors, after which the machine itself is suspected. */
+  /**
+   * Errors of a single job, whose tasks complete elsewhere, from which on the machine is considered
+   * faulty.
+   */
   private static final int ERRORS_PER_JOB_THRESHOLD = 3;
 
+  /** Jobs with errors from which on the machine is considered faulty. */
   private static final int FAILED_JOBS_THRESHOLD = 3;
 
   private final Map<Job, Integer> errorsByJob = new HashMap<>();
@@ -24,12 +28,13 @@
 
   boolean faulty() {
     int jobs = 0;
-    boolean elsewhere = false;
+    boolean succeedsElsewhere = false;
     for (Map.Entry<Job, Integer> entry : errorsByJob.entrySet()) {
       jobs += entry.getKey().suspect() ? 0 : 1;
-      elsewhere |= entry.getValue() >= ERRORS_PER_JOB_THRESHOLD && entry.getKey().doneCount() > 0;
+      succeedsElsewhere |=
+          entry.getValue() >= ERRORS_PER_JOB_THRESHOLD && entry.getKey().doneCount() > 0;
     }
-    return jobs >= FAILED_JOBS_THRESHOLD || elsewhere;
+    return jobs >= FAILED_JOBS_THRESHOLD || succeedsElsewhere;
   }
 
   void recordFailure(Job job) {
--- a/src/main/java/org/oakwalk/core/fleet/MachineRegistry.java
+++ b/src/main/java/org/oakwalk/core/fleet/MachineRegistry.java
@@ -22,45 +22,48 @@
 import org.oakwalk.core.store.StoredValue;
 
 /**
- * Keeps the stored list of machines that may have been sent commands: a machine is written before
- * its first run and removed once it is surely gone, so that the next leader knows whom to ask.
+ * Maintains the stored list of machines that may have been sent commands. A machine is written
+ * before its first task and removed once it is certain to be gone, so that the next leader knows
+ * which machines have to confirm its token.
  *
- * <p>Machines that enter together are written under one key, since each key counts as a change and
- * users' submissions need the changes. A key that was written once gets no more machines. When some
- * of them are gone it is written again without them, on condition that it is as last written; if
- * that is not known, because an answer was lost, what it holds moves to a new key in the same
- * transaction that removes it. So no write that is applied late can take a machine out that is
- * still there: docs/safety.md has the argument.
+ * <p>Machines that come up together are written under one key, since each key counts as a change
+ * against the service's limit, which submissions of users need too. No machines are added to a key
+ * after its first write. When some of its machines are gone, the key is rewritten without them,
+ * guarded by its last known revision. If that revision is unknown because an answer was lost, the
+ * remaining machines are written under a new key in the same transaction that removes the old one.
+ * So no write that is applied late can remove a machine that still exists; docs/safety.md proves
+ * this.
  */
 public final class MachineRegistry {
   private static final Span RETRY_DELAY = Span.millis(500);
 
-  /** Machines that come up within this time are written together. */
+  /** Machines that come up within this interval are written together. */
   private static final Span COMMIT_INTERVAL = Span.millis(200);
 
-  /** Most machines under one key, so that a damaged one leaves few in doubt. */
+  /** Limits the machines that are unknown to the next leader if one value is damaged. */
   private static final int MAX_MACHINES_PER_KEY = 50;
 
-  /** What a machine's record takes beside its texts. */
+  /** Encoded size of a machine's record without its strings. */
   private static final int RECORD_OVERHEAD_BYTES = 24;
 
+  /** Size of a key and of a value without records. */
   private static final int KEY_OVERHEAD_BYTES = 120;
 
-  /** Part of the service's limits that is used, since sizes are estimates. */
+  /** Fraction of the service's size limits that is used, since sizes are estimates. */
   private static final double USABLE_LIMIT_FRACTION = 0.8;
 
   private static final double MAX_COMMIT_BYTES = 60 * 1024 * USABLE_LIMIT_FRACTION;
 
-  /** What is stored under one key; without a version it is not known how it stands. */
+  /** The machines under one key; without a revision, the stored value is unknown. */
   private static final class MachineBatch {
     private final String key;
     private Optional<Revision> revision;
     private final Map<MachineId, StoredValue.MachineRecord> members = new LinkedHashMap<>();
     private int storedCount;
 
-    MachineBatch(String key, Optional<Revision> stamp, List<StoredValue.MachineRecord> records) {
+    MachineBatch(String key, Optional<Revision> revision, List<StoredValue.MachineRecord> records) {
       this.key = key;
-      this.revision = stamp;
+      this.revision = revision;
       records.forEach(record -> members.put(record.id(), record));
       storedCount = members.size();
     }
@@ -97,91 +100,92 @@
   }
 
   /**
-   * These machines were found under this key, as it was written at this revision. Some may stand
-   * under an earlier one as well, if the answer to a write got lost and its leader fell before it
-   * removed what it had written twice; they leave this one.
+   * Adds the machines that an earlier leader stored under a key at a revision. Some may be stored
+   * under an earlier key as well, if the answer to a write was lost and the leader failed before it
+   * removed the duplicate; these are removed from this key.
    */
-  public void restore(String key, Revision stamp, List<StoredValue.MachineRecord> records) {
-    MachineBatch group = new MachineBatch(key, Optional.of(stamp), records);
-    batches.values().forEach(other -> group.members.keySet().removeAll(other.members.keySet()));
-    batches.put(key, group);
+  public void restore(String key, Revision revision, List<StoredValue.MachineRecord> records) {
+    MachineBatch batch = new MachineBatch(key, Optional.of(revision), records);
+    batches.values().forEach(other -> batch.members.keySet().removeAll(other.members.keySet()));
+    batches.put(key, batch);
   }
 
-  /** The machine is surely gone. */
+  /** Removes a machine that is certain to be gone. */
   public void machineGone(MachineId id) {
-    batches.values().forEach(group -> group.members.remove(id));
+    batches.values().forEach(batch -> batch.members.remove(id));
   }
 
-  /** What one transaction does to the list. */
+  /** A transaction on the list, and what it changes. */
   private static final class RegistryTransaction {
     final List<Guard> guards = new ArrayList<>();
     final List<Change> changes = new ArrayList<>();
 
-    /** Written by it, with how many machines. */
+    /** Batches that it writes, with their numbers of machines. */
     final Map<MachineBatch, Integer> batchSizes = new HashMap<>();
 
-    /** Those of them that are new. */
+    /** Batches that it writes under a new key. */
     final List<MachineBatch> newBatches = new ArrayList<>();
 
     final List<MachineBatch> removedBatches = new ArrayList<>();
 
-    /** How the others stood before. */
+    /** Revisions of the rewritten and removed batches before the transaction. */
     final Map<MachineBatch, Optional<Revision>> previousRevisions = new HashMap<>();
 
     final List<Machine> registering = new ArrayList<>();
     double bytes;
 
-    /** More are waiting that found no room in it. */
+    /** Whether registering machines are left over for the next transaction. */
     boolean incomplete;
 
-    void put(MachineBatch group, double size) {
-      changes.add(group.toPut());
-      batchSizes.put(group, group.members.size());
+    void put(MachineBatch batch, double size) {
+      changes.add(batch.toPut());
+      batchSizes.put(batch, batch.members.size());
       bytes += size;
     }
   }
 
+  /** Starts the next transaction if there are changes to write and none is in flight. */
   public void tick(Moment now) {
     if (writing || nextAttemptAt.isAfter(now)) {
       return;
     }
-    RegistryTransaction plan = new RegistryTransaction();
-    plan.guards.add(guard);
-    addRegistering(plan);
-    boolean entering = !plan.changes.isEmpty();
-    if (!entering) {
-      addRewrites(plan);
+    RegistryTransaction transaction = new RegistryTransaction();
+    transaction.guards.add(guard);
+    addRegistering(transaction);
+    boolean registers = !transaction.changes.isEmpty();
+    if (!registers) {
+      addRewrites(transaction);
     }
-    if (plan.changes.isEmpty()) {
+    if (transaction.changes.isEmpty()) {
       return;
     }
     writing = true;
     outbox.call(
         new Request.Commit(
-            plan.guards,
-            plan.changes,
-            entering ? Request.Urgency.ENROLMENT : Request.Urgency.RESULT),
+            transaction.guards,
+            transaction.changes,
+            registers ? Request.Urgency.ENROLMENT : Request.Urgency.RESULT),
         answer -> {
           writing = false;
           if (answer instanceof Answer.Committed committed) {
-            nextAttemptAt = plan.incomplete ? now : now.plus(COMMIT_INTERVAL);
-            applied(plan, committed.epoch());
+            nextAttemptAt = transaction.incomplete ? now : now.plus(COMMIT_INTERVAL);
+            applied(transaction, committed.epoch());
           } else {
-            // Not known to be stored, so the machines take no tasks yet.
+            // The machines may not be stored, so they must not get tasks yet.
             nextAttemptAt = now.plus(RETRY_DELAY);
-            failed(plan, answer instanceof Answer.Refused);
+            failed(transaction, answer instanceof Answer.Refused);
           }
         });
   }
 
-  private void applied(RegistryTransaction plan, Revision at) {
-    plan.batchSizes.forEach(
-        (group, count) -> {
-          group.revision = Optional.of(at);
-          group.storedCount = count;
+  private void applied(RegistryTransaction transaction, Revision newRevision) {
+    transaction.batchSizes.forEach(
+        (batch, count) -> {
+          batch.revision = Optional.of(newRevision);
+          batch.storedCount = count;
         });
-    plan.removedBatches.forEach(group -> batches.remove(group.key));
-    for (Machine machine : plan.registering) {
+    transaction.removedBatches.forEach(batch -> batches.remove(batch.key));
+    for (Machine machine : transaction.registering) {
       if (machine.state() == Machine.State.REGISTERING) {
         fleet.markUp(machine);
       }
@@ -189,24 +193,25 @@
   }
 
   /**
-   * A transaction was refused, or nobody knows what became of it. In the latter case a new key is
-   * removed by the next one, which writes its machines under yet another: whoever is moved comes
-   * before its key in the order of {@link #batches}, so it can't be removed first.
+   * Handles a transaction that was refused or whose outcome is unknown. If it is unknown, new keys
+   * are removed later and their machines are written under other ones. A batch that was being moved
+   * precedes its new key in the order of {@link #batches}, so the new key is never removed first.
    */
-  private void failed(RegistryTransaction plan, boolean refused) {
+  private void failed(RegistryTransaction transaction, boolean refused) {
     if (refused) {
-      plan.previousRevisions.forEach((group, stamp) -> group.revision = stamp);
-      plan.newBatches.forEach(group -> batches.remove(group.key));
+      transaction.previousRevisions.forEach((batch, revision) -> batch.revision = revision);
+      transaction.newBatches.forEach(batch -> batches.remove(batch.key));
     } else {
-      plan.newBatches.forEach(group -> group.members.clear());
+      transaction.newBatches.forEach(batch -> batch.members.clear());
     }
   }
 
   /**
-   * Writes machines that have come up under a new key. One at a time: where all nodes together ask
-   * for too much, the service has a single change to spare far sooner than several at once.
+   * Adds a write of newly registering machines under a new key. A transaction writes one such key
+   * only: when the nodes together exceed the service's rate, a single change is admitted far sooner
+   * than several at once.
    */
-  private void addRegistering(RegistryTransaction plan) {
+  private void addRegistering(RegistryTransaction transaction) {
     List<StoredValue.MachineRecord> records = new ArrayList<>();
     double size = KEY_OVERHEAD_BYTES;
     for (Machine machine : fleet.machines()) {
@@ -222,58 +227,59 @@
               machine.spot());
       size += estimatedBytes(record);
       if (!records.isEmpty() && (records.size() >= MAX_MACHINES_PER_KEY || size > maxValueBytes)) {
-        plan.incomplete = true;
+        transaction.incomplete = true;
         break;
       }
       records.add(record);
-      plan.registering.add(machine);
+      transaction.registering.add(machine);
     }
     if (!records.isEmpty()) {
-      plan.put(newBatch(records, plan), size);
+      transaction.put(newBatch(records, transaction), size);
     }
   }
 
-  private MachineBatch newBatch(List<StoredValue.MachineRecord> records, RegistryTransaction plan) {
-    MachineBatch group =
+  private MachineBatch newBatch(
+      List<StoredValue.MachineRecord> records, RegistryTransaction transaction) {
+    MachineBatch batch =
         new MachineBatch(
             Keys.machines(new Token(guard.stamp().value()), ++lastKeyNumber),
             Optional.empty(),
             records);
-    batches.put(group.key, group);
-    plan.newBatches.add(group);
-    return group;
+    batches.put(batch.key, batch);
+    transaction.newBatches.add(batch);
+    return batch;
   }
 
-  /** Takes out what is gone. */
-  private void addRewrites(RegistryTransaction plan) {
-    for (MachineBatch group : List.copyOf(batches.values())) {
-      if (!group.needsRewrite()) {
+  /** Adds rewrites and removals of keys whose machines are partly or all gone. */
+  private void addRewrites(RegistryTransaction transaction) {
+    for (MachineBatch batch : List.copyOf(batches.values())) {
+      if (!batch.needsRewrite()) {
         continue;
       }
-      if (plan.changes.size() + 2 > Math.max(2, changesPerCommit)
-          || plan.bytes + maxValueBytes > MAX_COMMIT_BYTES) {
+      if (transaction.changes.size() + 2 > Math.max(2, changesPerCommit)
+          || transaction.bytes + maxValueBytes > MAX_COMMIT_BYTES) {
         return;
       }
-      plan.previousRevisions.put(group, group.revision);
+      transaction.previousRevisions.put(batch, batch.revision);
       double size =
           KEY_OVERHEAD_BYTES
-              + group.members.values().stream().mapToDouble(MachineRegistry::estimatedBytes).sum();
-      if (group.members.isEmpty()) {
-        plan.removedBatches.add(group);
-        plan.changes.add(new Change.Remove(group.key));
-      } else if (group.revision.isPresent()) {
-        plan.guards.add(new Guard(group.key, group.revision.get()));
-        plan.put(group, size);
-        group.revision = Optional.empty();
+              + batch.members.values().stream().mapToDouble(MachineRegistry::estimatedBytes).sum();
+      if (batch.members.isEmpty()) {
+        transaction.removedBatches.add(batch);
+        transaction.changes.add(new Change.Remove(batch.key));
+      } else if (batch.revision.isPresent()) {
+        transaction.guards.add(new Guard(batch.key, batch.revision.get()));
+        transaction.put(batch, size);
+        batch.revision = Optional.empty();
       } else {
-        plan.put(newBatch(List.copyOf(group.members.values()), plan), size);
-        plan.removedBatches.add(group);
-        plan.changes.add(new Change.Remove(group.key));
+        transaction.put(newBatch(List.copyOf(batch.members.values()), transaction), size);
+        transaction.removedBatches.add(batch);
+        transaction.changes.add(new Change.Remove(batch.key));
       }
     }
   }
 
-  /** Bytes of a record as the service counts them, or somewhat more. */
+  /** Upper estimate of the size of a record as counted by the service. */
   private static double estimatedBytes(StoredValue.MachineRecord record) {
     return RECORD_OVERHEAD_BYTES
         + utf8Bytes(record.id().value())
--- a/src/main/java/org/oakwalk/core/fleet/MachineType.java
+++ b/src/main/java/org/oakwalk/core/fleet/MachineType.java
@@ -4,7 +4,12 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.job.Room;
 
-/** A kind of machine that the cloud rents, with its current prices per hour. */
+/**
+ * A machine type offered by the cloud, with its current prices per hour.
+ *
+ * @param spotPrice price of a machine that the cloud may reclaim
+ * @param bootTime expected time from renting a machine until its worker reports
+ */
 public record MachineType(
     String name,
     Room room,
@@ -19,14 +24,14 @@
     return spot ? spotPrice : price;
   }
 
-  /** Whether the other differs in nothing but its prices. */
+  /** Whether the other type is equal apart from its prices. */
   public boolean equalsExceptPrices(MachineType other) {
     return new MachineType(
             name, room, cacheGb, fetchGbPerSecond, other.price, other.spotPrice, bootTime, zones)
         .equals(other);
   }
 
-  /** How long an image of this size takes to arrive on an idle machine. */
+  /** Time that an otherwise idle machine takes to fetch an image of this size. */
   public Span fetchTime(double imageGb) {
     return fetchGbPerSecond <= 0 ? Span.seconds(0) : Span.seconds(imageGb / fetchGbPerSecond);
   }
--- a/src/main/java/org/oakwalk/core/fleet/PendingStarts.java
+++ b/src/main/java/org/oakwalk/core/fleet/PendingStarts.java
@@ -7,25 +7,29 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.Token;
 
-/** Runs that were sent to a machine and may still be executed, by what carried them. */
+/**
+ * Starts that were sent to a machine and may still be executed, or executed again, separately for
+ * responses to reports and for commands.
+ */
 final class PendingStarts {
   /**
-   * How many tasks that were started by command may be kept in the machine's reports at a time.
-   * Further ones start with the answers to reports, until the machine shows a higher token.
+   * Limits the tasks started by command whose ended attempts the machine may have to keep in its
+   * reports. Further tasks start with responses to reports until the machine confirms a higher
+   * token.
    */
   static final int MAX_COMMAND_STARTED_TASKS = 100;
 
-  /** Commands that carry one run and were not answered, and the token of the last one. */
+  /** Number of unanswered commands that contain one start, and the token of the last of them. */
   private record UnansweredCommands(int count, Token token) {}
 
   private final Set<Machine.TaskAttempt> inResponse = new HashSet<>();
   private final Map<Machine.TaskAttempt, UnansweredCommands> unansweredCommands = new HashMap<>();
 
   /**
-   * Tasks that were started by command in this session, with the token of the last one. Such a
-   * command may come once more at any time, long after it was answered, unless the session is over
-   * or the worker has seen a higher token. It has no effect as long as the worker knows an attempt
-   * at the task, so the last one must not be cleared.
+   * Tasks that were started by command in this session, with the token of the last such command. A
+   * duplicate of the command may arrive at any time, long after the reply, unless the session is
+   * over or the worker has received a higher token. The duplicate has no effect as long as the
+   * worker lists an attempt at the task, so the last attempt must not be cleared.
    */
   private final Map<TaskId, Token> commandStarted = new HashMap<>();
 
@@ -39,12 +43,12 @@
     inResponse.add(attempt);
   }
 
-  /** A new report came by itself, so the last response was executed or dropped. */
+  /** An unsolicited report has arrived, so the last response was either executed or dropped. */
   void responseResolved() {
     inResponse.clear();
   }
 
-  /** The worker refuses from now on what was sent by command under older tokens than this one. */
+  /** The worker reports this token, so it rejects commands that were sent under lower tokens. */
   void fenced(Token token) {
     commandStarted.values().removeIf(older -> older.compareTo(token) < 0);
     unansweredCommands.values().removeIf(older -> older.token().compareTo(token) < 0);
@@ -58,7 +62,10 @@
         (before, one) -> new UnansweredCommands(before.count() + 1, token));
   }
 
-  /** A command was answered. One that never is stays open until the session or its token ends. */
+  /**
+   * A command was answered. One that never is remains pending until the session ends or a higher
+   * token is confirmed.
+   */
   void commandAnswered(Machine.TaskAttempt attempt) {
     unansweredCommands.computeIfPresent(
         attempt,
@@ -66,17 +73,17 @@
             open.count() > 1 ? new UnansweredCommands(open.count() - 1, open.token()) : null);
   }
 
-  /** Whether a command with this run was sent and has not been answered. */
+  /** Whether a command with this start was sent and has not been answered. */
   boolean commandUnanswered(Machine.TaskAttempt attempt) {
     return unansweredCommands.containsKey(attempt);
   }
 
-  /** How many tasks there are of which a command that starts them may come once more. */
+  /** Number of tasks for which a duplicate of a start command may still arrive. */
   int repeatableCount() {
     return commandStarted.size();
   }
 
-  /** Whether no more starts may come by command for now. */
+  /** Whether the limit on tasks started by command is reached. */
   boolean full() {
     return commandStarted.size() >= MAX_COMMAND_STARTED_TASKS;
   }
@@ -86,12 +93,12 @@
     return !full() || commandStarted.containsKey(task);
   }
 
-  /** Whether a command that starts this task may come once more. */
+  /** Whether a duplicate of a command that starts this task may still arrive. */
   boolean mayRepeat(TaskId task) {
     return commandStarted.containsKey(task);
   }
 
-  /** Whether a run of any attempt at this task may still be executed for the first time. */
+  /** Whether a start of any attempt at this task may still be executed for the first time. */
   boolean containsAny(TaskId task) {
     return inResponse.stream().anyMatch(attempt -> attempt.task().equals(task))
         || unansweredCommands.keySet().stream().anyMatch(attempt -> attempt.task().equals(task));
--- a/src/main/java/org/oakwalk/core/fleet/Placement.java
+++ b/src/main/java/org/oakwalk/core/fleet/Placement.java
@@ -10,19 +10,22 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.job.Job;
 
-/** One attempt at a task, bound to a machine until it is surely not there any more. */
+/**
+ * An attempt at a task on a machine. It lasts until the attempt is certain not to be, or start, on
+ * the machine any more.
+ */
 public final class Placement {
-  /** What is known of the attempt. */
+  /** Last known state of the attempt. */
   public enum State {
-    /** Ordered; no report has shown it. */
+    /** Ordered, but not in any report yet. */
     ORDERED,
-    /** The machine gets its image. */
+    /** The machine is fetching its image. */
     FETCHING,
-    /** It runs. */
+    /** Running. */
     RUNNING,
-    /** It saves its progress. */
+    /** Saving its progress before it stops. */
     SAVING,
-    /** It is over, one way or the other. */
+    /** Ended, or certain never to start. */
     ENDED
   }
 
@@ -69,7 +72,7 @@
     return task;
   }
 
-  /** What decides who has to give way to whom. */
+  /** The properties that decide which tasks may preempt it. */
   public PreemptionIndex.PreemptionKey preemptionKey() {
     return preemptionKey;
   }
@@ -90,17 +93,17 @@
     return orderedAt;
   }
 
-  /** Since when it has been seen running, or null. */
+  /** When a report first showed it running, or null. */
   public Moment runningSince() {
     return runningSince;
   }
 
-  /** When it should end; null if it has no end. */
+  /** When it is expected to end; null for a replica of a service. */
   public Moment expectedEnd() {
     return expectedEnd;
   }
 
-  /** Whether the machine has reported all the while, so that times mean something. */
+  /** Whether the machine has reported without a gap, so that observed times are meaningful. */
   public boolean continuouslyObserved() {
     return continuouslyObserved;
   }
@@ -109,30 +112,35 @@
     continuouslyObserved = false;
   }
 
-  /** It runs far longer than it should; true if that is new. */
+  /**
+   * Records that it runs far longer than expected.
+   *
+   * @return whether that was not recorded before
+   */
   boolean markLate() {
-    boolean fresh = !late;
+    boolean firstTime = !late;
     late = true;
-    return fresh;
+    return firstTime;
   }
 
-  /** Whether it is to be stopped. */
+  /** Whether a stop was requested. */
   public boolean halting() {
     return haltGrace != null;
   }
 
+  /** Time to save progress before it is stopped; null if no stop was requested. */
   public Span haltGrace() {
     return haltGrace;
   }
 
-  /** Wants it stopped; a shorter grace replaces a longer one. */
+  /** Requests a stop; a shorter grace period replaces a longer one. */
   void halt(Span grace) {
     if (haltGrace == null || grace.compareTo(haltGrace) < 0) {
       haltGrace = grace;
     }
   }
 
-  /** Whether a direct command is due for it; asking marks it as sent. */
+  /** Whether a start or halt is due to be sent by command; marks it as sent. */
   boolean takeDueCommand() {
     if (halting()) {
       boolean due = !haltGrace.equals(haltCommanded);
@@ -144,13 +152,21 @@
     return due;
   }
 
-  /** The one place where the state changes. */
+  /** Changes the state; all changes go through this method. */
   void enter(State next, Moment now) {
     if (next == state) {
       return;
     }
     if (!LEGAL.get(state).contains(next)) {
-      throw new IllegalStateException(task + " try " + attempt + " from " + state + " to " + next);
+      throw new IllegalStateException(
+          "illegal transition of task "
+              + task
+              + " attempt "
+              + attempt
+              + " from "
+              + state
+              + " to "
+              + next);
     }
     if (state == State.RUNNING) {
       job.running(task.index(), false, now);
--- a/src/main/java/org/oakwalk/core/fleet/PreemptionIndex.java
+++ b/src/main/java/org/oakwalk/core/fleet/PreemptionIndex.java
@@ -11,15 +11,20 @@
 import org.oakwalk.core.job.Priority;
 
 /**
- * How many placements of each sort are on which machines and not being stopped, kept with every
- * change. It tells at once when a stop would make no room for a job, and which few machines are
- * worth a look, where a search would look at every task of the fleet for each job that waits.
+ * Number of placements by preemption key and machine that are not being stopped, updated with each
+ * change. It shows at once when preemption can't help a job, and which few machines have
+ * candidates, where a search would visit every task of the fleet for each waiting job.
  */
 public final class PreemptionIndex {
-  /** What decides who has to give way to whom. */
+  /**
+   * Properties of a task that decide which jobs may preempt it.
+   *
+   * @param service whether it is a replica of a service
+   * @param checkpoints whether it saves its progress periodically
+   */
   public record PreemptionKey(
       String team, String jobClass, Priority priority, boolean service, boolean checkpoints) {
-    /** The sort of a job's tasks. */
+    /** The key of a job's tasks. */
     public static PreemptionKey of(JobSpec spec) {
       return new PreemptionKey(
           spec.team(),
@@ -29,7 +34,8 @@
           spec.checkpointEvery().millis() > 0);
     }
 
-    // Asked for each task of the fleet when stops are planned; a record's own are ten times slower.
+    // Evaluated for each task of the fleet when preemption is planned; the methods generated for a
+    // record are ten times slower.
     @Override
     public int hashCode() {
       int flags = (service ? 1 : 0) + (checkpoints ? 2 : 0) + 4 * priority.ordinal();
@@ -39,12 +45,12 @@
     @Override
     public boolean equals(Object other) {
       return this == other
-          || other instanceof PreemptionKey sort
-              && priority == sort.priority
-              && service == sort.service
-              && checkpoints == sort.checkpoints
-              && jobClass.equals(sort.jobClass)
-              && team.equals(sort.team);
+          || other instanceof PreemptionKey key
+              && priority == key.priority
+              && service == key.service
+              && checkpoints == key.checkpoints
+              && jobClass.equals(key.jobClass)
+              && team.equals(key.team);
     }
   }
 
@@ -53,7 +59,7 @@
 
   void added(Placement placement) {
     counts
-        .computeIfAbsent(placement.preemptionKey(), sort -> new IdentityHashMap<>())
+        .computeIfAbsent(placement.preemptionKey(), key -> new IdentityHashMap<>())
         .merge(placement.machine(), 1, Integer::sum);
   }
 
@@ -75,7 +81,7 @@
   private void decrement(Placement placement) {
     counts.computeIfPresent(
         placement.preemptionKey(),
-        (sort, on) -> decrement(on, placement.machine()).isEmpty() ? null : on);
+        (key, machines) -> decrement(machines, placement.machine()).isEmpty() ? null : machines);
   }
 
   private static Map<Machine, Integer> decrement(Map<Machine, Integer> counts, Machine machine) {
@@ -83,31 +89,31 @@
     return counts;
   }
 
-  /** Whether some task is being stopped, so that its room comes free by itself. */
+  /** Whether some task is being stopped already, so that its room will be freed. */
   public boolean anyHalting() {
     return !halting.isEmpty();
   }
 
-  /** The sorts of which there is a task that is not being stopped, if they are wanted. */
+  /** The keys accepted by the predicate of which there is a task that is not being stopped. */
   public Set<PreemptionKey> keys(Predicate<PreemptionKey> wanted) {
     Set<PreemptionKey> found = new HashSet<>();
-    for (PreemptionKey sort : counts.keySet()) {
-      if (wanted.test(sort)) {
-        found.add(sort);
+    for (PreemptionKey key : counts.keySet()) {
+      if (wanted.test(key)) {
+        found.add(key);
       }
     }
     return found;
   }
 
-  /** Machines with a task of one of these sorts, or with one that is being stopped. */
-  public Set<Machine> machinesWith(Set<PreemptionKey> sorts) {
+  /** Machines with a task of one of these keys, or with one that is being stopped. */
+  public Set<Machine> machinesWith(Set<PreemptionKey> keys) {
     Set<Machine> machines = Collections.newSetFromMap(new IdentityHashMap<>());
     machines.addAll(halting.keySet());
-    sorts.forEach(sort -> machines.addAll(counts.getOrDefault(sort, Map.of()).keySet()));
+    keys.forEach(key -> machines.addAll(counts.getOrDefault(key, Map.of()).keySet()));
     return machines;
   }
 
-  /** Whether there is a task of such a sort. */
+  /** Whether the predicate accepts the key of a task that is not being stopped. */
   public boolean anyMatch(Predicate<PreemptionKey> wanted) {
     return counts.keySet().stream().anyMatch(wanted);
   }
--- a/src/main/java/org/oakwalk/core/fleet/Reconciler.java
+++ b/src/main/java/org/oakwalk/core/fleet/Reconciler.java
@@ -13,14 +13,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Compares what machines report with what the fleet takes to be there. */
+/** Reconciles the fleet's placements with the reports of machines. */
 final class Reconciler {
   private static final Logger LOG = LoggerFactory.getLogger(Reconciler.class);
 
-  /** How long the way of a report may take at most to tell that a session ended too early. */
+  /**
+   * Assumed limit on the delay of a report from which to conclude that a session ended before its
+   * lease would have expired.
+   */
   private static final Span MAX_REPORT_DELAY = Span.seconds(1);
 
-  /** A worker waits longer for an answer; reports that come closer together were held back. */
+  /**
+   * A worker waits longer for a response; reports that arrive at shorter intervals were delayed.
+   */
   private static final Span MIN_RESPONSE_WAIT = Span.seconds(3);
 
   private final Fleet fleet;
@@ -36,15 +41,16 @@
   }
 
   /**
-   * Takes over a report.
+   * Processes a report.
    *
-   * @param own whether the worker sent it by itself, rather than as the answer to a command
-   * @return the machine, unless the report could not be used, or is so old that its worker takes no
-   *     answer
+   * @param unsolicited whether the worker sent it on its unsolicited, rather than in reply to a
+   *     command
+   * @return the machine, or empty if the report can't be used or its worker no longer waits for a
+   *     response
    */
-  Optional<Machine> handleReport(Report report, boolean own, Moment now) {
+  Optional<Machine> handleReport(Report report, boolean unsolicited, Moment now) {
     if (fleet.isGone(report.machine())) {
-      // Held back by a cut and late: the cloud has confirmed that this machine is no more.
+      // Delayed by a network fault: the cloud has confirmed that this machine no longer exists.
       return Optional.empty();
     }
     Machine machine = fleet.find(report.machine()).orElse(null);
@@ -64,60 +70,63 @@
       if (machine == null) {
         return Optional.empty();
       }
-      LOG.info("machine {} reports unexpectedly", machine.id());
+      LOG.info("unknown machine {} reports", machine.id());
     }
-    if (own && machine.sessions().responseAbandoned(report.session(), report.sequence())) {
+    if (unsolicited && machine.sessions().responseAbandoned(report.session(), report.sequence())) {
       return Optional.empty();
     }
     if (machine.state() == Machine.State.GONE) {
       return Optional.of(machine);
     }
     if (machine.sessions().stale(report.session(), report.sequence())) {
-      if (own) {
-        // The answer to a command has overtaken it. It tells nothing new, but that the machine
-        // reports, and its worker takes the answer.
+      if (unsolicited) {
+        // Overtaken by the reply to a command, so its contents are outdated. But it shows that the
+        // machine reports, and its worker accepts a response.
         machine.lastReportAt(now);
       }
       return Optional.of(machine);
     }
     boolean otherSession = machine.session().filter(report.session()::equals).isEmpty();
-    boolean freshSession = machine.advance(report.session(), report.sequence(), own);
-    if (own || !freshSession) {
-      checkDelivery(machine, report, freshSession, now);
+    boolean newSession = machine.advance(report.session(), report.sequence(), unsolicited);
+    if (unsolicited || !newSession) {
+      checkDelivery(machine, report, newSession, now);
     }
     if (otherSession) {
-      // A session begins with a lease of its own, whoever told of it. Counted from the last answer
-      // in the session before, it would seem to be over while tasks that came by command run.
+      // A session begins with a new lease, whatever kind of report shows it. Counted from the last
+      // response in the previous session, the lease would seem to expire while tasks that were
+      // started by command still run.
       machine.leaseRenewedAt(now);
     }
     machine.address(report.address());
     if (now.past(machine.lastReportAt(), timing.suspectAfter())) {
-      // Out of reach, or hanging: what ended meanwhile would seem to have run until now.
+      // Unreachable or hanging: tasks that ended meanwhile would seem to have run until now.
       machine.placements().forEach(Placement::markObservationGap);
     }
     machine.fence().observe(report.token());
     machine.pendingStarts().fenced(report.token());
-    if (own) {
-      // Only these are answered, and so renew a lease: a machine that merely does what it is told
-      // loses all its tasks when its lease is over.
+    if (unsolicited) {
+      // Only unsolicited reports get a response, which renews the lease. A machine that merely
+      // replies to commands loses all its tasks when its lease expires.
       machine.lastReportAt(now);
       machine.pendingStarts().responseResolved();
     }
-    if (freshSession) {
-      LOG.info("machine {} begins session {}", machine.id(), report.session());
+    if (newSession) {
+      LOG.info("machine {} started session {}", machine.id(), report.session());
       fleet.removeAllPlacements(machine, now);
     }
     if (report.notice().isPresent()) {
       handleReclaimNotice(machine, report.notice().get(), now);
     }
     reconcile(machine, report, now);
-    if (machine.unverified() && own && fleet.olderAttemptsOver(machine, report.token())) {
-      LOG.info("machine {} does not hear, but what older leaders ordered is over", machine.id());
+    if (machine.unverified() && unsolicited && fleet.olderAttemptsOver(machine, report.token())) {
+      LOG.info(
+          "machine {} does not receive responses, but attempts of older leaders have ended",
+          machine.id());
       machine.delivery().markFailing(ResponseDelivery.State.TOKEN_NOT_RECEIVED, now);
       fleet.markVerified(machine);
     }
     if (machine.unverified() && machine.fence().mayHaveIssued(report.token())) {
-      // Until this report an older leader may have renewed its lease.
+      // An older leader may have renewed its lease at any time before this report.
       machine.leaseRenewedAt(now);
       fleet.markVerified(machine);
     }
@@ -129,14 +138,16 @@
         machine.enter(Machine.State.REGISTERING);
       }
       case LEASE_EXPIRED -> {
-        if (own) {
-          // One that only answers commands is of no use: no session of it outlives its lease.
+        if (unsolicited) {
+          // A machine that only replies to commands is unusable: its sessions end with their
+          // leases.
           fleet.markUp(machine);
         }
       }
       case UNCONFIRMED -> {
         if (!machine.unverified()) {
-          // By command, most often: its first own report is on its way, unless it can't send any.
+          // Mostly confirmed by command: its first unsolicited report follows, unless it can't send
+          // any.
           machine.lastReportAt(now);
           fleet.markUp(machine);
         }
@@ -146,18 +157,18 @@
     return Optional.of(machine);
   }
 
-  /** Whether the machine takes what it is told, as far as this report shows. */
-  private void checkDelivery(Machine machine, Report report, boolean freshSession, Moment now) {
+  /** Updates whether responses reach the machine, as far as a report shows it. */
+  private void checkDelivery(Machine machine, Report report, boolean newSession, Moment now) {
     if (machine.fence().mayHaveIssued(report.token())) {
       machine.delivery().tokenConfirmed();
     }
     Span lease = timing.lease();
-    if (!freshSession) {
+    if (!newSession) {
       machine.delivery().sessionContinued(lease.surelyPassed(), now);
     } else if (now.past(machine.leaseRenewedAt(), MIN_RESPONSE_WAIT)
         && !now.past(machine.leaseRenewedAt(), lease.minus(MAX_REPORT_DELAY))) {
-      // Had it taken the last answer, the session before would live on.
-      LOG.info("machine {} does not hear", machine.id());
+      // Had it received the last response, the previous session would have continued.
+      LOG.info("machine {} does not receive responses", machine.id());
       machine.delivery().markFailing(ResponseDelivery.State.RESPONSES_NOT_RECEIVED, now);
     }
   }
@@ -165,42 +176,45 @@
   private static void handleReclaimNotice(Machine machine, Span left, Moment now) {
     Moment at = now.plus(left);
     if (machine.reclaimedAt() == null) {
-      LOG.info("machine {} is taken back in {}", machine.id(), left);
+      LOG.info("machine {} will be reclaimed in {}", machine.id(), left);
     }
     machine.reclaimedAt(at);
   }
 
   private void reconcile(Machine machine, Report report, Moment now) {
-    Room strayed = machine.unmatched().orphanRoom();
+    Room previousOrphanRoom = machine.unmatched().orphanRoom();
     machine.unmatched().clear();
     List<Placement> missing = machine.placementsCopy();
-    for (Report.Piece piece : report.pieces()) {
-      Placement placement = machine.placement(piece.task());
-      if (placement != null && placement.attempt().equals(piece.attempt())) {
+    for (Report.Piece reported : report.pieces()) {
+      Placement placement = machine.placement(reported.task());
+      if (placement != null && placement.attempt().equals(reported.attempt())) {
         missing.remove(placement);
-        observe(placement, piece, now);
+        observe(placement, reported, now);
       } else {
-        handleUnmatched(machine, piece, now);
+        handleUnmatched(machine, reported, now);
       }
     }
-    if (!strayed.equals(machine.unmatched().orphanRoom())) {
+    if (!previousOrphanRoom.equals(machine.unmatched().orphanRoom())) {
       fleet.unaccountedRoomChanged();
     }
-    // A later attempt at its task is listed.
+    // Removed while processing the report, because it lists a later attempt at the task.
     missing.removeIf(placement -> placement.state() == Placement.State.ENDED);
     for (Placement placement : missing) {
       boolean seen = placement.state() != Placement.State.ORDERED;
       boolean open =
           machine.mayStillStart(new Machine.TaskAttempt(placement.task(), placement.attempt()));
       if (seen || (placement.halting() && !open)) {
-        LOG.debug("task {} try {} is gone", placement.task(), placement.attempt());
+        LOG.debug(
+            "task {} attempt {} is no longer on its machine",
+            placement.task(),
+            placement.attempt());
         fleet.removePlacement(placement, now);
       }
     }
   }
 
-  private void observe(Placement placement, Report.Piece piece, Moment now) {
-    switch (piece.state()) {
+  private void observe(Placement placement, Report.Piece reported, Moment now) {
+    switch (reported.state()) {
       case FETCHING -> {
         if (placement.state() == Placement.State.ORDERED) {
           placement.enter(Placement.State.FETCHING, now);
@@ -218,8 +232,8 @@
             .unmatched()
             .uncleared(
                 new Machine.TaskAttempt(placement.task(), placement.attempt()),
-                piece.cause() == Report.Cause.DONE);
-        handleEnd(placement, piece.cause(), now);
+                reported.cause() == Report.Cause.DONE);
+        handleEnd(placement, reported.cause(), now);
       }
     }
   }
@@ -228,7 +242,7 @@
     Job job = placement.job();
     Machine machine = placement.machine();
     int index = placement.task().index();
-    LOG.debug("task {} try {} ended: {}", placement.task(), placement.attempt(), cause);
+    LOG.debug("task {} attempt {} ended: {}", placement.task(), placement.attempt(), cause);
     switch (cause) {
       case DONE -> {
         job.complete(index, now);
@@ -238,7 +252,7 @@
         listener.completed(placement, known ? now.since(since) : null);
       }
       case ERROR -> {
-        LOG.info("task {} failed on {}", placement.task(), machine.id());
+        LOG.info("task {} failed on machine {}", placement.task(), machine.id());
         job.failedOn(machine.id(), now);
         machine.recordFailure(job);
         job.pause(index, true, now);
@@ -253,67 +267,80 @@
     fleet.removePlacement(placement, now);
   }
 
-  /** A piece that no placement stands for: left by an earlier leader, or ended before. */
-  private void handleUnmatched(Machine machine, Report.Piece piece, Moment now) {
-    Machine.TaskAttempt attempt = new Machine.TaskAttempt(piece.task(), piece.attempt());
-    int index = piece.task().index();
-    // What has ended says nothing new of a job that is over, which may be listed for long.
+  /** Handles an attempt without a placement: ordered by an earlier leader, or ended before. */
+  private void handleUnmatched(Machine machine, Report.Piece reported, Moment now) {
+    Machine.TaskAttempt attempt = new Machine.TaskAttempt(reported.task(), reported.attempt());
+    int index = reported.task().index();
+    // An ended attempt is no reason to load a finished job; it may remain in reports for long.
     Optional<Job> found =
-        piece.ended() ? jobs.find(piece.task().job()) : jobs.findOrLoad(piece.task().job(), now);
+        reported.ended()
+            ? jobs.find(reported.task().job())
+            : jobs.findOrLoad(reported.task().job(), now);
     if (found.isEmpty() || index >= found.get().spec().tasks()) {
-      if (piece.ended()) {
-        machine.unmatched().uncleared(attempt, piece.cause() == Report.Cause.DONE);
+      if (reported.ended()) {
+        machine.unmatched().uncleared(attempt, reported.cause() == Report.Cause.DONE);
       } else {
-        // How much it takes, and of whose limit, nobody knows.
+        // Neither its room nor its team is known, so the whole machine is counted.
         machine.unmatched().addOrphan(attempt, machine.type().room());
       }
       return;
     }
     Job job = found.get();
-    if (piece.ended()) {
-      boolean done = piece.cause() == Report.Cause.DONE;
+    if (reported.ended()) {
+      boolean done = reported.cause() == Report.Cause.DONE;
       machine.unmatched().uncleared(attempt, done);
       if (done && !job.isDone(index)) {
-        completeFromOtherAttempt(job, piece.task(), now);
+        completeFromOtherAttempt(job, reported.task(), now);
       }
       return;
     }
-    removeSuperseded(job, piece, now);
+    removeSuperseded(job, reported, now);
     if (!job.isFree(index)) {
-      LOG.info("task {} try {} is on {} astray", piece.task(), piece.attempt(), machine.id());
+      LOG.info(
+          "orphaned attempt: task {} attempt {} on machine {}",
+          reported.task(),
+          reported.attempt(),
+          machine.id());
       machine.unmatched().addOrphan(attempt, job.spec().room());
       return;
     }
     Placement adopted =
-        fleet.addPlacement(job, piece.task(), piece.attempt(), machine, job.spec().guess(), now);
-    observe(adopted, piece, now);
+        fleet.addPlacement(
+            job, reported.task(), reported.attempt(), machine, job.spec().guess(), now);
+    observe(adopted, reported, now);
     if (!job.open()) {
       fleet.halt(adopted, Span.millis(0), Fleet.StopReason.WITHDRAWN);
     }
   }
 
   /**
-   * Lets go of an earlier attempt that only a report from before this term shows. An older leader
-   * ordered the later one after it was certain that the earlier one was over; the report was held
-   * up, and taken at its word it would have the later attempt stopped as one too many.
+   * Removes the placement of an earlier attempt that only a delayed report from before this term
+   * has shown. An older leader ordered the later attempt when it was certain that the earlier one
+   * had ended. Without the removal, the later attempt would be stopped as a duplicate.
    */
-  private void removeSuperseded(Job job, Report.Piece piece, Moment now) {
-    if (job.isDone(piece.task().index()) || piece.attempt().token().compareTo(fleet.token()) >= 0) {
+  private void removeSuperseded(Job job, Report.Piece reported, Moment now) {
+    if (job.isDone(reported.task().index())
+        || reported.attempt().token().compareTo(fleet.token()) >= 0) {
       return;
     }
     fleet
-        .placementOf(piece.task())
+        .placementOf(reported.task())
         .filter(earlier -> !confirmed(earlier.machine()))
-        .filter(earlier -> earlier.attempt().value() < piece.attempt().value())
+        .filter(earlier -> earlier.attempt().value() < reported.attempt().value())
         .ifPresent(
             earlier -> {
               LOG.info(
-                  "task {} try {} is over, a later one is seen", earlier.task(), earlier.attempt());
+                  "task {} attempt {} is superseded by a reported later attempt",
+                  earlier.task(),
+                  earlier.attempt());
               fleet.removePlacement(earlier, now);
             });
   }
 
-  /** Whether it has shown what is there now; one that is not registered has not either. */
+  /**
+   * Whether a machine has reported its current tasks in this term. A machine that is not registered
+   * yet counts as unconfirmed.
+   */
   private static boolean confirmed(Machine machine) {
     return machine.state() == Machine.State.UP && !machine.unverified();
   }
--- a/src/main/java/org/oakwalk/core/fleet/Rental.java
+++ b/src/main/java/org/oakwalk/core/fleet/Rental.java
@@ -3,7 +3,11 @@
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Span;
 
-/** A machine as the cloud's list shows it. */
+/**
+ * A rented machine as listed by the cloud.
+ *
+ * @param rentedFor time since it was rented
+ */
 public record Rental(
     MachineId id,
     String address,
--- a/src/main/java/org/oakwalk/core/fleet/ResponseDelivery.java
+++ b/src/main/java/org/oakwalk/core/fleet/ResponseDelivery.java
@@ -4,17 +4,20 @@
 import org.oakwalk.core.Span;
 
 /**
- * Whether a machine that reports also takes what it is told. One that does not gets no tasks: each
- * would wait there until the machine's session ends, and the next one again.
+ * Tracks whether responses and commands reach a machine whose reports arrive, which a one-way
+ * network fault may prevent. A machine that is not reached gets no tasks: each would wait there
+ * until the machine's session ends, and so would the next one.
  */
 final class ResponseDelivery {
-  /** What a machine is taken to do. */
+  /** Presumed state of the delivery to a machine. */
   enum State {
-    /** Nothing speaks against it. */
+    /** There is no sign of a fault. */
     DELIVERED,
-    /** It still reports an older leader's token, a lease after it was told this one's. */
+    /**
+     * It still reports an older leader's token, a lease after this leader's token was sent to it.
+     */
     TOKEN_NOT_RECEIVED,
-    /** Its session ended, or surely must have, though reports from it had been answered. */
+    /** Its session ended, or must have ended, although its reports were answered. */
     RESPONSES_NOT_RECEIVED
   }
 
@@ -27,18 +30,18 @@
     return state == State.DELIVERED;
   }
 
-  void markFailing(State why, Moment now) {
-    state = why;
+  void markFailing(State failure, Moment now) {
+    state = failure;
     failingSince = now;
   }
 
-  /** It has answered a command. */
+  /** Records that the machine has replied to a command. */
   void commandReplied(Moment now) {
     state = State.DELIVERED;
     lastCommandReplyAt = now;
   }
 
-  /** When it was last asked as it had ceased to report. */
+  /** When the machine was last probed because its reports had stopped. */
   Moment lastProbeAt() {
     return lastProbeAt;
   }
@@ -47,19 +50,19 @@
     lastProbeAt = now;
   }
 
-  /** When it last answered a command. */
+  /** When the machine last replied to a command. */
   Moment lastCommandReplyAt() {
     return lastCommandReplyAt;
   }
 
-  /** It reports the leader's token. */
+  /** Records that the machine reports this leader's token. */
   void tokenConfirmed() {
     if (state == State.TOKEN_NOT_RECEIVED) {
       state = State.DELIVERED;
     }
   }
 
-  /** It reports from the same session as before, which lives on only if it takes answers. */
+  /** Records a report of the same session as before, which continues only if responses arrive. */
   void sessionContinued(Span lease, Moment now) {
     if (state == State.RESPONSES_NOT_RECEIVED && now.past(failingSince, lease)) {
       state = State.DELIVERED;
--- a/src/main/java/org/oakwalk/core/fleet/SchedulingMode.java
+++ b/src/main/java/org/oakwalk/core/fleet/SchedulingMode.java
@@ -5,19 +5,28 @@
 import java.util.Map;
 import java.util.Set;
 
-/** What a machine that is up is there for. The later of two reasons against it weighs more. */
+/**
+ * Which tasks a running machine accepts, and whether it is to be returned. Where several reasons
+ * against placing tasks apply, the one declared last takes precedence.
+ */
 public enum SchedulingMode {
-  /** Takes all tasks. */
+  /** Accepts all tasks. */
   ACTIVE,
-  /** Sound but not needed: filled with what ends anyway before it is empty, then returned. */
+  /**
+   * Healthy but surplus: accepts only tasks that end before the machine would be empty anyway, and
+   * is then returned.
+   */
   RETIRING,
-  /** A plan will empty it as soon as the others can do without: filled like a retiring one. */
+  /**
+   * Selected for a drain that starts as soon as the other machines have the capacity; until then it
+   * accepts the same tasks as a retiring machine.
+   */
   DRAIN_PENDING,
-  /** A plan empties it: no new tasks, and those that are on it move or run out. */
+  /** Being drained: no new tasks; those on it are moved or run to their end. */
   CORDONED,
-  /** It fails its tasks, is slow, or of a type that is not known: no new tasks. */
+  /** Its tasks fail or run slowly, or its type is unknown: no new tasks. */
   UNFIT,
-  /** The cloud has given notice that it takes the machine: no new tasks. */
+  /** The cloud has announced that it reclaims the machine: no new tasks. */
   RECLAIMED;
 
   private static final Map<SchedulingMode, Set<SchedulingMode>> LEGAL =
@@ -32,17 +41,17 @@
     LEGAL.put(RECLAIMED, EnumSet.noneOf(SchedulingMode.class));
   }
 
-  /** Whether a machine may come from this duty to another one. */
+  /** Whether a machine may change from this mode to another one. */
   public boolean canTransitionTo(SchedulingMode next) {
     return LEGAL.get(this).contains(next);
   }
 
-  /** Whether it is to be returned once it is empty. */
+  /** Whether a machine in this mode is returned once it is empty. */
   public boolean returnedWhenEmpty() {
     return this != ACTIVE && this != DRAIN_PENDING;
   }
 
-  /** Whether only such tasks may be put on it as end before it is empty anyway. */
+  /** Whether only backfill is allowed: tasks that end before the machine would be empty anyway. */
   public boolean backfillOnly() {
     return this == RETIRING || this == DRAIN_PENDING;
   }
--- a/src/main/java/org/oakwalk/core/fleet/SessionTracker.java
+++ b/src/main/java/org/oakwalk/core/fleet/SessionTracker.java
@@ -4,7 +4,8 @@
 import org.oakwalk.core.SessionId;
 
 /**
- * A worker's sessions: the present one, how far its reports have come, and which are surely over.
+ * Tracks a worker's sessions: the current one, the sequence number of its last report, and the
+ * oldest one that may not have ended.
  */
 final class SessionTracker {
   private Optional<SessionId> current = Optional.empty();
@@ -16,7 +17,7 @@
     return current;
   }
 
-  /** Whether a report is older than what is known, or from a session that is surely over. */
+  /** Whether a report is older than the last one, or from a session that has certainly ended. */
   boolean stale(SessionId reported, long number) {
     if (reported.compareTo(oldestValid) < 0) {
       return true;
@@ -27,30 +28,36 @@
   }
 
   /**
-   * Whether the worker surely takes no answer to this report any more, since it is from a former
-   * session, or the worker has sent another one by itself since: it has one under way at a time. An
-   * answer to it renews no lease.
+   * Whether the worker has certainly given up waiting for a response to this report: it is from an
+   * earlier session, or the worker, which has one unsolicited report in flight at a time, has sent
+   * another one since. A response to it renews no lease.
    */
   boolean responseAbandoned(SessionId reported, long number) {
     return reported.compareTo(current.orElse(oldestValid)) < 0
         || current.filter(reported::equals).isPresent() && number <= lastUnsolicitedSequence;
   }
 
-  /** Takes over a report's session and number; true if a new session has begun. */
-  boolean advance(SessionId reported, long number, boolean own) {
-    boolean fresh = current.isPresent() && !current.get().equals(reported);
-    boolean same = current.filter(reported::equals).isPresent();
+  /**
+   * Records the session and sequence number of a report.
+   *
+   * @param unsolicited whether the worker sent it on its unsolicited, rather than in reply to a
+   *     command
+   * @return whether a new session has begun
+   */
+  boolean advance(SessionId reported, long number, boolean unsolicited) {
+    boolean newSession = current.isPresent() && !current.get().equals(reported);
+    boolean sameSession = current.filter(reported::equals).isPresent();
     current = Optional.of(reported);
     sequence = number;
-    if (own) {
+    if (unsolicited) {
       lastUnsolicitedSequence = number;
-    } else if (!same) {
+    } else if (!sameSession) {
       lastUnsolicitedSequence = 0;
     }
-    return fresh;
+    return newSession;
   }
 
-  /** The present session is over: reports that still come from it count for nothing. */
+  /** Ends the current session; reports of it that still arrive are ignored. */
   void end() {
     current.ifPresent(session -> oldestValid = session.next());
     current = Optional.empty();
--- a/src/main/java/org/oakwalk/core/fleet/UnmatchedAttempts.java
+++ b/src/main/java/org/oakwalk/core/fleet/UnmatchedAttempts.java
@@ -9,14 +9,14 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.job.Room;
 
-/** What a machine's last report showed that no placement stands for. */
+/** Attempts in a machine's last report that are not, or no longer, backed by a placement. */
 final class UnmatchedAttempts {
   private final Map<Machine.TaskAttempt, Boolean> uncleared = new LinkedHashMap<>();
   private final Set<TaskId> unclearedTasks = new HashSet<>();
   private final List<Machine.TaskAttempt> orphans = new ArrayList<>();
   private Room orphanRoom = Room.NONE;
 
-  /** Begins to take over the pieces of a new report. */
+  /** Discards all entries before a new report is processed. */
   void clear() {
     uncleared.clear();
     unclearedTasks.clear();
@@ -24,7 +24,11 @@
     orphanRoom = Room.NONE;
   }
 
-  /** An ended attempt is still reported; {@code done} tells whether it completed. */
+  /**
+   * Adds an ended attempt that the worker still lists.
+   *
+   * @param done whether the task completed
+   */
   void uncleared(Machine.TaskAttempt attempt, boolean done) {
     uncleared.put(attempt, done);
     unclearedTasks.add(attempt.task());
@@ -38,7 +42,7 @@
     return unclearedTasks.contains(task);
   }
 
-  /** A task that should not be here, and takes this room if that is known. */
+  /** Adds an attempt that should not run on the machine, with the room that it occupies. */
   void addOrphan(Machine.TaskAttempt attempt, Room room) {
     orphans.add(attempt);
     orphanRoom = orphanRoom.plus(room);
