--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -61,7 +61,7 @@
     GANG(false),
     /** A task of higher priority needs its room. */
     PREEMPTED(true),
-    /** Its room is lent to another team for a time and has to be given back. */
+    /** Its room is taken for a time for a service of another job, and has to be given back. */
     TAKEN(true),
     /** It restarts on another machine at once. */
     MOVED(true),
--- a/src/main/java/org/oakwalk/core/fleet/MachineRegistry.java
+++ b/src/main/java/org/oakwalk/core/fleet/MachineRegistry.java
@@ -152,8 +152,8 @@
     RegistryTransaction transaction = new RegistryTransaction();
     transaction.guards.add(guard);
     addRegistering(transaction);
-    boolean registers = !transaction.changes.isEmpty();
-    if (!registers) {
+    boolean registersMachines = !transaction.changes.isEmpty();
+    if (!registersMachines) {
       addRewrites(transaction);
     }
     if (transaction.changes.isEmpty()) {
@@ -164,7 +164,7 @@
         new Request.Commit(
             transaction.guards,
             transaction.changes,
-            registers ? Request.Urgency.ENROLMENT : Request.Urgency.RESULT),
+            registersMachines ? Request.Urgency.ENROLMENT : Request.Urgency.RESULT),
         answer -> {
           writing = false;
           if (answer instanceof Answer.Committed committed) {
--- a/src/main/java/org/oakwalk/core/recovery/Recovery.java
+++ b/src/main/java/org/oakwalk/core/recovery/Recovery.java
@@ -31,14 +31,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings a new leader up to date: stored results, then the machines' registry, then a confirmation
- * from each registered machine. Until the last has come, or the machine is surely empty, no task of
- * an older job that has not been seen is placed: it may run on a machine not heard yet.
+ * Restores a new leader's state: it reads the stored results, then the machine registry, and then
+ * waits for each registered machine to confirm the leader's token. Until the last one has
+ * confirmed, or is certain to hold no attempts, no task of an older job is placed unless its state
+ * is known: it may run on a machine that has not reported yet.
  */
 public final class Recovery {
   private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
 
-  /** Steps of the recovery. */
+  /** States of the recovery, in their order. */
   public enum State {
     READING_RESULTS,
     READING_MACHINES,
@@ -67,36 +68,43 @@
   private Moment clock;
   private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
 
+  /**
+   * Creates the recovery of a new leader.
+   *
+   * @param peersInGrace peers that led recently and may still renew leases under an older token
+   * @param graceLimit how long they may do so at most
+   * @param termStart when this node became leader
+   */
   public Recovery(
       Outbox outbox,
       Fleet fleet,
       JobBook jobs,
       ResultWriter results,
       MachineRegistry registry,
-      Set<NodeId> mayHoldGrace,
+      Set<NodeId> peersInGrace,
       Span graceLimit,
-      Moment rose) {
+      Moment termStart) {
     this.outbox = outbox;
     this.fleet = fleet;
     this.jobs = jobs;
     this.results = results;
     this.registry = registry;
-    this.termStart = rose;
-    this.clock = rose;
-    this.stateEnteredAt.put(State.READING_RESULTS, rose);
-    this.peersOnOlderTokens = new HashSet<>(mayHoldGrace);
+    this.termStart = termStart;
+    this.clock = termStart;
+    this.stateEnteredAt.put(State.READING_RESULTS, termStart);
+    this.peersOnOlderTokens = new HashSet<>(peersInGrace);
     // A follower that kept a zone's leases alive under an older token stops once its copy of the
     // store shows the change of leader.
-    this.relayEnd = rose.plus(StoreView.LAG.surelyPassed());
+    this.relayEnd = termStart.plus(StoreView.LAG.surelyPassed());
     this.lastUnseenRenewal =
-        mayHoldGrace.isEmpty() ? relayEnd : rose.plus(graceLimit.surelyPassed());
+        peersInGrace.isEmpty() ? relayEnd : termStart.plus(graceLimit.surelyPassed());
   }
 
   public State state() {
     return state;
   }
 
-  /** Whether reports can be made use of. */
+  /** Whether reports can be processed. */
   public boolean acceptsReports() {
     return state == State.CONFIRMING || state == State.COMPLETE;
   }
@@ -106,17 +114,17 @@
   }
 
   /**
-   * The last moment at which a worker's lease may have been renewed unseen: by an earlier leader,
-   * or by this one before it read reports.
+   * The last moment at which a worker's lease may have been renewed without being recorded for its
+   * machine: by an earlier leader, or by this one before it processed reports.
    */
   public Moment lastUnseenRenewal() {
     return lastUnseenRenewal;
   }
 
   /**
-   * A worker was answered under this leader's token, though its report could not be made use of
-   * yet. That renewed its lease later than the moment at which the list of machines was asked for,
-   * from which the lease of a machine that is not heard again would else be counted.
+   * Records that a response with this leader's token was sent although the report could not be
+   * processed yet. It renewed the worker's lease. Otherwise the lease of a machine that does not
+   * report again would be counted from when the registry was requested, which is earlier.
    */
   public void leaseRenewedBeforeReports(Moment now) {
     if (!acceptsReports() && now.isAfter(lastUnseenRenewal)) {
@@ -124,18 +132,23 @@
     }
   }
 
-  /** A peer says that it acts under no older token any more; only those that led lately matter. */
+  /** Records that a peer no longer acts under an older token; relevant only if it led recently. */
   public void peerRelinquished(NodeId peer, Moment now) {
     if (peersOnOlderTokens.remove(peer)
         && peersOnOlderTokens.isEmpty()
         && lastUnseenRenewal.isAfter(now)) {
       lastUnseenRenewal = now.isAfter(relayEnd) ? now : relayEnd;
-      LOG.info("no peer acts under an older token, token {}", fleet.token());
+      LOG.info("all peers have relinquished older tokens, token {}", fleet.token());
     }
   }
 
-  public void tick(Map<String, MachineType> known, Moment now) {
-    types = known;
+  /**
+   * Takes the next step, if one is due.
+   *
+   * @param currentTypes the machine types by name; the registry is read once there are any
+   */
+  public void tick(Map<String, MachineType> currentTypes, Moment now) {
+    types = currentTypes;
     clock = now;
     step(now);
   }
@@ -160,7 +173,7 @@
     }
   }
 
-  private void read(String prefix, Consumer<Entry> take, State next, Moment now) {
+  private void read(String prefix, Consumer<Entry> handler, State next, Moment now) {
     reading = true;
     outbox.call(
         new Request.ReadPage(prefix, pageCursor, Request.Urgency.LEADERSHIP),
@@ -171,7 +184,7 @@
             return;
           }
           pages++;
-          page.entries().forEach(take);
+          page.entries().forEach(handler);
           if (page.more() && !page.entries().isEmpty()) {
             pageCursor = Optional.of(page.entries().get(page.entries().size() - 1).key());
           } else {
@@ -179,13 +192,13 @@
             enter(next);
           }
           if (state != State.CONFIRMING) {
-            // The next page at once: until the last one nothing can be placed.
+            // Read the next page at once: no task can be placed before the last one.
             step(clock);
           }
         });
   }
 
-  /** How long it took and what with; to be asked once it is complete. */
+  /** Summary of the durations of all states, for the log; valid once the recovery is complete. */
   public String summary() {
     return "recovery took "
         + stateEnteredAt.get(State.COMPLETE).since(termStart)
@@ -204,15 +217,19 @@
         + " machines";
   }
 
-  private Span durationOf(State of) {
-    return stateEnteredAt.get(State.values()[of.ordinal() + 1]).since(stateEnteredAt.get(of));
+  private Span durationOf(State completed) {
+    return stateEnteredAt
+        .get(State.values()[completed.ordinal() + 1])
+        .since(stateEnteredAt.get(completed));
   }
 
-  /** One that makes no sense is set aside: its tasks start again, and the others are restored. */
+  /**
+   * Restores a part of a job's results. One with an invalid key is skipped: its tasks run again.
+   */
   private void restoreResults(Entry entry) {
     Optional<Keys.Part> part = Keys.part(entry.key());
     if (part.isEmpty()) {
-      LOG.error("{} is no name of a part of results", entry.key());
+      LOG.error("skipped results with invalid key {}", entry.key());
       return;
     }
     JobId id = part.get().job();
@@ -220,18 +237,21 @@
     jobs.find(id).ifPresent(job -> markStoredTasks(job, part.get().chunk(), entry));
   }
 
-  /** A part that can't be read holds nothing up: its tasks run again, unless workers tell. */
+  /**
+   * Marks the tasks of a part as stored. A part that can't be read is skipped: its tasks run again
+   * unless workers still report them as done.
+   */
   private static void markStoredTasks(Job job, int chunk, Entry entry) {
     try {
       if (!(entry.value() instanceof StoredValue.DoneChunk done)) {
-        throw new IllegalArgumentException("not a part of results");
+        throw new IllegalArgumentException("value is not a part of results");
       }
       long from = (long) chunk * DoneBits.CHUNK;
       DoneBits.decode(done.bits()).stream()
           .filter(bit -> from + bit < job.spec().tasks())
           .forEach(bit -> job.restore((int) from + bit));
     } catch (IllegalArgumentException e) {
-      LOG.error("{} can't be read: {}", entry.key(), e.getMessage());
+      LOG.error("skipped unreadable results {}: {}", entry.key(), e.getMessage());
     }
   }
 
@@ -242,15 +262,17 @@
     } else if (entry.value() instanceof StoredValue.MachinesRecord list) {
       records = list.machines();
     } else {
-      // What can't be read may hold tasks all the same, until it has confirmed or is returned.
-      LOG.error("{} can't be read", entry.key());
+      // Its machines may hold tasks nevertheless. A stand-in blocks placement of older jobs until
+      // it
+      // has confirmed or is returned.
+      LOG.error("cannot read machines stored under {}", entry.key());
       MachineId id = new MachineId(entry.key().substring(Keys.MACHINES.length()));
       records = List.of(new StoredValue.MachineRecord(id, "", "", "", false));
     }
     registered += records.size();
     registry.restore(entry.key(), entry.stamp(), records);
     for (StoredValue.MachineRecord record : records) {
-      // One whose write was in doubt for an earlier leader may be listed twice.
+      // A machine is listed twice if an earlier leader did not know the outcome of its write.
       if (fleet.find(record.id()).isEmpty()) {
         fleet
             .add(
@@ -267,10 +289,11 @@
     }
   }
 
-  /** The one place where the state changes. */
+  /** Changes the state; all changes go through this method. */
   private void enter(State next) {
     if (next.ordinal() != state.ordinal() + 1) {
-      throw new IllegalStateException("recovery from " + state + " to " + next);
+      throw new IllegalStateException(
+          "illegal transition of recovery from " + state + " to " + next);
     }
     state = next;
     stateEnteredAt.put(next, clock);
--- a/src/test/java/org/oakwalk/core/fleet/FenceTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/FenceTest.java
@@ -39,7 +39,10 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** When ended attempts may be forgotten that were started by command, and when starts are void. */
+/**
+ * Guards against a duplicated or delayed start command that runs a task again: ended attempts must
+ * not be cleared, and starts not be taken for void, before the worker has confirmed a higher token.
+ */
 class FenceTest {
   private static final Token GRANTED = new Token(7);
   private static final MachineId MACHINE = new MachineId("m-1");
@@ -104,7 +107,7 @@
     fleet.markUp(machine);
   }
 
-  private Machine report(Token shown, List<Report.Piece> pieces) {
+  private Machine report(Token reportedToken, List<Report.Piece> pieces) {
     Report report =
         new Report(
             MACHINE,
@@ -114,13 +117,13 @@
             false,
             SessionId.FIRST,
             ++sequence,
-            shown,
+            reportedToken,
             Optional.empty(),
             pieces);
     return fleet.handleReport(report, true, now).orElseThrow();
   }
 
-  /** Tasks that were started by command and halted since, as a report lists them. */
+  /** Tasks that were started by command and halted, as listed in a report. */
   private List<Report.Piece> endedPieces(int first, int count) {
     List<Report.Piece> pieces = new ArrayList<>();
     for (int index = first; index < first + count; index++) {
@@ -148,7 +151,7 @@
     assertThat(clearOrderCount()).isZero();
     assertThat(fleet.tokenOf(MACHINE)).isEqualTo(new Token(9));
     report(GRANTED, ended);
-    assertThat(clearOrderCount()).as("the answer was lost").isZero();
+    assertThat(clearOrderCount()).as("the response was lost").isZero();
     report(new Token(9), ended);
     assertThat(clearOrderCount()).isEqualTo(16);
   }
@@ -159,7 +162,7 @@
     report(GRANTED, ended);
     clearOrderCount();
     List<Report.Piece> more = endedPieces(20, 3);
-    // Started by command before, and again under the raised token, so it may repeat under that.
+    // Started by command again under the raised token, so a duplicate under that may still arrive.
     Report.Piece again = ended.get(4);
     Machine.TaskAttempt renewed = new Machine.TaskAttempt(again.task(), again.attempt());
     machine.pendingStarts().sentByCommand(renewed, fleet.tokenOf(MACHINE));
@@ -180,7 +183,7 @@
     machine.commandInFlight(true);
     report(GRANTED, ended);
     clearOrderCount();
-    assertThat(fleet.tokenOf(MACHINE)).as("while the command is under way").isEqualTo(GRANTED);
+    assertThat(fleet.tokenOf(MACHINE)).as("while the command is in flight").isEqualTo(GRANTED);
     machine.commandInFlight(false);
     report(GRANTED, ended);
     clearOrderCount();
@@ -220,7 +223,7 @@
     assertThat(fence.canRaiseTo(new Token(12))).isTrue();
   }
 
-  /** A start that still waits for a socket is held back when its job is withdrawn. */
+  /** A start that still waits for a socket must not be sent after its job was withdrawn. */
   @Test
   void startsOfAWithdrawnJobAreRecalledWhileTheirCommandIsUnanswered() {
     CommandDispatcher dispatcher =
--- a/src/test/java/org/oakwalk/core/fleet/MachineRegistryTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/MachineRegistryTest.java
@@ -28,7 +28,10 @@
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.StoredValue;
 
-/** The list of machines against a store whose answers get lost and which applies writes late. */
+/**
+ * Guards against losing registered machines when answers of the store are lost or it applies writes
+ * late.
+ */
 class MachineRegistryTest {
   private static final Guard GUARD = new Guard("leader", new Revision(1));
   private static final int MAX_CHANGES_PER_COMMIT = 4;
@@ -107,7 +110,10 @@
     return ids;
   }
 
-  /** A leader fell before it removed what a lost answer had made it write twice. */
+  /**
+   * An answer was lost, so a leader wrote machines under a second key, and failed before it removed
+   * the first one.
+   */
   @Test
   void duplicateMachinesAreRemovedFromTheLaterKey() {
     List<StoredValue.MachineRecord> twice = List.of(record(1), record(2));
@@ -157,7 +163,10 @@
     assertThat(store).isEmpty();
   }
 
-  /** Whatever is lost or late, a machine that takes tasks is in the store until it is gone. */
+  /**
+   * Runs random registrations and returns with refused, lost and late writes: a machine that
+   * accepts tasks must be in the store until it is gone.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
   void machinesThatAcceptTasksStayStored(long seed) {
--- a/src/test/java/org/oakwalk/core/fleet/PlacementTestSupport.java
+++ b/src/test/java/org/oakwalk/core/fleet/PlacementTestSupport.java
@@ -2,11 +2,11 @@
 
 import org.oakwalk.core.Moment;
 
-/** Lets placements run in tests of other packages, without reports of workers. */
+/** Gives tests of other packages access to the state of placements, without worker reports. */
 public final class PlacementTestSupport {
   private PlacementTestSupport() {}
 
-  /** The placement runs from this moment on. */
+  /** Marks a placement as running from this moment on. */
   public static void markRunning(Placement placement, Moment since) {
     placement.enter(Placement.State.RUNNING, since);
   }
--- a/src/test/java/org/oakwalk/core/fleet/SchedulingModeTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/SchedulingModeTest.java
@@ -12,16 +12,16 @@
 import org.oakwalk.core.Token;
 import org.oakwalk.core.job.Room;
 
-/** Which duties a machine may come to from which: the whole table. */
+/** Covers all transitions between scheduling modes; the table lists the legal ones. */
 class SchedulingModeTest {
   @ParameterizedTest
   @CsvSource({
-    "IN_USE,    RETIRING NEXT CORDONED UNFIT RECLAIMED",
-    "RETIRING,  IN_USE NEXT UNFIT RECLAIMED",
-    "NEXT,      IN_USE CORDONED UNFIT RECLAIMED",
-    "CORDONED,  IN_USE UNFIT RECLAIMED",
-    "UNFIT,     RECLAIMED",
-    "RECLAIMED, ''"
+    "ACTIVE,        RETIRING DRAIN_PENDING CORDONED UNFIT RECLAIMED",
+    "RETIRING,      ACTIVE DRAIN_PENDING UNFIT RECLAIMED",
+    "DRAIN_PENDING, ACTIVE CORDONED UNFIT RECLAIMED",
+    "CORDONED,      ACTIVE UNFIT RECLAIMED",
+    "UNFIT,         RECLAIMED",
+    "RECLAIMED,     ''"
   })
   void onlyLegalTransitionsChangeTheMode(SchedulingMode from, String legal) {
     List<String> allowed = List.of(Optional.ofNullable(legal).orElse("").split(" "));
@@ -33,7 +33,7 @@
     }
   }
 
-  private static Machine machine(SchedulingMode duty) {
+  private static Machine machine(SchedulingMode mode) {
     MachineType type =
         new MachineType("m", new Room(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
     Machine machine =
@@ -46,10 +46,10 @@
             Machine.State.UP,
             new Token(1),
             new Moment(1_000_000));
-    if (duty == SchedulingMode.CORDONED) {
+    if (mode == SchedulingMode.CORDONED) {
       machine.schedulingMode(SchedulingMode.DRAIN_PENDING);
     }
-    machine.schedulingMode(duty);
+    machine.schedulingMode(mode);
     return machine;
   }
 }
--- a/src/test/java/org/oakwalk/core/fleet/StateTransitionsTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/StateTransitionsTest.java
@@ -23,19 +23,21 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Room;
 
-/** The whole tables of what machines and placements may become; everything else is refused. */
+/**
+ * Covers all state transitions of machines, placements and jobs; the tables list the legal ones.
+ */
 class StateTransitionsTest {
   private static final Moment NOW = new Moment(1_000_000);
 
   @ParameterizedTest
   @CsvSource({
-    "BOOTING,     ENROLLING RETURNING",
-    "ENROLLING,   UP RETURNING",
-    "UNCONFIRMED, UP LAPSED RETURNING",
-    "UP,          LAPSED RETURNING",
-    "LAPSED,      UP RETURNING",
-    "RETURNING,   GONE",
-    "GONE,        ''"
+    "BOOTING,       REGISTERING RETURNING",
+    "REGISTERING,   UP RETURNING",
+    "UNCONFIRMED,   UP LEASE_EXPIRED RETURNING",
+    "UP,            LEASE_EXPIRED RETURNING",
+    "LEASE_EXPIRED, UP RETURNING",
+    "RETURNING,     GONE",
+    "GONE,          ''"
   })
   void machineTransitions(Machine.State from, String legal) {
     for (Machine.State to : Machine.State.values()) {
@@ -54,11 +56,11 @@
 
   @ParameterizedTest
   @CsvSource({
-    "ORDERED,  FETCHING RUNNING SAVING OVER",
-    "FETCHING, RUNNING SAVING OVER",
-    "RUNNING,  SAVING FETCHING OVER",
-    "SAVING,   OVER",
-    "OVER,     ''"
+    "ORDERED,  FETCHING RUNNING SAVING ENDED",
+    "FETCHING, RUNNING SAVING ENDED",
+    "RUNNING,  SAVING FETCHING ENDED",
+    "SAVING,   ENDED",
+    "ENDED,    ''"
   })
   void placementTransitions(Placement.State from, String legal) {
     for (Placement.State to : Placement.State.values()) {
--- a/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
@@ -35,7 +35,7 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** A new leader among records that can't be made sense of, and reads that fail. */
+/** Covers the recovery of a new leader with malformed records and failing reads. */
 class RecoveryTest {
   private static final Moment TERM_START = new Moment(1_000_000);
   private static final Token TOKEN = new Token(7);
@@ -112,7 +112,7 @@
 
   @Test
   void malformedResultsAreIgnored() {
-    List<Answer> strange =
+    List<Answer> malformed =
         List.of(
             page(Keys.DONE + "j-1/0", new StoredValue.DoneChunk("no bits")),
             page(Keys.DONE + "j-1/first", new StoredValue.DoneChunk("ff")),
@@ -122,7 +122,7 @@
             page(Keys.DONE + "x/0", new StoredValue.DoneChunk("ff")),
             page(Keys.DONE + "j-1", new StoredValue.DoneChunk("ff")),
             page(Keys.DONE + "j-1/0", new StoredValue.Unreadable("damaged")));
-    for (Answer answer : strange) {
+    for (Answer answer : malformed) {
       Recovery fresh =
           new Recovery(
               outbox,
@@ -142,8 +142,9 @@
   }
 
   /**
-   * While the list of machines is being read, which may take over a second, a worker is answered
-   * and then out of reach: its lease counts from that answer, not from when the list was asked for.
+   * Guards against a lease that seems to expire too early: a worker gets a response while the
+   * registry is being read, which may take over a second, and is unreachable afterwards. Its lease
+   * counts from the response, not from when the registry was requested.
    */
   @Test
   void responseBeforeReportsAreAcceptedRenewsTheLease() {
--- a/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
@@ -39,7 +39,7 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** What a new leader makes of stored results and records that can't be read. */
+/** Covers how a new leader handles stored results and unreadable records. */
 class StoredResultsTest {
   private static final MachineType TYPE =
       new MachineType("m", new Room(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a"));
@@ -114,7 +114,7 @@
     store.serve(outbox, commit -> LateStore.Fate.SERVED);
   }
 
-  /** Parts with names or bits that make no sense are left out, and hold up nothing. */
+  /** Parts with malformed keys or bits must be skipped without blocking the recovery. */
   @Test
   void malformedResultPartsAreIgnored() {
     store.put(Keys.DONE + "j-1/0", new StoredValue.DoneChunk("not hexadecimal"));
@@ -129,8 +129,9 @@
   }
 
   /**
-   * A worker reports completed tasks. It may forget those that are stored and those of jobs that
-   * are over or unknown; not those that are not stored, nor of a job whose record can't be read.
+   * Guards against losing results: a worker may clear completed tasks that are stored, or whose job
+   * has ended or is unknown, but not tasks that are not stored, or whose job's record can't be
+   * read.
    */
   @Test
   void onlyStoredOrObsoleteResultsAreCleared() {
