--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -458,7 +458,7 @@
             (attempt, done) -> {
               boolean mayRepeat = machine.pendingStarts().mayRepeat(attempt.task());
               if ((!mayRepeat || startsNextAttempt(machine, attempt))
-                  && (!done || resultStoredOrObsolete(attempt.task()))
+                  && (!done || isResultStoredOrObsolete(attempt.task()))
                   && !machine.mayStillStart(attempt)) {
                 orders.add(new Order.Clear(attempt.task(), attempt.attempt()));
               }
@@ -493,7 +493,7 @@
     }
   }
 
-  private boolean resultStoredOrObsolete(TaskId task) {
+  private boolean isResultStoredOrObsolete(TaskId task) {
     Optional<Job> job = jobs.find(task.job());
     if (job.isPresent() && job.get().open()) {
       return job.get().isStoredDone(task.index());
@@ -545,7 +545,8 @@
           machine.enter(Machine.State.LEASE_EXPIRED);
         }
         machine.endSession();
-        // It may report again although responses do not reach it; a pushed token shows that soon.
+        // It may report again although responses do not reach it; a command shows at once whether
+        // it is reached.
         machine.delivery().markFailing(ResponseDelivery.State.RESPONSES_NOT_RECEIVED, now);
         markVerified(machine);
         removeAllPlacements(machine, now);
--- a/src/test/java/org/oakwalk/core/fleet/FenceTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/FenceTest.java
@@ -124,7 +124,7 @@
   }
 
   /** Tasks that were started by command and halted, as listed in a report. */
-  private List<Report.Piece> endedPieces(int first, int count) {
+  private List<Report.Piece> endedTasks(int first, int count) {
     List<Report.Piece> pieces = new ArrayList<>();
     for (int index = first; index < first + count; index++) {
       TaskId task = new TaskId(job.id(), index);
@@ -143,7 +143,7 @@
 
   @Test
   void endedAttemptsAreClearedOnceTheRaisedTokenIsConfirmed() {
-    List<Report.Piece> ended = endedPieces(0, 16);
+    List<Report.Piece> ended = endedTasks(0, 16);
     report(GRANTED, ended.subList(0, 15));
     assertThat(clearOrderCount()).isZero();
     assertThat(fleet.tokenOf(MACHINE)).isEqualTo(GRANTED);
@@ -158,10 +158,10 @@
 
   @Test
   void attemptsStartedUnderTheRaisedTokenAreNotCleared() {
-    List<Report.Piece> ended = endedPieces(0, 16);
+    List<Report.Piece> ended = endedTasks(0, 16);
     report(GRANTED, ended);
     clearOrderCount();
-    List<Report.Piece> more = endedPieces(20, 3);
+    List<Report.Piece> more = endedTasks(20, 3);
     // Started by command again under the raised token, so a duplicate under that may still arrive.
     Report.Piece again = ended.get(4);
     Machine.TaskAttempt renewed = new Machine.TaskAttempt(again.task(), again.attempt());
@@ -179,7 +179,7 @@
     Placement held = fleet.place(job, 50, fleet.nextAttempt(), machine, Span.seconds(1), now);
     machine.pendingStarts().sentByCommand(new Machine.TaskAttempt(task, held.attempt()), GRANTED);
     fleet.halt(held, Span.millis(0), Fleet.StopReason.NEEDLESS);
-    List<Report.Piece> ended = endedPieces(0, 16);
+    List<Report.Piece> ended = endedTasks(0, 16);
     machine.commandInFlight(true);
     report(GRANTED, ended);
     clearOrderCount();
@@ -201,7 +201,7 @@
         new Answer.Changes(
             new Revision(30), List.of(new News(Keys.LEADER, Optional.empty(), new Revision(20)))));
     assertThat(view.standsUntil(GRANTED)).isEqualTo(GRANTED);
-    report(GRANTED, endedPieces(0, 20));
+    report(GRANTED, endedTasks(0, 20));
     clearOrderCount();
     assertThat(fleet.tokenOf(MACHINE)).isEqualTo(GRANTED);
   }
@@ -225,7 +225,7 @@
 
   /** A start that still waits for a socket must not be sent after its job was withdrawn. */
   @Test
-  void startsOfAWithdrawnJobAreRecalledWhileTheirCommandIsUnanswered() {
+  void startsOfAWithdrawnJobAreCancelledWhileTheirCommandIsUnanswered() {
     CommandDispatcher dispatcher =
         new CommandDispatcher(outbox, fleet, Span.seconds(5), answered -> {});
     Placement placement = fleet.place(job, 0, fleet.nextAttempt(), machine, Span.seconds(1), now);
