--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -93,7 +93,7 @@
     void placed(Job job, Moment now);
 
     /** A stop of a task was requested. */
-    default void stopRequested(Placement placement, StopReason why) {}
+    default void stopRequested(Placement placement, StopReason reason) {}
 
     /** An attempt is certain not to be on its machine any more. */
     default void placementEnded(Placement placement, Moment now) {}
--- a/src/main/java/org/oakwalk/core/fleet/SessionTracker.java
+++ b/src/main/java/org/oakwalk/core/fleet/SessionTracker.java
@@ -40,8 +40,7 @@
   /**
    * Records the session and sequence number of a report.
    *
-   * @param unsolicited whether the worker sent it on its unsolicited, rather than in reply to a
-   *     command
+   * @param unsolicited whether the worker sent it on its own, rather than in reply to a command
    * @return whether a new session has begun
    */
   boolean advance(SessionId reported, long number, boolean unsolicited) {
