--- a/src/main/java/org/oakwalk/core/capacity/BoundWork.java
+++ b/src/main/java/org/oakwalk/core/capacity/BoundWork.java
@@ -102,13 +102,14 @@
     for (Machine machine : fleet.machines()) {
       if (machine.zone().equals(zone) && spec.allows(machine.type().name(), zone, machine.spot())) {
         switch (machine.state()) {
-          case BOOTING, ENROLLING -> places += machine.type().room().capacityFor(spec.resources());
+          case BOOTING, REGISTERING ->
+              places += machine.type().room().capacityFor(spec.resources());
           case UP ->
               places +=
-                  machine.takesTasks(now, suspectAfter)
+                  machine.acceptsTasks(now, suspectAfter)
                       ? machine.free().capacityFor(spec.resources())
                       : 0;
-          case UNCONFIRMED, LAPSED, RETURNING, GONE -> {}
+          case UNCONFIRMED, LEASE_EXPIRED, RETURNING, GONE -> {}
         }
       }
     }
--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -29,71 +29,76 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The machines of one term and what is on them. A placement leaves its machine only when it is
- * certain that the attempt is not there and cannot start there any more.
+ * The machines known in one term, and their placements. A placement is removed only when it is
+ * certain that the attempt is not on the machine and cannot start there any more.
  */
 public final class Fleet {
   private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-  private static final Span LAPSE_MARGIN = Span.millis(500);
+  private static final Span LEASE_EXPIRY_MARGIN = Span.millis(500);
 
   /**
-   * How long before a task was placed its user may have been told of the withdrawal, by another
-   * controller, and how long an answer to a report may take; with some time to spare.
+   * Margin before the cancel deadline within which no start of a withdrawn job is sent. It covers
+   * that another controller may have told the user of the withdrawal before the task was placed
+   * here, and the time that a response to a report may take, with some reserve.
    */
   private static final Span START_MARGIN = Span.seconds(10);
 
   /**
-   * How many ended attempts a machine lists, only since their starts may come once more, before its
-   * token is raised. Each raise costs one more report.
+   * Ended attempts listed only because duplicates of their starts may still arrive, from which on
+   * the machine's token is raised. Each raise costs one more report.
    */
-  private static final int MOST_KEPT = 16;
+  private static final int MAX_KEPT_ENDED_ATTEMPTS = 16;
 
-  /** Why a task is stopped. */
-  public enum Why {
+  /** Reasons for stopping a task. */
+  public enum StopReason {
     /** Its user has withdrawn the job. */
     WITHDRAWN(false),
-    /** It runs or is done elsewhere. */
+    /** The task runs or is done elsewhere. */
     NEEDLESS(false),
-    /** The cloud takes the machine. */
+    /** The cloud reclaims the machine. */
     RECLAIMED(false),
-    /** Others of its gang are lost. */
+    /** Other members of its gang are lost. */
     GANG(false),
-    /** For a more urgent one. */
+    /** A task of higher priority needs its room. */
     PREEMPTED(true),
-    /** Its room is taken for a while, and owed. */
+    /** Its room is taken for a time for a service of another job, and has to be given back. */
     TAKEN(true),
-    /** It starts again on another machine at once. */
+    /** It restarts on another machine at once. */
     MOVED(true),
-    /** Its machine is emptied. */
+    /** Its machine is being drained. */
     DRAINED(true);
 
     private final boolean voluntary;
 
-    Why(boolean voluntary) {
+    StopReason(boolean voluntary) {
       this.voluntary = voluntary;
     }
 
-    /** Whether it could as well be left, so that budgets have a say. */
+    /** Whether the stop is optional, so that disruption budgets apply to it. */
     public boolean voluntary() {
       return voluntary;
     }
   }
 
-  /** Told what becomes of tasks. */
+  /** Receives events of tasks and machines. */
   public interface Listener {
-    /** A task completed after running this long; the span is null if unknown. */
+    /**
+     * A task has completed.
+     *
+     * @param ran how long it ran, or null if that is unknown
+     */
     void completed(Placement placement, Span ran);
 
-    /** A task was put on a machine. */
+    /** A task was placed on a machine. */
     void placed(Job job, Moment now);
 
-    /** A task is to be stopped. */
-    default void stopping(Placement placement, Why why) {}
+    /** A stop of a task was requested. */
+    default void stopRequested(Placement placement, StopReason reason) {}
 
-    /** A task is surely on its machine no more. */
-    default void left(Placement placement, Moment now) {}
+    /** An attempt is certain not to be on its machine any more. */
+    default void placementEnded(Placement placement, Moment now) {}
 
-    /** A machine takes tasks from now on, or has room again. */
+    /** A machine now accepts tasks, or has more free room. */
     void roomChanged();
   }
 
@@ -105,19 +110,22 @@
   private final Listener listener;
   private final Map<MachineId, Machine> machines = new LinkedHashMap<>();
   private final Map<TaskId, Placement> byTask = new HashMap<>();
-  private final Map<String, Resources> teamUse = new HashMap<>();
+  private final Map<String, Resources> teamUsage = new HashMap<>();
   private Map<String, MachineType> types = Map.of();
   private final Set<MachineId> gone = new HashSet<>();
-  private final Set<Machine> toCommand = new LinkedHashSet<>();
-  private final Stoppable stoppable = new Stoppable();
+  private final Set<Machine> commandable = new LinkedHashSet<>();
+  private final PreemptionIndex preemptionIndex = new PreemptionIndex();
   private final Reconciler reconciler;
   private long attempts;
 
-  /** The last moment at which an older leader may have renewed a lease; null if not known yet. */
-  private Moment foreignRenewal;
+  /**
+   * The last moment at which a lease may have been renewed unknown to this fleet, mostly by an
+   * older leader; null if not determined yet.
+   */
+  private Moment lastUnseenRenewal;
 
-  /** Asked for with every task that is placed, so it is kept until a machine's doubt changes. */
-  private Resources inDoubt;
+  /** Cached, since it is read for each task that is placed; null if it has to be computed. */
+  private Resources unaccountedRoom;
 
   public Fleet(
       Token token,
@@ -135,6 +143,7 @@
     this.reconciler = new Reconciler(this, jobs, timing, listener);
   }
 
+  /** Sets the machine types that the cloud offers, by name. */
   public void types(Map<String, MachineType> current) {
     types = current;
   }
@@ -147,48 +156,54 @@
     return Optional.ofNullable(machines.get(id));
   }
 
-  /** What a team's tasks take, placements that may yet start included. */
-  public Resources use(String team) {
-    return teamUse.getOrDefault(team, Resources.NONE);
+  /** Room of a team's placements, including those that may yet start. */
+  public Resources teamUsage(String team) {
+    return teamUsage.getOrDefault(team, Resources.NONE);
   }
 
-  /** What there is that could be stopped for others. */
-  public Stoppable stoppable() {
-    return stoppable;
+  /** Index of the placements that could be preempted. */
+  public PreemptionIndex preemptionIndex() {
+    return preemptionIndex;
   }
 
   /**
-   * Room of which it is not known whose tasks take it: machines that have not told what runs there,
-   * and tasks that no placement stands for, such as those of a job whose record can't be read.
+   * Room that may be used by tasks of an unknown team: that of machines which have not reported
+   * their tasks in this term, and that of orphans, such as tasks of a job whose record can't be
+   * read.
    */
-  public Resources roomInDoubt() {
-    if (inDoubt == null) {
-      inDoubt = Resources.NONE;
+  public Resources unaccountedRoom() {
+    if (unaccountedRoom == null) {
+      unaccountedRoom = Resources.NONE;
       for (Machine machine : machines.values()) {
-        inDoubt =
-            inDoubt.plus(
-                machine.inDoubt() ? machine.type().room() : machine.leftovers().strayRoom());
+        unaccountedRoom =
+            unaccountedRoom.plus(
+                machine.unverified() ? machine.type().room() : machine.unmatched().orphanRoom());
       }
     }
-    return inDoubt;
+    return unaccountedRoom;
   }
 
-  /** A machine's doubt has changed. */
-  void doubtChanged() {
-    inDoubt = null;
+  /** Invalidates the unaccounted room after a change of a machine's orphans. */
+  void unaccountedRoomChanged() {
+    unaccountedRoom = null;
   }
 
-  /** Whether an attempt that an earlier leader ordered may be on a machine unseen. */
-  public boolean anyUnconfirmed() {
-    return machines.values().stream().anyMatch(Machine::inDoubt);
+  /** Whether attempts that earlier leaders ordered may be on some machine without being known. */
+  public boolean anyUnverified() {
+    return machines.values().stream().anyMatch(Machine::unverified);
   }
 
-  void settled(Machine machine) {
-    machine.settled();
-    inDoubt = null;
+  void markVerified(Machine machine) {
+    machine.markVerified();
+    unaccountedRoom = null;
   }
 
-  /** Adds a machine; without its type it is left out, unless older leaders may have used it. */
+  /**
+   * Adds a machine. One of unknown type is added only if older leaders may have placed tasks on it.
+   *
+   * @param known when it became known, or was rented
+   * @return the machine, or empty if it was not added
+   */
   public Optional<Machine> add(
       MachineId id,
       String address,
@@ -204,69 +219,75 @@
     boolean typeKnown = kind != null;
     Machine machine =
         new Machine(
-            id, address, typeKnown ? kind : withoutBounds(type), zone, spot, state, token, known);
+            id, address, typeKnown ? kind : unboundedType(type), zone, spot, state, token, known);
     if (!typeKnown) {
-      machine.duty(Duty.UNFIT);
+      machine.schedulingMode(SchedulingMode.UNFIT);
     }
     machines.put(id, machine);
-    inDoubt = null;
+    unaccountedRoom = null;
     return Optional.of(machine);
   }
 
-  /** The next attempt number; all tasks of a gang share one, by which they find each other. */
+  /** A new attempt number. Tasks of a gang share one, by which they find each other. */
   public Attempt nextAttempt() {
     return Attempt.of(token, ++attempts);
   }
 
   /**
-   * Stands in for the type of a registered machine that the cloud no longer offers. Whatever runs
-   * there fits, which makes quotas err on the safe side; new tasks it gets none.
+   * A substitute for the type of a registered machine that the cloud no longer offers. Any task
+   * fits it, so that quotas err on the safe side; new tasks are not placed on the machine.
    */
-  private static MachineType withoutBounds(String name) {
+  private static MachineType unboundedType(String name) {
     Resources all = new Resources(Double.MAX_VALUE, Double.MAX_VALUE, Double.MAX_VALUE);
     return new MachineType(name, all, 0, 0, 0, 0, Span.seconds(0), List.of());
   }
 
-  /** Puts a task on a machine. The order goes out by command or with the next response. */
+  /**
+   * Places a task on a machine. The start is sent by command or with the next response.
+   *
+   * @param expected expected time until the task ends
+   */
   public Placement place(
       Job job, int index, Attempt attempt, Machine machine, Span expected, Moment now) {
-    Placement placement = hold(job, new TaskId(job.id(), index), attempt, machine, expected, now);
-    toCommand.add(machine);
+    Placement placement =
+        addPlacement(job, new TaskId(job.id(), index), attempt, machine, expected, now);
+    commandable.add(machine);
     listener.placed(job, now);
-    LOG.debug("task {} try {} placed on {}", placement.task(), placement.attempt(), machine.id());
+    LOG.debug(
+        "task {} attempt {} placed on {}", placement.task(), placement.attempt(), machine.id());
     return placement;
   }
 
-  Placement hold(
+  Placement addPlacement(
       Job job, TaskId task, Attempt attempt, Machine machine, Span expected, Moment now) {
     job.assign(task.index());
     Placement placement = new Placement(job, task, attempt, machine, now, expected);
     machine.add(placement);
     byTask.put(task, placement);
-    stoppable.held(placement);
-    teamUse.merge(job.spec().team(), job.spec().resources(), Resources::plus);
+    preemptionIndex.added(placement);
+    teamUsage.merge(job.spec().team(), job.spec().resources(), Resources::plus);
     return placement;
   }
 
-  /** Wants a placement stopped. */
-  public void halt(Placement placement, Span grace, Why why) {
+  /** Requests that a placement be stopped. */
+  public void halt(Placement placement, Span grace, StopReason reason) {
     if (!placement.halting()) {
-      listener.stopping(placement, why);
+      listener.stopRequested(placement, reason);
     }
-    stoppable.halts(placement);
+    preemptionIndex.haltRequested(placement);
     placement.halt(grace);
-    toCommand.add(placement.machine());
+    commandable.add(placement.machine());
   }
 
-  /** Machines with orders that have not been sent yet; the caller takes them over. */
+  /** Removes and returns machines that have unsent orders and no command in flight. */
   List<Machine> takeCommandable() {
     List<Machine> taken = new ArrayList<>();
-    for (Machine machine : toCommand) {
-      if (!machine.commanding()) {
+    for (Machine machine : commandable) {
+      if (!machine.commandInFlight()) {
         taken.add(machine);
       }
     }
-    taken.forEach(toCommand::remove);
+    taken.forEach(commandable::remove);
     return taken;
   }
 
@@ -275,34 +296,32 @@
   }
 
   /**
-   * Whether a worker shows a higher token than it can have from this leader. A late report of a
-   * machine that is gone may show any that the leader has told.
+   * Whether a worker reports a higher token than this leader can have issued to it. A late report
+   * of a machine that is gone may contain any token issued by this leader.
    */
-  public boolean above(Report report) {
+  public boolean showsUnissuedToken(Report report) {
     Machine machine = machines.get(report.machine());
-    Token told = machine == null ? view.latestTokenOf(token) : machine.fence().current();
-    return report.token().compareTo(told) > 0;
+    Token issued = machine == null ? view.latestTokenOf(token) : machine.fence().current();
+    return report.token().compareTo(issued) > 0;
   }
 
-  /**
-   * The token under which a machine is spoken to; one that is not known yet by the leader's own.
-   */
+  /** The token that a machine is addressed with; for an unknown machine, the leader's own token. */
   public Token tokenOf(MachineId id) {
     Machine machine = machines.get(id);
     return machine == null ? token : machine.fence().current();
   }
 
   /**
-   * Takes over a report.
+   * Processes a report.
    *
-   * @param own whether the worker sent it by itself, rather than as the answer to a command
-   * @return the machine, unless the report could not be used
+   * @param unsolicited whether the worker sent it on its own, rather than in reply to a command
+   * @return the machine, or empty if the report can't be used
    */
-  public Optional<Machine> report(Report report, boolean own, Moment now) {
-    return reconciler.report(report, own, now);
+  public Optional<Machine> handleReport(Report report, boolean unsolicited, Moment now) {
+    return reconciler.handleReport(report, unsolicited, now);
   }
 
-  /** Whether the cloud has confirmed that a machine is no more. */
+  /** Whether the cloud has confirmed that a machine no longer exists. */
   boolean isGone(MachineId id) {
     return gone.contains(id);
   }
@@ -320,63 +339,68 @@
     return found;
   }
 
-  /** Where a task is, as far as this leader knows. */
+  /** The placement of a task, as far as it is known to this leader. */
   public Optional<Placement> placementOf(TaskId task) {
     return Optional.ofNullable(byTask.get(task));
   }
 
-  /** The machine may take tasks from now on. */
-  public void up(Machine machine) {
-    boolean found = machine.state() == Machine.State.UNCONFIRMED;
+  /** Marks a machine as up, so that it may get tasks. */
+  public void markUp(Machine machine) {
+    boolean fromRegistry = machine.state() == Machine.State.UNCONFIRMED;
     machine.enter(Machine.State.UP);
-    if (found) {
-      // A whole fleet of them within a second or two, while work waits for the last.
-      LOG.debug("machine {} has confirmed", machine.id());
+    if (fromRegistry) {
+      // Not at level info: after a change of leader the whole fleet confirms within a second or
+      // two,
+      // while placement waits for the last machine.
+      LOG.debug("machine {} confirmed the token", machine.id());
     } else {
-      LOG.info("machine {} is up, zone {} spot {}", machine.id(), machine.zone(), machine.spot());
+      LOG.info("machine {} is up: zone {}, spot {}", machine.id(), machine.zone(), machine.spot());
     }
     listener.roomChanged();
   }
 
-  /** The attempt is surely not on its machine any more. */
-  void lose(Placement placement, Moment now) {
-    stoppable.lost(placement);
-    placement.enter(Placement.State.OVER, now);
+  /** Removes a placement whose attempt is certain not to be on its machine any more. */
+  void removePlacement(Placement placement, Moment now) {
+    preemptionIndex.removed(placement);
+    placement.enter(Placement.State.ENDED, now);
     placement.machine().remove(placement, now);
     byTask.remove(placement.task(), placement);
     placement.job().unassign(placement.task().index(), now);
     Resources room = placement.job().spec().resources();
-    teamUse.computeIfPresent(placement.job().spec().team(), (team, use) -> use.minus(room));
-    listener.left(placement, now);
+    teamUsage.computeIfPresent(placement.job().spec().team(), (team, use) -> use.minus(room));
+    listener.placementEnded(placement, now);
     listener.roomChanged();
   }
 
-  void loseAll(Machine machine, Moment now) {
+  void removeAllPlacements(Machine machine, Moment now) {
     for (Placement placement : machine.placementsCopy()) {
-      LOG.debug("task {} lost with {}", placement.task(), machine.id());
-      lose(placement, now);
+      LOG.debug("task {} lost on machine {}", placement.task(), machine.id());
+      removePlacement(placement, now);
     }
-    machine.leftovers().clear();
-    inDoubt = null;
+    machine.unmatched().clear();
+    unaccountedRoom = null;
   }
 
   /**
-   * Whether this machine's lease must not be renewed, so that what is held up can't start there.
+   * Whether a machine's lease must not be renewed, so that a delayed start of a withdrawn job can't
+   * be executed on it.
    */
-  public boolean mustLapse(Machine machine, Moment now) {
-    return machine.mustLapse(now, timing.graceLimit().surelyNotPassed());
+  public boolean mustNotRenewLease(Machine machine, Moment now) {
+    return machine.mustNotRenewLease(now, timing.graceLimit().surelyNotPassed());
   }
 
-  /** Orders for a machine that has just reported by itself. */
+  /** The orders to send in response to an unsolicited report, which renews the machine's lease. */
   public List<Order> respond(Machine machine, Moment now) {
-    machine.renewed(now);
-    List<Order> orders = new ArrayList<>(clears(machine));
-    raise(machine);
+    machine.leaseRenewedAt(now);
+    List<Order> orders = new ArrayList<>(clearOrders(machine));
+    raiseTokenIfDue(machine);
     for (Placement placement : machine.placements()) {
       if (placement.halting()) {
-        if (runLost(placement, now)) {
+        if (mustRepeatStart(placement, now)) {
           orders.add(new Order.Run(placement.task(), placement.attempt()));
-          machine.openRuns().sentInResponse(new Machine.Try(placement.task(), placement.attempt()));
+          machine
+              .pendingStarts()
+              .sentInResponse(new Machine.TaskAttempt(placement.task(), placement.attempt()));
           orders.add(new Order.Halt(placement.task(), placement.attempt(), Span.millis(0)));
         } else {
           orders.add(haltOrder(placement));
@@ -384,31 +408,34 @@
       } else if (placement.state() == Placement.State.ORDERED
           && machine.state() == Machine.State.UP) {
         orders.add(new Order.Run(placement.task(), placement.attempt()));
-        machine.openRuns().sentInResponse(new Machine.Try(placement.task(), placement.attempt()));
+        machine
+            .pendingStarts()
+            .sentInResponse(new Machine.TaskAttempt(placement.task(), placement.attempt()));
       }
     }
-    for (Machine.Try stray : machine.leftovers().strays()) {
-      orders.add(new Order.Halt(stray.task(), stray.attempt(), Span.millis(0)));
+    for (Machine.TaskAttempt orphan : machine.unmatched().orphans()) {
+      orders.add(new Order.Halt(orphan.task(), orphan.attempt(), Span.millis(0)));
     }
     return orders;
   }
 
   /**
-   * Whether a start by command had no answer, and its task is to be stopped. It may be executed any
-   * time in the session, which may last for days. So the worker is told to start it and, in the
-   * same answer, to stop it: then it knows the attempt, and the command has no effect when it
-   * comes. The task is held here until then, so it is nowhere else. Of a withdrawn job nothing may
-   * start so late that its user was told {@code cancel} ago.
+   * Whether to repeat the start of a task that is to be stopped, because a command with the start
+   * was not answered. The command may be executed at any time in the session, which may last for
+   * days. So the same response tells the worker to start the attempt and to stop it: the worker
+   * then knows the attempt, and the command has no effect when it arrives. Until then the placement
+   * remains, so the task is placed nowhere else. A task of a withdrawn job must not start when its
+   * user may have been told of the withdrawal longer ago than the cancel deadline allows.
    */
-  private boolean runLost(Placement placement, Moment now) {
+  private boolean mustRepeatStart(Placement placement, Moment now) {
     Machine machine = placement.machine();
     boolean inTime =
         placement.job().state() != Job.State.WITHDRAWN
-            || !now.past(placement.ordered(), timing.cancel().minus(START_MARGIN));
+            || !now.past(placement.orderedAt(), timing.cancel().minus(START_MARGIN));
     return placement.state() == Placement.State.ORDERED
         && (machine.state() == Machine.State.UP || machine.state() == Machine.State.RETURNING)
-        && !machine.commanding()
-        && machine.runOpen(new Machine.Try(placement.task(), placement.attempt()))
+        && !machine.commandInFlight()
+        && machine.mayStillStart(new Machine.TaskAttempt(placement.task(), placement.attempt()))
         && inTime;
   }
 
@@ -417,30 +444,30 @@
   }
 
   /**
-   * Ended attempts that the worker may forget: their result is stored or needless, and no run of
-   * them can arrive any more, be it for the second time, which would start them again. If one can,
-   * the worker forgets the attempt only as it gets the task's next one, on account of which it
-   * refuses older ones.
+   * Orders to clear ended attempts from the worker's reports. Their result is stored or not needed,
+   * and no start of them can arrive any more, not even a duplicate, which would start them again.
+   * If a duplicate may arrive, the attempt is cleared only together with the start of the task's
+   * next attempt, after which the worker rejects older ones.
    */
-  private List<Order> clears(Machine machine) {
+  private List<Order> clearOrders(Machine machine) {
     List<Order> orders = new ArrayList<>();
     machine
-        .leftovers()
+        .unmatched()
         .uncleared()
         .forEach(
             (attempt, done) -> {
-              boolean repeats = machine.openRuns().mayRepeat(attempt.task());
-              if ((!repeats || startsAnew(machine, attempt))
-                  && (!done || settled(attempt.task()))
-                  && !machine.runOpen(attempt)) {
+              boolean mayRepeat = machine.pendingStarts().mayRepeat(attempt.task());
+              if ((!mayRepeat || startsNextAttempt(machine, attempt))
+                  && (!done || isResultStoredOrObsolete(attempt.task()))
+                  && !machine.mayStillStart(attempt)) {
                 orders.add(new Order.Clear(attempt.task(), attempt.attempt()));
               }
             });
     return orders;
   }
 
-  /** Whether the answer that is being written starts another attempt at the task. */
-  private static boolean startsAnew(Machine machine, Machine.Try ended) {
+  /** Whether the response being composed starts another attempt at the task. */
+  private static boolean startsNextAttempt(Machine machine, Machine.TaskAttempt ended) {
     Placement next = machine.placement(ended.task());
     return next != null
         && !next.attempt().equals(ended.attempt())
@@ -450,98 +477,106 @@
   }
 
   /**
-   * Raises the token under which this machine is spoken to, once it has to list many ended attempts
-   * or takes hardly any more starts by command. When it shows the new token it refuses all starts
-   * that were sent by command before, so what has ended may be cleared. Not while a command is
-   * under way, which the answer may overtake.
+   * Raises the token that a machine is addressed with once it has to list many ended attempts or
+   * approaches the limit on starts by command. When it reports the new token, it rejects all starts
+   * that were sent by command before, so ended attempts may be cleared. The token is not raised
+   * while a command is in flight, since the response could overtake the command.
    */
-  private void raise(Machine machine) {
+  private void raiseTokenIfDue(Machine machine) {
     boolean due =
-        machine.openRuns().repeatable() >= OpenRuns.MOST_BY_COMMAND / 2
-            || machine.keptEnded() >= MOST_KEPT;
+        machine.pendingStarts().repeatableCount() >= PendingStarts.MAX_COMMAND_STARTED_TASKS / 2
+            || machine.repeatableEndedCount() >= MAX_KEPT_ENDED_ATTEMPTS;
     Token highest = view.latestTokenOf(token);
-    if (due && !machine.commanding() && machine.fence().raisable(highest)) {
+    if (due && !machine.commandInFlight() && machine.fence().canRaiseTo(highest)) {
       machine.fence().raise(highest);
-      LOG.debug("machine {} gets token {}", machine.id(), highest);
+      LOG.debug("raising token of machine {} to {}", machine.id(), highest);
     }
   }
 
-  private boolean settled(TaskId task) {
+  private boolean isResultStoredOrObsolete(TaskId task) {
     Optional<Job> job = jobs.find(task.job());
     if (job.isPresent() && job.get().isOpen()) {
       return job.get().isStoredDone(task.index());
     }
-    // Of a job whose record can't be read nobody knows whether it still asks for the result.
+    // While the record of a job can't be read, the job may be open and need the result.
     return view.job(task.job())
         .map(known -> known.phase() != JobRecord.Phase.OPEN)
         .orElse(!view.isUnreadable(task.job()));
   }
 
   /**
-   * Whether nothing that older leaders ordered can be on a machine that reports under an older
-   * token, or start there. It has taken no answer of this leader, or it would show the token: while
-   * it sends a report, none to an earlier one is under way. So the sessions that lived when an
-   * older leader may last have renewed leases are over a lease later, and what was ordered is void
-   * in later ones.
+   * Whether no attempt that older leaders ordered can be on, or start on, a machine that reports an
+   * older token. The machine has received no response of this leader, or it would report the
+   * leader's token; and no response to an earlier report is in flight while it sends the next one.
+   * So sessions that existed when an older leader may last have renewed leases ended a lease later,
+   * and orders sent to them are void in later sessions.
    */
-  boolean nothingOlderLeft(Machine machine, Token reported) {
-    if (reported.compareTo(token) >= 0 || foreignRenewal == null) {
+  boolean olderAttemptsOver(Machine machine, Token reported) {
+    if (reported.compareTo(token) >= 0 || lastUnseenRenewal == null) {
       return false;
     }
-    Moment renewed = foreignRenewal.isAfter(machine.known()) ? foreignRenewal : machine.known();
-    return view.lastConfirmed().past(renewed, timing.lease().surelyPassed().plus(LAPSE_MARGIN));
+    Moment renewed =
+        lastUnseenRenewal.isAfter(machine.knownSince()) ? lastUnseenRenewal : machine.knownSince();
+    return view.lastConfirmed()
+        .past(renewed, timing.lease().surelyPassed().plus(LEASE_EXPIRY_MARGIN));
   }
 
-  /** Declares lapsed what has surely lost its lease. */
-  public void lapse(Moment now, Moment lastForeignRenewal) {
-    foreignRenewal = lastForeignRenewal;
-    Span lease = timing.lease().surelyPassed().plus(LAPSE_MARGIN);
+  /**
+   * Marks machines whose leases have certainly expired, and removes their placements.
+   *
+   * @param lastUnseenRenewal the last moment at which a lease may have been renewed unknown to this
+   *     fleet
+   */
+  public void expireLeases(Moment now, Moment lastUnseenRenewal) {
+    this.lastUnseenRenewal = lastUnseenRenewal;
+    Span lease = timing.lease().surelyPassed().plus(LEASE_EXPIRY_MARGIN);
     for (Machine machine : machines.values()) {
-      Moment renewed = machine.renewed();
-      if (machine.inDoubt() && lastForeignRenewal.isAfter(renewed)) {
-        renewed = lastForeignRenewal;
+      Moment renewed = machine.leaseRenewedAt();
+      if (machine.unverified() && lastUnseenRenewal.isAfter(renewed)) {
+        renewed = lastUnseenRenewal;
       }
-      // A follower may have done so in the leader's place, which the store's copy tells.
+      // A follower may have renewed leases in the leader's place, as announced in the store.
       renewed = relays.lastRenewal(machine.zone(), renewed, now);
       // A later leader may renew leases as well. Only a read of the store that began after the
-      // lease
-      // had run out, and still showed this leader, tells that nobody did.
-      if (mayLapse(machine) && view.lastConfirmed().past(renewed, lease)) {
-        LOG.info("machine {} has lapsed with {} tasks", machine.id(), machine.placements().size());
+      // expiry and still showed this leader proves that none did.
+      if (canExpire(machine) && view.lastConfirmed().past(renewed, lease)) {
+        LOG.info(
+            "lease of machine {} expired with {} tasks", machine.id(), machine.placements().size());
         if (machine.state() != Machine.State.RETURNING) {
-          machine.enter(Machine.State.LAPSED);
+          machine.enter(Machine.State.LEASE_EXPIRED);
         }
         machine.endSession();
-        // It may report again without hearing; asking it by command tells at once.
-        machine.hearing().deaf(Hearing.State.NOT_THE_ANSWERS, now);
-        settled(machine);
-        loseAll(machine, now);
+        // It may report again although responses do not reach it; a command shows at once whether
+        // it is reached.
+        machine.delivery().markFailing(ResponseDelivery.State.RESPONSES_NOT_RECEIVED, now);
+        markVerified(machine);
+        removeAllPlacements(machine, now);
       }
     }
   }
 
-  private static boolean mayLapse(Machine machine) {
+  private static boolean canExpire(Machine machine) {
     return switch (machine.state()) {
       case UNCONFIRMED, UP -> true;
       case RETURNING ->
-          machine.inDoubt() || !machine.idle() || !machine.leftovers().strays().isEmpty();
-      case LAPSED -> !machine.idle();
-      case BOOTING, ENROLLING, GONE -> false;
+          machine.unverified() || !machine.idle() || !machine.unmatched().orphans().isEmpty();
+      case LEASE_EXPIRED -> !machine.idle();
+      case BOOTING, REGISTERING, GONE -> false;
     };
   }
 
-  /** The machine is to be returned; what is on it counts until the cloud has confirmed. */
-  public void returning(Machine machine) {
+  /** Marks a machine as being returned; its placements remain until the cloud has confirmed. */
+  public void startReturn(Machine machine) {
     machine.enter(Machine.State.RETURNING);
   }
 
-  /** The cloud has confirmed that the machine is gone. */
-  public void gone(Machine machine, Moment now) {
+  /** Removes a machine that the cloud has confirmed as gone. */
+  public void confirmGone(Machine machine, Moment now) {
     machine.enter(Machine.State.GONE);
-    loseAll(machine, now);
+    removeAllPlacements(machine, now);
     machines.remove(machine.id());
-    inDoubt = null;
+    unaccountedRoom = null;
     gone.add(machine.id());
-    LOG.info("machine {} returned", machine.id());
+    LOG.info("machine {} was returned", machine.id());
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/Placement.java
+++ b/src/main/java/org/oakwalk/core/fleet/Placement.java
@@ -10,55 +10,58 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.job.Job;
 
-/** One attempt at a task, bound to a machine until it is surely not there any more. */
+/**
+ * An attempt at a task on a machine. It lasts until the attempt is certain not to be, or start, on
+ * the machine any more.
+ */
 public final class Placement {
-  /** What is known of the attempt. */
+  /** Last known state of the attempt. */
   public enum State {
-    /** Ordered; no report has shown it. */
+    /** Ordered, but not in any report yet. */
     ORDERED,
-    /** The machine gets its image. */
+    /** The machine is fetching its image. */
     FETCHING,
-    /** It runs. */
+    /** Running. */
     RUNNING,
-    /** It saves its progress. */
+    /** Saving its progress before it stops. */
     SAVING,
-    /** It is over, one way or the other. */
-    OVER
+    /** Ended, or certain never to start. */
+    ENDED
   }
 
   private static final Map<State, Set<State>> LEGAL = new EnumMap<>(State.class);
 
   static {
-    LEGAL.put(State.ORDERED, EnumSet.of(State.FETCHING, State.RUNNING, State.SAVING, State.OVER));
-    LEGAL.put(State.FETCHING, EnumSet.of(State.RUNNING, State.SAVING, State.OVER));
-    LEGAL.put(State.RUNNING, EnumSet.of(State.SAVING, State.FETCHING, State.OVER));
-    LEGAL.put(State.SAVING, EnumSet.of(State.OVER));
-    LEGAL.put(State.OVER, EnumSet.noneOf(State.class));
+    LEGAL.put(State.ORDERED, EnumSet.of(State.FETCHING, State.RUNNING, State.SAVING, State.ENDED));
+    LEGAL.put(State.FETCHING, EnumSet.of(State.RUNNING, State.SAVING, State.ENDED));
+    LEGAL.put(State.RUNNING, EnumSet.of(State.SAVING, State.FETCHING, State.ENDED));
+    LEGAL.put(State.SAVING, EnumSet.of(State.ENDED));
+    LEGAL.put(State.ENDED, EnumSet.noneOf(State.class));
   }
 
   private final Job job;
   private final TaskId task;
   private final Attempt attempt;
   private final Machine machine;
-  private final Moment ordered;
+  private final Moment orderedAt;
   private State state = State.ORDERED;
   private Moment runningSince;
   private Span haltGrace;
   private boolean runCommanded;
   private Span haltCommanded;
-  private boolean watched = true;
+  private boolean continuouslyObserved = true;
   private boolean late;
-  private final Moment endsBy;
-  private final Stoppable.Sort sort;
+  private final Moment expectedEnd;
+  private final PreemptionIndex.PreemptionKey preemptionKey;
 
   Placement(Job job, TaskId task, Attempt attempt, Machine machine, Moment ordered, Span expected) {
     this.job = job;
     this.task = task;
     this.attempt = attempt;
     this.machine = machine;
-    this.ordered = ordered;
-    this.sort = Stoppable.Sort.of(job.spec());
-    this.endsBy = job.spec().service() ? null : ordered.plus(expected);
+    this.orderedAt = ordered;
+    this.preemptionKey = PreemptionIndex.PreemptionKey.of(job.spec());
+    this.expectedEnd = job.spec().service() ? null : ordered.plus(expected);
   }
 
   public Job job() {
@@ -69,9 +72,9 @@
     return task;
   }
 
-  /** What decides who has to give way to whom. */
-  public Stoppable.Sort sort() {
-    return sort;
+  /** The properties that decide which tasks may preempt it. */
+  public PreemptionIndex.PreemptionKey preemptionKey() {
+    return preemptionKey;
   }
 
   public Attempt attempt() {
@@ -86,54 +89,59 @@
     return state;
   }
 
-  public Moment ordered() {
-    return ordered;
+  public Moment orderedAt() {
+    return orderedAt;
   }
 
-  /** Since when it has been seen running, or null. */
+  /** When a report first showed it running, or null. */
   public Moment runningSince() {
     return runningSince;
   }
 
-  /** When it should end; null if it has no end. */
-  public Moment endsBy() {
-    return endsBy;
+  /** When it is expected to end; null for a replica of a service. */
+  public Moment expectedEnd() {
+    return expectedEnd;
   }
 
-  /** Whether the machine has reported all the while, so that times mean something. */
-  public boolean watched() {
-    return watched;
+  /** Whether the machine has reported without a gap, so that observed times are meaningful. */
+  public boolean continuouslyObserved() {
+    return continuouslyObserved;
   }
 
-  void unwatched() {
-    watched = false;
+  void markObservationGap() {
+    continuouslyObserved = false;
   }
 
-  /** It runs far longer than it should; true if that is new. */
-  boolean turnsLate() {
-    boolean fresh = !late;
+  /**
+   * Records that it runs far longer than expected.
+   *
+   * @return whether that was not recorded before
+   */
+  boolean markLate() {
+    boolean firstTime = !late;
     late = true;
-    return fresh;
+    return firstTime;
   }
 
-  /** Whether it is to be stopped. */
+  /** Whether a stop was requested. */
   public boolean halting() {
     return haltGrace != null;
   }
 
+  /** Time to save progress before it is stopped; null if no stop was requested. */
   public Span haltGrace() {
     return haltGrace;
   }
 
-  /** Wants it stopped; a shorter grace replaces a longer one. */
+  /** Requests a stop; a shorter grace period replaces a longer one. */
   void halt(Span grace) {
     if (haltGrace == null || grace.compareTo(haltGrace) < 0) {
       haltGrace = grace;
     }
   }
 
-  /** Whether a direct command is due for it; asking marks it as sent. */
-  boolean takeCommand() {
+  /** Whether a start or halt is due to be sent by command; marks it as sent. */
+  boolean takeDueCommand() {
     if (halting()) {
       boolean due = !haltGrace.equals(haltCommanded);
       haltCommanded = haltGrace;
@@ -144,13 +152,21 @@
     return due;
   }
 
-  /** The one place where the state changes. */
+  /** Changes the state; all changes go through this method. */
   void enter(State next, Moment now) {
     if (next == state) {
       return;
     }
     if (!LEGAL.get(state).contains(next)) {
-      throw new IllegalStateException(task + " try " + attempt + " from " + state + " to " + next);
+      throw new IllegalStateException(
+          "illegal transition of task "
+              + task
+              + " attempt "
+              + attempt
+              + " from "
+              + state
+              + " to "
+              + next);
     }
     if (state == State.RUNNING) {
       job.setRunning(task.index(), false, now);
--- /dev/null
+++ b/src/main/java/org/oakwalk/core/fleet/ResponseDelivery.java
@@ -0,0 +1,71 @@
+package org.oakwalk.core.fleet;
+
+import org.oakwalk.core.Moment;
+import org.oakwalk.core.Span;
+
+/**
+ * Tracks whether responses and commands reach a machine whose reports arrive, which a one-way
+ * network fault may prevent. A machine that is not reached gets no tasks: each would wait there
+ * until the machine's session ends, and so would the next one.
+ */
+final class ResponseDelivery {
+  /** Presumed state of the delivery to a machine. */
+  enum State {
+    /** There is no sign of a fault. */
+    DELIVERED,
+    /**
+     * It still reports an older leader's token, a lease after this leader's token was sent to it.
+     */
+    TOKEN_NOT_RECEIVED,
+    /** Its session ended, or must have ended, although its reports were answered. */
+    RESPONSES_NOT_RECEIVED
+  }
+
+  private State state = State.DELIVERED;
+  private Moment failingSince;
+  private Moment lastProbeAt = new Moment(Long.MIN_VALUE / 2);
+  private Moment lastCommandReplyAt = new Moment(Long.MIN_VALUE / 2);
+
+  boolean working() {
+    return state == State.DELIVERED;
+  }
+
+  void markFailing(State failure, Moment now) {
+    state = failure;
+    failingSince = now;
+  }
+
+  /** Records that the machine has replied to a command. */
+  void commandReplied(Moment now) {
+    state = State.DELIVERED;
+    lastCommandReplyAt = now;
+  }
+
+  /** When the machine was last probed because its reports had stopped. */
+  Moment lastProbeAt() {
+    return lastProbeAt;
+  }
+
+  void probed(Moment now) {
+    lastProbeAt = now;
+  }
+
+  /** When the machine last replied to a command. */
+  Moment lastCommandReplyAt() {
+    return lastCommandReplyAt;
+  }
+
+  /** Records that the machine reports this leader's token. */
+  void tokenConfirmed() {
+    if (state == State.TOKEN_NOT_RECEIVED) {
+      state = State.DELIVERED;
+    }
+  }
+
+  /** Records a report of the same session as before, which continues only if responses arrive. */
+  void sessionContinued(Span lease, Moment now) {
+    if (state == State.RESPONSES_NOT_RECEIVED && now.past(failingSince, lease)) {
+      state = State.DELIVERED;
+    }
+  }
+}
--- a/src/main/java/org/oakwalk/core/placement/CandidateMachines.java
+++ b/src/main/java/org/oakwalk/core/placement/CandidateMachines.java
@@ -61,7 +61,7 @@
     withFreeRoom.clear();
     machineCounts.clear();
     for (Machine machine : fleet.machines()) {
-      if (machine.takesTasks(now, suspectAfter)) {
+      if (machine.acceptsTasks(now, suspectAfter)) {
         all.add(machine);
         machineCounts.merge(machine.type(), 1, Integer::sum);
         Resources free = machine.free();
@@ -124,7 +124,7 @@
       if (spec.allows(machine.type().name(), machine.zone(), machine.spot())
           && (only == null || only.equals(machine.zone()))
           && !full.contains(machine.zone())
-          && (!machine.duty().fillsUp() || endsBeforeEmptied(spec, machine, end))
+          && (!machine.schedulingMode().backfillOnly() || endsBeforeEmptied(spec, machine, end))
           && (holder == null
               || holder == job
               || reserve.hasRoomReservedFor(spec, machine)
@@ -161,7 +161,7 @@
    * longest task has ended, so a task that ends before that adds no cost.
    */
   private static boolean endsBeforeEmptied(JobSpec spec, Machine machine, Moment end) {
-    return !spec.service() && !spec.gang() && !end.isAfter(machine.emptyBy());
+    return !spec.service() && !spec.gang() && !end.isAfter(machine.expectedEmptyAt());
   }
 
   /**
@@ -171,7 +171,7 @@
     List<Machine> machines = new ArrayList<>();
     for (Machine machine : all) {
       if (job.spec().allows(machine.type().name(), machine.zone(), machine.spot())
-          && !machine.duty().fillsUp()
+          && !machine.schedulingMode().backfillOnly()
           && mayPassToGang(reservations.get(machine), job)) {
         machines.add(machine);
       }
--- a/src/main/java/org/oakwalk/core/placement/GangReservations.java
+++ b/src/main/java/org/oakwalk/core/placement/GangReservations.java
@@ -201,11 +201,11 @@
         }
       }
     }
-    own.sort(Comparator.comparing(Placement::endsBy));
+    own.sort(Comparator.comparing(Placement::expectedEnd));
     for (Placement placement : own) {
       remaining = remaining.plus(placement.job().spec().resources());
       if (needed.fitsInto(remaining)) {
-        return placement.endsBy().isAfter(now) ? placement.endsBy() : now;
+        return placement.expectedEnd().isAfter(now) ? placement.expectedEnd() : now;
       }
     }
     return NEVER;
@@ -265,7 +265,7 @@
     if (placement.job().spec().service()) {
       return NEVER;
     }
-    return placement.endsBy().isAfter(now) ? placement.endsBy() : now;
+    return placement.expectedEnd().isAfter(now) ? placement.expectedEnd() : now;
   }
 
   private static GangStart earliestStartFrom(Job gang, List<CapacityRelease> releases) {
--- a/src/main/java/org/oakwalk/core/placement/MachineDistance.java
+++ b/src/main/java/org/oakwalk/core/placement/MachineDistance.java
@@ -93,15 +93,15 @@
     if (machine.holdsReplica()) {
       return 0;
     }
-    Moment from = machine.emptyBy().isAfter(now) ? machine.emptyBy() : now;
+    Moment from = machine.expectedEmptyAt().isAfter(now) ? machine.expectedEmptyAt() : now;
     double longer = now.plus(run).since(from).asSeconds();
     return Math.min(1, Math.max(0, longer) / LONG_OCCUPATION_SECONDS);
   }
 
   private static double replicaPenalty(JobSpec spec, Machine machine) {
-    double own = spec.tasks() == 1 ? 0 : machine.countOf(spec.id());
+    double own = spec.tasks() == 1 ? 0 : machine.taskCountOf(spec.id());
     // On a machine that is in use only for a while, the replica would soon have to move again.
-    return (machine.holdsReplica() ? own : NO_REPLICA_PENALTY) + (machine.leavesSoon() ? 1 : 0);
+    return (machine.holdsReplica() ? own : NO_REPLICA_PENALTY) + (machine.removalPlanned() ? 1 : 0);
   }
 
   /** Users wait for replicas, so a cached image counts more for them than an even load. */
@@ -113,7 +113,7 @@
     if (machine.hasImage(spec.image())) {
       return 0;
     }
-    double seconds = machine.type().fetch(spec.imageGb()).asSeconds();
+    double seconds = machine.type().fetchTime(spec.imageGb()).asSeconds();
     return Math.min(1, seconds / LONG_FETCH_SECONDS);
   }
 
--- a/src/main/java/org/oakwalk/core/placement/MachineSearch.java
+++ b/src/main/java/org/oakwalk/core/placement/MachineSearch.java
@@ -76,7 +76,7 @@
                 + square(gpu[i] - leastGpu)
                 + otherTerms[i];
         // A worker refuses a task while it still reports an older attempt of it.
-        if (distance < bestDistance && !machines.get(i).remembers(task)) {
+        if (distance < bestDistance && !machines.get(i).refusesNewAttempt(task)) {
           bestDistance = distance;
           lastFound = i;
         }
--- a/src/main/java/org/oakwalk/core/placement/Placer.java
+++ b/src/main/java/org/oakwalk/core/placement/Placer.java
@@ -95,7 +95,7 @@
     this.ranking = new Ranking(jobs, runTimes, new JobScorer(policy.scoring(), targets), quota);
     PreemptionPlanner preemption =
         new PreemptionPlanner(
-            fleet.stoppable(), quota, targets, runTimes, servedShares, reserve, exchange);
+            fleet.preemptionIndex(), quota, targets, runTimes, servedShares, reserve, exchange);
     this.unplacedJobs =
         new UnplacedJobHandler(
             fleet, candidates, quota, targets, mayStop, preemption, reserve, exchange);
@@ -373,7 +373,7 @@
   private void haltGang(Job job) {
     for (Placement placement : fleet.placementsOf(job)) {
       if (!placement.halting()) {
-        fleet.halt(placement, job.spec().checkpointDuration(), Fleet.Why.GANG);
+        fleet.halt(placement, job.spec().checkpointDuration(), Fleet.StopReason.GANG);
       }
     }
   }
--- a/src/main/java/org/oakwalk/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/oakwalk/core/placement/PreemptionPlanner.java
@@ -11,7 +11,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.fleet.Stoppable;
+import org.oakwalk.core.fleet.PreemptionIndex;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
@@ -21,7 +21,7 @@
   /** Cost of a preemption that makes a job miss a target, in seconds of lost work. */
   private static final double MISSED_TARGET_COST_SECONDS = 60;
 
-  private final Stoppable stoppable;
+  private final PreemptionIndex stoppable;
   private final ServedShares servedShares;
   private final Quota quota;
   private final JobTargets targets;
@@ -30,7 +30,7 @@
   private final CapacityExchange exchange;
 
   PreemptionPlanner(
-      Stoppable stoppable,
+      PreemptionIndex stoppable,
       Quota quota,
       JobTargets targets,
       RunTimeEstimates runTimes,
@@ -74,8 +74,9 @@
   List<PreemptionPlan> plans(Job job, List<Machine> machines, Moment now, WallTime wall) {
     List<PreemptionPlan> plans = new ArrayList<>();
     boolean guaranteed = quota.withinGuarantee(job);
-    Set<Stoppable.Sort> preemptible = stoppable.sorts(sort -> preemptible(sort, job, guaranteed));
-    Set<Machine> concerned = stoppable.concerned(preemptible);
+    Set<PreemptionIndex.PreemptionKey> preemptible =
+        stoppable.keys(sort -> preemptible(sort, job, guaranteed));
+    Set<Machine> concerned = stoppable.machinesWith(preemptible);
     Resources asked = job.spec().resources();
     for (Machine machine : machines) {
       if (concerned.contains(machine)) {
@@ -94,20 +95,21 @@
   /** Whether any task is being stopped, or could be preempted for this job. */
   boolean mayFreeRoom(Job job) {
     boolean guaranteed = quota.withinGuarantee(job);
-    return stoppable.anyHalting() || stoppable.any(sort -> preemptible(sort, job, guaranteed));
+    return stoppable.anyHalting() || stoppable.anyMatch(sort -> preemptible(sort, job, guaranteed));
   }
 
   /** The tasks to preempt on a machine to free this room; empty if that is not possible. */
   List<Placement> victims(Machine machine, Job job, Resources asked, Moment now, WallTime wall) {
     boolean guaranteed = quota.withinGuarantee(job);
-    Set<Stoppable.Sort> preemptible = stoppable.sorts(sort -> preemptible(sort, job, guaranteed));
+    Set<PreemptionIndex.PreemptionKey> preemptible =
+        stoppable.keys(sort -> preemptible(sort, job, guaranteed));
     PreemptionPlan plan = planFor(machine, job, asked, preemptible, now, wall);
     return plan == null ? List.of() : plan.victims();
   }
 
   /** Whether a task may be preempted for a job. */
   boolean preemptible(Placement placement, Job job) {
-    return preemptible(placement.sort(), job, quota.withinGuarantee(job))
+    return preemptible(placement.preemptionKey(), job, quota.withinGuarantee(job))
         && !exchange.excludesPreemption(job, placement);
   }
 
@@ -115,7 +117,7 @@
       Machine machine,
       Job job,
       Resources asked,
-      Set<Stoppable.Sort> preemptible,
+      Set<PreemptionIndex.PreemptionKey> preemptible,
       Moment now,
       WallTime wall) {
     inspections++;
@@ -127,7 +129,7 @@
         // Its room is freed without another preemption.
         free = free.plus(placement.job().spec().resources());
         maxFree = maxFree.plus(placement.job().spec().resources());
-      } else if (preemptible.contains(placement.sort())
+      } else if (preemptible.contains(placement.preemptionKey())
           && !exchange.excludesPreemption(job, placement)) {
         candidates.add(placement);
         maxFree = maxFree.plus(placement.job().spec().resources());
@@ -166,11 +168,11 @@
    * and may be preempted for jobs of normal priority. Without checkpoints the work would be lost,
    * so such jobs wait for the tasks to end.
    */
-  static boolean lowPriorityWithCheckpoints(Stoppable.Sort sort) {
-    return sort.priority() == Priority.LOW && sort.saves();
+  static boolean lowPriorityWithCheckpoints(PreemptionIndex.PreemptionKey sort) {
+    return sort.priority() == Priority.LOW && sort.checkpoints();
   }
 
-  private boolean preemptible(Stoppable.Sort sort, Job job, boolean guaranteed) {
+  private boolean preemptible(PreemptionIndex.PreemptionKey sort, Job job, boolean guaranteed) {
     Priority asking = job.spec().priority();
     boolean mayPreempt = guaranteed || asking.compareTo(Priority.NORMAL) > 0;
     if (mayPreempt && sort.priority().compareTo(asking) < 0) {
--- a/src/main/java/org/oakwalk/core/placement/Quota.java
+++ b/src/main/java/org/oakwalk/core/placement/Quota.java
@@ -43,8 +43,8 @@
     }
     Resources use =
         fleet
-            .use(team.name())
-            .plus(fleet.roomInDoubt())
+            .teamUsage(team.name())
+            .plus(fleet.unaccountedRoom())
             .plus(job.spec().resources().times(count))
             .plus(reservedForGang(job));
     return (team.cpusMax() <= 0 || use.cpus() <= team.cpusMax() + 1e-6)
@@ -93,7 +93,7 @@
       // The team was removed from the settings; its jobs wait.
       return Resources.NONE;
     }
-    return remainingAfter(team, fleet.use(name).plus(fleet.roomInDoubt()));
+    return remainingAfter(team, fleet.teamUsage(name).plus(fleet.unaccountedRoom()));
   }
 
   /** The part of a team's limit that this use leaves; a limit of zero means unlimited. */
@@ -153,7 +153,7 @@
    */
   public boolean exceedsGuarantee(String name) {
     Settings.Team team = teams.get(name);
-    Resources use = fleet.use(name);
+    Resources use = fleet.teamUsage(name);
     return team != null && (use.cpus() > team.cpus() + 1e-6 || use.gpus() > team.gpus() + 1e-6);
   }
 }
--- a/src/main/java/org/oakwalk/core/placement/SlowMachineDetector.java
+++ b/src/main/java/org/oakwalk/core/placement/SlowMachineDetector.java
@@ -27,9 +27,9 @@
   /** Records the run time of a completed task. */
   public void completed(Placement placement, Span ran) {
     if (late(placement, ran)) {
-      placement.machine().late(placement);
+      placement.machine().recordLateTask(placement);
     } else {
-      placement.machine().inTime();
+      placement.machine().recordTimelyTask();
     }
   }
 
@@ -38,8 +38,8 @@
     for (Machine machine : machines) {
       for (Placement placement : machine.placements()) {
         if (placement.state() == Placement.State.RUNNING
-            && late(placement, machine.heard().since(placement.runningSince()))) {
-          machine.late(placement);
+            && late(placement, machine.lastReportAt().since(placement.runningSince()))) {
+          machine.recordLateTask(placement);
         }
       }
     }
@@ -47,7 +47,7 @@
 
   private boolean late(Placement placement, Span ran) {
     Optional<Span> typicalRun = runTimes.typical(placement.job().spec());
-    return placement.watched()
+    return placement.continuouslyObserved()
         && typicalRun.isPresent()
         && ran.compareTo(typicalRun.get().times(LATE_FACTOR)) > 0;
   }
--- a/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
+++ b/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
@@ -116,7 +116,8 @@
       if (!victims.isEmpty() && mayStop.test(victims)) {
         victims.forEach(
             victim ->
-                fleet.halt(victim, victim.job().spec().checkpointDuration(), Fleet.Why.PREEMPTED));
+                fleet.halt(
+                    victim, victim.job().spec().checkpointDuration(), Fleet.StopReason.PREEMPTED));
         stopped += victims.size();
       }
     }
@@ -127,7 +128,7 @@
       return false;
     }
     for (Placement victim : plan.victims()) {
-      fleet.halt(victim, victim.job().spec().checkpointDuration(), Fleet.Why.PREEMPTED);
+      fleet.halt(victim, victim.job().spec().checkpointDuration(), Fleet.StopReason.PREEMPTED);
     }
     stopped += plan.victims().size();
     candidates.reservations().put(plan.machine(), job);
@@ -141,7 +142,7 @@
     return !machine.hasImage(spec.image())
         && targets
             .startTarget(spec)
-            .filter(within -> within.compareTo(machine.type().fetch(spec.imageGb())) < 0)
+            .filter(within -> within.compareTo(machine.type().fetchTime(spec.imageGb())) < 0)
             .isPresent();
   }
 
--- a/src/main/java/org/oakwalk/core/recovery/Recovery.java
+++ b/src/main/java/org/oakwalk/core/recovery/Recovery.java
@@ -14,8 +14,8 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
+import org.oakwalk.core.fleet.MachineRegistry;
 import org.oakwalk.core.fleet.MachineType;
-import org.oakwalk.core.fleet.Registry;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.ResultWriter;
@@ -31,14 +31,15 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Brings a new leader up to date: stored results, then the machines' registry, then a confirmation
- * from each registered machine. Until the last has come, or the machine is surely empty, no task of
- * an older job that has not been seen is placed: it may run on a machine not heard yet.
+ * Restores a new leader's state: it reads the stored results, then the machine registry, and then
+ * waits for each registered machine to confirm the leader's token. Until the last one has
+ * confirmed, or is certain to hold no attempts, no task of an older job is placed unless its state
+ * is known: it may run on a machine that has not reported yet.
  */
 public final class Recovery {
   private static final Logger LOG = LoggerFactory.getLogger(Recovery.class);
 
-  /** Steps of the recovery. */
+  /** States of the recovery, in their order. */
   public enum State {
     READING_RESULTS,
     READING_MACHINES,
@@ -46,58 +47,65 @@
     COMPLETE
   }
 
-  private static final Span RETRY = Span.millis(200);
+  private static final Span RETRY_DELAY = Span.millis(200);
 
   private final Outbox outbox;
   private final Fleet fleet;
   private final JobRegistry jobs;
   private final ResultWriter results;
-  private final Registry registry;
-  private final Moment rose;
-  private final Set<NodeId> unsettledPeers;
-  private final Moment relaysEnd;
-  private Moment lastForeignRenewal;
+  private final MachineRegistry registry;
+  private final Moment termStart;
+  private final Set<NodeId> peersOnOlderTokens;
+  private final Moment relayEnd;
+  private Moment lastUnseenRenewal;
   private Map<String, MachineType> types = Map.of();
   private State state = State.READING_RESULTS;
   private boolean reading;
-  private Optional<String> after = Optional.empty();
-  private final EnumMap<State, Moment> entered = new EnumMap<>(State.class);
+  private Optional<String> pageCursor = Optional.empty();
+  private final EnumMap<State, Moment> stateEnteredAt = new EnumMap<>(State.class);
   private int pages;
   private int registered;
   private Moment clock;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
 
+  /**
+   * Creates the recovery of a new leader.
+   *
+   * @param peersInGrace peers that led recently and may still renew leases under an older token
+   * @param graceLimit how long they may do so at most
+   * @param termStart when this node became leader
+   */
   public Recovery(
       Outbox outbox,
       Fleet fleet,
       JobRegistry jobs,
       ResultWriter results,
-      Registry registry,
-      Set<NodeId> mayHoldGrace,
+      MachineRegistry registry,
+      Set<NodeId> peersInGrace,
       Span graceLimit,
-      Moment rose) {
+      Moment termStart) {
     this.outbox = outbox;
     this.fleet = fleet;
     this.jobs = jobs;
     this.results = results;
     this.registry = registry;
-    this.rose = rose;
-    this.clock = rose;
-    this.entered.put(State.READING_RESULTS, rose);
-    this.unsettledPeers = new HashSet<>(mayHoldGrace);
+    this.termStart = termStart;
+    this.clock = termStart;
+    this.stateEnteredAt.put(State.READING_RESULTS, termStart);
+    this.peersOnOlderTokens = new HashSet<>(peersInGrace);
     // A follower that kept a zone's leases alive under an older token stops once its copy of the
     // store shows the change of leader.
-    this.relaysEnd = rose.plus(StoreView.MAX_LAG.surelyPassed());
-    this.lastForeignRenewal =
-        mayHoldGrace.isEmpty() ? relaysEnd : rose.plus(graceLimit.surelyPassed());
+    this.relayEnd = termStart.plus(StoreView.MAX_LAG.surelyPassed());
+    this.lastUnseenRenewal =
+        peersInGrace.isEmpty() ? relayEnd : termStart.plus(graceLimit.surelyPassed());
   }
 
   public State state() {
     return state;
   }
 
-  /** Whether reports can be made use of. */
-  public boolean readsReports() {
+  /** Whether reports can be processed. */
+  public boolean acceptsReports() {
     return state == State.CONFIRMING || state == State.COMPLETE;
   }
 
@@ -106,54 +114,63 @@
   }
 
   /**
-   * The last moment at which a worker's lease may have been renewed unseen: by an earlier leader,
-   * or by this one before it read reports.
+   * The last moment at which a worker's lease may have been renewed without being recorded for its
+   * machine: by an earlier leader, or by this one before it processed reports.
    */
-  public Moment lastForeignRenewal() {
-    return lastForeignRenewal;
+  public Moment lastUnseenRenewal() {
+    return lastUnseenRenewal;
   }
 
   /**
-   * A worker was answered under this leader's token, though its report could not be made use of
-   * yet. That renewed its lease later than the moment at which the list of machines was asked for,
-   * from which the lease of a machine that is not heard again would else be counted.
+   * Records that a response with this leader's token was sent although the report could not be
+   * processed yet. It renewed the worker's lease. Otherwise the lease of a machine that does not
+   * report again would be counted from when the registry was requested, which is earlier.
    */
-  public void renewedUnread(Moment now) {
-    if (!readsReports() && now.isAfter(lastForeignRenewal)) {
-      lastForeignRenewal = now;
+  public void leaseRenewedBeforeReports(Moment now) {
+    if (!acceptsReports() && now.isAfter(lastUnseenRenewal)) {
+      lastUnseenRenewal = now;
     }
   }
 
-  /** A peer says that it acts under no older token any more; only those that led lately matter. */
-  public void settled(NodeId peer, Moment now) {
-    if (unsettledPeers.remove(peer)
-        && unsettledPeers.isEmpty()
-        && lastForeignRenewal.isAfter(now)) {
-      lastForeignRenewal = now.isAfter(relaysEnd) ? now : relaysEnd;
-      LOG.info("no peer acts under an older token, token {}", fleet.token());
+  /** Records that a peer no longer acts under an older token; relevant only if it led recently. */
+  public void peerRelinquished(NodeId peer, Moment now) {
+    if (peersOnOlderTokens.remove(peer)
+        && peersOnOlderTokens.isEmpty()
+        && lastUnseenRenewal.isAfter(now)) {
+      lastUnseenRenewal = now.isAfter(relayEnd) ? now : relayEnd;
+      LOG.info("all peers have relinquished older tokens, token {}", fleet.token());
     }
   }
 
-  public void tick(Map<String, MachineType> known, Moment now) {
-    types = known;
+  /**
+   * Takes the next step, if one is due.
+   *
+   * @param currentTypes the machine types by name; the registry is read once there are any
+   */
+  public void tick(Map<String, MachineType> currentTypes, Moment now) {
+    types = currentTypes;
     clock = now;
     step(now);
   }
 
   private void step(Moment now) {
-    if (reading || nextTry.isAfter(now)) {
+    if (reading || nextAttemptAt.isAfter(now)) {
       return;
     }
     switch (state) {
       case READING_RESULTS ->
-          read(StoreKeys.DONE_PREFIX, this::result, State.READING_MACHINES, now);
+          read(StoreKeys.DONE_PREFIX, this::restoreResults, State.READING_MACHINES, now);
       case READING_MACHINES -> {
         if (!types.isEmpty()) {
-          read(StoreKeys.MACHINE_PREFIX, entry -> machine(entry, now), State.CONFIRMING, now);
+          read(
+              StoreKeys.MACHINE_PREFIX,
+              entry -> restoreMachines(entry, now),
+              State.CONFIRMING,
+              now);
         }
       }
       case CONFIRMING -> {
-        if (!fleet.anyUnconfirmed()) {
+        if (!fleet.anyUnverified()) {
           enter(State.COMPLETE);
         }
       }
@@ -161,97 +178,106 @@
     }
   }
 
-  private void read(String prefix, Consumer<Entry> take, State next, Moment now) {
+  private void read(String prefix, Consumer<Entry> handler, State next, Moment now) {
     reading = true;
     outbox.call(
-        new Request.ReadPage(prefix, after, Request.Urgency.LEADERSHIP),
+        new Request.ReadPage(prefix, pageCursor, Request.Urgency.LEADERSHIP),
         answer -> {
           reading = false;
           if (!(answer instanceof Answer.Page page)) {
-            nextTry = now.plus(RETRY);
+            nextAttemptAt = now.plus(RETRY_DELAY);
             return;
           }
           pages++;
-          page.entries().forEach(take);
+          page.entries().forEach(handler);
           if (page.more() && !page.entries().isEmpty()) {
-            after = Optional.of(page.entries().get(page.entries().size() - 1).key());
+            pageCursor = Optional.of(page.entries().get(page.entries().size() - 1).key());
           } else {
-            after = Optional.empty();
+            pageCursor = Optional.empty();
             enter(next);
           }
           if (state != State.CONFIRMING) {
-            // The next page at once: until the last one nothing can be placed.
+            // Read the next page at once: no task can be placed before the last one.
             step(clock);
           }
         });
   }
 
-  /** How long it took and what with; to be asked once it is complete. */
-  public String took() {
+  /** Summary of the durations of all states, for the log; valid once the recovery is complete. */
+  public String summary() {
     return "recovery took "
-        + entered.get(State.COMPLETE).since(rose)
+        + stateEnteredAt.get(State.COMPLETE).since(termStart)
         + ", token "
         + fleet.token()
         + ": results "
-        + part(State.READING_RESULTS)
+        + durationOf(State.READING_RESULTS)
         + ", machines "
-        + part(State.READING_MACHINES)
+        + durationOf(State.READING_MACHINES)
         + ", "
         + pages
         + " pages; confirmations "
-        + part(State.CONFIRMING)
+        + durationOf(State.CONFIRMING)
         + " of "
         + registered
         + " machines";
   }
 
-  private Span part(State of) {
-    return entered.get(State.values()[of.ordinal() + 1]).since(entered.get(of));
+  private Span durationOf(State completed) {
+    return stateEnteredAt
+        .get(State.values()[completed.ordinal() + 1])
+        .since(stateEnteredAt.get(completed));
   }
 
-  /** One that makes no sense is set aside: its tasks start again, and the others are restored. */
-  private void result(Entry entry) {
+  /**
+   * Restores a part of a job's results. One with an invalid key is skipped: its tasks run again.
+   */
+  private void restoreResults(Entry entry) {
     Optional<StoreKeys.DoneChunkKey> part = StoreKeys.parseDoneChunk(entry.key());
     if (part.isEmpty()) {
-      LOG.error("{} is no name of a part of results", entry.key());
+      LOG.error("skipped results with invalid key {}", entry.key());
       return;
     }
     JobId id = part.get().job();
     results.addStoredChunk(id, entry.key(), entry.revision());
-    jobs.find(id).ifPresent(job -> restore(job, part.get().chunk(), entry));
+    jobs.find(id).ifPresent(job -> markStoredTasks(job, part.get().chunk(), entry));
   }
 
-  /** A part that can't be read holds nothing up: its tasks run again, unless workers tell. */
-  private static void restore(Job job, int chunk, Entry entry) {
+  /**
+   * Marks the tasks of a part as stored. A part that can't be read is skipped: its tasks run again
+   * unless workers still report them as done.
+   */
+  private static void markStoredTasks(Job job, int chunk, Entry entry) {
     try {
       if (!(entry.value() instanceof StoredValue.DoneChunk done)) {
-        throw new IllegalArgumentException("not a part of results");
+        throw new IllegalArgumentException("value is not a part of results");
       }
       long from = (long) chunk * DoneBitmap.TASKS_PER_CHUNK;
       DoneBitmap.decode(done.bits()).stream()
           .filter(bit -> from + bit < job.spec().tasks())
           .forEach(bit -> job.restoreDone((int) from + bit));
     } catch (IllegalArgumentException e) {
-      LOG.error("{} can't be read: {}", entry.key(), e.getMessage());
+      LOG.error("skipped unreadable results {}: {}", entry.key(), e.getMessage());
     }
   }
 
-  private void machine(Entry entry, Moment now) {
+  private void restoreMachines(Entry entry, Moment now) {
     List<StoredValue.MachineRecord> records;
     if (entry.value() instanceof StoredValue.MachineRecord record) {
       records = List.of(record);
     } else if (entry.value() instanceof StoredValue.MachineListRecord list) {
       records = list.machines();
     } else {
-      // What can't be read may hold tasks all the same, until it has confirmed or is returned.
-      LOG.error("{} can't be read", entry.key());
+      // Its machines may hold tasks nevertheless. A stand-in blocks placement of older jobs until
+      // it
+      // has confirmed or is returned.
+      LOG.error("cannot read machines stored under {}", entry.key());
       MachineId id = new MachineId(entry.key().substring(StoreKeys.MACHINE_PREFIX.length()));
       records = List.of(new StoredValue.MachineRecord(id, "", "", "", false));
     }
     registered += records.size();
-    registry.found(entry.key(), entry.revision(), records);
+    registry.restore(entry.key(), entry.revision(), records);
     for (StoredValue.MachineRecord record : records) {
-      // One whose write was in doubt for an earlier leader may be listed twice.
+      // A machine is listed twice if an earlier leader did not know the outcome of its write.
       if (fleet.find(record.id()).isEmpty()) {
         fleet
             .add(
@@ -263,17 +289,18 @@
                 Machine.State.UNCONFIRMED,
                 now)
             .filter(machine -> record.address().isEmpty() && StoreKeys.isMachineList(entry.key()))
-            .ifPresent(Machine::standsForMany);
+            .ifPresent(Machine::markUnreadableList);
       }
     }
   }
 
-  /** The one place where the state changes. */
+  /** Changes the state; all changes go through this method. */
   private void enter(State next) {
     if (next.ordinal() != state.ordinal() + 1) {
-      throw new IllegalStateException("recovery from " + state + " to " + next);
+      throw new IllegalStateException(
+          "illegal transition of recovery from " + state + " to " + next);
     }
     state = next;
-    entered.put(next, clock);
+    stateEnteredAt.put(next, clock);
   }
 }
--- a/src/test/java/org/oakwalk/core/fleet/RegistryTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/MachineRegistryTest.java
@@ -28,10 +28,13 @@
 import org.oakwalk.core.store.Guard;
 import org.oakwalk.core.store.StoredValue;
 
-/** The list of machines against a store whose answers get lost and which applies writes late. */
-class RegistryTest {
+/**
+ * Guards against losing registered machines when answers of the store are lost or it applies writes
+ * late.
+ */
+class MachineRegistryTest {
   private static final Guard GUARD = new Guard("leader", new Revision(1));
-  private static final int CHANGES = 4;
+  private static final int MAX_CHANGES_PER_COMMIT = 4;
 
   private final Outbox outbox = new Outbox();
   private final Fleet fleet =
@@ -51,16 +54,17 @@
             @Override
             public void roomChanged() {}
           });
-  private final Registry registry =
-      new Registry(outbox, fleet, GUARD, new Settings.StateLimits(100, 100, 1, CHANGES));
+  private final MachineRegistry registry =
+      new MachineRegistry(
+          outbox, fleet, GUARD, new Settings.StateLimits(100, 100, 1, MAX_CHANGES_PER_COMMIT));
   private final Map<String, StoredValue.MachineListRecord> store = new HashMap<>();
-  private final Map<String, Long> stamps = new HashMap<>(Map.of("leader", 1L));
+  private final Map<String, Long> revisions = new HashMap<>(Map.of("leader", 1L));
   private long epoch = 1;
-  private int changes;
-  private int machines;
+  private int changeCount;
+  private int machineCount;
   private long now;
 
-  RegistryTest() {
+  MachineRegistryTest() {
     fleet.types(
         Map.of(
             "t",
@@ -68,9 +72,9 @@
                 "t", new Resources(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a"))));
   }
 
-  private Machine enrolling() {
-    MachineId id = new MachineId("host-%06d".formatted(++machines));
-    Machine.State state = Machine.State.ENROLLING;
+  private Machine addRegisteringMachine() {
+    MachineId id = new MachineId("host-%06d".formatted(++machineCount));
+    Machine.State state = Machine.State.REGISTERING;
     return fleet.add(id, "10.0.0.1:9000", "t", "a", false, state, new Moment(now)).orElseThrow();
   }
 
@@ -81,21 +85,21 @@
   }
 
   private Answer apply(Request.Commit commit) {
-    assertThat(commit.changes()).hasSizeLessThanOrEqualTo(CHANGES);
+    assertThat(commit.changes()).hasSizeLessThanOrEqualTo(MAX_CHANGES_PER_COMMIT);
     for (Guard guard : commit.guards()) {
-      if (stamps.getOrDefault(guard.key(), 0L) != guard.revision().value()) {
+      if (revisions.getOrDefault(guard.key(), 0L) != guard.revision().value()) {
         return new Answer.Conflict(List.of(guard.key()));
       }
     }
     epoch++;
     for (Change change : commit.changes()) {
-      changes++;
+      changeCount++;
       if (change instanceof Change.Put put) {
         store.put(put.key(), (StoredValue.MachineListRecord) put.value());
-        stamps.put(put.key(), epoch);
+        revisions.put(put.key(), epoch);
       } else if (change instanceof Change.Remove remove) {
         store.remove(remove.key());
-        stamps.remove(remove.key());
+        revisions.remove(remove.key());
       }
     }
     return new Answer.Committed(new Revision(epoch));
@@ -107,18 +111,21 @@
     return ids;
   }
 
-  /** A leader fell before it removed what a lost answer had made it write twice. */
+  /**
+   * An answer was lost, so a leader wrote machines under a second key, and failed before it removed
+   * the first one.
+   */
   @Test
-  void machinesThatStandUnderTwoKeysLeaveTheSecond() {
+  void duplicateMachinesAreRemovedFromTheLaterKey() {
     List<StoredValue.MachineRecord> twice = List.of(record(1), record(2));
     store.put("machine/a", new StoredValue.MachineListRecord(twice));
     store.put("machine/b", new StoredValue.MachineListRecord(twice));
     store.put("machine/c", new StoredValue.MachineListRecord(List.of(record(2), record(3))));
     for (String key : List.of("machine/a", "machine/b", "machine/c")) {
-      stamps.put(key, ++epoch);
-      registry.found(key, new Revision(epoch), store.get(key).machines());
+      revisions.put(key, ++epoch);
+      registry.restore(key, new Revision(epoch), store.get(key).machines());
     }
-    settle();
+    commitPendingChanges();
     assertThat(store.keySet()).containsExactlyInAnyOrder("machine/a", "machine/c");
     assertThat(store.get("machine/a").machines()).isEqualTo(twice);
     assertThat(store.get("machine/c").machines()).containsExactly(record(3));
@@ -129,7 +136,7 @@
         new MachineId("host-%06d".formatted(number)), "10.0.0.1:9000", "t", "a", false);
   }
 
-  private void settle() {
+  private void commitPendingChanges() {
     for (int i = 0; i < 100; i++) {
       for (Effect.Call call : tick()) {
         outbox.answered(call.call(), apply((Request.Commit) call.request()));
@@ -137,41 +144,44 @@
     }
   }
 
-  private void leaves(Machine machine) {
-    fleet.returning(machine);
-    fleet.gone(machine, new Moment(now));
-    registry.gone(machine.id());
+  private void returnMachine(Machine machine) {
+    fleet.startReturn(machine);
+    fleet.confirmGone(machine, new Moment(now));
+    registry.machineGone(machine.id());
   }
 
   @Test
-  void manyMachinesTakeFewChanges() {
+  void machinesAreRegisteredInFewChanges() {
     for (int i = 0; i < 100; i++) {
-      enrolling();
+      addRegisteringMachine();
     }
-    settle();
+    commitPendingChanges();
     assertThat(fleet.machines()).allMatch(machine -> machine.state() == Machine.State.UP);
     assertThat(stored()).hasSize(100);
-    assertThat(changes).isLessThanOrEqualTo(10);
-    List.copyOf(fleet.machines()).forEach(this::leaves);
-    settle();
+    assertThat(changeCount).isLessThanOrEqualTo(10);
+    List.copyOf(fleet.machines()).forEach(this::returnMachine);
+    commitPendingChanges();
     assertThat(store).isEmpty();
   }
 
-  /** Whatever is lost or late, a machine that takes tasks is in the store until it is gone. */
+  /**
+   * Runs random registrations and returns with refused, lost and late writes: a machine that
+   * accepts tasks must be in the store until it is gone.
+   */
   @ParameterizedTest
   @ValueSource(longs = {1, 2, 3, 4, 5, 6, 7, 8})
-  void whatTakesTasksStaysStored(long seed) {
+  void machinesThatAcceptTasksStayStored(long seed) {
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     List<Request.Commit> late = new ArrayList<>();
     for (int step = 0; step < 400; step++) {
       if (fleet.machines().size() < 60) {
         for (int i = random.nextInt(4); i > 0; i--) {
-          enrolling();
+          addRegisteringMachine();
         }
       }
       for (Machine machine : List.copyOf(fleet.machines())) {
         if (random.nextInt(30) == 0) {
-          leaves(machine);
+          returnMachine(machine);
         }
       }
       for (Effect.Call call : tick()) {
@@ -199,6 +209,6 @@
               .allMatch(machine -> stored.contains(machine.id()));
       assertThat(all).as("step %d", step).isTrue();
     }
-    assertThat(machines).isGreaterThan(100);
+    assertThat(machineCount).isGreaterThan(100);
   }
 }
--- /dev/null
+++ b/src/test/java/org/oakwalk/core/fleet/PlacementTestSupport.java
@@ -0,0 +1,13 @@
+package org.oakwalk.core.fleet;
+
+import org.oakwalk.core.Moment;
+
+/** Gives tests of other packages access to the state of placements, without worker reports. */
+public final class PlacementTestSupport {
+  private PlacementTestSupport() {}
+
+  /** Marks a placement as running from this moment on. */
+  public static void markRunning(Placement placement, Moment since) {
+    placement.enter(Placement.State.RUNNING, since);
+  }
+}
--- a/src/test/java/org/oakwalk/core/fleet/DutyTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/SchedulingModeTest.java
@@ -12,28 +12,28 @@
 import org.oakwalk.core.Token;
 import org.oakwalk.core.job.Resources;
 
-/** Which duties a machine may come to from which: the whole table. */
-class DutyTest {
+/** Covers all transitions between scheduling modes; the table lists the legal ones. */
+class SchedulingModeTest {
   @ParameterizedTest
   @CsvSource({
-    "IN_USE,    RETIRING NEXT CORDONED UNFIT RECLAIMED",
-    "RETIRING,  IN_USE NEXT UNFIT RECLAIMED",
-    "NEXT,      IN_USE CORDONED UNFIT RECLAIMED",
-    "CORDONED,  IN_USE UNFIT RECLAIMED",
-    "UNFIT,     RECLAIMED",
-    "RECLAIMED, ''"
+    "ACTIVE,        RETIRING DRAIN_PENDING CORDONED UNFIT RECLAIMED",
+    "RETIRING,      ACTIVE DRAIN_PENDING UNFIT RECLAIMED",
+    "DRAIN_PENDING, ACTIVE CORDONED UNFIT RECLAIMED",
+    "CORDONED,      ACTIVE UNFIT RECLAIMED",
+    "UNFIT,         RECLAIMED",
+    "RECLAIMED,     ''"
   })
-  void changesOnlyByTheTable(Duty from, String legal) {
+  void onlyLegalTransitionsChangeTheMode(SchedulingMode from, String legal) {
     List<String> allowed = List.of(Optional.ofNullable(legal).orElse("").split(" "));
-    for (Duty to : Duty.values()) {
+    for (SchedulingMode to : SchedulingMode.values()) {
       Machine machine = machine(from);
-      boolean changes = machine.duty(to);
+      boolean changes = machine.schedulingMode(to);
       assertThat(changes).as("%s to %s", from, to).isEqualTo(allowed.contains(to.name()));
-      assertThat(machine.duty()).isEqualTo(changes ? to : from);
+      assertThat(machine.schedulingMode()).isEqualTo(changes ? to : from);
     }
   }
 
-  private static Machine machine(Duty duty) {
+  private static Machine machine(SchedulingMode mode) {
     MachineType type =
         new MachineType(
             "m", new Resources(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
@@ -47,10 +47,10 @@
             Machine.State.UP,
             new Token(1),
             new Moment(1_000_000));
-    if (duty == Duty.CORDONED) {
-      machine.duty(Duty.NEXT);
+    if (mode == SchedulingMode.CORDONED) {
+      machine.schedulingMode(SchedulingMode.DRAIN_PENDING);
     }
-    machine.duty(duty);
+    machine.schedulingMode(mode);
     return machine;
   }
 }
--- a/src/test/java/org/oakwalk/core/fleet/StateTablesTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/StateTransitionsTest.java
@@ -23,21 +23,23 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
 
-/** The whole tables of what machines and placements may become; everything else is refused. */
-class StateTablesTest {
+/**
+ * Covers all state transitions of machines, placements and jobs; the tables list the legal ones.
+ */
+class StateTransitionsTest {
   private static final Moment NOW = new Moment(1_000_000);
 
   @ParameterizedTest
   @CsvSource({
-    "BOOTING,     ENROLLING RETURNING",
-    "ENROLLING,   UP RETURNING",
-    "UNCONFIRMED, UP LAPSED RETURNING",
-    "UP,          LAPSED RETURNING",
-    "LAPSED,      UP RETURNING",
-    "RETURNING,   GONE",
-    "GONE,        ''"
+    "BOOTING,       REGISTERING RETURNING",
+    "REGISTERING,   UP RETURNING",
+    "UNCONFIRMED,   UP LEASE_EXPIRED RETURNING",
+    "UP,            LEASE_EXPIRED RETURNING",
+    "LEASE_EXPIRED, UP RETURNING",
+    "RETURNING,     GONE",
+    "GONE,          ''"
   })
-  void machines(Machine.State from, String legal) {
+  void machineTransitions(Machine.State from, String legal) {
     for (Machine.State to : Machine.State.values()) {
       Machine machine = machine(from);
       if (to == from || allowed(legal).contains(to.name())) {
@@ -54,13 +56,13 @@
 
   @ParameterizedTest
   @CsvSource({
-    "ORDERED,  FETCHING RUNNING SAVING OVER",
-    "FETCHING, RUNNING SAVING OVER",
-    "RUNNING,  SAVING FETCHING OVER",
-    "SAVING,   OVER",
-    "OVER,     ''"
+    "ORDERED,  FETCHING RUNNING SAVING ENDED",
+    "FETCHING, RUNNING SAVING ENDED",
+    "RUNNING,  SAVING FETCHING ENDED",
+    "SAVING,   ENDED",
+    "ENDED,    ''"
   })
-  void placements(Placement.State from, String legal) {
+  void placementTransitions(Placement.State from, String legal) {
     for (Placement.State to : Placement.State.values()) {
       Placement placement = placement();
       placement.enter(from, NOW);
@@ -83,7 +85,7 @@
     "DONE,      DONE",
     "WITHDRAWN, WITHDRAWN"
   })
-  void jobs(Job.State from, String legal) {
+  void jobTransitions(Job.State from, String legal) {
     for (Job.State to : Job.State.values()) {
       Job job = job();
       enter(job, from);
--- a/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
@@ -14,9 +14,9 @@
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
+import org.oakwalk.core.fleet.MachineRegistry;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.fleet.Registry;
 import org.oakwalk.core.job.ArrayJobs;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobRegistry;
@@ -35,9 +35,9 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** A new leader among records that can't be made sense of, and reads that fail. */
+/** Covers the recovery of a new leader with malformed records and failing reads. */
 class RecoveryTest {
-  private static final Moment ROSE = new Moment(1_000_000);
+  private static final Moment TERM_START = new Moment(1_000_000);
   private static final Token TOKEN = new Token(7);
   private static final Guard GUARD = new Guard(StoreKeys.LEADER, new Revision(7));
   private static final Map<String, MachineType> TYPES =
@@ -48,7 +48,7 @@
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
-  private final JobRegistry jobs = knowsOneJob();
+  private final JobRegistry jobs = jobBookWithOneJob();
   private final Settings.StateLimits limits = new Settings.StateLimits(200, 100, 4, 8);
   private final Fleet fleet =
       new Fleet(
@@ -73,13 +73,13 @@
           fleet,
           jobs,
           new ResultWriter(outbox, jobs, view, GUARD, limits),
-          new Registry(outbox, fleet, GUARD, limits),
+          new MachineRegistry(outbox, fleet, GUARD, limits),
           Set.of(),
           Span.seconds(20),
-          ROSE);
-  private Moment now = ROSE;
+          TERM_START);
+  private Moment now = TERM_START;
 
-  private JobRegistry knowsOneJob() {
+  private JobRegistry jobBookWithOneJob() {
     JobSpec spec = ArrayJobs.spec("j-1", 10);
     JobRecord record = new JobRecord(spec, JobRecord.Phase.OPEN, new WallTime(1));
     view.setListener(
@@ -90,14 +90,14 @@
           @Override
           public void jobChanged(KnownJob job, Moment at) {}
         });
-    view.tick(ROSE);
+    view.tick(TERM_START);
     outbox.answered(
         ((Effect.Call) outbox.drain().get(0)).call(), page(StoreKeys.job(spec.id()), record));
     outbox.drain();
-    return new JobRegistry(view, TOKEN, ROSE);
+    return new JobRegistry(view, TOKEN, TERM_START);
   }
 
-  private Effect.Call read(String prefix) {
+  private Effect.Call tickAndExpectRead(String prefix) {
     now = now.plus(Span.millis(250));
     recovery.tick(TYPES, now);
     List<Effect> effects = outbox.drain();
@@ -112,8 +112,8 @@
   }
 
   @Test
-  void resultsThatMakeNoSenseAreSetAside() {
-    List<Answer> strange =
+  void malformedResultsAreIgnored() {
+    List<Answer> malformed =
         List.of(
             page(StoreKeys.DONE_PREFIX + "j-1/0", new StoredValue.DoneChunk("no bits")),
             page(StoreKeys.DONE_PREFIX + "j-1/first", new StoredValue.DoneChunk("ff")),
@@ -123,17 +123,17 @@
             page(StoreKeys.DONE_PREFIX + "x/0", new StoredValue.DoneChunk("ff")),
             page(StoreKeys.DONE_PREFIX + "j-1", new StoredValue.DoneChunk("ff")),
             page(StoreKeys.DONE_PREFIX + "j-1/0", new StoredValue.Unreadable("damaged")));
-    for (Answer answer : strange) {
+    for (Answer answer : malformed) {
       Recovery fresh =
           new Recovery(
               outbox,
               fleet,
               jobs,
               new ResultWriter(outbox, jobs, view, GUARD, limits),
-              new Registry(outbox, fleet, GUARD, limits),
+              new MachineRegistry(outbox, fleet, GUARD, limits),
               Set.of(),
               Span.seconds(20),
-              ROSE);
+              TERM_START);
       fresh.tick(TYPES, now);
       outbox.answered(((Effect.Call) outbox.drain().get(0)).call(), answer);
       assertThat(jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isZero();
@@ -143,39 +143,44 @@
   }
 
   /**
-   * While the list of machines is being read, which may take over a second, a worker is answered
-   * and then out of reach: its lease counts from that answer, not from when the list was asked for.
+   * Guards against a lease that seems to expire too early: a worker gets a response while the
+   * registry is being read, which may take over a second, and is unreachable afterwards. Its lease
+   * counts from the response, not from when the registry was requested.
    */
   @Test
-  void whatIsAnsweredBeforeReportsAreReadRenewsALease() {
+  void responseBeforeReportsAreAcceptedRenewsTheLease() {
     outbox.answered(
-        read(StoreKeys.DONE_PREFIX).call(), new Answer.Page(List.of(), false, new Revision(9)));
+        tickAndExpectRead(StoreKeys.DONE_PREFIX).call(),
+        new Answer.Page(List.of(), false, new Revision(9)));
     Effect.Call machines = (Effect.Call) outbox.drain().get(0);
     now = now.plus(Span.seconds(5));
-    recovery.renewedUnread(now);
+    recovery.leaseRenewedBeforeReports(now);
     Moment answered = now;
     outbox.answered(machines.call(), new Answer.Page(List.of(), false, new Revision(9)));
-    assertThat(recovery.readsReports()).isTrue();
-    recovery.renewedUnread(now.plus(Span.seconds(1)));
-    assertThat(recovery.lastForeignRenewal()).isEqualTo(answered);
+    assertThat(recovery.acceptsReports()).isTrue();
+    recovery.leaseRenewedBeforeReports(now.plus(Span.seconds(1)));
+    assertThat(recovery.lastUnseenRenewal()).isEqualTo(answered);
   }
 
   @Test
-  void eachStepIsTriedUntilItIsAnswered() {
+  void failedReadsAreRetriedInEachState() {
     for (Answer answer :
         List.of(new Answer.Nothing("lost"), new Answer.Refused(503, ""), new Answer.Ok())) {
-      outbox.answered(read(StoreKeys.DONE_PREFIX).call(), answer);
+      outbox.answered(tickAndExpectRead(StoreKeys.DONE_PREFIX).call(), answer);
       assertThat(recovery.state()).isEqualTo(Recovery.State.READING_RESULTS);
     }
     outbox.answered(
-        read(StoreKeys.DONE_PREFIX).call(), new Answer.Page(List.of(), false, new Revision(9)));
+        tickAndExpectRead(StoreKeys.DONE_PREFIX).call(),
+        new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.state()).isEqualTo(Recovery.State.READING_MACHINES);
     Effect.Call machines = (Effect.Call) outbox.drain().get(0);
     outbox.answered(machines.call(), new Answer.Nothing("lost"));
-    outbox.answered(read(StoreKeys.MACHINE_PREFIX).call(), new Answer.Refused(503, ""));
-    assertThat(recovery.readsReports()).isFalse();
     outbox.answered(
-        read(StoreKeys.MACHINE_PREFIX).call(), new Answer.Page(List.of(), false, new Revision(9)));
+        tickAndExpectRead(StoreKeys.MACHINE_PREFIX).call(), new Answer.Refused(503, ""));
+    assertThat(recovery.acceptsReports()).isFalse();
+    outbox.answered(
+        tickAndExpectRead(StoreKeys.MACHINE_PREFIX).call(),
+        new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.state()).isEqualTo(Recovery.State.CONFIRMING);
     recovery.tick(TYPES, now);
     assertThat(recovery.complete()).isTrue();
--- a/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
@@ -22,9 +22,9 @@
 import org.oakwalk.core.Token;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
+import org.oakwalk.core.fleet.MachineRegistry;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.fleet.Registry;
 import org.oakwalk.core.job.ArrayJobs;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobRegistry;
@@ -39,7 +39,7 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** What a new leader makes of stored results and records that can't be read. */
+/** Covers how a new leader handles stored results and unreadable records. */
 class StoredResultsTest {
   private static final MachineType TYPE =
       new MachineType("m", new Resources(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a"));
@@ -54,13 +54,13 @@
   private Recovery recovery;
 
   @BeforeEach
-  void store() {
+  void storeJobs() {
     ArrayJobs.storeRecord(store, "j-1", 3, JobRecord.Phase.OPEN);
     ArrayJobs.storeRecord(store, "j-2", 3, JobRecord.Phase.OPEN);
     store.put(StoreKeys.job(new JobId("j-3")), new StoredValue.Unreadable("of a later form"));
   }
 
-  private void rises() {
+  private void recover() {
     view.setListener(
         new StoreView.Listener() {
           @Override
@@ -100,7 +100,7 @@
             fleet,
             jobs,
             new ResultWriter(outbox, jobs, view, guard, LIMITS),
-            new Registry(outbox, fleet, guard, LIMITS),
+            new MachineRegistry(outbox, fleet, guard, LIMITS),
             Set.of(),
             Span.seconds(20),
             now);
@@ -114,28 +114,29 @@
     store.serve(outbox, commit -> FaultyStore.CommitOutcome.APPLIED);
   }
 
-  /** Parts with names or bits that make no sense are left out, and hold up nothing. */
+  /** Parts with malformed keys or bits must be skipped without blocking the recovery. */
   @Test
-  void partsThatMakeNoSenseAreLeftOut() {
+  void malformedResultPartsAreIgnored() {
     store.put(StoreKeys.DONE_PREFIX + "j-1/0", new StoredValue.DoneChunk("not hexadecimal"));
     store.put(StoreKeys.DONE_PREFIX + "j-1/99999999999", new StoredValue.DoneChunk("01"));
     store.put(StoreKeys.DONE_PREFIX + "j-1/262144", new StoredValue.DoneChunk("01"));
     store.put(StoreKeys.DONE_PREFIX + "nobody", new StoredValue.DoneChunk("01"));
     store.put(StoreKeys.DONE_PREFIX + "j-2/0", new StoredValue.DoneChunk("02"));
-    rises();
+    recover();
     assertThat(recovery.complete()).isTrue();
     assertThat(jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isZero();
     assertThat(jobs.find(new JobId("j-2")).orElseThrow().isStoredDone(1)).isTrue();
   }
 
   /**
-   * A worker reports completed tasks. It may forget those that are stored and those of jobs that
-   * are over or unknown; not those that are not stored, nor of a job whose record can't be read.
+   * Guards against losing results: a worker may clear completed tasks that are stored, or whose job
+   * has ended or is unknown, but not tasks that are not stored, or whose job's record can't be
+   * read.
    */
   @Test
-  void workersForgetOnlyWhatIsStoredOrAskedForByNobody() {
+  void onlyStoredOrObsoleteResultsAreCleared() {
     store.put(StoreKeys.DONE_PREFIX + "j-2/0", new StoredValue.DoneChunk("02"));
-    rises();
+    recover();
     List<Report.Piece> pieces = new ArrayList<>();
     for (String task : List.of("j-1/0", "j-2/1", "j-3/0", "j-4/0")) {
       pieces.add(
@@ -147,7 +148,7 @@
     }
     Machine machine =
         fleet
-            .report(
+            .handleReport(
                 new Report(
                     new MachineId("host-000001"),
                     "10.0.0.1:9000",
--- a/src/test/java/org/oakwalk/scenario/StreamTest.java
+++ b/src/test/java/org/oakwalk/scenario/StreamTest.java
@@ -14,7 +14,10 @@
   private static final int JOBS = 1200;
   private static final int MACHINES = 16;
   private static final List<String> STARTS_BY_COMMAND =
-      List.of("Leftovers.uncleared", "Leftovers.unclearedTasks", "OpenRuns.byCommand");
+      List.of(
+          "UnmatchedAttempts.uncleared",
+          "UnmatchedAttempts.unclearedTasks",
+          "PendingStarts.commandStarted");
 
   private static String text(double rest) {
     return """
