--- a/src/main/java/org/oakwalk/adapter/HttpCaller.java
+++ b/src/main/java/org/oakwalk/adapter/HttpCaller.java
@@ -117,7 +117,7 @@
     }
     int status = result.getResponse().getStatus();
     if (status >= 500 && status != 503) {
-      return new Answer.Nothing("status " + status);
+      return new Answer.OutcomeUnknown("status " + status);
     }
     try {
       return Outgoing.decode(request, status, content == null ? new byte[0] : content);
@@ -125,7 +125,7 @@
       if (complained.add(request.getClass().getSimpleName() + e.getMessage())) {
         LOG.error("bad answer from {} to {}: {}", address, request, e.getMessage());
       }
-      return new Answer.Nothing("bad answer");
+      return new Answer.OutcomeUnknown("bad answer");
     }
   }
 
@@ -136,7 +136,7 @@
     boolean neverSent =
         cause instanceof java.net.ConnectException
             || cause instanceof java.net.SocketTimeoutException;
-    return neverSent ? new Answer.Refused(0, reason) : new Answer.Nothing(reason);
+    return neverSent ? new Answer.Refused(0, reason) : new Answer.OutcomeUnknown(reason);
   }
 
   @Override
--- a/src/main/java/org/oakwalk/adapter/Inbound.java
+++ b/src/main/java/org/oakwalk/adapter/Inbound.java
@@ -14,7 +14,7 @@
 import org.eclipse.jetty.server.Request;
 import org.eclipse.jetty.server.Response;
 import org.eclipse.jetty.util.Callback;
-import org.oakwalk.core.ExchangeId;
+import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.port.Event;
@@ -40,7 +40,7 @@
   /** Takes events, each with the place where its answer goes. */
   interface Desk {
     /** Whether the event was taken; if not, there is too much to do. */
-    boolean offer(Reply reply, Function<ExchangeId, Event> event);
+    boolean offer(Reply reply, Function<InboundRequestId, Event> event);
   }
 
   /**
@@ -75,7 +75,7 @@
       }
     } else if (path.equals(UserCodec.READY_PATH)) {
       if (expect(true, "GET", method, reply)) {
-        offer(reply, Event.HealthAsked::new);
+        offer(reply, Event.HealthCheckReceived::new);
       }
     } else if (path.equals(UserCodec.JOBS_PATH)) {
       if (expect(true, "POST", method, reply)) {
@@ -110,9 +110,11 @@
         // Such a job can't have been accepted.
         reply.error(404, "no such job", Optional.empty());
       } else if (withdraw) {
-        offer(reply, ex -> new Event.UserAsks(ex, new UserRequest.Withdraw(new JobId(id))));
+        offer(
+            reply,
+            ex -> new Event.UserRequestReceived(ex, new UserRequest.Withdraw(new JobId(id))));
       } else {
-        offer(reply, ex -> new Event.UserAsks(ex, new UserRequest.Query(new JobId(id))));
+        offer(reply, ex -> new Event.UserRequestReceived(ex, new UserRequest.Query(new JobId(id))));
       }
     }
   }
@@ -120,7 +122,7 @@
   private void submit(byte[] body, Reply reply) {
     try {
       UserRequest.Submit submission = UserCodec.submission(body);
-      offer(reply, exchange -> new Event.UserAsks(exchange, submission));
+      offer(reply, exchange -> new Event.UserRequestReceived(exchange, submission));
     } catch (BadMessage e) {
       reply.error(400, e.getMessage(), Optional.empty());
     }
@@ -130,7 +132,7 @@
     try {
       var report = WorkerCodec.report(body);
       boolean crowded = reply.asksToLeave();
-      offer(reply, exchange -> new Event.WorkerReports(exchange, report, crowded));
+      offer(reply, exchange -> new Event.WorkerReportReceived(exchange, report, crowded));
     } catch (BadMessage e) {
       complain("report", e, reply);
     }
@@ -139,7 +141,7 @@
   private void peer(byte[] body, Reply reply) {
     try {
       var message = PeerCodec.decode(body);
-      offer(reply, exchange -> new Event.PeerSays(exchange, message));
+      offer(reply, exchange -> new Event.PeerMessageReceived(exchange, message));
     } catch (BadMessage e) {
       complain("message of a peer", e, reply);
     }
@@ -153,7 +155,7 @@
     reply.error(400, e.getMessage(), Optional.empty());
   }
 
-  private void offer(Reply reply, Function<ExchangeId, Event> event) {
+  private void offer(Reply reply, Function<InboundRequestId, Event> event) {
     if (!desk.offer(reply, event)) {
       reply.error(503, "overloaded", Optional.of(Span.seconds(1)));
     }
--- a/src/main/java/org/oakwalk/adapter/Listener.java
+++ b/src/main/java/org/oakwalk/adapter/Listener.java
@@ -19,7 +19,7 @@
 import org.eclipse.jetty.util.component.LifeCycle;
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.eclipse.jetty.util.thread.ThreadPool;
-import org.oakwalk.core.ExchangeId;
+import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.port.Event;
 import org.oakwalk.wire.PeerCodec;
 import org.oakwalk.wire.UserCodec;
@@ -40,7 +40,7 @@
   private final ServerConnector back;
   private final ConnectionLimiter limiter;
   private final Sink sink;
-  private final Map<ExchangeId, Inbound.Reply> open = new HashMap<>();
+  private final Map<InboundRequestId, Inbound.Reply> open = new HashMap<>();
   private final AtomicInteger openCount = new AtomicInteger();
   private long exchanges;
 
@@ -109,14 +109,14 @@
     return back.getLocalPort();
   }
 
-  private boolean offer(Inbound.Reply reply, Function<ExchangeId, Event> event) {
+  private boolean offer(Inbound.Reply reply, Function<InboundRequestId, Event> event) {
     if (openCount.incrementAndGet() > MOST_OPEN) {
       openCount.decrementAndGet();
       return false;
     }
-    ExchangeId id;
+    InboundRequestId id;
     synchronized (open) {
-      id = new ExchangeId(++exchanges);
+      id = new InboundRequestId(++exchanges);
       open.put(id, reply);
     }
     if (!sink.offer(event.apply(id))) {
@@ -126,7 +126,7 @@
     return true;
   }
 
-  private Inbound.Reply take(ExchangeId id) {
+  private Inbound.Reply take(InboundRequestId id) {
     synchronized (open) {
       Inbound.Reply reply = open.remove(id);
       if (reply != null) {
@@ -137,7 +137,7 @@
   }
 
   /** Answers an exchange. */
-  public void respond(ExchangeId exchange, org.oakwalk.core.port.Response response) {
+  public void respond(InboundRequestId exchange, org.oakwalk.core.port.Response response) {
     Inbound.Reply reply = take(exchange);
     if (reply == null) {
       return;
@@ -148,9 +148,9 @@
       reply.error(problem.status(), problem.reason(), problem.retryAfter());
     } else if (response instanceof org.oakwalk.core.port.Response.Orders orders) {
       reply.send(200, WorkerCodec.orders(orders.token(), orders.orders()));
-    } else if (response instanceof org.oakwalk.core.port.Response.Elsewhere elsewhere) {
+    } else if (response instanceof org.oakwalk.core.port.Response.Redirect elsewhere) {
       reply.send(421, WorkerCodec.elsewhere(elsewhere.leader()));
-    } else if (response instanceof org.oakwalk.core.port.Response.ToPeer toPeer) {
+    } else if (response instanceof org.oakwalk.core.port.Response.PeerResponse toPeer) {
       reply.send(200, PeerCodec.encode(toPeer.message()));
     } else {
       reply.send(200, new byte[0]);
--- a/src/main/java/org/oakwalk/adapter/Outside.java
+++ b/src/main/java/org/oakwalk/adapter/Outside.java
@@ -65,15 +65,15 @@
 
   /** Sends a request as soon as its budget allows. */
   public void call(Request request, long now, Consumer<Answer> then) {
-    if (request instanceof Request.State asked) {
+    if (request instanceof Request.StateServiceRequest asked) {
       state.call(asked, now, then);
-    } else if (request instanceof Request.Cloud) {
+    } else if (request instanceof Request.CloudRequest) {
       cloudQueue.add(new Waiting(request, now, 1, then));
       pump(now);
     } else if (request instanceof Request.Command command) {
       commandQueue.add(new Waiting(command, now, 1, then));
       pumpCommands(now);
-    } else if (request instanceof Request.Tell tell) {
+    } else if (request instanceof Request.SendToPeer tell) {
       send(addresses.peers().get(tell.node()), request, PEER_TIMEOUT, then);
     }
   }
@@ -128,10 +128,10 @@
     }
   }
 
-  private void sendState(Request.State request, Consumer<Answer> then) {
+  private void sendState(Request.StateServiceRequest request, Consumer<Answer> then) {
     long timeout =
-        request instanceof Request.Watch watch && watch.hold().millis() > 0
-            ? watch.hold().millis() + WATCH_GRACE
+        request instanceof Request.Watch watch && watch.maxWait().millis() > 0
+            ? watch.maxWait().millis() + WATCH_GRACE
             : STATE_TIMEOUT;
     send(addresses.state(), request, timeout, then);
   }
--- a/src/main/java/org/oakwalk/core/Products.java
+++ b/src/main/java/org/oakwalk/core/CapacityProducts.java
@@ -32,9 +32,9 @@
  * What stands round the scheduler under one token: dawns, headroom, exchanges. Without terms in the
  * store or in this node's file it does nothing at all.
  */
-final class Products implements Takes {
+final class CapacityProducts implements Takes {
   /** What the parts work on. */
-  record Ground(
+  record ProductContext(
       Fleet fleet,
       JobBook jobs,
       Quota quota,
@@ -42,7 +42,7 @@
       RunTimes runTimes,
       Span suspectAfter,
       Reserve reserve,
-      BiConsumer<Machine, Job> keepForGang) {}
+      BiConsumer<Machine, Job> reserveForGang) {}
 
   private final ProductKeeper keeper;
   private final Outbox outbox;
@@ -50,12 +50,12 @@
   private final Settings settings;
   private final Planner planner;
   private final Headroom headroom;
-  private final Ground ground;
+  private final ProductContext ground;
   private Optional<SharedState> shared = Optional.empty();
   private Optional<Exchange> exchange = Optional.empty();
   private SharedRecord<PlanRow> plans;
 
-  Products(
+  CapacityProducts(
       ProductTerms declared,
       StoreView view,
       Outbox outbox,
@@ -63,7 +63,7 @@
       Settings settings,
       Headroom headroom,
       Planner planner,
-      Ground ground) {
+      ProductContext ground) {
     this.headroom = headroom;
     this.planner = planner;
     this.ground = ground;
@@ -77,7 +77,7 @@
    * Whether tasks may be placed: what older leaders promised has been read, or there can be no such
    * promise.
    */
-  boolean known() {
+  boolean allowsPlacement() {
     return keeper.inForce().none() || shared.filter(SharedState::known).isPresent();
   }
 
@@ -130,7 +130,7 @@
                   ground.runTimes(),
                   ground.suspectAfter(),
                   ground.reserve(),
-                  ground.keepForGang()));
+                  ground.reserveForGang()));
     }
   }
 
--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -9,7 +9,7 @@
 import org.oakwalk.core.job.OpenQuestions;
 import org.oakwalk.core.job.UserRequestHandler;
 import org.oakwalk.core.leadership.Leadership;
-import org.oakwalk.core.leadership.Relay;
+import org.oakwalk.core.leadership.LeaseRelay;
 import org.oakwalk.core.leadership.ReportForwarding;
 import org.oakwalk.core.leadership.WithdrawalHalts;
 import org.oakwalk.core.leadership.WorkerRedirects;
@@ -47,7 +47,7 @@
   private final Outbox outbox = new Outbox();
   private final StoreView view;
   private final Leadership leadership;
-  private final Relay relay;
+  private final LeaseRelay relay;
   private final ReportForwarding forwarding = new ReportForwarding();
   private final WorkerRedirects redirects = new WorkerRedirects();
   private final UserRequestHandler userRequests;
@@ -76,7 +76,7 @@
     this.view =
         new StoreView(outbox, settings.state().requestsPerSecond(), settings.peers().size() + 1);
     Span graceLimit = settings.workers().graceLimit();
-    if (!settings.workers().cancelsInTime()) {
+    if (!settings.workers().meetsCancelDeadline()) {
       LOG.warn("a lease alone may outlast cancel_s: tasks out of reach may end too late");
     }
     this.leadership =
@@ -89,7 +89,7 @@
             graceLimit,
             new Leadership.Listener() {
               @Override
-              public void rises(Token token, Moment at) {
+              public void leadershipGained(Token token, Moment at) {
                 view.leads(true);
                 term =
                     Optional.of(
@@ -100,25 +100,25 @@
                             outbox,
                             view,
                             graceLimit,
-                            seen -> leadership().shownByWorker(seen, now),
+                            seen -> leadership().workerReportedToken(seen, now),
                             at));
-                term.get().suspected(suspects);
+                term.get().markSuspects(suspects);
               }
 
               @Override
-              public void falls(Token token, Moment at) {
+              public void leadershipLost(Token token, Moment at) {
                 view.leads(false);
                 term = Optional.empty();
               }
             });
     this.halts = new WithdrawalHalts(view);
-    this.relay = new Relay(outbox, view, settings);
+    this.relay = new LeaseRelay(outbox, view, settings);
     this.userRequests =
         new UserRequestHandler(
             outbox,
             view,
             settings.teams(),
-            new Admission(settings.teams(), view, policy.mostOpenJobs()));
+            new Admission(settings.teams(), view, policy.maxOpenJobs()));
     this.catalogue = new Catalogue(outbox);
     view.listen(
         new StoreView.Listener() {
@@ -152,80 +152,82 @@
   public List<Effect> handle(Event event, Moment steady, WallTime dayTime) {
     now = steady;
     wall = dayTime;
-    if (handled.isPresent() && now.past(handled.get(), STOOD_STILL)) {
+    if (handled.isPresent() && now.isPast(handled.get(), STOOD_STILL)) {
       LOG.info("stood still for {}", now.since(handled.get()));
       awake = now;
-      term.ifPresent(r -> r.stoodStill(now));
+      term.ifPresent(r -> r.processStalled(now));
     }
     handled = Optional.of(now);
     view.clock(now);
     userRequests.clock(now, wall);
     step(event);
-    return outbox.drain();
+    return outbox.takeEffects();
   }
 
   private void step(Event event) {
     if (event instanceof Event.Tick) {
       tick();
-    } else if (event instanceof Event.Answered answered) {
-      outbox.answered(answered.call(), answered.answer());
-    } else if (event instanceof Event.WorkerReports reports) {
+    } else if (event instanceof Event.CallAnswered answered) {
+      outbox.deliverAnswer(answered.call(), answered.answer());
+    } else if (event instanceof Event.WorkerReportReceived reports) {
       worker(reports);
-    } else if (event instanceof Event.UserAsks asks) {
+    } else if (event instanceof Event.UserRequestReceived asks) {
       serve(asks);
-    } else if (event instanceof Event.HealthAsked asked) {
-      outbox.respond(asked.exchange(), health());
-    } else if (event instanceof Event.PeerSays says) {
+    } else if (event instanceof Event.HealthCheckReceived asked) {
+      outbox.respond(asked.requestId(), health());
+    } else if (event instanceof Event.PeerMessageReceived says) {
       peer(says);
     }
   }
 
   /** A worker reports: to the leader itself, or to a follower that may have to stand in. */
-  private void worker(Event.WorkerReports reports) {
+  private void worker(Event.WorkerReportReceived reports) {
     Report report = reports.report();
     if (term.isPresent()) {
       Optional<NodeId> host =
-          reports.crowded() && leadership.mayAnswer(now) && !term.get().above(report)
-              ? redirects.host(report.machine(), now)
+          reports.redirectPreferred()
+                  && leadership.mayAnswerWorkers(now)
+                  && !term.get().reportsHigherToken(report)
+              ? redirects.target(report.machine(), now)
               : Optional.empty();
       outbox.respond(
-          reports.exchange(),
-          host.isPresent() ? new Response.Elsewhere(host) : report(report, false));
-    } else if (forwarding.carries(report, now)) {
+          reports.requestId(),
+          host.isPresent() ? new Response.Redirect(host) : report(report, false));
+    } else if (forwarding.shouldForward(report, now)) {
       carry(reports, forwarding.leader(now).orElseThrow());
     } else {
-      relay.answer(
+      relay.resolveToken(
           report,
           now,
           token ->
               outbox.respond(
-                  reports.exchange(),
+                  reports.requestId(),
                   token.isPresent()
-                      ? new Response.Orders(token.get(), halts.of(report))
+                      ? new Response.Orders(token.get(), halts.haltsFor(report))
                       : elsewhere()));
     }
   }
 
-  private void carry(Event.WorkerReports reports, NodeId leader) {
+  private void carry(Event.WorkerReportReceived reports, NodeId leader) {
     outbox.call(
-        new Request.Tell(leader, new PeerMessage.Carry(reports.report())),
-        answer -> outbox.respond(reports.exchange(), carried(reports.report(), answer)));
+        new Request.SendToPeer(leader, new PeerMessage.ForwardReport(reports.report())),
+        answer -> outbox.respond(reports.requestId(), carried(reports.report(), answer)));
   }
 
   /** The leader's orders for a worker whose report was carried to it. */
   private Response carried(Report report, Answer answer) {
-    if (answer instanceof Answer.Told told
-        && told.message() instanceof PeerMessage.Carried carried
+    if (answer instanceof Answer.PeerReply told
+        && told.message() instanceof PeerMessage.ForwardedReportOrders carried
         && carried.token().isPresent()) {
       LOG.debug("orders carried to {}: {}", report.machine(), carried.orders());
-      return new Response.Orders(carried.token().get(), halts.added(carried.orders()));
+      return new Response.Orders(carried.token().get(), halts.withHalts(carried.orders()));
     }
     return elsewhere();
   }
 
   private void tick() {
     view.tick(now);
-    for (ExchangeId late : questions.late(now)) {
+    for (InboundRequestId late : questions.late(now)) {
       outbox.respond(late, Response.unavailable("no answer in time", SOON));
     }
     leadership.tick(now);
@@ -233,12 +235,12 @@
     catalogue.tick(leadership.holdsToken(), view.types(), now);
     userRequests.types(catalogue.types());
     if (term.isPresent()
-        && leadership.mayStepAside(now)
-        && term.get().blind(redirects.anyHost(now), now)) {
-      leadership.stepAside(now);
+        && leadership.mayStepDown(now)
+        && term.get().isCutOffFromWorkers(redirects.hasTarget(now), now)) {
+      leadership.stepDown(now);
     }
     term.ifPresent(
-        r -> r.tick(catalogue.types(), leadership.mayAnswer(now) && informed(), now, wall));
+        r -> r.tick(catalogue.types(), leadership.mayAnswerWorkers(now) && informed(), now, wall));
     if (term.isPresent() && !nextDigest.isAfter(now)) {
       nextDigest = now.plus(DIGEST_EVERY);
       digest(term.get());
@@ -255,41 +257,41 @@
    * read either, it goes on after a moment like any leader that has lost the store.
    */
   private boolean informed() {
-    return !awake.isAfter(view.contact()) || now.past(awake, INFORMED_WITHIN);
+    return !awake.isAfter(view.contact()) || now.isPast(awake, INFORMED_WITHIN);
   }
 
   private void digest(LeaderTerm current) {
-    Map<JobId, PeerMessage.Counts> counts = current.counts();
+    Map<JobId, PeerMessage.TaskCounts> counts = current.counts();
     userRequests.counts(counts);
     PeerMessage message =
         new PeerMessage.Digest(
             settings.node(), current.token(), view.fresh(now), counts, current.suspects());
     for (NodeId peer : settings.peers()) {
       outbox.call(
-          new Request.Tell(peer, message),
+          new Request.SendToPeer(peer, message),
           answer -> {
-            if (answer instanceof Answer.Told told
-                && told.message() instanceof PeerMessage.Acknowledged acknowledged) {
-              redirects.heard(acknowledged.from(), now);
-              term.filter(r -> r == current && acknowledged.settled())
-                  .ifPresent(r -> r.peerSettled(acknowledged.from(), now));
+            if (answer instanceof Answer.PeerReply told
+                && told.message() instanceof PeerMessage.Acknowledgement acknowledged) {
+              redirects.followerHeard(acknowledged.from(), now);
+              term.filter(r -> r == current && acknowledged.relinquished())
+                  .ifPresent(r -> r.peerRelinquished(acknowledged.from(), now));
             }
           });
     }
   }
 
   private Response report(Report report, boolean cutOff) {
-    if (term.isPresent() && term.get().above(report)) {
+    if (term.isPresent() && term.get().reportsHigherToken(report)) {
       // Whoever was granted it, this worker drops what is said under this node's token. If nobody
       // was, it stays silent for this leader, and its machine is lost like others that are.
-      leadership.shownByWorker(report.token(), now);
+      leadership.workerReportedToken(report.token(), now);
       return elsewhere();
     }
-    if (term.isPresent() && leadership.mayAnswer(now)) {
-      if (!term.get().readsReports()) {
+    if (term.isPresent() && leadership.mayAnswerWorkers(now)) {
+      if (!term.get().acceptsReports()) {
         // The lease is renewed all the same, so what was withdrawn must end by this answer.
-        term.get().answered(report.machine(), now);
-        return new Response.Orders(term.get().token(), halts.of(report));
+        term.get().workerAnswered(report.machine(), now);
+        return new Response.Orders(term.get().token(), halts.haltsFor(report));
       }
       Optional<Response.Orders> orders = term.get().report(report, cutOff, now);
       return orders.isPresent()
@@ -304,13 +306,13 @@
    * tells nothing: a worker would go to and fro between this node and one that doesn't lead.
    */
   private Response elsewhere() {
-    return new Response.Elsewhere(
+    return new Response.Redirect(
         forwarding
             .leader(now)
             .or(
                 () ->
                     view.leader()
-                        .filter(leader -> !now.past(view.contact(), NAMES_LEADER_FOR))
+                        .filter(leader -> !now.isPast(view.contact(), NAMES_LEADER_FOR))
                         .map(leader -> leader.record().node()))
             .filter(node -> !node.equals(settings.node())));
   }
@@ -319,8 +321,8 @@
    * Serves a user, through the leader if this node alone has lost the state service. In an outage
    * the leader has lost it as well, and the user is sent away at once.
    */
-  private void serve(Event.UserAsks asks) {
-    questions.asked(asks.exchange(), asks.request(), now);
+  private void serve(Event.UserRequestReceived asks) {
+    questions.asked(asks.requestId(), asks.request(), now);
     userRequests.serve(
         asks.request(),
         response -> {
@@ -333,16 +335,16 @@
         });
   }
 
-  private void answer(Event.UserAsks asks, Response response) {
-    if (questions.answered(asks.exchange())) {
-      outbox.respond(asks.exchange(), response);
+  private void answer(Event.UserRequestReceived asks, Response response) {
+    if (questions.answered(asks.requestId())) {
+      outbox.respond(asks.requestId(), response);
     }
   }
 
-  private void forward(Event.UserAsks asks, Response otherwise) {
+  private void forward(Event.UserRequestReceived asks, Response otherwise) {
     NodeId peer = servingPeer().orElseThrow();
     outbox.call(
-        new Request.Tell(peer, new PeerMessage.Forward(asks.request())),
+        new Request.SendToPeer(peer, new PeerMessage.ForwardUserRequest(asks.request())),
         answer -> {
           Optional<Response> forwarded = forwardedResponse(answer);
           LOG.debug(
@@ -357,69 +359,72 @@
   }
 
   private static Optional<Response> forwardedResponse(Answer answer) {
-    return answer instanceof Answer.Told told
-            && told.message() instanceof PeerMessage.Forwarded forwarded
+    return answer instanceof Answer.PeerReply told
+            && told.message() instanceof PeerMessage.ForwardedResponse forwarded
         ? Optional.of(forwarded.response())
         : Optional.empty();
   }
 
   private Optional<NodeId> servingPeer() {
-    return now.past(digested, DIGEST_COUNTS_FOR) ? Optional.empty() : digestFrom;
+    return now.isPast(digested, DIGEST_COUNTS_FOR) ? Optional.empty() : digestFrom;
   }
 
   private Response health() {
-    boolean reaches = !now.past(view.contact(), READY_WITHOUT_CONTACT) || servingPeer().isPresent();
+    boolean reaches =
+        !now.isPast(view.contact(), READY_WITHOUT_CONTACT) || servingPeer().isPresent();
     boolean serves = view.loaded() && userRequests.knowsTypes() && reaches;
     return serves ? new Response.Ready() : Response.unavailable("not ready", SOON);
   }
 
-  private void peer(Event.PeerSays says) {
+  private void peer(Event.PeerMessageReceived says) {
     if (says.message() instanceof PeerMessage.Digest digest && view.beyond(digest.token(), now)) {
       // Taken for true it would keep this node from leading, and from hearing who does.
       if (strangeDigests++ == 0) {
         LOG.error("digest of {}: nobody was granted token {}", digest.from(), digest.token());
       }
-      outbox.respond(says.exchange(), Response.refusal(400, "no such token"));
+      outbox.respond(says.requestId(), Response.refusal(400, "no such token"));
     } else if (says.message() instanceof PeerMessage.Digest digest) {
-      leadership.tokenSeen(digest.token(), now);
-      relay.heard(digest.token(), now);
+      leadership.observeToken(digest.token(), now);
+      relay.leaderHeard(digest.token(), now);
       if (view.leader().filter(l -> l.token().compareTo(digest.token()) > 0).isEmpty()) {
         // Not one that was succeeded and does not know.
-        forwarding.heard(digest.from(), digest.token(), now);
+        forwarding.leaderHeard(digest.from(), digest.token(), now);
       }
       if (term.isEmpty()) {
         userRequests.counts(digest.counts());
         suspects = digest.suspects();
-        if (digest.serves()) {
+        if (digest.reachesStateService()) {
           digestFrom = Optional.of(digest.from());
           digested = now;
         }
       }
       outbox.respond(
-          says.exchange(),
-          new Response.ToPeer(
-              new PeerMessage.Acknowledged(settings.node(), !leadership.holdsToken())));
+          says.requestId(),
+          new Response.PeerResponse(
+              new PeerMessage.Acknowledgement(settings.node(), !leadership.holdsToken())));
     } else if (says.message() instanceof PeerMessage.Probe) {
       outbox.respond(
-          says.exchange(),
-          new Response.ToPeer(new PeerMessage.Acknowledged(settings.node(), false)));
-    } else if (says.message() instanceof PeerMessage.Carry carry) {
-      boolean cutOff = !redirects.lodges(carry.report().machine(), now);
+          says.requestId(),
+          new Response.PeerResponse(new PeerMessage.Acknowledgement(settings.node(), false)));
+    } else if (says.message() instanceof PeerMessage.ForwardReport carry) {
+      boolean cutOff = !redirects.redirectedRecently(carry.report().machine(), now);
       Response response = report(carry.report(), cutOff);
       outbox.respond(
-          says.exchange(),
-          new Response.ToPeer(
+          says.requestId(),
+          new Response.PeerResponse(
               response instanceof Response.Orders orders
-                  ? new PeerMessage.Carried(Optional.of(orders.token()), orders.orders())
-                  : new PeerMessage.Carried(Optional.empty(), List.of())));
-    } else if (says.message() instanceof PeerMessage.Forward forward) {
+                  ? new PeerMessage.ForwardedReportOrders(
+                      Optional.of(orders.token()), orders.orders())
+                  : new PeerMessage.ForwardedReportOrders(Optional.empty(), List.of())));
+    } else if (says.message() instanceof PeerMessage.ForwardUserRequest forward) {
       userRequests.serve(
           forward.request(),
           response ->
               outbox.respond(
-                  says.exchange(), new Response.ToPeer(new PeerMessage.Forwarded(response))));
+                  says.requestId(),
+                  new Response.PeerResponse(new PeerMessage.ForwardedResponse(response))));
     } else {
-      outbox.respond(says.exchange(), Response.refusal(400, "unexpected message"));
+      outbox.respond(says.requestId(), Response.refusal(400, "unexpected message"));
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/ExchangeId.java
+++ b/src/main/java/org/oakwalk/core/InboundRequestId.java
@@ -1,4 +1,4 @@
 package org.oakwalk.core;
 
 /** A request that somebody sent here and that is to be answered once. */
-public record ExchangeId(long value) {}
+public record InboundRequestId(long value) {}
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -27,7 +27,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
 import org.oakwalk.core.job.ResultWriter;
-import org.oakwalk.core.leadership.RelayEnds;
+import org.oakwalk.core.leadership.RelayExpiry;
 import org.oakwalk.core.placement.Pace;
 import org.oakwalk.core.placement.Placer;
 import org.oakwalk.core.placement.Quota;
@@ -56,7 +56,7 @@
   private final StoreView view;
   private final Policy policy;
   private final JobBook jobs;
-  private final RelayEnds relays;
+  private final RelayExpiry relays;
   private final Fleet fleet;
   private final CommandDispatcher dispatcher;
   private final Registry registry;
@@ -70,7 +70,7 @@
   private final Mover mover;
   private final Drainer drainer;
   private final CatalogueKeeper keeper;
-  private final Products products;
+  private final CapacityProducts products;
   private final Planner planner;
   private boolean roundDue = true;
   private Moment nextRegular;
@@ -104,7 +104,7 @@
     Guard guard = new Guard(Keys.LEADER, new Revision(token.value()));
     Span suspectAfter = settings.workers().suspectAfter();
     this.jobs = new JobBook(view, token, now);
-    this.relays = new RelayEnds(outbox, view, guard, token, settings.workers());
+    this.relays = new RelayExpiry(outbox, view, guard, token, settings.workers());
     this.fleet = new Fleet(token, jobs, view, relays, settings.workers(), this);
     this.dispatcher =
         new CommandDispatcher(
@@ -112,7 +112,7 @@
             fleet,
             suspectAfter,
             report -> {
-              if (above(report)) {
+              if (reportsHigherToken(report)) {
                 higherToken.accept(report.token());
               } else {
                 fleet.report(report, false, clock);
@@ -139,10 +139,11 @@
             suspectAfter);
     Quota quota = new Quota(settings.teams(), fleet);
     Headroom headroom = new Headroom(fleet, jobs, quota, settings, gate::allows);
-    this.planner = new Planner(fleet, jobs, settings, policy.scoring().floor(), headroom::kept);
+    this.planner =
+        new Planner(fleet, jobs, settings, policy.scoring().minTimeLeft(), headroom::kept);
     this.mover = new Mover(fleet, quota, gate, outbox, suspectAfter, headroom);
     this.products =
-        new Products(
+        new CapacityProducts(
             policy.product(),
             view,
             outbox,
@@ -150,7 +151,7 @@
             settings,
             headroom,
             planner,
-            new Products.Ground(
+            new CapacityProducts.ProductContext(
                 fleet, jobs, quota, gate, runTimes, suspectAfter, headroom, this::keepForGang));
     this.placer =
         new Placer(
@@ -203,7 +204,7 @@
   private static Set<NodeId> mayHoldGrace(
       Settings settings, StoreView view, Span graceLimit, Moment now) {
     Set<NodeId> peers = new HashSet<>(settings.peers());
-    view.ledWithin(graceLimit.surelyPassed(), now).ifPresent(peers::retainAll);
+    view.ledWithin(graceLimit.plusClockDrift(), now).ifPresent(peers::retainAll);
     return peers;
   }
 
@@ -216,7 +217,7 @@
   }
 
   /** Whether a worker shows a higher token than this leader has told it. */
-  boolean above(Report report) {
+  boolean reportsHigherToken(Report report) {
     return fleet.above(report);
   }
 
@@ -237,12 +238,12 @@
   }
 
   /** Whether what older leaders left has been read, so that reports can be made use of. */
-  boolean readsReports() {
+  boolean acceptsReports() {
     return recovery.readsReports();
   }
 
   /** A worker was answered before its report could be made use of. */
-  void answered(MachineId machine, Moment now) {
+  void workerAnswered(MachineId machine, Moment now) {
     recovery.renewedUnread(now);
     if (!recovery.complete()) {
       dispatcher.answered(machine, now);
@@ -257,7 +258,7 @@
       return Optional.empty();
     }
     machine.get().carried(carried);
-    answered(report.machine(), now);
+    workerAnswered(report.machine(), now);
     evacuate(machine.get(), now);
     if (machine.get().startsByAnswersOnly()) {
       // What is placed after this answer would wait for the next one.
@@ -285,16 +286,16 @@
   }
 
   /** Whether hardly any machine reaches this node, though there are some. */
-  boolean blind(boolean othersCarry, Moment now) {
+  boolean isCutOffFromWorkers(boolean othersCarry, Moment now) {
     return recovery.complete() && capacity.health().blind(othersCarry, now);
   }
 
   /** This process stood still until now, so that nobody's silence tells anything. */
-  void stoodStill(Moment now) {
+  void processStalled(Moment now) {
     capacity.health().stoodStill(now);
   }
 
-  void peerSettled(NodeId peer, Moment now) {
+  void peerRelinquished(NodeId peer, Moment now) {
     recovery.settled(peer, now);
   }
 
@@ -326,7 +327,7 @@
       capacity.tick(types, recovery.complete(), now, wall);
       drainer.tick(recovery.complete(), now, wall);
       products.tick(types, recovery.complete(), now, wall);
-      if (products.known()) {
+      if (products.allowsPlacement()) {
         placing = Optional.of(wall);
         round(now, wall);
       }
@@ -348,11 +349,11 @@
 
   private void round(Moment now, WallTime wall) {
     boolean regular = !nextRegular.isAfter(now);
-    if (!regular && !(roundDue && now.past(lastRound, EVENT_ROUND_SPACING))) {
+    if (!regular && !(roundDue && now.isPast(lastRound, EVENT_ROUND_SPACING))) {
       return;
     }
     if (regular) {
-      nextRegular = now.plus(policy.round());
+      nextRegular = now.plus(policy.roundInterval());
       pace.survey(fleet.machines(), now);
     }
     roundDue = false;
@@ -363,22 +364,22 @@
     }
     if (placed > 0 && !placedOnce) {
       placedOnce = true;
-      outbox.measured(Effect.Measure.FAILOVER, now.since(rose));
+      outbox.recordDuration(Effect.DurationMetric.FAILOVER, now.since(rose));
       LOG.info("first placement {} after the rise, token {}", now.since(rose), token);
     }
   }
 
   /** How far the open jobs are. */
-  Map<JobId, PeerMessage.Counts> counts() {
-    Map<JobId, PeerMessage.Counts> counts = new HashMap<>();
+  Map<JobId, PeerMessage.TaskCounts> counts() {
+    Map<JobId, PeerMessage.TaskCounts> counts = new HashMap<>();
     for (Job job : jobs.begun()) {
-      counts.put(job.id(), new PeerMessage.Counts(job.doneCount(), job.runningCount()));
+      counts.put(job.id(), new PeerMessage.TaskCounts(job.doneCount(), job.runningCount()));
     }
     return counts;
   }
 
   /** Jobs that an earlier leader found to fail everywhere. */
-  void suspected(Set<JobId> ids) {
+  void markSuspects(Set<JobId> ids) {
     ids.forEach(id -> jobs.find(id).ifPresent(Job::suspected));
   }
 
@@ -437,7 +438,7 @@
 
   @Override
   public void placed(Job job, Moment now) {
-    outbox.measured(Effect.Measure.QUEUE_WAIT, now.since(job.waitingSince()));
+    outbox.recordDuration(Effect.DurationMetric.QUEUE_WAIT, now.since(job.waitingSince()));
   }
 
   @Override
--- a/src/main/java/org/oakwalk/core/Moment.java
+++ b/src/main/java/org/oakwalk/core/Moment.java
@@ -15,7 +15,7 @@
   }
 
   /** Whether more than {@code span} has passed since {@code earlier}. */
-  public boolean past(Moment earlier, Span span) {
+  public boolean isPast(Moment earlier, Span span) {
     return millis - earlier.millis > span.millis();
   }
 
--- a/src/main/java/org/oakwalk/core/Report.java
+++ b/src/main/java/org/oakwalk/core/Report.java
@@ -13,11 +13,11 @@
     SessionId session,
     long sequence,
     Token token,
-    Optional<Span> notice,
-    List<Piece> pieces) {
+    Optional<Span> reclaimNotice,
+    List<ReportedTask> tasks) {
 
   /** State of a task on a machine. */
-  public enum PieceState {
+  public enum TaskState {
     FETCHING,
     GATHERING,
     RUNNING,
@@ -37,14 +37,14 @@
   }
 
   /** One task on the machine; the cause is null unless it has ended. */
-  public record Piece(TaskId task, Attempt attempt, PieceState state, Cause cause) {
+  public record ReportedTask(TaskId task, Attempt attempt, TaskState state, Cause cause) {
     public boolean ended() {
-      return state == PieceState.ENDED;
+      return state == TaskState.ENDED;
     }
   }
 
   /** Whether this report was made after one with the given session and sequence. */
-  public boolean newerThan(SessionId otherSession, long otherSequence) {
+  public boolean isNewerThan(SessionId otherSession, long otherSequence) {
     int bySession = session.compareTo(otherSession);
     return bySession > 0 || (bySession == 0 && sequence > otherSequence);
   }
--- a/src/main/java/org/oakwalk/core/Settings.java
+++ b/src/main/java/org/oakwalk/core/Settings.java
@@ -6,7 +6,7 @@
 /**
  * What the platform says of the deployment, as far as the core needs it.
  *
- * @param clockOff by how much the time of day may be off, either way
+ * @param maxClockError by how much the time of day may be off, either way
  */
 public record Settings(
     NodeId node,
@@ -15,10 +15,10 @@
     List<String> zones,
     Map<String, Team> teams,
     List<Objective> objectives,
-    Workers workers,
+    WorkerTiming workers,
     StateLimits state,
     CloudLimits cloud,
-    Span clockOff) {
+    Span maxClockError) {
 
   /** A team's guarantee and limit; zero means none. */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
@@ -30,10 +30,10 @@
 
   /** What is expected of a class of jobs. */
   public record Objective(
-      String kind, String jobClass, double withinSeconds, double share, double times) {}
+      String kind, String jobClass, double withinSeconds, double share, double runTimeFactor) {}
 
   /** The workers' timing. */
-  public record Workers(Span report, Span lease, Span cancel) {
+  public record WorkerTiming(Span reportInterval, Span leaseDuration, Span cancelDeadline) {
     private static final Span RELAY_MARGIN = Span.seconds(4);
     private static final Span GRACE_MARGIN = Span.seconds(2);
 
@@ -44,7 +44,7 @@
 
     /** How long a machine may be silent before it is suspected to be out of reach or broken. */
     public Span suspectAfter() {
-      return report.times(MISSED_REPORTS);
+      return reportInterval.times(MISSED_REPORTS);
     }
 
     /**
@@ -53,13 +53,13 @@
      * have been told for more than {@code cancel} that its job is cancelled.
      */
     public Span relayWindow() {
-      Span window = cancel.minus(lease.times(2)).minus(RELAY_MARGIN);
+      Span window = cancelDeadline.minus(leaseDuration.times(2)).minus(RELAY_MARGIN);
       // A shorter time gains nothing over the lease that the workers have anyway.
-      return window.compareTo(lease.times(0.5)) > 0 ? window : Span.millis(0);
+      return window.compareTo(leaseDuration.times(0.5)) > 0 ? window : Span.millis(0);
     }
 
     /** Whether followers keep leases alive at all. */
-    public boolean relays() {
+    public boolean relaysLeases() {
       return relayWindow().millis() > 0;
     }
 
@@ -71,7 +71,7 @@
      * which it could never answer.
      */
     public Span graceLimit() {
-      Span limit = cancel.minus(lease).minus(GRACE_MARGIN);
+      Span limit = cancelDeadline.minus(leaseDuration).minus(GRACE_MARGIN);
       return limit.compareTo(LEAST_GRACE) > 0 ? limit : LEAST_GRACE;
     }
 
@@ -79,8 +79,8 @@
      * Whether a task of a cancelled job is gone in time whatever is out of reach. Otherwise a lease
      * alone may outlast what cancelling allows.
      */
-    public boolean cancelsInTime() {
-      return !graceLimit().plus(lease.surelyPassed()).isLongerThan(cancel);
+    public boolean meetsCancelDeadline() {
+      return !graceLimit().plus(leaseDuration.plusClockDrift()).isLongerThan(cancelDeadline);
     }
   }
 
--- a/src/main/java/org/oakwalk/core/Span.java
+++ b/src/main/java/org/oakwalk/core/Span.java
@@ -34,12 +34,12 @@
   }
 
   /** How long to wait here to be sure that this span has passed on another machine's clock. */
-  public Span surelyPassed() {
+  public Span plusClockDrift() {
     return new Span((long) Math.ceil(millis * (1 + 2 * DRIFT)));
   }
 
   /** How long one may wait here and be sure that this span has not passed elsewhere. */
-  public Span surelyNotPassed() {
+  public Span minusClockDrift() {
     return new Span((long) Math.floor(millis * (1 - 2 * DRIFT)));
   }
 
--- a/src/main/java/org/oakwalk/core/capacity/Boots.java
+++ b/src/main/java/org/oakwalk/core/capacity/Boots.java
@@ -84,7 +84,7 @@
    */
   boolean blamed(Sort sort, Moment now) {
     Record record = records.get(sort);
-    return noneComes(record) && !now.past(record.failed, BLAMED_FOR);
+    return noneComes(record) && !now.isPast(record.failed, BLAMED_FOR);
   }
 
   /** Whether any sort of machines is blamed. */
--- a/src/main/java/org/oakwalk/core/capacity/BoundWork.java
+++ b/src/main/java/org/oakwalk/core/capacity/BoundWork.java
@@ -56,7 +56,7 @@
     for (Job job : jobs.all()) {
       JobSpec spec = job.spec();
       boolean waits =
-          job.open() && job.pendingCount() > 0 && now.past(job.waitingSince(), PATIENCE);
+          job.open() && job.pendingCount() > 0 && now.isPast(job.waitingSince(), PATIENCE);
       if (!waits || spec.zone().isEmpty() && !(spec.oneZone() && job.activeCount() > 0)) {
         continue;
       }
--- a/src/main/java/org/oakwalk/core/capacity/Capacity.java
+++ b/src/main/java/org/oakwalk/core/capacity/Capacity.java
@@ -50,7 +50,7 @@
   private final Fleet fleet;
   private final JobBook jobs;
   private final Registry registry;
-  private final Policy.Capacity policy;
+  private final Policy.CapacityPolicy policy;
   private final Settings.CloudLimits limits;
   private final Span suspectAfter;
   private final Demand demand;
@@ -87,7 +87,7 @@
       Fleet fleet,
       JobBook jobs,
       Registry registry,
-      Policy.Capacity policy,
+      Policy.CapacityPolicy policy,
       Settings settings,
       RunTimes runTimes,
       Deadlines planned,
@@ -101,7 +101,7 @@
     this.policy = policy;
     this.limits = settings.cloud();
     this.suspectAfter = suspectAfter;
-    this.boots = new Boots(policy.bootPatience());
+    this.boots = new Boots(policy.bootTimeout());
     this.health = new Health(fleet, boots, policy, suspectAfter);
     this.surplus = new Surplus(fleet, policy, suspectAfter);
     this.renter = new Renter(outbox, fleet, boots, bars);
@@ -153,11 +153,11 @@
             for (Rental rental : page.rentals()) {
               listed(rental, now);
             }
-            if (page.more() && !page.rentals().isEmpty()) {
+            if (page.hasMore() && !page.rentals().isEmpty()) {
               list(Optional.of(page.rentals().get(page.rentals().size() - 1).id()), now);
             } else {
               // A list shows the past, by up to twice its lag.
-              listKnown |= now.past(firstAsked, limits.listLag().times(2));
+              listKnown |= now.isPast(firstAsked, limits.listLag().times(2));
             }
           }
         });
@@ -217,7 +217,7 @@
     }
     nextRelease = now.plus(Span.seconds(10));
     outbox.call(
-        new Request.Release(batch.stream().map(Machine::id).toList()),
+        new Request.ReleaseMachines(batch.stream().map(Machine::id).toList()),
         answer -> {
           nextRelease = now.plus(answer instanceof Answer.Ok ? Span.millis(0) : RETRY);
           if (answer instanceof Answer.Ok) {
@@ -405,12 +405,12 @@
   private boolean counts(Machine machine, Moment now) {
     return switch (machine.state()) {
       case BOOTING ->
-          !now.past(machine.known(), boots.replacedAfter(Boots.Sort.of(machine), machine.type()));
+          !now.isPast(machine.known(), boots.replacedAfter(Boots.Sort.of(machine), machine.type()));
       case ENROLLING, UNCONFIRMED -> true;
       // Many silent at once are out of reach for a while; to rent as many again would be waste.
       case UP ->
           machine.duty() == Duty.IN_USE
-              && !now.past(machine.heard(), health.listens(now) ? suspectAfter : OUT_OF_REACH);
+              && !now.isPast(machine.heard(), health.listens(now) ? suspectAfter : OUT_OF_REACH);
       case LAPSED, RETURNING, GONE -> false;
     };
   }
--- a/src/main/java/org/oakwalk/core/capacity/Catalogue.java
+++ b/src/main/java/org/oakwalk/core/capacity/Catalogue.java
@@ -38,7 +38,7 @@
       types = stored;
     }
     Span age = leading ? LEADER_REFRESH : REFRESH;
-    if (asking || nextTry.isAfter(now) || !now.past(read, age)) {
+    if (asking || nextTry.isAfter(now) || !now.isPast(read, age)) {
       return;
     }
     asking = true;
--- a/src/main/java/org/oakwalk/core/capacity/CatalogueKeeper.java
+++ b/src/main/java/org/oakwalk/core/capacity/CatalogueKeeper.java
@@ -53,7 +53,7 @@
             List.of(guard, new Guard(Keys.TYPES, view.typesStamp())),
             List.of(
                 new Change.Put(Keys.TYPES, new StoredValue.TypesRecord(types), Optional.empty())),
-            Request.Urgency.REST),
+            Request.Urgency.ROUTINE),
         answer -> writing = false);
   }
 
--- a/src/main/java/org/oakwalk/core/capacity/Health.java
+++ b/src/main/java/org/oakwalk/core/capacity/Health.java
@@ -37,7 +37,7 @@
 
   private final Fleet fleet;
   private final Boots boots;
-  private final Policy.Capacity policy;
+  private final Policy.CapacityPolicy policy;
   private final Span suspectAfter;
   private int known;
   private int unreached;
@@ -47,7 +47,7 @@
   private Moment manyQuiet = new Moment(Long.MIN_VALUE / 2);
   private Moment stoodStill = new Moment(Long.MIN_VALUE / 2);
 
-  Health(Fleet fleet, Boots boots, Policy.Capacity policy, Span suspectAfter) {
+  Health(Fleet fleet, Boots boots, Policy.CapacityPolicy policy, Span suspectAfter) {
     this.fleet = fleet;
     this.boots = boots;
     this.policy = policy;
@@ -84,7 +84,7 @@
       switch (machine.state()) {
         case BOOTING -> {
           if (listens(now)
-              && now.past(
+              && now.isPast(
                   machine.known(), boots.givenUpAfter(Boots.Sort.of(machine), machine.type()))) {
             LOG.info("machine {} never came up", machine.id());
             if (!machine.listedAsUp()) {
@@ -99,8 +99,8 @@
           answering += answersOnly(machine, now) ? 1 : 0;
           // Reports come at their own times, so of machines that a cut takes all at once some seem
           // silent well before the others; who is overdue already counts as well.
-          quiet += now.past(machine.heard(), suspectAfter.times(OVERDUE)) ? 1 : 0;
-          if (now.past(machine.heard(), patience(machine))) {
+          quiet += now.isPast(machine.heard(), suspectAfter.times(OVERDUE)) ? 1 : 0;
+          if (now.isPast(machine.heard(), patience(machine))) {
             silent.add(machine);
           } else if (unfit(machine) && !machine.duty().endsWhenEmpty()) {
             LOG.info(
@@ -111,7 +111,7 @@
           }
           if (machine.duty().endsWhenEmpty()
               && machine.idle()
-              && (machine.duty() == Duty.CORDONED || now.past(machine.known(), PAID_AT_LEAST))) {
+              && (machine.duty() == Duty.CORDONED || now.isPast(machine.known(), PAID_AT_LEAST))) {
             giveBack.accept(machine);
           }
         }
@@ -124,10 +124,10 @@
         }
         case UNCONFIRMED -> {
           unconfirmed++;
-          if (machine.returnable() && now.past(machine.known(), CONFIRMS_WITHIN)) {
+          if (machine.returnable() && now.isPast(machine.known(), CONFIRMS_WITHIN)) {
             quiet++;
             silent.add(machine);
-          } else if (machine.returnable() && now.past(machine.known(), LAST_CONFIRM_WITHIN)) {
+          } else if (machine.returnable() && now.isPast(machine.known(), LAST_CONFIRM_WITHIN)) {
             unanswered.add(machine);
           }
         }
@@ -145,7 +145,7 @@
       unconfirmedBefore = unconfirmed;
       confirmed = now;
     }
-    if (unconfirmed <= many && unconfirmed < known && now.past(confirmed, NONE_CONFIRMED_FOR)) {
+    if (unconfirmed <= many && unconfirmed < known && now.isPast(confirmed, NONE_CONFIRMED_FOR)) {
       silent.addAll(unanswered);
     }
     // When the network is back they report one after the other: the last few are not broken either.
@@ -153,7 +153,7 @@
       for (Machine machine : silent) {
         // One machine that does not answer a new leader holds up all older jobs.
         if (machine.state() == Machine.State.UNCONFIRMED
-            || now.past(machine.heard(), policy.suspectAfter())) {
+            || now.isPast(machine.heard(), policy.suspectAfter())) {
           LOG.info("machine {} is silent, {} tasks", machine.id(), machine.placements().size());
           giveBack.accept(machine);
         }
@@ -162,14 +162,14 @@
   }
 
   private boolean notReached(Machine machine, Moment now) {
-    return machine.carried() || now.past(machine.heard(), suspectAfter);
+    return machine.carried() || now.isPast(machine.heard(), suspectAfter);
   }
 
   /** Whether it has ceased to report, but answers commands. */
   private boolean answersOnly(Machine machine, Moment now) {
-    return now.past(machine.heard(), suspectAfter)
-        && machine.commanded().past(machine.heard(), suspectAfter)
-        && !now.past(machine.commanded(), suspectAfter.times(ASKED_AGAIN));
+    return now.isPast(machine.heard(), suspectAfter)
+        && machine.commanded().isPast(machine.heard(), suspectAfter)
+        && !now.isPast(machine.commanded(), suspectAfter.times(ASKED_AGAIN));
   }
 
   /** A machine that can't reach this node is off trying to now and then. */
@@ -192,7 +192,7 @@
   }
 
   private boolean settledSince(Moment trouble, Moment now) {
-    return now.past(trouble, suspectAfter.plus(policy.suspectAfter()));
+    return now.isPast(trouble, suspectAfter.plus(policy.suspectAfter()));
   }
 
   /** Whether silence tells anything: not when many were silent at once a short time ago. */
--- a/src/main/java/org/oakwalk/core/capacity/Renter.java
+++ b/src/main/java/org/oakwalk/core/capacity/Renter.java
@@ -8,9 +8,9 @@
 import java.util.Map;
 import java.util.Set;
 import java.util.function.Predicate;
-import org.oakwalk.core.AskId;
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Moment;
+import org.oakwalk.core.RentalRequestId;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
@@ -74,7 +74,7 @@
       asked += number;
       ask(
           new Boots.Sort(type.name(), zones.get(i), spot),
-          AskId.of(fleet.token(), ++asks),
+          RentalRequestId.of(fleet.token(), ++asks),
           number,
           5);
     }
@@ -98,7 +98,7 @@
       return 0;
     }
     int number = Math.min(count, MOST_PER_ASK);
-    ask(sort, AskId.of(fleet.token(), ++asks), number, 5);
+    ask(sort, RentalRequestId.of(fleet.token(), ++asks), number, 5);
     return number;
   }
 
@@ -113,10 +113,10 @@
   }
 
   /** Rents under a name of its own, which is repeated until the cloud has answered. */
-  private void ask(Boots.Sort market, AskId name, int count, int tries) {
+  private void ask(Boots.Sort market, RentalRequestId name, int count, int tries) {
     asking.add(market);
     outbox.call(
-        new Request.Rent(name, market.type(), market.zone(), market.spot(), count),
+        new Request.RentMachines(name, market.type(), market.zone(), market.spot(), count),
         answer -> {
           if (answer instanceof Answer.Rented rented) {
             asking.remove(market);
@@ -142,7 +142,7 @@
             if (rented.machines().size() < count) {
               refusedUntil.put(market, clock.plus(REFUSED_PAUSE));
             }
-          } else if (answer instanceof Answer.Nothing && tries > 1) {
+          } else if (answer instanceof Answer.OutcomeUnknown && tries > 1) {
             ask(market, name, count, tries - 1);
           } else {
             // No capacity, or no answer for long; machines that came of it show up in the list.
--- a/src/main/java/org/oakwalk/core/capacity/Surplus.java
+++ b/src/main/java/org/oakwalk/core/capacity/Surplus.java
@@ -19,10 +19,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(Surplus.class);
 
   private final Fleet fleet;
-  private final Policy.Capacity policy;
+  private final Policy.CapacityPolicy policy;
   private final Span suspectAfter;
 
-  Surplus(Fleet fleet, Policy.Capacity policy, Span suspectAfter) {
+  Surplus(Fleet fleet, Policy.CapacityPolicy policy, Span suspectAfter) {
     this.fleet = fleet;
     this.policy = policy;
     this.suspectAfter = suspectAfter;
@@ -62,7 +62,7 @@
           && which.test(machine)
           && machine.state() == Machine.State.UP
           && machine.duty() == Duty.RETIRING
-          && !now.past(machine.heard(), suspectAfter)) {
+          && !now.isPast(machine.heard(), suspectAfter)) {
         candidates.add(machine);
       }
     }
@@ -94,7 +94,7 @@
         // and
         // those that hear have to do without it meanwhile.
         left--;
-      } else if (now.past(machine.known(), policy.idle()) && !machine.holdsReplica()) {
+      } else if (now.isPast(machine.known(), policy.idleTimeout()) && !machine.holdsReplica()) {
         candidates.add(machine);
       }
     }
--- a/src/main/java/org/oakwalk/core/cells/LoanIn.java
+++ b/src/main/java/org/oakwalk/core/cells/LoanIn.java
@@ -66,7 +66,7 @@
     if (!wantsLeave() || !asked.equals(Optional.of(askedAt))) {
       return this;
     }
-    Moment end = askedAt.plus(terms.leave().surelyNotPassed());
+    Moment end = askedAt.plus(terms.leave().minusClockDrift());
     Moment latest = until.filter(old -> old.isAfter(end)).orElse(end);
     return enter(State.RUNNING, Optional.empty(), Optional.of(latest), absent);
   }
--- a/src/main/java/org/oakwalk/core/cells/LoanOut.java
+++ b/src/main/java/org/oakwalk/core/cells/LoanOut.java
@@ -84,7 +84,7 @@
   /** Whether what is recalled has provably run out. */
   public boolean over(LoanTerms terms, Moment now) {
     return state == State.RECALLED
-        && lastLeave.map(last -> now.past(last, terms.lastsAtMost())).orElse(true);
+        && lastLeave.map(last -> now.isPast(last, terms.lastsAtMost())).orElse(true);
   }
 
   /** Takes over that it is over, once that is stored. */
--- a/src/main/java/org/oakwalk/core/cells/LoanTerms.java
+++ b/src/main/java/org/oakwalk/core/cells/LoanTerms.java
@@ -19,7 +19,7 @@
    * lease under a leave that has run out, and a worker's last one ends a lease later.
    */
   public Span lastsAtMost() {
-    return leave.plus(guestLease).surelyPassed().plus(MARGIN);
+    return leave.plus(guestLease).plusClockDrift().plus(MARGIN);
   }
 
   /**
--- a/src/main/java/org/oakwalk/core/drain/Caution.java
+++ b/src/main/java/org/oakwalk/core/drain/Caution.java
@@ -51,11 +51,11 @@
       reason = present.get();
       seen = now;
     }
-    return now.past(seen, COUNTS_FOR) ? Optional.empty() : Optional.of(reason);
+    return now.isPast(seen, COUNTS_FOR) ? Optional.empty() : Optional.of(reason);
   }
 
   private Optional<String> present(Collection<DrainPlan> plans, Moment now) {
-    if (now.past(view.contact(), STORE_OUT_AFTER)) {
+    if (now.isPast(view.contact(), STORE_OUT_AFTER)) {
       return Optional.of("the state service is out of reach");
     }
     if (!capacity.health().listens(now)) {
@@ -87,7 +87,7 @@
   private boolean newOnesFail(Moment now) {
     return fleet.machines().stream()
             .filter(machine -> machine.duty() == Duty.UNFIT && !machine.leavesSoon())
-            .filter(machine -> !now.past(machine.known(), NEW_FOR))
+            .filter(machine -> !now.isPast(machine.known(), NEW_FOR))
             .count()
         >= SEVERAL;
   }
@@ -101,7 +101,7 @@
     }
     int next = job.nextPending(0, now);
     return next >= 0
-        && now.past(job.waitingSince(), mayWait)
+        && now.isPast(job.waitingSince(), mayWait)
         && !mover.moves(new TaskId(job.id(), next));
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/Drainer.java
+++ b/src/main/java/org/oakwalk/core/drain/Drainer.java
@@ -190,7 +190,7 @@
                 .map(claim -> claim.record.plan().patience())
                 .max(Span::compareTo)
                 .orElse(plan.patience());
-        boolean impatient = now.past(since.computeIfAbsent(machine, m -> now), patience);
+        boolean impatient = now.isPast(since.computeIfAbsent(machine, m -> now), patience);
         evictor.empty(machine, impatient, now).ifPresent(why -> mine.waits = why);
       }
     }
@@ -268,7 +268,7 @@
         machine.duty(Duty.CORDONED);
         since.put(machine, now);
         LOG.info("drain {}: machine {} is emptied", plan.name(), machine.id());
-      } else if (now.past(
+      } else if (now.isPast(
           since.computeIfAbsent(machine, m -> now), capacity.bootsWithin(machine))) {
         machine.duty(Duty.IN_USE);
         since.remove(machine);
--- a/src/main/java/org/oakwalk/core/drain/Gate.java
+++ b/src/main/java/org/oakwalk/core/drain/Gate.java
@@ -70,7 +70,7 @@
     Map<Job, Integer> up = new HashMap<>();
     for (Machine machine : fleet.machines()) {
       boolean heard =
-          machine.state() == Machine.State.UP && !now.past(machine.heard(), suspectAfter);
+          machine.state() == Machine.State.UP && !now.isPast(machine.heard(), suspectAfter);
       for (Placement placement : machine.placements()) {
         if (heard && !placement.halting() && placement.state() == Placement.State.RUNNING) {
           up.merge(placement.job(), 1, Integer::sum);
--- a/src/main/java/org/oakwalk/core/drain/Mover.java
+++ b/src/main/java/org/oakwalk/core/drain/Mover.java
@@ -186,7 +186,7 @@
                 return true;
               }
               if (at != null && at != move.from && at.state() == Placement.State.RUNNING) {
-                outbox.measured(Effect.Measure.REPLICA_GAP, now.since(move.since));
+                outbox.recordDuration(Effect.DurationMetric.REPLICA_GAP, now.since(move.since));
                 return true;
               }
               return false;
--- a/src/main/java/org/oakwalk/core/drain/PlanKeeper.java
+++ b/src/main/java/org/oakwalk/core/drain/PlanKeeper.java
@@ -111,7 +111,7 @@
         new Request.Commit(
             List.of(guard, new Guard(key, view.plans().stamp(plan.name()))),
             List.of(new Change.Put(key, record, Optional.empty())),
-            Request.Urgency.REST),
+            Request.Urgency.ROUTINE),
         answer -> {
           writing = false;
           if (answer instanceof Answer.Committed) {
--- a/src/main/java/org/oakwalk/core/drain/StopLedger.java
+++ b/src/main/java/org/oakwalk/core/drain/StopLedger.java
@@ -136,7 +136,7 @@
             List.of(guard, new Guard(Keys.STOPS, stamp)),
             List.of(
                 new Change.Put(Keys.STOPS, new StoredValue.StopsRecord(next), Optional.empty())),
-            Request.Urgency.REST),
+            Request.Urgency.ROUTINE),
         answer -> {
           writing = false;
           // If the answer was lost it may be stored all the same, now or later; what is written
@@ -144,7 +144,7 @@
           // after that, it would take grants back that were made use of: so each is written only
           // on condition that the record is as last seen.
           if (answer instanceof Answer.Committed committed) {
-            stamp = committed.epoch();
+            stamp = committed.revision();
             stored = next;
             more.forEach((name, grant) -> granted.merge(name, grant, Integer::sum));
           } else if (answer instanceof Answer.Conflict) {
--- a/src/main/java/org/oakwalk/core/exchange/Exchange.java
+++ b/src/main/java/org/oakwalk/core/exchange/Exchange.java
@@ -215,7 +215,7 @@
 
   private boolean patient(Live live, Moment now) {
     Span patience = termsOf(live.take).map(ExchangeTerms::patience).orElse(Span.seconds(0));
-    return !now.past(live.since, patience);
+    return !now.isPast(live.since, patience);
   }
 
   /** Stops the giver's tasks once that is stored, and starts the taker when they are gone. */
--- a/src/main/java/org/oakwalk/core/exchange/Needs.java
+++ b/src/main/java/org/oakwalk/core/exchange/Needs.java
@@ -66,7 +66,7 @@
       return 0;
     }
     need.lowSince = need.lowSince == null ? now : need.lowSince;
-    if (!now.past(need.lowSince, each.dwell())) {
+    if (!now.isPast(need.lowSince, each.dwell())) {
       return 0;
     }
     need.lowSince = null;
--- a/src/main/java/org/oakwalk/core/fleet/CommandDispatcher.java
+++ b/src/main/java/org/oakwalk/core/fleet/CommandDispatcher.java
@@ -109,7 +109,7 @@
         .filter(Machine::commanding)
         .map(Machine::address)
         .distinct()
-        .forEach(outbox::recall);
+        .forEach(outbox::cancelCommands);
   }
 
   /** A machine's report was answered under this token, whatever it is used for. */
@@ -153,11 +153,11 @@
       }
       boolean silent =
           (machine.state() == Machine.State.UP || machine.state() == Machine.State.LAPSED)
-              && now.past(machine.heard(), suspectAfter.times(SURELY_SILENT));
+              && now.isPast(machine.heard(), suspectAfter.times(SURELY_SILENT));
       if (silent
           && !machine.commanding()
           && !machine.address().isEmpty()
-          && now.past(machine.hearing().asked(), suspectAfter)) {
+          && now.isPast(machine.hearing().asked(), suspectAfter)) {
         asking++;
         machine.hearing().ask(now);
         send(machine, machine.session().orElse(SessionId.FIRST), List.of(), () -> asking--);
@@ -168,7 +168,7 @@
   private static boolean within(
       Map<MachineId, Moment> times, Span span, Machine machine, Moment now) {
     Moment last = times.get(machine.id());
-    return last != null && !now.past(last, span);
+    return last != null && !now.isPast(last, span);
   }
 
   private void send(Machine machine, SessionId session, List<Order> orders, Runnable settled) {
@@ -189,10 +189,10 @@
         answer -> {
           machine.commanding(false);
           settled.run();
-          if (!(answer instanceof Answer.Nothing)) {
+          if (!(answer instanceof Answer.OutcomeUnknown)) {
             runs.forEach(machine.openRuns()::commandSettled);
           }
-          if (answer instanceof Answer.Commanded commanded) {
+          if (answer instanceof Answer.CommandResult commanded) {
             machine.hearing().answered(clock);
             reported.accept(commanded.report());
             if (!commanded.executed() && machine.state() == Machine.State.UNCONFIRMED) {
--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -22,7 +22,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobBook;
 import org.oakwalk.core.job.Room;
-import org.oakwalk.core.leadership.RelayEnds;
+import org.oakwalk.core.leadership.RelayExpiry;
 import org.oakwalk.core.store.JobRecord;
 import org.oakwalk.core.store.StoreView;
 import org.slf4j.Logger;
@@ -100,8 +100,8 @@
   private final Token token;
   private final JobBook jobs;
   private final StoreView view;
-  private final RelayEnds relays;
-  private final Settings.Workers timing;
+  private final RelayExpiry relays;
+  private final Settings.WorkerTiming timing;
   private final Listener listener;
   private final Map<MachineId, Machine> machines = new LinkedHashMap<>();
   private final Map<TaskId, Placement> byTask = new HashMap<>();
@@ -123,8 +123,8 @@
       Token token,
       JobBook jobs,
       StoreView view,
-      RelayEnds relays,
-      Settings.Workers timing,
+      RelayExpiry relays,
+      Settings.WorkerTiming timing,
       Listener listener) {
     this.relays = relays;
     this.token = token;
@@ -364,7 +364,7 @@
    * Whether this machine's lease must not be renewed, so that what is held up can't start there.
    */
   public boolean mustLapse(Machine machine, Moment now) {
-    return machine.mustLapse(now, timing.graceLimit().surelyNotPassed());
+    return machine.mustLapse(now, timing.graceLimit().minusClockDrift());
   }
 
   /** Orders for a machine that has just reported by itself. */
@@ -404,7 +404,7 @@
     Machine machine = placement.machine();
     boolean inTime =
         placement.job().state() != Job.State.WITHDRAWN
-            || !now.past(placement.ordered(), timing.cancel().minus(START_MARGIN));
+            || !now.isPast(placement.ordered(), timing.cancelDeadline().minus(START_MARGIN));
     return placement.state() == Placement.State.ORDERED
         && (machine.state() == Machine.State.UP || machine.state() == Machine.State.RETURNING)
         && !machine.commanding()
@@ -489,13 +489,14 @@
       return false;
     }
     Moment renewed = foreignRenewal.isAfter(machine.known()) ? foreignRenewal : machine.known();
-    return view.contact().past(renewed, timing.lease().surelyPassed().plus(LAPSE_MARGIN));
+    return view.contact()
+        .isPast(renewed, timing.leaseDuration().plusClockDrift().plus(LAPSE_MARGIN));
   }
 
   /** Declares lapsed what has surely lost its lease. */
   public void lapse(Moment now, Moment lastForeignRenewal) {
     foreignRenewal = lastForeignRenewal;
-    Span lease = timing.lease().surelyPassed().plus(LAPSE_MARGIN);
+    Span lease = timing.leaseDuration().plusClockDrift().plus(LAPSE_MARGIN);
     for (Machine machine : machines.values()) {
       Moment renewed = machine.renewed();
       if (machine.inDoubt() && lastForeignRenewal.isAfter(renewed)) {
@@ -506,7 +507,7 @@
       // A later leader may renew leases as well. Only a read of the store that began after the
       // lease
       // had run out, and still showed this leader, tells that nobody did.
-      if (mayLapse(machine) && view.contact().past(renewed, lease)) {
+      if (mayLapse(machine) && view.contact().isPast(renewed, lease)) {
         LOG.info("machine {} has lapsed with {} tasks", machine.id(), machine.placements().size());
         if (machine.state() != Machine.State.RETURNING) {
           machine.enter(Machine.State.LAPSED);
--- a/src/main/java/org/oakwalk/core/fleet/Hearing.java
+++ b/src/main/java/org/oakwalk/core/fleet/Hearing.java
@@ -61,7 +61,7 @@
 
   /** It reports from the same session as before, which lives on only if it takes answers. */
   void sessionLives(Span lease, Moment now) {
-    if (state == State.NOT_THE_ANSWERS && now.past(since, lease)) {
+    if (state == State.NOT_THE_ANSWERS && now.isPast(since, lease)) {
       state = State.HEARS;
     }
   }
--- a/src/main/java/org/oakwalk/core/fleet/Machine.java
+++ b/src/main/java/org/oakwalk/core/fleet/Machine.java
@@ -302,7 +302,7 @@
         && (duty == Duty.IN_USE || duty.fillsUp())
         && session().isPresent()
         && hearing.hears()
-        && !now.past(heard, suspectAfter)
+        && !now.isPast(heard, suspectAfter)
         && !blockedUntil.isAfter(now);
   }
 
@@ -502,7 +502,7 @@
     for (Placement placement : placements.values()) {
       Moment withdrawn = placement.job().withdrawnAfter();
       if (withdrawn != null
-          && now.past(withdrawn, limit)
+          && now.isPast(withdrawn, limit)
           && openRuns.inCommand(new Try(placement.task(), placement.attempt()))) {
         return true;
       }
--- a/src/main/java/org/oakwalk/core/fleet/Reconciler.java
+++ b/src/main/java/org/oakwalk/core/fleet/Reconciler.java
@@ -25,10 +25,10 @@
 
   private final Fleet fleet;
   private final JobBook jobs;
-  private final Settings.Workers timing;
+  private final Settings.WorkerTiming timing;
   private final Fleet.Listener listener;
 
-  Reconciler(Fleet fleet, JobBook jobs, Settings.Workers timing, Fleet.Listener listener) {
+  Reconciler(Fleet fleet, JobBook jobs, Settings.WorkerTiming timing, Fleet.Listener listener) {
     this.fleet = fleet;
     this.jobs = jobs;
     this.timing = timing;
@@ -91,7 +91,7 @@
       machine.renewed(now);
     }
     machine.address(report.address());
-    if (now.past(machine.heard(), timing.suspectAfter())) {
+    if (now.isPast(machine.heard(), timing.suspectAfter())) {
       // Out of reach, or hanging: what ended meanwhile would seem to have run until now.
       machine.placements().forEach(Placement::unwatched);
     }
@@ -107,8 +107,8 @@
       LOG.info("machine {} begins session {}", machine.id(), report.session());
       fleet.loseAll(machine, now);
     }
-    if (report.notice().isPresent()) {
-      notice(machine, report.notice().get(), now);
+    if (report.reclaimNotice().isPresent()) {
+      notice(machine, report.reclaimNotice().get(), now);
     }
     reconcile(machine, report, now);
     if (machine.inDoubt() && own && fleet.nothingOlderLeft(machine, report.token())) {
@@ -151,11 +151,11 @@
     if (machine.fence().covers(report.token())) {
       machine.hearing().showsToken();
     }
-    Span lease = timing.lease();
+    Span lease = timing.leaseDuration();
     if (!freshSession) {
-      machine.hearing().sessionLives(lease.surelyPassed(), now);
-    } else if (now.past(machine.renewed(), LEAST_WAIT)
-        && !now.past(machine.renewed(), lease.minus(ON_ITS_WAY))) {
+      machine.hearing().sessionLives(lease.plusClockDrift(), now);
+    } else if (now.isPast(machine.renewed(), LEAST_WAIT)
+        && !now.isPast(machine.renewed(), lease.minus(ON_ITS_WAY))) {
       // Had it taken the last answer, the session before would live on.
       LOG.info("machine {} does not hear", machine.id());
       machine.hearing().deaf(Hearing.State.NOT_THE_ANSWERS, now);
@@ -174,7 +174,7 @@
     Room strayed = machine.leftovers().strayRoom();
     machine.leftovers().clear();
     List<Placement> missing = machine.placementsCopy();
-    for (Report.Piece piece : report.pieces()) {
+    for (Report.ReportedTask piece : report.tasks()) {
       Placement placement = machine.placement(piece.task());
       if (placement != null && placement.attempt().equals(piece.attempt())) {
         missing.remove(placement);
@@ -198,7 +198,7 @@
     }
   }
 
-  private void observe(Placement placement, Report.Piece piece, Moment now) {
+  private void observe(Placement placement, Report.ReportedTask piece, Moment now) {
     switch (piece.state()) {
       case FETCHING -> {
         if (placement.state() == Placement.State.ORDERED) {
@@ -253,7 +253,7 @@
   }
 
   /** A piece that no placement stands for: left by an earlier leader, or ended before. */
-  private void foreign(Machine machine, Report.Piece piece, Moment now) {
+  private void foreign(Machine machine, Report.ReportedTask piece, Moment now) {
     Machine.Try attempt = new Machine.Try(piece.task(), piece.attempt());
     int index = piece.task().index();
     // What has ended says nothing new of a job that is over, which may be listed for long.
@@ -296,7 +296,7 @@
    * ordered the later one after it was certain that the earlier one was over; the report was held
    * up, and taken at its word it would have the later attempt stopped as one too many.
    */
-  private void supersede(Job job, Report.Piece piece, Moment now) {
+  private void supersede(Job job, Report.ReportedTask piece, Moment now) {
     if (job.isDone(piece.task().index()) || piece.attempt().token().compareTo(fleet.token()) >= 0) {
       return;
     }
--- a/src/main/java/org/oakwalk/core/fleet/Registry.java
+++ b/src/main/java/org/oakwalk/core/fleet/Registry.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.oakwalk.core.HoldId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Revision;
@@ -73,7 +73,7 @@
       return new Change.Put(
           key,
           new StoredValue.MachinesRecord(List.copyOf(members.values())),
-          Optional.<HoldId>empty());
+          Optional.<LeaseId>empty());
     }
   }
 
@@ -159,12 +159,12 @@
         new Request.Commit(
             plan.guards,
             plan.changes,
-            entering ? Request.Urgency.ENROLMENT : Request.Urgency.RESULT),
+            entering ? Request.Urgency.REGISTRATION : Request.Urgency.RESULT),
         answer -> {
           writing = false;
           if (answer instanceof Answer.Committed committed) {
             nextTry = plan.full ? now : now.plus(SPACING);
-            applied(plan, committed.epoch());
+            applied(plan, committed.revision());
           } else {
             // Not known to be stored, so the machines take no tasks yet.
             nextTry = now.plus(RETRY);
--- a/src/main/java/org/oakwalk/core/headroom/Amounts.java
+++ b/src/main/java/org/oakwalk/core/headroom/Amounts.java
@@ -118,7 +118,7 @@
   }
 
   private boolean dwelt(HeadroomRow.Key key, Moment now) {
-    return now.past(lowerSince.computeIfAbsent(key, k -> now), DWELL);
+    return now.isPast(lowerSince.computeIfAbsent(key, k -> now), DWELL);
   }
 
   private static Map<HeadroomRow.Key, Asked> asked(
--- a/src/main/java/org/oakwalk/core/headroom/Headroom.java
+++ b/src/main/java/org/oakwalk/core/headroom/Headroom.java
@@ -157,7 +157,7 @@
     Set<String> live = new HashSet<>();
     zoneSeen.forEach(
         (zone, seen) -> {
-          if (!now.past(seen, ZONE_PATIENCE)) {
+          if (!now.isPast(seen, ZONE_PATIENCE)) {
             live.add(zone);
           }
         });
--- a/src/main/java/org/oakwalk/core/headroom/Refill.java
+++ b/src/main/java/org/oakwalk/core/headroom/Refill.java
@@ -70,7 +70,7 @@
       }
       coming += soon(machine, rooms).count(spec.room()) - rooms.beyond(machine).count(spec.room());
       Span patience = machine.type().boot().times(BOOTS).plus(WAIT);
-      Plan plan = now.past(since, patience) ? plan(machine, row, rooms, now) : null;
+      Plan plan = now.isPast(since, patience) ? plan(machine, row, rooms, now) : null;
       if (plan != null && (best == null || cost(plan, row) < cost(best, row))) {
         best = plan;
       }
--- a/src/main/java/org/oakwalk/core/job/OpenQuestions.java
+++ b/src/main/java/org/oakwalk/core/job/OpenQuestions.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.oakwalk.core.ExchangeId;
+import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.port.UserRequest;
@@ -23,14 +23,14 @@
 
   private static final Span OTHER = Span.millis(4_500);
 
-  private record Asked(ExchangeId exchange, Moment due) {}
+  private record Asked(InboundRequestId exchange, Moment due) {}
 
   private final Deque<Asked> polls = new ArrayDeque<>();
   private final Deque<Asked> others = new ArrayDeque<>();
-  private final Set<ExchangeId> open = new HashSet<>();
+  private final Set<InboundRequestId> open = new HashSet<>();
 
   /** A user asks. */
-  public void asked(ExchangeId exchange, UserRequest request, Moment now) {
+  public void asked(InboundRequestId exchange, UserRequest request, Moment now) {
     open.add(exchange);
     if (request instanceof UserRequest.Query) {
       polls.add(new Asked(exchange, now.plus(POLL)));
@@ -40,16 +40,16 @@
   }
 
   /** There is an answer; false if its user has been answered before. */
-  public boolean answered(ExchangeId exchange) {
+  public boolean answered(InboundRequestId exchange) {
     return open.remove(exchange);
   }
 
   /** Those who can't wait any longer; they count as answered. */
-  public List<ExchangeId> late(Moment now) {
-    List<ExchangeId> late = new ArrayList<>();
+  public List<InboundRequestId> late(Moment now) {
+    List<InboundRequestId> late = new ArrayList<>();
     for (Deque<Asked> asked : List.of(polls, others)) {
       while (!asked.isEmpty() && !asked.peek().due().isAfter(now)) {
-        ExchangeId exchange = asked.poll().exchange();
+        InboundRequestId exchange = asked.poll().exchange();
         if (open.remove(exchange)) {
           late.add(exchange);
         }
--- a/src/main/java/org/oakwalk/core/job/ResultWriter.java
+++ b/src/main/java/org/oakwalk/core/job/ResultWriter.java
@@ -135,7 +135,7 @@
             return;
           }
           if (answer instanceof Answer.Committed committed) {
-            job.ended(false, committed.epoch());
+            job.ended(false, committed.revision());
             ended(job);
             // Users are told only by the store's copy, so let it catch up at once.
             view.catchUp(now, known -> {});
@@ -164,7 +164,7 @@
 
   private void setAside(Answer answer, Job job) {
     if (answer instanceof Answer.Conflict conflict
-        && conflict.failed().contains(Keys.job(job.id()))) {
+        && conflict.failedKeys().contains(Keys.job(job.id()))) {
       aside.add(job.id());
     }
   }
@@ -232,19 +232,19 @@
     }
     flushing = true;
     outbox.call(
-        new Request.Commit(guards, changes, Request.Urgency.REST),
+        new Request.Commit(guards, changes, Request.Urgency.ROUTINE),
         answer -> {
           flushing = false;
           if (answer instanceof Answer.Committed committed) {
             part = most;
-            parts.forEach(written -> stored(written, committed.epoch(), now));
+            parts.forEach(written -> stored(written, committed.revision(), now));
             obsolete.removeAll(removed);
           } else if (answer instanceof Answer.Conflict conflict) {
             nextFlush = now.plus(RETRY);
             parts.forEach(written -> differs(written, conflict));
           } else {
             part = Math.max(1, part / 2);
-            if (answer instanceof Answer.Nothing) {
+            if (answer instanceof Answer.OutcomeUnknown) {
               parts.forEach(written -> mayBeStored(written.job()));
             }
           }
@@ -260,7 +260,7 @@
   /** Nothing was written, since something is not as it was taken to be. */
   private void differs(Part part, Answer.Conflict conflict) {
     setAside(conflict, part.job());
-    if (conflict.failed().contains(part.key())) {
+    if (conflict.failedKeys().contains(part.key())) {
       doubtful.add(part.key());
     }
     mayBeStored(part.job());
--- a/src/main/java/org/oakwalk/core/job/Suspicion.java
+++ b/src/main/java/org/oakwalk/core/job/Suspicion.java
@@ -46,7 +46,7 @@
 
   /** Looks whether something has run for long enough to clear it. */
   void weigh(Moment now) {
-    if (runsSince != null && now.past(runsSince, RUNS_FOR)) {
+    if (runsSince != null && now.isPast(runsSince, RUNS_FOR)) {
       failedOn.clear();
       errors = 0;
       told = false;
--- a/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
+++ b/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
@@ -44,7 +44,7 @@
   private final Map<String, Settings.Team> teams;
   private final Admission admission;
   private Map<String, MachineType> types = Map.of();
-  private Map<JobId, PeerMessage.Counts> counts = new HashMap<>();
+  private Map<JobId, PeerMessage.TaskCounts> counts = new HashMap<>();
   private Moment now = new Moment(0);
   private WallTime wall = new WallTime(0);
 
@@ -61,7 +61,7 @@
   }
 
   /** How far the open jobs are, as the leader last said. */
-  public void counts(Map<JobId, PeerMessage.Counts> current) {
+  public void counts(Map<JobId, PeerMessage.TaskCounts> current) {
     counts = current;
   }
 
@@ -180,7 +180,7 @@
 
   private void create(JobSpec spec, Consumer<Response> answer) {
     if (!admission.admits(spec.team())) {
-      answer.accept(Response.tooMany("too many open jobs of team " + spec.team(), FULL));
+      answer.accept(Response.overloaded("too many open jobs of team " + spec.team(), FULL));
       return;
     }
     String key = Keys.job(spec.id());
@@ -229,9 +229,9 @@
             Request.Urgency.WITHDRAWAL),
         reply -> {
           if (reply instanceof Answer.Committed committed) {
-            LOG.info("job {} withdrawn at revision {}", job.id(), committed.epoch());
+            LOG.info("job {} withdrawn at revision {}", job.id(), committed.revision());
             // If this node leads it may order no start once the user has been told.
-            view.written(record, committed.epoch());
+            view.written(record, committed.revision());
             answer.accept(
                 new Response.JobStatus(false, job.id(), Response.JobState.CANCELLED, 0, 0));
           } else if (reply instanceof Answer.Conflict) {
@@ -263,7 +263,7 @@
   }
 
   private Response status(KnownJob job) {
-    PeerMessage.Counts count = counts.getOrDefault(job.id(), new PeerMessage.Counts(0, 0));
+    PeerMessage.TaskCounts count = counts.getOrDefault(job.id(), new PeerMessage.TaskCounts(0, 0));
     return switch (job.phase()) {
       case DONE -> new Response.JobStatus(false, job.id(), Response.JobState.DONE, job.tasks(), 0);
       case WITHDRAWN ->
--- a/src/main/java/org/oakwalk/core/leadership/Leadership.java
+++ b/src/main/java/org/oakwalk/core/leadership/Leadership.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.oakwalk.core.HoldId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
@@ -35,7 +35,7 @@
     /** Another node leads, or nobody does. */
     FOLLOWING,
     /** A lease was asked for. */
-    GRANTING,
+    ACQUIRING_LEASE,
     /** The leader key was written, and the copy of the store does not show it yet. */
     CLAIMING,
     /** This node leads and renews its lease. */
@@ -43,25 +43,25 @@
     /** This node led; the lease may be over, but the workers' leases are kept alive. */
     LEASE_GRACE,
     /** As above, but out of contact for so long that workers must not be answered. */
-    MUTED
+    ISOLATED
   }
 
   private static final Map<State, Set<State>> LEGAL = new EnumMap<>(State.class);
 
   static {
-    LEGAL.put(State.FOLLOWING, EnumSet.of(State.GRANTING));
-    LEGAL.put(State.GRANTING, EnumSet.of(State.FOLLOWING, State.CLAIMING));
+    LEGAL.put(State.FOLLOWING, EnumSet.of(State.ACQUIRING_LEASE));
+    LEGAL.put(State.ACQUIRING_LEASE, EnumSet.of(State.FOLLOWING, State.CLAIMING));
     LEGAL.put(State.CLAIMING, EnumSet.of(State.FOLLOWING, State.LEADING));
     LEGAL.put(State.LEADING, EnumSet.of(State.FOLLOWING, State.LEASE_GRACE));
-    LEGAL.put(State.LEASE_GRACE, EnumSet.of(State.FOLLOWING, State.LEADING, State.MUTED));
-    LEGAL.put(State.MUTED, EnumSet.of(State.FOLLOWING, State.LEADING));
+    LEGAL.put(State.LEASE_GRACE, EnumSet.of(State.FOLLOWING, State.LEADING, State.ISOLATED));
+    LEGAL.put(State.ISOLATED, EnumSet.of(State.FOLLOWING, State.LEADING));
   }
 
   /** Told when this node begins and ends to lead. */
   public interface Listener {
-    void rises(Token token, Moment now);
+    void leadershipGained(Token token, Moment now);
 
-    void falls(Token token, Moment now);
+    void leadershipLost(Token token, Moment now);
   }
 
   private static final Span TTL = Span.millis(2500);
@@ -90,7 +90,7 @@
   private State state = State.FOLLOWING;
   private Token token;
   private Token highest = new Token(0);
-  private HoldId hold;
+  private LeaseId hold;
   private Moment leaseFrom;
   private Moment rose = new Moment(Long.MIN_VALUE / 2);
   private Moment nextStep = new Moment(Long.MIN_VALUE / 2);
@@ -124,22 +124,22 @@
   }
 
   /** Whether workers may be answered under this node's token. */
-  public boolean mayAnswer(Moment now) {
+  public boolean mayAnswerWorkers(Moment now) {
     return (state == State.LEADING || state == State.LEASE_GRACE)
-        && !now.past(view.contact(), graceLimit.surelyNotPassed());
+        && !now.isPast(view.contact(), graceLimit.minusClockDrift());
   }
 
   /** Whether this node holds a token that has not been seen to fall. */
   public boolean holdsToken() {
-    return state == State.LEADING || state == State.LEASE_GRACE || state == State.MUTED;
+    return state == State.LEADING || state == State.LEASE_GRACE || state == State.ISOLATED;
   }
 
   public void tick(Moment now) {
-    if (state == State.LEADING && now.past(leaseFrom, TTL.surelyNotPassed())) {
+    if (state == State.LEADING && now.isPast(leaseFrom, TTL.minusClockDrift())) {
       enter(State.LEASE_GRACE);
     }
-    if (state == State.LEASE_GRACE && now.past(view.contact(), graceLimit.surelyNotPassed())) {
-      enter(State.MUTED);
+    if (state == State.LEASE_GRACE && now.isPast(view.contact(), graceLimit.minusClockDrift())) {
+      enter(State.ISOLATED);
     }
     if (calling || nextStep.isAfter(now)) {
       return;
@@ -154,9 +154,9 @@
           }
         }
       }
-      case GRANTING -> {}
+      case ACQUIRING_LEASE -> {}
       case CLAIMING -> settleClaim(now);
-      case LEADING, LEASE_GRACE, MUTED -> renew(now);
+      case LEADING, LEASE_GRACE, ISOLATED -> renew(now);
     }
   }
 
@@ -175,7 +175,7 @@
         enter(State.LEADING);
         view.vacantSince()
             .ifPresent(since -> LOG.info("nobody led for {}, token {}", now.since(since), token));
-        listener.rises(token, now);
+        listener.leadershipGained(token, now);
       } else if (leader.isPresent()) {
         giveUp();
       }
@@ -185,12 +185,12 @@
   }
 
   /** Whether it could leave leading to others now: not soon after it began. */
-  public boolean mayStepAside(Moment now) {
-    return state == State.LEADING && now.past(rose, LEADS_AT_LEAST) && view.fresh(now);
+  public boolean mayStepDown(Moment now) {
+    return state == State.LEADING && now.isPast(rose, LEADS_AT_LEAST) && view.fresh(now);
   }
 
   /** Leaves leading to the others, which may reach those that this node can't reach. */
-  public void stepAside(Moment now) {
+  public void stepDown(Moment now) {
     LOG.info("stepping aside, token {}", token);
     fall(now);
     nextStep = now.plus(STANDS_BACK);
@@ -202,7 +202,7 @@
    * worker lives. What the store says decides; whoever can't ask it falls, unless no store could
    * have come that far.
    */
-  public void shownByWorker(Token seen, Moment now) {
+  public void workerReportedToken(Token seen, Moment now) {
     if (!holdsToken() || seen.compareTo(token) <= 0) {
       return;
     }
@@ -244,7 +244,7 @@
    * this node acts under no older one, also if it is yet to learn that a claim of its own was
    * applied.
    */
-  public void tokenSeen(Token seen, Moment now) {
+  public void observeToken(Token seen, Moment now) {
     if (seen.compareTo(highest) > 0) {
       highest = seen;
     }
@@ -269,14 +269,14 @@
     Token fallen = token;
     token = null;
     giveUp();
-    listener.falls(fallen, now);
+    listener.leadershipLost(fallen, now);
   }
 
   /** Back to following; a lease that is still held is dropped so that the key frees at once. */
   private void giveUp() {
     enter(State.FOLLOWING);
     if (hold != null) {
-      outbox.call(new Request.Drop(hold), answer -> {});
+      outbox.call(new Request.RevokeLease(hold), answer -> {});
       hold = null;
     }
   }
@@ -300,20 +300,20 @@
   }
 
   private void campaign(Moment now) {
-    enter(State.GRANTING);
+    enter(State.ACQUIRING_LEASE);
     calling = true;
     outbox.call(
-        new Request.Grant(TTL),
+        new Request.GrantLease(TTL),
         answer -> {
           calling = false;
           nextStep = now.plus(RETRY);
-          if (answer instanceof Answer.Granted granted && view.leader().isEmpty()) {
-            hold = granted.hold();
+          if (answer instanceof Answer.LeaseGranted granted && view.leader().isEmpty()) {
+            hold = granted.lease();
             leaseFrom = now;
             enter(State.CLAIMING);
             claim(now);
           } else {
-            hold = answer instanceof Answer.Granted granted ? granted.hold() : null;
+            hold = answer instanceof Answer.LeaseGranted granted ? granted.lease() : null;
             giveUp();
           }
         });
@@ -340,7 +340,7 @@
 
   /** A claim is out. Only the copy of the store ends it; a lease that ran out voids it. */
   private void settleClaim(Moment now) {
-    if (now.past(leaseFrom, TTL.plus(TTL).surelyPassed())) {
+    if (now.isPast(leaseFrom, TTL.plus(TTL).plusClockDrift())) {
       // The lease has ended at the store, so the write can't be applied any more.
       giveUp();
       return;
@@ -353,7 +353,7 @@
     calling = true;
     nextStep = now.plus(RENEW);
     outbox.call(
-        new Request.Renew(hold),
+        new Request.RenewLease(hold),
         answer -> {
           calling = false;
           if (!holdsToken()) {
--- a/src/main/java/org/oakwalk/core/leadership/Relay.java
+++ b/src/main/java/org/oakwalk/core/leadership/LeaseRelay.java
@@ -33,8 +33,8 @@
  * announced in the store, under a guard that the leader still leads, so that the leader takes no
  * machine of the zone for empty too early. docs/safety.md argues why no rule is broken.
  */
-public final class Relay {
-  private static final Logger LOG = LoggerFactory.getLogger(Relay.class);
+public final class LeaseRelay {
+  private static final Logger LOG = LoggerFactory.getLogger(LeaseRelay.class);
 
   /** States of a node with respect to announcing. */
   public enum State {
@@ -68,17 +68,17 @@
   private boolean probing;
   private boolean silent;
 
-  public Relay(Outbox outbox, StoreView view, Settings settings) {
+  public LeaseRelay(Outbox outbox, StoreView view, Settings settings) {
     this.outbox = outbox;
     this.view = view;
     this.node = settings.node();
     this.zone = settings.zone();
     this.window = settings.workers().relayWindow();
-    this.worthwhile = settings.workers().relays();
+    this.worthwhile = settings.workers().relaysLeases();
   }
 
   /** A leader was heard; nothing under an older token goes out from here on. */
-  public void heard(Token leader, Moment now) {
+  public void leaderHeard(Token leader, Moment now) {
     heard = now;
     silent = false;
     if (leader.compareTo(highestHeard) > 0) {
@@ -90,7 +90,7 @@
   public void tick(boolean holdsToken, Moment now) {
     clock = now;
     Optional<StoreView.Leader> leader = remoteLeader();
-    if (holdsToken || leader.isEmpty() || !now.past(heard, DIGESTS_MISSING)) {
+    if (holdsToken || leader.isEmpty() || !now.isPast(heard, DIGESTS_MISSING)) {
       silent = false;
     } else if (worthwhile && !probing && !nextProbe.isAfter(now)) {
       probe(leader.get().record().node(), now);
@@ -111,10 +111,10 @@
     probing = true;
     nextProbe = now.plus(PROBE_EVERY);
     outbox.call(
-        new Request.Tell(leader, new PeerMessage.Probe(node)),
+        new Request.SendToPeer(leader, new PeerMessage.Probe(node)),
         answer -> {
           probing = false;
-          silent = answer instanceof Answer.Nothing;
+          silent = answer instanceof Answer.OutcomeUnknown;
         });
   }
 
@@ -122,7 +122,7 @@
    * Tells under which token the worker that sent this report may be answered, if any; at once,
    * unless that has to be announced first.
    */
-  public void answer(Report report, Moment now, Consumer<Optional<Token>> then) {
+  public void resolveToken(Report report, Moment now, Consumer<Optional<Token>> then) {
     clock = now;
     Optional<Token> leader =
         remoteLeader()
@@ -160,7 +160,7 @@
         && remoteLeader().filter(leader -> leader.token().equals(token)).isPresent()
         && view.relayed(zone)
             .filter(relayed -> relayed.record().token().equals(token) && relayed.watched())
-            .filter(relayed -> !clock.past(relayed.earliest(), window.surelyNotPassed()))
+            .filter(relayed -> !clock.isPast(relayed.earliest(), window.minusClockDrift()))
             .isPresent();
   }
 
--- a/src/main/java/org/oakwalk/core/leadership/RelayEnds.java
+++ b/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.store.StoreView;
 
 /** What a leader makes of followers that keep leases alive for it in a zone. */
-public final class RelayEnds {
+public final class RelayExpiry {
   private static final Span RETRY = Span.seconds(1);
 
   private final Outbox outbox;
@@ -25,14 +25,14 @@
   private boolean removing;
   private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
 
-  public RelayEnds(
-      Outbox outbox, StoreView view, Guard guard, Token token, Settings.Workers timing) {
+  public RelayExpiry(
+      Outbox outbox, StoreView view, Guard guard, Token token, Settings.WorkerTiming timing) {
     this.outbox = outbox;
     this.view = view;
     this.guard = guard;
     this.token = token;
-    this.answers = timing.relayWindow().surelyPassed().plus(StoreView.LAG);
-    this.lease = timing.lease().surelyPassed();
+    this.answers = timing.relayWindow().plusClockDrift().plus(StoreView.LAG);
+    this.lease = timing.leaseDuration().plusClockDrift();
   }
 
   /**
@@ -44,7 +44,7 @@
     return zone.isEmpty()
         ? view.relayed().stream()
             .map(relayed -> lastRenewal(relayed, now))
-            .reduce(otherwise, RelayEnds::later)
+            .reduce(otherwise, RelayExpiry::later)
         : view.relayed(zone)
             .map(relayed -> later(lastRenewal(relayed, now), otherwise))
             .orElse(otherwise);
@@ -72,7 +72,7 @@
     }
     for (StoreView.Relayed relayed : view.relayed()) {
       boolean older = relayed.record().token().compareTo(token) < 0;
-      if (older || now.past(relayed.seen(), answers.plus(lease))) {
+      if (older || now.isPast(relayed.seen(), answers.plus(lease))) {
         remove(relayed, now);
         return;
       }
@@ -87,7 +87,7 @@
         new Request.Commit(
             List.of(guard, new Guard(key, relayed.stamp())),
             List.of(new Change.Remove(key)),
-            Request.Urgency.REST),
+            Request.Urgency.ROUTINE),
         answer -> removing = false);
   }
 }
--- a/src/main/java/org/oakwalk/core/leadership/ReportForwarding.java
+++ b/src/main/java/org/oakwalk/core/leadership/ReportForwarding.java
@@ -23,19 +23,19 @@
   /** What this node has found out about a worker's way to the leader. */
   public enum State {
     /** Its report was carried once; nothing is known yet. */
-    VISITING,
+    FORWARDED,
     /** It was sent to the leader. */
-    SENT_ON,
+    REDIRECTED,
     /** It came back from there, so its reports are carried for a while. */
-    STRANDED
+    CUT_OFF
   }
 
   private static final Map<State, Set<State>> LEGAL = new EnumMap<>(State.class);
 
   static {
-    LEGAL.put(State.VISITING, EnumSet.of(State.SENT_ON));
-    LEGAL.put(State.SENT_ON, EnumSet.of(State.VISITING, State.STRANDED));
-    LEGAL.put(State.STRANDED, EnumSet.of(State.SENT_ON));
+    LEGAL.put(State.FORWARDED, EnumSet.of(State.REDIRECTED));
+    LEGAL.put(State.REDIRECTED, EnumSet.of(State.FORWARDED, State.CUT_OFF));
+    LEGAL.put(State.CUT_OFF, EnumSet.of(State.REDIRECTED));
   }
 
   private static final Span HEARD_WITHIN = Span.millis(2500);
@@ -71,7 +71,7 @@
   private Moment heard = new Moment(Long.MIN_VALUE / 2);
 
   /** A leader was heard over the link between controllers. */
-  public void heard(NodeId from, Token its, Moment now) {
+  public void leaderHeard(NodeId from, Token its, Moment now) {
     if (its.compareTo(token) > 0) {
       guests.clear();
       token = its;
@@ -84,11 +84,11 @@
 
   /** The leader, if it has been heard a moment ago. */
   public Optional<NodeId> leader(Moment now) {
-    return now.past(heard, HEARD_WITHIN) ? Optional.empty() : leader;
+    return now.isPast(heard, HEARD_WITHIN) ? Optional.empty() : leader;
   }
 
   /** Whether this report is to be carried, rather than its worker sent on to the leader. */
-  public boolean carries(Report report, Moment now) {
+  public boolean shouldForward(Report report, Moment now) {
     if (leader(now).isEmpty()) {
       return false;
     }
@@ -96,21 +96,21 @@
     if (guest == null) {
       // Who has the leader's token has been answered by it, and left it for a reason.
       boolean known = report.token().compareTo(token) >= 0;
-      guests.put(report.machine(), new Guest(known ? State.VISITING : State.SENT_ON, now));
+      guests.put(report.machine(), new Guest(known ? State.FORWARDED : State.REDIRECTED, now));
       return known;
     }
     switch (guest.state) {
-      case VISITING -> guest.enter(State.SENT_ON, now);
-      case SENT_ON -> {
-        boolean back = !now.past(guest.since, BACK_WITHIN);
-        guest.enter(back ? State.STRANDED : State.VISITING, now);
+      case FORWARDED -> guest.enter(State.REDIRECTED, now);
+      case REDIRECTED -> {
+        boolean back = !now.isPast(guest.since, BACK_WITHIN);
+        guest.enter(back ? State.CUT_OFF : State.FORWARDED, now);
         return true;
       }
-      case STRANDED -> {
-        if (!now.past(guest.since, STRANDED_FOR)) {
+      case CUT_OFF -> {
+        if (!now.isPast(guest.since, STRANDED_FOR)) {
           return true;
         }
-        guest.enter(State.SENT_ON, now);
+        guest.enter(State.REDIRECTED, now);
       }
       default -> throw new IllegalStateException("worker in " + guest.state);
     }
--- a/src/main/java/org/oakwalk/core/leadership/WithdrawalHalts.java
+++ b/src/main/java/org/oakwalk/core/leadership/WithdrawalHalts.java
@@ -23,9 +23,9 @@
   }
 
   /** Halts for all tasks of withdrawn jobs that a report shows. */
-  public List<Order> of(Report report) {
+  public List<Order> haltsFor(Report report) {
     List<Order> halts = new ArrayList<>();
-    for (Report.Piece piece : report.pieces()) {
+    for (Report.ReportedTask piece : report.tasks()) {
       if (withdrawn(piece.task().job()) && !piece.ended()) {
         halts.add(new Order.Halt(piece.task(), piece.attempt(), AT_ONCE));
       }
@@ -38,7 +38,7 @@
    * stopped in the same answer. It is not left out, since the leader counts on the worker to know
    * the attempt from then on, which makes older starts void.
    */
-  public List<Order> added(List<Order> orders) {
+  public List<Order> withHalts(List<Order> orders) {
     List<Order> added = new ArrayList<>();
     for (Order order : orders) {
       added.add(order);
--- a/src/main/java/org/oakwalk/core/leadership/WorkerRedirects.java
+++ b/src/main/java/org/oakwalk/core/leadership/WorkerRedirects.java
@@ -25,21 +25,21 @@
   private final Map<MachineId, Moment> sent = new HashMap<>();
 
   /** A follower answered this leader. */
-  public void heard(NodeId follower, Moment now) {
+  public void followerHeard(NodeId follower, Moment now) {
     hosts.put(follower, now);
-    sent.values().removeIf(at -> now.past(at, LODGES_FOR));
+    sent.values().removeIf(at -> now.isPast(at, LODGES_FOR));
   }
 
   /** Whether any follower hears this node. */
-  public boolean anyHost(Moment now) {
-    return hosts.values().stream().anyMatch(heard -> !now.past(heard, HEARD_WITHIN));
+  public boolean hasTarget(Moment now) {
+    return hosts.values().stream().anyMatch(heard -> !now.isPast(heard, HEARD_WITHIN));
   }
 
   /** The node to which this worker is to be sent, if there is one. */
-  public Optional<NodeId> host(MachineId machine, Moment now) {
+  public Optional<NodeId> target(MachineId machine, Moment now) {
     List<NodeId> near =
         hosts.entrySet().stream()
-            .filter(host -> !now.past(host.getValue(), HEARD_WITHIN))
+            .filter(host -> !now.isPast(host.getValue(), HEARD_WITHIN))
             .map(Map.Entry::getKey)
             .sorted()
             .toList();
@@ -51,8 +51,8 @@
   }
 
   /** Whether this worker was sent to a follower by this node, and so can reach it. */
-  public boolean lodges(MachineId machine, Moment now) {
+  public boolean redirectedRecently(MachineId machine, Moment now) {
     Moment at = sent.get(machine);
-    return at != null && !now.past(at, LODGES_FOR);
+    return at != null && !now.isPast(at, LODGES_FOR);
   }
 }
--- a/src/main/java/org/oakwalk/core/placement/GangKeeper.java
+++ b/src/main/java/org/oakwalk/core/placement/GangKeeper.java
@@ -155,7 +155,7 @@
       return false;
     }
     Moment first = candidates.awaited().merge(gang, opens, (a, b) -> a.isAfter(b) ? b : a);
-    if (now.past(first, OVERDUE)) {
+    if (now.isPast(first, OVERDUE)) {
       candidates.awaited().remove(gang);
       resting.put(gang, now.plus(SOON));
       return false;
--- a/src/main/java/org/oakwalk/core/placement/IdealHost.java
+++ b/src/main/java/org/oakwalk/core/placement/IdealHost.java
@@ -26,15 +26,15 @@
    */
   private static final double ALONE = 0.3;
 
-  private final Policy.Hosts policy;
+  private final Policy.PlacementPolicy policy;
   private final Reserve reserve;
 
   /** Judges machines on which nothing is kept for others. */
-  public IdealHost(Policy.Hosts policy) {
+  public IdealHost(Policy.PlacementPolicy policy) {
     this(policy, Reserve.NONE);
   }
 
-  IdealHost(Policy.Hosts policy, Reserve reserve) {
+  IdealHost(Policy.PlacementPolicy policy, Reserve reserve) {
     this.policy = policy;
     this.reserve = reserve;
   }
@@ -70,7 +70,7 @@
    * that tenth, the mark would leave a whole place unused, so such a task may use all.
    */
   private boolean underMark(double asked, double free, double whole) {
-    double spared = (1 - policy.mark()) * whole;
+    double spared = (1 - policy.maxUtilization()) * whole;
     return asked > spared || free - asked >= spared - 1e-9;
   }
 
--- a/src/main/java/org/oakwalk/core/placement/Largest.java
+++ b/src/main/java/org/oakwalk/core/placement/Largest.java
@@ -189,7 +189,7 @@
   /** Lets time pass, and finds out which jobs are favoured in this round. */
   void round(Moment now, WallTime wall) {
     fade(now);
-    while (!unrated.isEmpty() && now.past(unrated.peek().job.seen(), ServedShares.RIPE_AFTER)) {
+    while (!unrated.isEmpty() && now.isPast(unrated.peek().job.seen(), ServedShares.RIPE_AFTER)) {
       rate(unrated.poll());
     }
     favours.clear();
--- a/src/main/java/org/oakwalk/core/placement/Placer.java
+++ b/src/main/java/org/oakwalk/core/placement/Placer.java
@@ -81,7 +81,7 @@
     this.policy = policy;
     this.quota = quota;
     this.runTimes = runTimes;
-    this.hosts = new IdealHost(policy.hosts(), reserve);
+    this.hosts = new IdealHost(policy.placement(), reserve);
     this.candidates = new Candidates(fleet, runTimes, suspectAfter, reserve);
     this.ranking = new Ranking(jobs, runTimes, new Score(policy.scoring(), targets), quota);
     Preemption preemption =
@@ -134,7 +134,7 @@
     fresh.removeIf(job -> !job.open() || job.pendingCount() <= 0 || !RoomMaker.mayWarm(job, now));
     largest.round(now, wall);
     if (regular && inheritedToo) {
-      gangs.keep(regularRounds, policy.hosts().reserveAfterRounds(), now, wall);
+      gangs.keep(regularRounds, policy.placement().reserveAfterRounds(), now, wall);
     }
     walk(inheritedToo);
     return placed;
@@ -210,7 +210,7 @@
           return Verdict.ALL_ALIKE;
         }
         boolean stopped = roomMaker.stop(job);
-        if (regularRounds - job.rankedFrom() >= policy.hosts().reserveAfterRounds()
+        if (regularRounds - job.rankedFrom() >= policy.placement().reserveAfterRounds()
             && !roomMaker.reserve(job)) {
           return stopped ? Verdict.GO_ON : Verdict.ALL_ALIKE;
         }
--- a/src/main/java/org/oakwalk/core/placement/RoomMaker.java
+++ b/src/main/java/org/oakwalk/core/placement/RoomMaker.java
@@ -128,7 +128,7 @@
   static boolean mayWarm(Job job, Moment now) {
     return job.spec().service()
         && job.spec().priority().compareTo(Priority.NORMAL) > 0
-        && !now.past(job.waitingSince(), WARM_PATIENCE);
+        && !now.isPast(job.waitingSince(), WARM_PATIENCE);
   }
 
   /**
--- a/src/main/java/org/oakwalk/core/placement/Score.java
+++ b/src/main/java/org/oakwalk/core/placement/Score.java
@@ -21,14 +21,14 @@
 
   private static final long LEAST_STEADY_MS = 100;
 
-  private final Policy.Scoring weights;
+  private final Policy.ScoringPolicy weights;
   private final Targets targets;
   private final double floorHours;
 
-  public Score(Policy.Scoring weights, Targets targets) {
+  public Score(Policy.ScoringPolicy weights, Targets targets) {
     this.weights = weights;
     this.targets = targets;
-    this.floorHours = weights.floor().millis() / HOUR_MS;
+    this.floorHours = weights.minTimeLeft().millis() / HOUR_MS;
   }
 
   /**
--- a/src/main/java/org/oakwalk/core/placement/ServedShares.java
+++ b/src/main/java/org/oakwalk/core/placement/ServedShares.java
@@ -87,7 +87,7 @@
 
   /** Lets time pass. */
   void round(Moment now) {
-    while (!unripe.isEmpty() && now.past(unripe.peek().job.seen(), RIPE_AFTER)) {
+    while (!unripe.isEmpty() && now.isPast(unripe.peek().job.seen(), RIPE_AFTER)) {
       Part part = unripe.poll();
       if (parts.get(part.job) == part) {
         part.ripe = true;
--- a/src/main/java/org/oakwalk/core/planner/Planner.java
+++ b/src/main/java/org/oakwalk/core/planner/Planner.java
@@ -138,7 +138,7 @@
   private Map<String, Window> windows() {
     Map<String, Window> found = new LinkedHashMap<>();
     for (DawnTerms dawn : dawns) {
-      Window.open(dawn, wall, settings.clockOff())
+      Window.open(dawn, wall, settings.maxClockError())
           .ifPresent(window -> found.put(dawn.name(), window));
     }
     return found;
--- a/src/main/java/org/oakwalk/core/port/Answer.java
+++ b/src/main/java/org/oakwalk/core/port/Answer.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.oakwalk.core.HoldId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Revision;
@@ -15,25 +15,25 @@
 public sealed interface Answer {
 
   /** Nothing usable came back: the request may have been executed, or may yet be. */
-  record Nothing(String reason) implements Answer {}
+  record OutcomeUnknown(String reason) implements Answer {}
 
   /** The request was surely not executed. */
   record Refused(int status, String reason) implements Answer {}
 
   /** A page of keys. */
-  record Page(List<Entry> entries, boolean more, Revision epoch) implements Answer {}
+  record Page(List<Entry> entries, boolean hasMore, Revision revision) implements Answer {}
 
   /** Changes up to and including the epoch. */
-  record Changes(Revision epoch, List<News> news) implements Answer {}
+  record Changes(Revision revision, List<News> changes) implements Answer {}
 
   /** The transaction was applied. */
-  record Committed(Revision epoch) implements Answer {}
+  record Committed(Revision revision) implements Answer {}
 
   /** The transaction's guards did not hold. */
-  record Conflict(List<String> failed) implements Answer {}
+  record Conflict(List<String> failedKeys) implements Answer {}
 
   /** A lease was opened. */
-  record Granted(HoldId hold) implements Answer {}
+  record LeaseGranted(LeaseId lease) implements Answer {}
 
   /** Done, with nothing more to say. */
   record Ok() implements Answer {}
@@ -42,14 +42,14 @@
   record Catalog(Map<String, MachineType> types) implements Answer {}
 
   /** A page of the cloud's list. */
-  record Rentals(List<Rental> rentals, boolean more) implements Answer {}
+  record Rentals(List<Rental> rentals, boolean hasMore) implements Answer {}
 
   /** Machines that were rented. */
   record Rented(List<MachineId> machines) implements Answer {}
 
   /** A worker's answer to orders: its report, and whether it executed them. */
-  record Commanded(boolean executed, Report report) implements Answer {}
+  record CommandResult(boolean executed, Report report) implements Answer {}
 
   /** Another controller's answer. */
-  record Told(PeerMessage message) implements Answer {}
+  record PeerReply(PeerMessage message) implements Answer {}
 }
--- a/src/main/java/org/oakwalk/core/port/Outbox.java
+++ b/src/main/java/org/oakwalk/core/port/Outbox.java
@@ -6,7 +6,7 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.oakwalk.core.CallId;
-import org.oakwalk.core.ExchangeId;
+import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.Span;
 
 /** Collects effects and remembers who waits for which answer. */
@@ -22,22 +22,22 @@
     effects.add(new Effect.Call(id, request));
   }
 
-  public void respond(ExchangeId exchange, Response response) {
+  public void respond(InboundRequestId exchange, Response response) {
     effects.add(new Effect.Respond(exchange, response));
   }
 
   /** Keeps commands to this address from leaving if they have not left yet. */
-  public void recall(String address) {
-    effects.add(new Effect.Recall(address));
+  public void cancelCommands(String address) {
+    effects.add(new Effect.CancelCommands(address));
   }
 
   /** Tells the operators how long something took. */
-  public void measured(Effect.Measure measure, Span span) {
-    effects.add(new Effect.Measured(measure, span));
+  public void recordDuration(Effect.DurationMetric measure, Span span) {
+    effects.add(new Effect.RecordDuration(measure, span));
   }
 
   /** Delivers an answer; one that nobody waits for is dropped. */
-  public void answered(CallId call, Answer answer) {
+  public void deliverAnswer(CallId call, Answer answer) {
     Consumer<Answer> then = waiting.remove(call);
     if (then != null) {
       then.accept(answer);
@@ -45,7 +45,7 @@
   }
 
   /** Hands over what has been collected. */
-  public List<Effect> drain() {
+  public List<Effect> takeEffects() {
     List<Effect> drained = effects;
     effects = new ArrayList<>();
     return drained;
--- a/src/main/java/org/oakwalk/core/port/PeerMessage.java
+++ b/src/main/java/org/oakwalk/core/port/PeerMessage.java
@@ -14,7 +14,7 @@
 public sealed interface PeerMessage {
 
   /** How many tasks of a job are done and running. */
-  record Counts(int done, int running) {}
+  record TaskCounts(int done, int running) {}
 
   /**
    * The leader's view of the open jobs. {@code serves} says that the sender reaches the state
@@ -22,27 +22,31 @@
    * that fail everywhere, which a successor should know of.
    */
   record Digest(
-      NodeId from, Token token, boolean serves, Map<JobId, Counts> counts, Set<JobId> suspects)
+      NodeId from,
+      Token token,
+      boolean reachesStateService,
+      Map<JobId, TaskCounts> counts,
+      Set<JobId> suspects)
       implements PeerMessage {}
 
   /**
    * Answer to a digest. {@code settled} says that the sender acts under no token of its own older
    * than the digest's and never will again in this life.
    */
-  record Acknowledged(NodeId from, boolean settled) implements PeerMessage {}
+  record Acknowledgement(NodeId from, boolean relinquished) implements PeerMessage {}
 
   /** Asks whether the receiver can be reached at all. */
   record Probe(NodeId from) implements PeerMessage {}
 
   /** A worker's report that reached its receiver instead of the leader. */
-  record Carry(Report report) implements PeerMessage {}
+  record ForwardReport(Report report) implements PeerMessage {}
 
   /** The leader's answer to a carried report; without a token it does not lead. */
-  record Carried(Optional<Token> token, List<Order> orders) implements PeerMessage {}
+  record ForwardedReportOrders(Optional<Token> token, List<Order> orders) implements PeerMessage {}
 
   /** A user's request that its receiver cannot serve, for lack of the state service. */
-  record Forward(UserRequest request) implements PeerMessage {}
+  record ForwardUserRequest(UserRequest request) implements PeerMessage {}
 
   /** Answer to a forwarded request. */
-  record Forwarded(Response response) implements PeerMessage {}
+  record ForwardedResponse(Response response) implements PeerMessage {}
 }
--- a/src/main/java/org/oakwalk/core/port/Request.java
+++ b/src/main/java/org/oakwalk/core/port/Request.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.oakwalk.core.AskId;
-import org.oakwalk.core.HoldId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Order;
+import org.oakwalk.core.RentalRequestId;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.SessionId;
 import org.oakwalk.core.Span;
@@ -22,41 +22,44 @@
     LEADERSHIP,
     WITHDRAWAL,
     /** Machines that have come up: a change for dozens of them, and without it nothing starts. */
-    ENROLMENT,
+    REGISTRATION,
     ACCEPTANCE,
     RESULT,
-    REST
+    ROUTINE
   }
 
   /** Requests to the state service. */
-  sealed interface State extends Request {
+  sealed interface StateServiceRequest extends Request {
     Urgency urgency();
 
     /** How many puts and deletes this counts as. */
-    default int writes() {
+    default int writeCount() {
       return 0;
     }
   }
 
   /** Requests to the cloud. */
-  sealed interface Cloud extends Request {}
+  sealed interface CloudRequest extends Request {}
 
   /** Reads a page of the keys below a prefix. */
-  record ReadPage(String prefix, Optional<String> after, Urgency urgency) implements State {}
+  record ReadPage(String prefix, Optional<String> after, Urgency urgency)
+      implements StateServiceRequest {}
 
   /** Waits for changes below a prefix; with no waiting time it returns what there is. */
-  record Watch(String prefix, Revision after, Span hold, Urgency urgency) implements State {}
+  record Watch(String prefix, Revision after, Span maxWait, Urgency urgency)
+      implements StateServiceRequest {}
 
   /** An atomic transaction. */
-  record Commit(List<Guard> guards, List<Change> changes, Urgency urgency) implements State {
+  record Commit(List<Guard> guards, List<Change> changes, Urgency urgency)
+      implements StateServiceRequest {
     @Override
-    public int writes() {
+    public int writeCount() {
       return changes.size();
     }
   }
 
   /** Opens a lease. */
-  record Grant(Span ttl) implements State {
+  record GrantLease(Span ttl) implements StateServiceRequest {
     @Override
     public Urgency urgency() {
       return Urgency.LEADERSHIP;
@@ -64,7 +67,7 @@
   }
 
   /** Renews a lease. */
-  record Renew(HoldId hold) implements State {
+  record RenewLease(LeaseId lease) implements StateServiceRequest {
     @Override
     public Urgency urgency() {
       return Urgency.LEADERSHIP;
@@ -72,7 +75,7 @@
   }
 
   /** Ends a lease at once. */
-  record Drop(HoldId hold) implements State {
+  record RevokeLease(LeaseId lease) implements StateServiceRequest {
     @Override
     public Urgency urgency() {
       return Urgency.LEADERSHIP;
@@ -80,21 +83,22 @@
   }
 
   /** Asks the cloud for the machine types. */
-  record FetchCatalog() implements Cloud {}
+  record FetchCatalog() implements CloudRequest {}
 
   /** Asks the cloud for a page of the machine list. */
-  record ListRentals(Optional<MachineId> after) implements Cloud {}
+  record ListRentals(Optional<MachineId> after) implements CloudRequest {}
 
   /** Rents machines. */
-  record Rent(AskId ask, String type, String zone, boolean spot, int count) implements Cloud {}
+  record RentMachines(RentalRequestId id, String type, String zone, boolean spot, int count)
+      implements CloudRequest {}
 
   /** Returns machines. */
-  record Release(List<MachineId> machines) implements Cloud {}
+  record ReleaseMachines(List<MachineId> machines) implements CloudRequest {}
 
   /** Sends orders straight to a worker. */
   record Command(String address, Token token, SessionId session, List<Order> orders)
       implements Request {}
 
   /** Tells another controller something. */
-  record Tell(NodeId node, PeerMessage message) implements Request {}
+  record SendToPeer(NodeId node, PeerMessage message) implements Request {}
 }
--- a/src/main/java/org/oakwalk/core/port/Response.java
+++ b/src/main/java/org/oakwalk/core/port/Response.java
@@ -30,20 +30,20 @@
   record Orders(Token token, List<Order> orders) implements Response {}
 
   /** The worker should report to the leader, if one is known. */
-  record Elsewhere(Optional<NodeId> leader) implements Response {}
+  record Redirect(Optional<NodeId> leader) implements Response {}
 
   /** All is well. */
   record Ready() implements Response {}
 
   /** Answer to another controller. */
-  record ToPeer(PeerMessage message) implements Response {}
+  record PeerResponse(PeerMessage message) implements Response {}
 
   static Problem unavailable(String reason, Span retryAfter) {
     return new Problem(503, reason, Optional.of(retryAfter));
   }
 
   /** More than can be held now; it may be asked again later. */
-  static Problem tooMany(String reason, Span retryAfter) {
+  static Problem overloaded(String reason, Span retryAfter) {
     return new Problem(429, reason, Optional.of(retryAfter));
   }
 
--- a/src/main/java/org/oakwalk/core/product/ProductKeeper.java
+++ b/src/main/java/org/oakwalk/core/product/ProductKeeper.java
@@ -86,7 +86,7 @@
             List.of(
                 new Change.Put(
                     Keys.PRODUCT, new StoredValue.ProductRecord(declared), Optional.empty())),
-            Request.Urgency.REST),
+            Request.Urgency.ROUTINE),
         answer -> {
           writing = false;
           if (answer instanceof Answer.Committed) {
--- a/src/main/java/org/oakwalk/core/recovery/Recovery.java
+++ b/src/main/java/org/oakwalk/core/recovery/Recovery.java
@@ -87,9 +87,9 @@
     this.unsettledPeers = new HashSet<>(mayHoldGrace);
     // A follower that kept a zone's leases alive under an older token stops once its copy of the
     // store shows the change of leader.
-    this.relaysEnd = rose.plus(StoreView.LAG.surelyPassed());
+    this.relaysEnd = rose.plus(StoreView.LAG.plusClockDrift());
     this.lastForeignRenewal =
-        mayHoldGrace.isEmpty() ? relaysEnd : rose.plus(graceLimit.surelyPassed());
+        mayHoldGrace.isEmpty() ? relaysEnd : rose.plus(graceLimit.plusClockDrift());
   }
 
   public State state() {
@@ -172,7 +172,7 @@
           }
           pages++;
           page.entries().forEach(take);
-          if (page.more() && !page.entries().isEmpty()) {
+          if (page.hasMore() && !page.entries().isEmpty()) {
             after = Optional.of(page.entries().get(page.entries().size() - 1).key());
           } else {
             after = Optional.empty();
--- a/src/main/java/org/oakwalk/core/shared/KeptRecord.java
+++ b/src/main/java/org/oakwalk/core/shared/KeptRecord.java
@@ -287,13 +287,13 @@
         new Request.Commit(
             List.of(leader, new Guard(Keys.sharedHead(name), stamp)),
             changes,
-            Request.Urgency.REST),
+            Request.Urgency.ROUTINE),
         answer -> {
           calling = false;
           if (answer instanceof Answer.Committed committed) {
             pause = RETRY;
             boolean headWritten = state == State.HEAD || state == State.FENCING;
-            stamp = headWritten ? committed.epoch() : stamp;
+            stamp = headWritten ? committed.revision() : stamp;
             then.run();
           } else if (answer instanceof Answer.Refused) {
             later(now);
@@ -313,7 +313,7 @@
   private void readHead(Moment now) {
     calling = true;
     outbox.call(
-        new Request.ReadPage(Keys.sharedHead(name), Optional.empty(), Request.Urgency.REST),
+        new Request.ReadPage(Keys.sharedHead(name), Optional.empty(), Request.Urgency.ROUTINE),
         answer -> {
           calling = false;
           if (!(answer instanceof Answer.Page page)) {
--- a/src/main/java/org/oakwalk/core/shared/SharedState.java
+++ b/src/main/java/org/oakwalk/core/shared/SharedState.java
@@ -121,7 +121,7 @@
             found.put(entry.key(), entry.value());
             stamps.put(entry.key(), entry.stamp());
           }
-          if (page.more() && !page.entries().isEmpty()) {
+          if (page.hasMore() && !page.entries().isEmpty()) {
             after = Optional.of(page.entries().get(page.entries().size() - 1).key());
           } else {
             finish();
--- a/src/main/java/org/oakwalk/core/store/RequestQueue.java
+++ b/src/main/java/org/oakwalk/core/store/RequestQueue.java
@@ -32,7 +32,8 @@
   private static final int LEAST_PAUSE_MILLIS = 20;
   private static final int MOST_PAUSE_MILLIS = 80;
 
-  private record Waiting(Request.State request, long number, long since, Consumer<Answer> then) {
+  private record Waiting(
+      Request.StateServiceRequest request, long number, long since, Consumer<Answer> then) {
     int rank() {
       return request.urgency().ordinal();
     }
@@ -58,7 +59,7 @@
 
   private final SharedRate requests;
   private final SharedRate writes;
-  private final BiConsumer<Request.State, Consumer<Answer>> sender;
+  private final BiConsumer<Request.StateServiceRequest, Consumer<Answer>> sender;
   private final PriorityQueue<Waiting> reading = new PriorityQueue<>(ORDER);
   private final PriorityQueue<Waiting> writing = new PriorityQueue<>(ORDER);
   private final SplittableRandom jitter;
@@ -77,7 +78,9 @@
    * @param now milliseconds of the steady clock
    */
   public RequestQueue(
-      Settings settings, long now, BiConsumer<Request.State, Consumer<Answer>> sender) {
+      Settings settings,
+      long now,
+      BiConsumer<Request.StateServiceRequest, Consumer<Answer>> sender) {
     Settings.StateLimits limits = settings.state();
     int nodes = settings.peers().size() + 1;
     this.requests = new SharedRate(limits.requestsPerSecond(), nodes, 3, 4, now);
@@ -95,7 +98,7 @@
   }
 
   /** Takes a request; it is sent as soon as its turn comes and the rates allow. */
-  public void call(Request.State request, long now, Consumer<Answer> then) {
+  public void call(Request.StateServiceRequest request, long now, Consumer<Answer> then) {
     PriorityQueue<Waiting> line = line(request);
     line.add(new Waiting(request, ++numbers, now, then));
     if (line.size() > LONGEST) {
@@ -119,8 +122,8 @@
         .orElseThrow();
   }
 
-  private PriorityQueue<Waiting> line(Request.State request) {
-    return request.writes() > 0 ? writing : reading;
+  private PriorityQueue<Waiting> line(Request.StateServiceRequest request) {
+    return request.writeCount() > 0 ? writing : reading;
   }
 
   /** Sends what the rates allow by now. */
@@ -140,7 +143,7 @@
         line.removeIf(waiting -> waiting == sent);
       }
       requests.spend(1);
-      writes.spend(sent.request().writes());
+      writes.spend(sent.request().writeCount());
       share(sent);
       sender.accept(sent.request(), answer -> answered(sent, answer));
     }
@@ -180,14 +183,14 @@
       return first;
     }
     return writing.stream()
-        .filter(one -> one.lessUrgentThanSubmissions() && one.request().writes() <= owed)
+        .filter(one -> one.lessUrgentThanSubmissions() && one.request().writeCount() <= owed)
         .min(Comparator.comparingLong(Waiting::number))
         .orElse(first);
   }
 
   /** Counts how much submissions are ahead of what is less urgent. */
   private void share(Waiting sent) {
-    int cost = sent.request().writes();
+    int cost = sent.request().writeCount();
     if (cost == 0) {
       return;
     }
@@ -204,7 +207,7 @@
     if (first == null) {
       return null;
     }
-    int cost = first.request().writes();
+    int cost = first.request().writeCount();
     if (first.vital()) {
       return requests.paused(now) || (cost > 0 && writes.paused(now)) ? null : first;
     }
@@ -214,7 +217,7 @@
   private void answered(Waiting sent, Answer answer) {
     if (answer instanceof Answer.Refused refused && refused.status() == TOO_MANY) {
       // Which of the two limits it was is not told. Writes are far fewer, so it is mostly theirs.
-      SharedRate exceeded = sent.request().writes() > 0 ? writes : requests;
+      SharedRate exceeded = sent.request().writeCount() > 0 ? writes : requests;
       exceeded.refused(clock, jitter.nextInt(LEAST_PAUSE_MILLIS, MOST_PAUSE_MILLIS));
       line(sent.request()).add(sent);
       return;
--- a/src/main/java/org/oakwalk/core/store/StoreView.java
+++ b/src/main/java/org/oakwalk/core/store/StoreView.java
@@ -163,13 +163,13 @@
    * copy has not followed the leader key without a gap for so long.
    */
   public Optional<Set<NodeId>> ledWithin(Span span, Moment now) {
-    if (state != State.LIVE || !now.past(liveSince, span)) {
+    if (state != State.LIVE || !now.isPast(liveSince, span)) {
       return Optional.empty();
     }
     Set<NodeId> nodes = new HashSet<>();
     ledUntil.forEach(
         (node, until) -> {
-          if (!now.past(until, span)) {
+          if (!now.isPast(until, span)) {
             nodes.add(node);
           }
         });
@@ -251,7 +251,7 @@
 
   /** Whether the copy is complete and was confirmed a short time ago. */
   public boolean fresh(Moment now) {
-    return state == State.LIVE && !now.past(contact, STALE);
+    return state == State.LIVE && !now.isPast(contact, STALE);
   }
 
   /** Begin of the last read that succeeded: everything stored before it is known here. */
@@ -370,7 +370,7 @@
     busy = true;
     long before = asked;
     // Right after pages that took long to read, what they lag behind by is asked for at once.
-    Span hold = now.past(contact, STALE) && !failing ? Span.millis(0) : HOLD;
+    Span hold = now.isPast(contact, STALE) && !failing ? Span.millis(0) : HOLD;
     outbox.call(
         new Request.Watch(Keys.WATCHED, position, hold, Request.Urgency.LEADERSHIP),
         answer -> {
@@ -390,13 +390,13 @@
   /** Applies the answer to a watch; false if it told nothing. */
   private boolean take(Answer answer, Moment begun) {
     if (answer instanceof Answer.Changes changes) {
-      for (News news : changes.news()) {
+      for (News news : changes.changes()) {
         if (news.stamp().compareTo(position) > 0) {
           apply(news.key(), news.value(), news.stamp());
         }
       }
-      if (changes.epoch().compareTo(position) > 0) {
-        position = changes.epoch();
+      if (changes.revision().compareTo(position) > 0) {
+        position = changes.revision();
       }
       touched(begun);
       return true;
@@ -429,7 +429,7 @@
           }
           pages++;
           if (loadEpoch == null) {
-            loadEpoch = page.epoch();
+            loadEpoch = page.revision();
           }
           for (Entry entry : page.entries()) {
             leaderOnPages |= entry.key().equals(Keys.LEADER);
@@ -438,7 +438,7 @@
             }
             apply(entry.key(), Optional.of(entry.value()), entry.stamp());
           }
-          if (page.more() && !page.entries().isEmpty()) {
+          if (page.hasMore() && !page.entries().isEmpty()) {
             loadAfter = Optional.of(page.entries().get(page.entries().size() - 1).key());
           } else {
             if (!leaderOnPages && leaderStamp.compareTo(loadEpoch) < 0) {
--- a/src/main/java/org/oakwalk/daemon/EventLoop.java
+++ b/src/main/java/org/oakwalk/daemon/EventLoop.java
@@ -9,7 +9,7 @@
 import org.oakwalk.adapter.Listener;
 import org.oakwalk.adapter.Outside;
 import org.oakwalk.core.Controller;
-import org.oakwalk.core.ExchangeId;
+import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.WallTime;
@@ -30,7 +30,7 @@
   private final ConcurrentLinkedQueue<Runnable> answers = new ConcurrentLinkedQueue<>();
   private final Controller controller;
   private final Histograms histograms = new Histograms(steadyMillis());
-  private final Map<ExchangeId, Long> submissions = new HashMap<>();
+  private final Map<InboundRequestId, Long> submissions = new HashMap<>();
   private Outside outside;
   private Listener listener;
   private volatile boolean stopped;
@@ -83,9 +83,9 @@
           answer.run();
         }
         if (next instanceof Event event) {
-          if (event instanceof Event.UserAsks asks
+          if (event instanceof Event.UserRequestReceived asks
               && asks.request() instanceof UserRequest.Submit) {
-            submissions.put(asks.exchange(), now);
+            submissions.put(asks.requestId(), now);
           }
           handle(event);
         }
@@ -99,7 +99,7 @@
     }
   }
 
-  private static Histograms.Kind kind(Effect.Measure measure) {
+  private static Histograms.Kind kind(Effect.DurationMetric measure) {
     return switch (measure) {
       case QUEUE_WAIT -> Histograms.Kind.QUEUE_WAIT;
       case FAILOVER -> Histograms.Kind.FAILOVER;
@@ -116,18 +116,18 @@
     for (Effect effect :
         controller.handle(event, new Moment(now), new WallTime(System.currentTimeMillis()))) {
       if (effect instanceof Effect.Respond respond) {
-        Long since = submissions.remove(respond.exchange());
+        Long since = submissions.remove(respond.requestId());
         if (since != null && respond.response() instanceof Response.JobStatus) {
           histograms.record(Histograms.Kind.ACCEPTANCE, Span.millis(steadyMillis() - since));
         }
-        listener.respond(respond.exchange(), respond.response());
-      } else if (effect instanceof Effect.Measured measured) {
-        histograms.record(kind(measured.measure()), measured.span());
-      } else if (effect instanceof Effect.Recall recall) {
+        listener.respond(respond.requestId(), respond.response());
+      } else if (effect instanceof Effect.RecordDuration measured) {
+        histograms.record(kind(measured.metric()), measured.span());
+      } else if (effect instanceof Effect.CancelCommands recall) {
         outside.recall(recall.address());
       } else if (effect instanceof Effect.Call call) {
         outside.call(
-            call.request(), now, answer -> handle(new Event.Answered(call.call(), answer)));
+            call.request(), now, answer -> handle(new Event.CallAnswered(call.call(), answer)));
       }
     }
   }
--- a/src/main/java/org/oakwalk/daemon/PlatformSettings.java
+++ b/src/main/java/org/oakwalk/daemon/PlatformSettings.java
@@ -122,16 +122,16 @@
       return objectives;
     }
 
-    private Settings.Workers workers() throws BadSettings {
-      Settings.Workers workers =
-          new Settings.Workers(
+    private Settings.WorkerTiming workers() throws BadSettings {
+      Settings.WorkerTiming workers =
+          new Settings.WorkerTiming(
               Span.seconds(number("report_s", 0.01, 3600)),
               Span.seconds(number("lease_s", 0.1, 86400)),
               Span.seconds(number("cancel_s", 0.1, 86400)));
-      if (workers.report().compareTo(workers.lease()) >= 0) {
+      if (workers.reportInterval().compareTo(workers.leaseDuration()) >= 0) {
         throw bad("lease_s", "must be larger than report_s");
       }
-      if (workers.lease().compareTo(workers.cancel()) >= 0) {
+      if (workers.leaseDuration().compareTo(workers.cancelDeadline()) >= 0) {
         throw bad("cancel_s", "must be larger than lease_s");
       }
       return workers;
--- a/src/main/java/org/oakwalk/daemon/PolicyFile.java
+++ b/src/main/java/org/oakwalk/daemon/PolicyFile.java
@@ -53,31 +53,31 @@
 
   private Policy policy() throws BadSettings {
     Policy defaults = Policy.defaults();
-    Policy.Scoring scoring = defaults.scoring();
-    Policy.Hosts hosts = defaults.hosts();
-    Policy.Capacity capacity = defaults.capacity();
+    Policy.ScoringPolicy scoring = defaults.scoring();
+    Policy.PlacementPolicy hosts = defaults.placement();
+    Policy.CapacityPolicy capacity = defaults.capacity();
     Policy policy =
         new Policy(
-            new Policy.Scoring(
+            new Policy.ScoringPolicy(
                 number("score", "alpha", 0, 1, scoring.alpha()),
                 number("score", "deadline_weight", 0, 1000, scoring.deadlineWeight()),
                 number("score", "remaining_weight", 0, 1000, scoring.remainingWeight()),
                 number("score", "wait_weight", 0, 1000, scoring.waitWeight()),
                 number("score", "guarantee_bonus", 0, 1e6, scoring.guaranteeBonus()),
-                seconds("score", "floor_s", 0.001, 3600, scoring.floor())),
-            new Policy.Hosts(
-                number("hosts", "mark", 0.1, 1, hosts.mark()),
+                seconds("score", "floor_s", 0.001, 3600, scoring.minTimeLeft())),
+            new Policy.PlacementPolicy(
+                number("hosts", "mark", 0.1, 1, hosts.maxUtilization()),
                 number("hosts", "image_weight", 0, 100, hosts.imageWeight()),
                 (int) number("hosts", "reserve_after_rounds", 1, 1000, hosts.reserveAfterRounds())),
-            seconds("rounds", "period_s", 0.1, 60, defaults.round()),
-            new Policy.Capacity(
+            seconds("rounds", "period_s", 0.1, 60, defaults.roundInterval()),
+            new Policy.CapacityPolicy(
                 number("capacity", "headroom", 0, 10, capacity.headroom()),
                 (int) number("capacity", "spare_machines", 0, 1000, capacity.spareMachines()),
-                seconds("capacity", "idle_s", 0, 86400, capacity.idle()),
+                seconds("capacity", "idle_s", 0, 86400, capacity.idleTimeout()),
                 number("capacity", "spot_share", 0, 1, capacity.spotShare()),
                 seconds("capacity", "suspect_after_s", 1, 3600, capacity.suspectAfter()),
-                seconds("capacity", "boot_patience_s", 1, 86400, capacity.bootPatience())),
-            (int) number("admission", "open_jobs", 10, 1e6, defaults.mostOpenJobs()),
+                seconds("capacity", "boot_patience_s", 1, 86400, capacity.bootTimeout())),
+            (int) number("admission", "open_jobs", 10, 1e6, defaults.maxOpenJobs()),
             DrainFile.read(file, root),
             ProductFile.read(file, root));
     refuseOthers();
--- a/src/main/java/org/oakwalk/model/CrowdedRule.java
+++ b/src/main/java/org/oakwalk/model/CrowdedRule.java
@@ -136,7 +136,7 @@
   }
 
   private long window() {
-    return world.settings.workers().lease().millis() + BEYOND_THE_LEASE;
+    return world.settings.workers().leaseDuration().millis() + BEYOND_THE_LEASE;
   }
 
   private static Room free(SimWorker worker) {
--- a/src/main/java/org/oakwalk/model/Forgery.java
+++ b/src/main/java/org/oakwalk/model/Forgery.java
@@ -28,14 +28,14 @@
   /** A report in a worker's name that it did not send, some of its fields as the line says. */
   static void report(SimWorker worker, Words line, List<SimNode> to) {
     Report real = worker.snapshot();
-    List<Report.Piece> pieces = new ArrayList<>(real.pieces());
+    List<Report.ReportedTask> pieces = new ArrayList<>(real.tasks());
     String task = line.text("piece", "");
     if (!task.isEmpty()) {
       pieces.add(
-          new Report.Piece(
+          new Report.ReportedTask(
               TaskId.parse(task).orElseThrow(),
               new Attempt(STRANGE),
-              Report.PieceState.RUNNING,
+              Report.TaskState.RUNNING,
               null));
     }
     Report forged =
--- a/src/main/java/org/oakwalk/model/KnownEnds.java
+++ b/src/main/java/org/oakwalk/model/KnownEnds.java
@@ -34,7 +34,7 @@
     if (answer instanceof Answer.Page page) {
       page.entries().stream().map(Entry::value).forEach(this::shown);
     } else if (answer instanceof Answer.Changes changes) {
-      changes.news().stream().map(News::value).flatMap(Optional::stream).forEach(this::shown);
+      changes.changes().stream().map(News::value).flatMap(Optional::stream).forEach(this::shown);
     } else if (answer instanceof Answer.Committed && request instanceof Request.Commit commit) {
       for (Change change : commit.changes()) {
         if (change instanceof Change.Put put) {
@@ -55,10 +55,10 @@
     if (effect instanceof Effect.Respond respond) {
       Response response = respond.response();
       tells(response);
-      if (response instanceof Response.ToPeer toPeer) {
-        if (toPeer.message() instanceof PeerMessage.Forwarded forwarded) {
+      if (response instanceof Response.PeerResponse toPeer) {
+        if (toPeer.message() instanceof PeerMessage.ForwardedResponse forwarded) {
           tells(forwarded.response());
-        } else if (toPeer.message() instanceof PeerMessage.Carried carried) {
+        } else if (toPeer.message() instanceof PeerMessage.ForwardedReportOrders carried) {
           return start(carried.orders());
         }
       }
--- a/src/main/java/org/oakwalk/model/Lateness.java
+++ b/src/main/java/org/oakwalk/model/Lateness.java
@@ -60,7 +60,7 @@
   }
 
   /** By how many milliseconds a request to the state service is late; empty if it is in time. */
-  OptionalLong ofWrite(String node, Request.State request) {
+  OptionalLong ofWrite(String node, Request.StateServiceRequest request) {
     if (!(request instanceof Request.Commit commit) || commit.changes().isEmpty()) {
       return OptionalLong.empty();
     }
--- a/src/main/java/org/oakwalk/model/Nights.java
+++ b/src/main/java/org/oakwalk/model/Nights.java
@@ -52,13 +52,13 @@
   /** Sets out to look at each dawn that comes before the scenario is over. */
   void begin(double end) {
     for (DawnTerms dawn : dawns) {
-      Optional<Window> window = Window.next(dawn, world.wall(), world.settings.clockOff());
+      Optional<Window> window = Window.next(dawn, world.wall(), world.settings.maxClockError());
       while (window.isPresent() && seconds(window.get().dawn()) <= end) {
         Window night = window.get();
         world.time.at(Math.max(0, seconds(night.opens())), () -> opens(dawn));
         world.time.at(seconds(night.dawn()) - 0.001, () -> ends(dawn, night));
         WallTime next = new WallTime(night.dawn().millis() + 1);
-        window = Window.next(dawn, next, world.settings.clockOff());
+        window = Window.next(dawn, next, world.settings.maxClockError());
       }
     }
   }
@@ -71,7 +71,7 @@
   Optional<Span> due(JobSpec spec) {
     return dawns.stream()
         .filter(dawn -> dawn.covers(spec))
-        .flatMap(dawn -> Window.next(dawn, world.wall(), world.settings.clockOff()).stream())
+        .flatMap(dawn -> Window.next(dawn, world.wall(), world.settings.maxClockError()).stream())
         .map(window -> window.ends().since(world.wall()))
         .filter(left -> left.millis() > 0)
         .min(Span::compareTo);
--- a/src/main/java/org/oakwalk/model/Plans.java
+++ b/src/main/java/org/oakwalk/model/Plans.java
@@ -56,10 +56,10 @@
     ProductTerms terms = new ProductLines(lines).terms(node, seconds);
     return new Policy(
         order.scoring(policy.scoring()),
-        policy.hosts(),
-        policy.round(),
+        policy.placement(),
+        policy.roundInterval(),
         policy.capacity(),
-        (int) base.number("open", policy.mostOpenJobs()),
+        (int) base.number("open", policy.maxOpenJobs()),
         new Drains(List.copyOf(plans.values()), budgets),
         order == Queueing.PLANNED ? terms : withoutDawns(terms));
   }
--- a/src/main/java/org/oakwalk/model/Queueing.java
+++ b/src/main/java/org/oakwalk/model/Queueing.java
@@ -16,10 +16,10 @@
    * Weights by which the earliest deadline decides among jobs of ordinary and low priority. Above
    * them priorities stand as far apart as before.
    */
-  private static final Policy.Scoring BY_DEADLINE =
-      new Policy.Scoring(0.0001, 0.01, 0, 0, 0, Span.seconds(60));
+  private static final Policy.ScoringPolicy BY_DEADLINE =
+      new Policy.ScoringPolicy(0.0001, 0.01, 0, 0, 0, Span.seconds(60));
 
-  Policy.Scoring scoring(Policy.Scoring usual) {
+  Policy.ScoringPolicy scoring(Policy.ScoringPolicy usual) {
     return this == EARLIEST_DUE ? BY_DEADLINE : usual;
   }
 }
--- a/src/main/java/org/oakwalk/model/ReportLoad.java
+++ b/src/main/java/org/oakwalk/model/ReportLoad.java
@@ -22,9 +22,9 @@
 
   /** A worker sends a report by itself. */
   void reported(Report report) {
-    long over = report.pieces().stream().filter(Report.Piece::ended).count();
+    long over = report.tasks().stream().filter(Report.ReportedTask::ended).count();
     reports++;
-    listed += report.pieces().size();
+    listed += report.tasks().size();
     ended += over;
     mostEnded = Math.max(mostEnded, over);
   }
--- a/src/main/java/org/oakwalk/model/Reporting.java
+++ b/src/main/java/org/oakwalk/model/Reporting.java
@@ -40,7 +40,7 @@
   /** Reports if it is time. */
   void step(BiConsumer<Response.Orders, Sent> orders) {
     long now = world.time.now();
-    long every = world.settings.workers().report().millis();
+    long every = world.settings.workers().reportInterval().millis();
     boolean due = now - lastReport >= every || (changed && now - lastReport >= LEAST_SPACING);
     if (!inFlight && due && now >= quietUntil) {
       report(orders);
@@ -105,7 +105,7 @@
   private void answered(Response response, Sent sent, BiConsumer<Response.Orders, Sent> then) {
     if (response instanceof Response.Orders orders) {
       then.accept(orders, sent);
-    } else if (response instanceof Response.Elsewhere elsewhere
+    } else if (response instanceof Response.Redirect elsewhere
         && elsewhere.leader().isPresent()
         && world.indexOf(elsewhere.leader().get()) != node) {
       node = world.indexOf(elsewhere.leader().get());
--- a/src/main/java/org/oakwalk/model/Rules.java
+++ b/src/main/java/org/oakwalk/model/Rules.java
@@ -165,7 +165,7 @@
   }
 
   private double cancelSeconds() {
-    return world.settings.workers().cancel().asSeconds();
+    return world.settings.workers().cancelDeadline().asSeconds();
   }
 
   private void checkPlace(SimWorker machine, TaskId task, JobSpec spec) {
--- a/src/main/java/org/oakwalk/model/Scenario.java
+++ b/src/main/java/org/oakwalk/model/Scenario.java
@@ -184,7 +184,7 @@
         List.of(base.text("zones", "a").split(",")),
         teams,
         objectives(),
-        new Settings.Workers(
+        new Settings.WorkerTiming(
             Span.seconds(base.number("report", 2)),
             Span.seconds(base.number("lease", 10)),
             Span.seconds(base.number("cancel", 40))),
--- a/src/main/java/org/oakwalk/model/SimCloud.java
+++ b/src/main/java/org/oakwalk/model/SimCloud.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Consumer;
-import org.oakwalk.core.AskId;
 import org.oakwalk.core.MachineId;
+import org.oakwalk.core.RentalRequestId;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Rental;
@@ -26,7 +26,7 @@
   final Map<String, MachineType> types = new LinkedHashMap<>();
   final Map<Market, Integer> capacity = new HashMap<>();
   private final Map<MachineId, SimWorker> machines = new LinkedHashMap<>();
-  private final Map<AskId, List<MachineId>> asks = new HashMap<>();
+  private final Map<RentalRequestId, List<MachineId>> asks = new HashMap<>();
   private final long lag;
   private long downUntil;
   private int numbers;
@@ -99,18 +99,18 @@
     return worker;
   }
 
-  void serve(Request.Cloud request, Consumer<Answer> then) {
+  void serve(Request.CloudRequest request, Consumer<Answer> then) {
     if (world.time.now() < downUntil) {
       then.accept(new Answer.Refused(503, "trouble"));
     } else if (request instanceof Request.FetchCatalog) {
       then.accept(new Answer.Catalog(types));
-    } else if (request instanceof Request.Rent rent) {
+    } else if (request instanceof Request.RentMachines rent) {
       if (world.time.now() < rentalsLateUntil) {
         world.time.after(rentalsLateBy, () -> rent(rent));
       } else {
         then.accept(rent(rent));
       }
-    } else if (request instanceof Request.Release release) {
+    } else if (request instanceof Request.ReleaseMachines release) {
       released += release.machines().size();
       for (MachineId id : release.machines()) {
         remove(id);
@@ -130,8 +130,8 @@
     }
   }
 
-  private Answer rent(Request.Rent rent) {
-    List<MachineId> known = asks.get(rent.ask());
+  private Answer rent(Request.RentMachines rent) {
+    List<MachineId> known = asks.get(rent.id());
     if (known != null) {
       return new Answer.Rented(known);
     }
@@ -146,7 +146,7 @@
       ids.add(create(market, bootSeconds(types.get(rent.type()))).id);
     }
     rented += count;
-    asks.put(rent.ask(), ids);
+    asks.put(rent.id(), ids);
     return new Answer.Rented(ids);
   }
 
--- a/src/main/java/org/oakwalk/model/SimNode.java
+++ b/src/main/java/org/oakwalk/model/SimNode.java
@@ -11,7 +11,7 @@
 import org.oakwalk.core.Attempt;
 import org.oakwalk.core.CallId;
 import org.oakwalk.core.Controller;
-import org.oakwalk.core.ExchangeId;
+import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.NodeId;
@@ -56,7 +56,7 @@
   private int ends;
   private boolean up;
   private long exchanges;
-  private final Map<ExchangeId, Consumer<Response>> open = new HashMap<>();
+  private final Map<InboundRequestId, Consumer<Response>> open = new HashMap<>();
   private long refusedByStateUntil;
   private long fullUntil;
   private long crowdedUntil;
@@ -257,7 +257,7 @@
   private void carryOut(Effect effect) {
     knownEnds.decides(effect).ifPresent(start -> world.rules.startsEnded(this, start));
     if (effect instanceof Effect.Respond respond) {
-      Consumer<Response> then = open.remove(respond.exchange());
+      Consumer<Response> then = open.remove(respond.requestId());
       if (then != null) {
         outside(() -> then.accept(respond.response()));
       }
@@ -277,22 +277,22 @@
             inside(
                 () -> {
                   knownEnds.answered(call.request(), answer);
-                  handle(new Event.Answered(call.call(), answer));
+                  handle(new Event.CallAnswered(call.call(), answer));
                 });
           }
         };
     Request request = call.request();
-    if (request instanceof Request.State state) {
+    if (request instanceof Request.StateServiceRequest state) {
       if (world.limited) {
         line.call(state, world.time.now(), then);
       } else {
         sendState(state, then);
       }
-    } else if (request instanceof Request.Cloud cloud) {
-      world.time.after(OTHER_WAIT, () -> then.accept(new Answer.Nothing("timeout")));
+    } else if (request instanceof Request.CloudRequest cloud) {
+      world.time.after(OTHER_WAIT, () -> then.accept(new Answer.OutcomeUnknown("timeout")));
       there("cloud", back("cloud", then), reply -> world.cloud.serve(cloud, reply));
     } else if (request instanceof Request.Command command) {
-      world.time.after(OTHER_WAIT, () -> then.accept(new Answer.Nothing("timeout")));
+      world.time.after(OTHER_WAIT, () -> then.accept(new Answer.OutcomeUnknown("timeout")));
       Consumer<Answer> reply = back(command.address(), then);
       world.network.send(
           id.value(),
@@ -300,18 +300,18 @@
           () -> world.workerAt(command.address()).ifPresent(w -> w.command(command, reply)),
           runsToo ->
               world.workerAt(command.address()).ifPresent(w -> w.commandAgain(command, runsToo)));
-    } else if (request instanceof Request.Tell tell) {
-      world.time.after(STATE_WAIT, () -> then.accept(new Answer.Nothing("timeout")));
+    } else if (request instanceof Request.SendToPeer tell) {
+      world.time.after(STATE_WAIT, () -> then.accept(new Answer.OutcomeUnknown("timeout")));
       there(
           tell.node().value(),
           back(tell.node().value(), then),
           reply -> {
             SimNode peer = world.node(tell.node());
             peer.take(
-                exchange -> new Event.PeerSays(exchange, tell.message()),
+                exchange -> new Event.PeerMessageReceived(exchange, tell.message()),
                 response -> {
-                  if (response instanceof Response.ToPeer toPeer) {
-                    reply.accept(new Answer.Told(toPeer.message()));
+                  if (response instanceof Response.PeerResponse toPeer) {
+                    reply.accept(new Answer.PeerReply(toPeer.message()));
                   }
                 });
           });
@@ -331,7 +331,7 @@
                 orders)));
   }
 
-  private void sendState(Request.State request, Consumer<Answer> then) {
+  private void sendState(Request.StateServiceRequest request, Consumer<Answer> then) {
     boolean[] over = new boolean[1];
     Consumer<Answer> once =
         answer -> {
@@ -340,10 +340,10 @@
             then.accept(answer);
           }
         };
-    long hold = request instanceof Request.Watch watch ? watch.hold().millis() : 0;
+    long hold = request instanceof Request.Watch watch ? watch.maxWait().millis() : 0;
     world.time.after(
         hold > 0 ? hold + WATCH_GRACE : STATE_WAIT,
-        () -> once.accept(new Answer.Nothing("timeout")));
+        () -> once.accept(new Answer.OutcomeUnknown("timeout")));
     there(
         "state",
         back("state", once),
@@ -372,7 +372,7 @@
   }
 
   /** Nobody is told what becomes of a transaction that is carried out late. */
-  private void serveState(Request.State request, Consumer<Answer> reply) {
+  private void serveState(Request.StateServiceRequest request, Consumer<Answer> reply) {
     OptionalLong late =
         world.state.down() ? OptionalLong.empty() : world.lateness.ofWrite(id.value(), request);
     if (late.isPresent()) {
@@ -390,9 +390,10 @@
     world.network.send(id.value(), to, () -> serve.accept(reply));
   }
 
-  private void take(java.util.function.Function<ExchangeId, Event> event, Consumer<Response> then) {
+  private void take(
+      java.util.function.Function<InboundRequestId, Event> event, Consumer<Response> then) {
     if (up) {
-      ExchangeId exchange = new ExchangeId(++exchanges);
+      InboundRequestId exchange = new InboundRequestId(++exchanges);
       open.put(exchange, then);
       inside(() -> handle(event.apply(exchange)));
     }
@@ -404,7 +405,7 @@
     }
     boolean crowded = crowded(report.machine());
     take(
-        exchange -> new Event.WorkerReports(exchange, report, crowded),
+        exchange -> new Event.WorkerReportReceived(exchange, report, crowded),
         response -> {
           if (response instanceof Response.Orders) {
             leaving.remove(report.machine());
@@ -416,20 +417,20 @@
   /** An old report comes once more; its answer goes to nobody. */
   void reportAgain(Report report) {
     if (world.time.now() >= fullUntil) {
-      take(exchange -> new Event.WorkerReports(exchange, report, false), response -> {});
+      take(exchange -> new Event.WorkerReportReceived(exchange, report, false), response -> {});
     }
   }
 
   void ask(UserRequest request, Consumer<Response> then) {
-    take(exchange -> new Event.UserAsks(exchange, request), then);
+    take(exchange -> new Event.UserRequestReceived(exchange, request), then);
   }
 
   /** Another controller says something, or somebody in its name. */
   void told(PeerMessage message) {
-    take(exchange -> new Event.PeerSays(exchange, message), response -> {});
+    take(exchange -> new Event.PeerMessageReceived(exchange, message), response -> {});
   }
 
   void health(Consumer<Response> then) {
-    take(Event.HealthAsked::new, then);
+    take(Event.HealthCheckReceived::new, then);
   }
 }
--- a/src/main/java/org/oakwalk/model/SimState.java
+++ b/src/main/java/org/oakwalk/model/SimState.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 import java.util.function.BooleanSupplier;
 import java.util.function.Consumer;
-import org.oakwalk.core.HoldId;
 import org.oakwalk.core.JobId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
@@ -197,12 +197,12 @@
    *
    * @param refused whether the node that asks is refused at present, alone
    */
-  void serve(Request.State request, Consumer<Answer> then, BooleanSupplier refused) {
+  void serve(Request.StateServiceRequest request, Consumer<Answer> then, BooleanSupplier refused) {
     requests++;
-    reads += request instanceof Request.Watch watch && watch.hold().millis() == 0 ? 1 : 0;
+    reads += request instanceof Request.Watch watch && watch.maxWait().millis() == 0 ? 1 : 0;
     if (down()) {
       then.accept(new Answer.Refused(503, "down"));
-    } else if (rates.isPresent() && !rates.get().takes(request.writes())) {
+    } else if (rates.isPresent() && !rates.get().takes(request.writeCount())) {
       tooMany++;
       then.accept(new Answer.Refused(429, "too many"));
     } else if (request instanceof Request.ReadPage read) {
@@ -211,22 +211,22 @@
       watch(watch, then, refused);
     } else if (request instanceof Request.Commit commit) {
       then.accept(commit(commit));
-    } else if (request instanceof Request.Grant grant) {
+    } else if (request instanceof Request.GrantLease grant) {
       Hold hold = new Hold();
       hold.ttl = grant.ttl().millis();
       hold.end = time.now() + hold.ttl;
       holds.put(++holdNumbers, hold);
-      then.accept(new Answer.Granted(new HoldId(holdNumbers)));
-    } else if (request instanceof Request.Renew renew) {
-      Hold hold = holds.get(renew.hold().value());
+      then.accept(new Answer.LeaseGranted(new LeaseId(holdNumbers)));
+    } else if (request instanceof Request.RenewLease renew) {
+      Hold hold = holds.get(renew.lease().value());
       if (hold == null) {
         then.accept(new Answer.Refused(404, "no such lease"));
       } else {
         hold.end = time.now() + hold.ttl;
         then.accept(new Answer.Ok());
       }
-    } else if (request instanceof Request.Drop drop) {
-      endHold(drop.hold().value());
+    } else if (request instanceof Request.RevokeLease drop) {
+      endHold(drop.lease().value());
       then.accept(new Answer.Ok());
     }
   }
@@ -251,10 +251,10 @@
     List<News> news = history.since(watch);
     if (history.tooOld(watch.after())) {
       then.accept(new Answer.Refused(410, "too old"));
-    } else if (!news.isEmpty() || watch.hold().millis() == 0) {
+    } else if (!news.isEmpty() || watch.maxWait().millis() == 0) {
       then.accept(new Answer.Changes(new Revision(epoch), news));
     } else {
-      watchers.add(new Watcher(watch, then, time.now() + watch.hold().millis(), refused));
+      watchers.add(new Watcher(watch, then, time.now() + watch.maxWait().millis(), refused));
     }
   }
 
@@ -281,7 +281,7 @@
     for (Change change : commit.changes()) {
       if (change instanceof Change.Put put) {
         keys.put(
-            put.key(), new Kept(put.value(), epoch, put.hold().map(HoldId::value).orElse(null)));
+            put.key(), new Kept(put.value(), epoch, put.hold().map(LeaseId::value).orElse(null)));
         history.add(new News(put.key(), Optional.of(put.value()), new Revision(epoch)));
       } else if (change instanceof Change.Remove remove) {
         remove(remove.key());
--- a/src/main/java/org/oakwalk/model/SimWorker.java
+++ b/src/main/java/org/oakwalk/model/SimWorker.java
@@ -27,12 +27,12 @@
   static final class Task {
     Attempt attempt;
     JobSpec spec;
-    Report.PieceState state;
+    Report.TaskState state;
     Report.Cause cause;
     private long began = Long.MAX_VALUE;
 
     boolean ended() {
-      return state == Report.PieceState.ENDED;
+      return state == Report.TaskState.ENDED;
     }
   }
 
@@ -177,9 +177,9 @@
   }
 
   private static boolean occupies(Task task) {
-    return task.state == Report.PieceState.GATHERING
-        || task.state == Report.PieceState.RUNNING
-        || task.state == Report.PieceState.FLUSHING;
+    return task.state == Report.TaskState.GATHERING
+        || task.state == Report.TaskState.RUNNING
+        || task.state == Report.TaskState.FLUSHING;
   }
 
   /** The task neither runs here nor waits here any more. */
@@ -208,7 +208,7 @@
   }
 
   private void expire() {
-    long lease = world.settings.workers().lease().millis();
+    long lease = world.settings.workers().leaseDuration().millis();
     if (alive() && world.time.now() - renewedAt > lease) {
       endAll(Figures.Stop.LEASE);
       session++;
@@ -230,9 +230,10 @@
   }
 
   Report snapshot() {
-    List<Report.Piece> pieces = new ArrayList<>();
+    List<Report.ReportedTask> pieces = new ArrayList<>();
     tasks.forEach(
-        (task, held) -> pieces.add(new Report.Piece(task, held.attempt, held.state, held.cause)));
+        (task, held) ->
+            pieces.add(new Report.ReportedTask(task, held.attempt, held.state, held.cause)));
     Optional<Span> left =
         noticeAt == Long.MAX_VALUE
             ? Optional.empty()
@@ -262,7 +263,8 @@
   private void sawToken(Token seen) {
     if (seen.value() > token) {
       token = seen.value();
-      if (world.time.now() - lastTokenChange > world.settings.workers().lease().millis() / 2) {
+      if (world.time.now() - lastTokenChange
+          > world.settings.workers().leaseDuration().millis() / 2) {
         lastTokenChange = world.time.now();
         reporting.changed();
       }
@@ -281,13 +283,13 @@
     expire();
     if (command.token().value() < token || command.session().value() != session) {
       world.reportLoad.commanded(command, false);
-      then.accept(new Answer.Commanded(false, snapshot()));
+      then.accept(new Answer.CommandResult(false, snapshot()));
       return;
     }
     world.reportLoad.commanded(command, true);
     sawToken(command.token());
     command.orders().forEach(this::execute);
-    then.accept(new Answer.Commanded(true, snapshot()));
+    then.accept(new Answer.CommandResult(true, snapshot()));
   }
 
   /**
@@ -349,7 +351,7 @@
 
   /** A running task that can saves its progress first, if it is given the time. */
   private void halt(TaskId id, Task task, Span grace) {
-    if (occupies(task) && task.state == Report.PieceState.RUNNING) {
+    if (occupies(task) && task.state == Report.TaskState.RUNNING) {
       world.rules.halted(this, id, task.spec);
       world.figures.stopped(id, task.spec, Figures.Stop.COMMAND);
       if (!noticed()) {
@@ -361,9 +363,9 @@
             && task.spec.checkpointEvery().millis() > 0
             && task.spec.saveTime().millis() > 0
             && grace.compareTo(task.spec.saveTime()) >= 0;
-    if (task.state == Report.PieceState.RUNNING && saves) {
+    if (task.state == Report.TaskState.RUNNING && saves) {
       save(id, task, true);
-      task.state = Report.PieceState.FLUSHING;
+      task.state = Report.TaskState.FLUSHING;
       reporting.changed();
       world.time.after(
           task.spec.saveTime().millis(),
@@ -372,7 +374,7 @@
               end(id, task, Report.Cause.HALTED);
             }
           });
-    } else if (task.state != Report.PieceState.FLUSHING || grace.millis() == 0) {
+    } else if (task.state != Report.TaskState.FLUSHING || grace.millis() == 0) {
       end(id, task, Report.Cause.HALTED);
     }
   }
@@ -394,19 +396,19 @@
       refuse(task, Report.Cause.NO_ROOM);
     } else {
       world.rules.takesRoom(this, id, task.spec);
-      task.state = Report.PieceState.FETCHING;
+      task.state = Report.TaskState.FETCHING;
       images.want(id, task.spec, () -> run(id, task));
     }
   }
 
   private Room usedWithout(Task task) {
-    task.state = Report.PieceState.ENDED;
+    task.state = Report.TaskState.ENDED;
     return used();
   }
 
   private void refuse(Task task, Report.Cause cause) {
     world.refusals++;
-    task.state = Report.PieceState.ENDED;
+    task.state = Report.TaskState.ENDED;
     task.cause = cause;
   }
 
@@ -418,7 +420,7 @@
       held.add(() -> run(id, task));
       return;
     }
-    task.state = task.spec.gang() ? Report.PieceState.GATHERING : Report.PieceState.RUNNING;
+    task.state = task.spec.gang() ? Report.TaskState.GATHERING : Report.TaskState.RUNNING;
     reporting.changed();
     world.rules.started(this, id, task.spec);
     world.reruns += world.forgotten.contains(id) ? 1 : 0;
@@ -435,7 +437,7 @@
   /** The task does its work from now on. */
   void begin(TaskId id) {
     Task task = tasks.get(id);
-    task.state = Report.PieceState.RUNNING;
+    task.state = Report.TaskState.RUNNING;
     task.began = world.time.now();
     reporting.changed();
     if (faulty || world.failing.contains(id.job())) {
@@ -471,7 +473,7 @@
 
   private void end(TaskId id, Task task, Report.Cause cause) {
     leaves(id, task, cause == Report.Cause.DONE);
-    task.state = Report.PieceState.ENDED;
+    task.state = Report.TaskState.ENDED;
     task.cause = cause;
     reporting.changed();
     world.rules.freesRoom(this);
--- a/src/main/java/org/oakwalk/model/World.java
+++ b/src/main/java/org/oakwalk/model/World.java
@@ -70,7 +70,7 @@
     this.plans = plans;
     this.nights = new Nights(this, plans.dawns());
     long seed = Math.round(base.number("seed", 1));
-    this.lateness = new Lateness(time, settings.workers().lease().asSeconds(), seed);
+    this.lateness = new Lateness(time, settings.workers().leaseDuration().asSeconds(), seed);
     this.cancellations = new Cancellations(this, seed);
     this.closeLooks = new CloseLooks(this, seed);
     this.keptReports = new KeptReports(this, seed);
@@ -123,7 +123,7 @@
         settings.workers(),
         settings.state(),
         settings.cloud(),
-        settings.clockOff());
+        settings.maxClockError());
   }
 
   SimNode node(NodeId id) {
--- a/src/main/java/org/oakwalk/wire/CloudCodec.java
+++ b/src/main/java/org/oakwalk/wire/CloudCodec.java
@@ -20,7 +20,7 @@
 
   private CloudCodec() {}
 
-  public static HttpMessage encode(Request.Cloud request) {
+  public static HttpMessage encode(Request.CloudRequest request) {
     if (request instanceof Request.FetchCatalog) {
       return new HttpMessage("GET", "/catalog", null);
     }
@@ -29,8 +29,8 @@
       return new HttpMessage("GET", "/rentals?" + after + "limit=" + PAGE, null);
     }
     ObjectNode map = Pack.map();
-    if (request instanceof Request.Rent rent) {
-      map.put("ask", rent.ask().value());
+    if (request instanceof Request.RentMachines rent) {
+      map.put("ask", rent.id().value());
       map.put("flavor", rent.type());
       map.put("region", rent.zone());
       map.put("leftovers", rent.spot());
@@ -38,22 +38,23 @@
       return new HttpMessage("POST", "/rentals", Pack.messagePack(map));
     }
     ArrayNode hosts = map.putArray("hosts");
-    ((Request.Release) request).machines().forEach(id -> hosts.add(id.value()));
+    ((Request.ReleaseMachines) request).machines().forEach(id -> hosts.add(id.value()));
     return new HttpMessage("POST", "/rentals/release", Pack.messagePack(map));
   }
 
-  public static Answer decode(Request.Cloud request, int status, byte[] body) throws BadMessage {
+  public static Answer decode(Request.CloudRequest request, int status, byte[] body)
+      throws BadMessage {
     if (status != 200) {
       return new Answer.Refused(status, "");
     }
-    if (request instanceof Request.Release) {
+    if (request instanceof Request.ReleaseMachines) {
       return new Answer.Ok();
     }
     Fields fields = new Fields(Pack.messagePackMap(body));
     if (request instanceof Request.FetchCatalog) {
       return catalog(fields);
     }
-    if (request instanceof Request.Rent) {
+    if (request instanceof Request.RentMachines) {
       return new Answer.Rented(fields.texts("hosts").stream().map(MachineId::new).toList());
     }
     List<Rental> rentals = new ArrayList<>();
--- a/src/main/java/org/oakwalk/wire/Outgoing.java
+++ b/src/main/java/org/oakwalk/wire/Outgoing.java
@@ -8,24 +8,24 @@
   private Outgoing() {}
 
   public static HttpMessage encode(Request request) {
-    if (request instanceof Request.State state) {
+    if (request instanceof Request.StateServiceRequest state) {
       return StateCodec.encode(state);
     }
-    if (request instanceof Request.Cloud cloud) {
+    if (request instanceof Request.CloudRequest cloud) {
       return CloudCodec.encode(cloud);
     }
     if (request instanceof Request.Command command) {
       return WorkerCodec.command(command);
     }
     return new HttpMessage(
-        "POST", PeerCodec.PATH, PeerCodec.encode(((Request.Tell) request).message()));
+        "POST", PeerCodec.PATH, PeerCodec.encode(((Request.SendToPeer) request).message()));
   }
 
   public static Answer decode(Request request, int status, byte[] body) throws BadMessage {
-    if (request instanceof Request.State state) {
+    if (request instanceof Request.StateServiceRequest state) {
       return StateCodec.decode(state, status, body);
     }
-    if (request instanceof Request.Cloud cloud) {
+    if (request instanceof Request.CloudRequest cloud) {
       return CloudCodec.decode(cloud, status, body);
     }
     if (request instanceof Request.Command) {
--- a/src/main/java/org/oakwalk/wire/PeerCodec.java
+++ b/src/main/java/org/oakwalk/wire/PeerCodec.java
@@ -29,7 +29,7 @@
       map.put("sort", "digest");
       map.put("from", digest.from().value());
       map.put("token", digest.token().value());
-      map.put("serves", digest.serves());
+      map.put("serves", digest.reachesStateService());
       ObjectNode counts = map.putObject("counts");
       digest
           .counts()
@@ -37,24 +37,24 @@
               (id, count) -> counts.putArray(id.value()).add(count.done()).add(count.running()));
       ArrayNode suspects = map.putArray("suspects");
       digest.suspects().forEach(id -> suspects.add(id.value()));
-    } else if (message instanceof PeerMessage.Acknowledged acknowledged) {
+    } else if (message instanceof PeerMessage.Acknowledgement acknowledged) {
       map.put("sort", "acknowledged");
       map.put("from", acknowledged.from().value());
-      map.put("settled", acknowledged.settled());
+      map.put("settled", acknowledged.relinquished());
     } else if (message instanceof PeerMessage.Probe probe) {
       map.put("sort", "probe");
       map.put("from", probe.from().value());
-    } else if (message instanceof PeerMessage.Carry carry) {
+    } else if (message instanceof PeerMessage.ForwardReport carry) {
       map.put("sort", "carry");
       WorkerCodec.put(map, carry.report());
-    } else if (message instanceof PeerMessage.Carried carried) {
+    } else if (message instanceof PeerMessage.ForwardedReportOrders carried) {
       map.put("sort", "carried");
       carried.token().ifPresent(token -> map.put("token", token.value()));
       WorkerCodec.put(map, carried.orders());
-    } else if (message instanceof PeerMessage.Forward forward) {
+    } else if (message instanceof PeerMessage.ForwardUserRequest forward) {
       map.put("sort", "forward");
       request(forward.request(), map);
-    } else if (message instanceof PeerMessage.Forwarded forwarded) {
+    } else if (message instanceof PeerMessage.ForwardedResponse forwarded) {
       map.put("sort", "forwarded");
       response(forwarded.response(), map);
     }
@@ -74,32 +74,32 @@
               counts(fields.get("counts")),
               suspects(fields));
       case "acknowledged" ->
-          new PeerMessage.Acknowledged(new NodeId(fields.text("from")), fields.flag("settled"));
+          new PeerMessage.Acknowledgement(new NodeId(fields.text("from")), fields.flag("settled"));
       case "probe" -> new PeerMessage.Probe(new NodeId(fields.text("from")));
-      case "carry" -> new PeerMessage.Carry(WorkerCodec.report(fields));
+      case "carry" -> new PeerMessage.ForwardReport(WorkerCodec.report(fields));
       case "carried" ->
-          new PeerMessage.Carried(
+          new PeerMessage.ForwardedReportOrders(
               fields.has("token")
                   ? Optional.of(new Token(fields.count("token")))
                   : Optional.empty(),
               WorkerCodec.orders(fields));
-      case "forward" -> new PeerMessage.Forward(request(fields));
-      case "forwarded" -> new PeerMessage.Forwarded(response(fields));
+      case "forward" -> new PeerMessage.ForwardUserRequest(request(fields));
+      case "forwarded" -> new PeerMessage.ForwardedResponse(response(fields));
       default -> throw new BadMessage("message of unknown sort " + sort);
     };
   }
 
   static Answer answer(int status, byte[] body) throws BadMessage {
     return status == 200
-        ? new Answer.Told(decode(body))
+        ? new Answer.PeerReply(decode(body))
         : new Answer.Refused(status, "peer refused");
   }
 
-  private static Map<JobId, PeerMessage.Counts> counts(JsonNode node) throws BadMessage {
+  private static Map<JobId, PeerMessage.TaskCounts> counts(JsonNode node) throws BadMessage {
     if (!node.isObject()) {
       throw new BadMessage("counts are malformed");
     }
-    Map<JobId, PeerMessage.Counts> counts = new HashMap<>();
+    Map<JobId, PeerMessage.TaskCounts> counts = new HashMap<>();
     for (Map.Entry<String, JsonNode> field : node.properties()) {
       JsonNode pair = field.getValue();
       if (!JobId.wellFormed(field.getKey())
@@ -111,7 +111,7 @@
       }
       counts.put(
           new JobId(field.getKey()),
-          new PeerMessage.Counts(pair.get(0).asInt(), pair.get(1).asInt()));
+          new PeerMessage.TaskCounts(pair.get(0).asInt(), pair.get(1).asInt()));
     }
     return counts;
   }
--- a/src/main/java/org/oakwalk/wire/StateCodec.java
+++ b/src/main/java/org/oakwalk/wire/StateCodec.java
@@ -10,7 +10,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.oakwalk.core.HoldId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
@@ -34,7 +34,7 @@
 
   private StateCodec() {}
 
-  public static HttpMessage encode(Request.State request) {
+  public static HttpMessage encode(Request.StateServiceRequest request) {
     if (request instanceof Request.ReadPage read) {
       String after = read.after().map(key -> "&from=" + escape(key)).orElse("");
       return get("/store?starts=" + escape(read.prefix()) + after + "&limit=" + PAGE);
@@ -46,16 +46,16 @@
               + "&from="
               + watch.after().value()
               + "&hold_ms="
-              + watch.hold().millis());
+              + watch.maxWait().millis());
     }
-    if (request instanceof Request.Grant grant) {
+    if (request instanceof Request.GrantLease grant) {
       return post("/leases", Pack.map().put("ttl_ms", grant.ttl().millis()));
     }
-    if (request instanceof Request.Renew renew) {
-      return post("/leases/" + renew.hold().value() + "/renew", Pack.map());
+    if (request instanceof Request.RenewLease renew) {
+      return post("/leases/" + renew.lease().value() + "/renew", Pack.map());
     }
-    if (request instanceof Request.Drop drop) {
-      return new HttpMessage("DELETE", "/leases/" + drop.hold().value(), null);
+    if (request instanceof Request.RevokeLease drop) {
+      return new HttpMessage("DELETE", "/leases/" + drop.lease().value(), null);
     }
     return post("/commit", commit((Request.Commit) request));
   }
@@ -92,14 +92,15 @@
     return map;
   }
 
-  public static Answer decode(Request.State request, int status, byte[] body) throws BadMessage {
+  public static Answer decode(Request.StateServiceRequest request, int status, byte[] body)
+      throws BadMessage {
     if (status == 409 && request instanceof Request.Commit) {
       return new Answer.Conflict(new Fields(Pack.messagePackMap(body)).texts("failed"));
     }
     if (status != 200 && status != 201 && status != 204) {
       return new Answer.Refused(status, "");
     }
-    if (request instanceof Request.Renew || request instanceof Request.Drop) {
+    if (request instanceof Request.RenewLease || request instanceof Request.RevokeLease) {
       return new Answer.Ok();
     }
     Fields fields = new Fields(Pack.messagePackMap(body));
@@ -115,8 +116,8 @@
     if (request instanceof Request.Watch) {
       return changes(fields);
     }
-    if (request instanceof Request.Grant) {
-      return new Answer.Granted(new HoldId(fields.count("hold")));
+    if (request instanceof Request.GrantLease) {
+      return new Answer.LeaseGranted(new LeaseId(fields.count("hold")));
     }
     return new Answer.Committed(new Revision(fields.count("epoch")));
   }
--- a/src/main/java/org/oakwalk/wire/WorkerCodec.java
+++ b/src/main/java/org/oakwalk/wire/WorkerCodec.java
@@ -25,13 +25,13 @@
   public static final String REPORT_PATH = "/hello";
   private static final String COMMAND_PATH = "/do";
 
-  private static final Map<String, Report.PieceState> STATES =
+  private static final Map<String, Report.TaskState> STATES =
       Map.of(
-          "fetching", Report.PieceState.FETCHING,
-          "gathering", Report.PieceState.GATHERING,
-          "running", Report.PieceState.RUNNING,
-          "flushing", Report.PieceState.FLUSHING,
-          "ended", Report.PieceState.ENDED);
+          "fetching", Report.TaskState.FETCHING,
+          "gathering", Report.TaskState.GATHERING,
+          "running", Report.TaskState.RUNNING,
+          "flushing", Report.TaskState.FLUSHING,
+          "ended", Report.TaskState.ENDED);
   private static final Map<String, Report.Cause> CAUSES =
       Map.of(
           "done", Report.Cause.DONE,
@@ -48,7 +48,7 @@
   }
 
   static Report report(Fields fields) throws BadMessage {
-    List<Report.Piece> pieces = new ArrayList<>();
+    List<Report.ReportedTask> pieces = new ArrayList<>();
     if (fields.has("pieces")) {
       for (JsonNode item : fields.list("pieces")) {
         pieces.add(piece(Fields.of(item)));
@@ -67,18 +67,18 @@
         pieces);
   }
 
-  private static Report.Piece piece(Fields fields) throws BadMessage {
+  private static Report.ReportedTask piece(Fields fields) throws BadMessage {
     TaskId task = task(fields);
-    Report.PieceState state = STATES.get(fields.text("status"));
+    Report.TaskState state = STATES.get(fields.text("status"));
     if (state == null) {
       throw new BadMessage("field status has an unknown value");
     }
     Report.Cause cause =
-        state != Report.PieceState.ENDED
+        state != Report.TaskState.ENDED
             ? null
             : CAUSES.getOrDefault(
                 fields.has("cause") ? fields.text("cause") : "", Report.Cause.OTHER);
-    return new Report.Piece(task, new Attempt(fields.count("try")), state, cause);
+    return new Report.ReportedTask(task, new Attempt(fields.count("try")), state, cause);
   }
 
   /** The answer to a report. */
@@ -106,11 +106,11 @@
 
   static Answer commanded(int status, byte[] body) throws BadMessage {
     return switch (status) {
-      case 200 -> new Answer.Commanded(true, report(body));
-      case 409 -> new Answer.Commanded(false, report(body));
+      case 200 -> new Answer.CommandResult(true, report(body));
+      case 409 -> new Answer.CommandResult(false, report(body));
       case 400 -> new Answer.Refused(status, "");
       // Nothing that the protocol names: whoever answered so may have passed the command on.
-      default -> new Answer.Nothing("status " + status);
+      default -> new Answer.OutcomeUnknown("status " + status);
     };
   }
 
@@ -124,9 +124,9 @@
     map.put("shift", report.session().value());
     map.put("tick", report.sequence());
     map.put("baton", report.token().value());
-    report.notice().ifPresent(left -> map.put("warning_s", left.asSeconds()));
+    report.reclaimNotice().ifPresent(left -> map.put("warning_s", left.asSeconds()));
     ArrayNode pieces = map.putArray("pieces");
-    for (Report.Piece piece : report.pieces()) {
+    for (Report.ReportedTask piece : report.tasks()) {
       ObjectNode item = pieces.addObject();
       item.put("piece", piece.task().toString());
       item.put("try", piece.attempt().value());
--- a/src/test/java/org/oakwalk/adapter/ConnectionLimiterTest.java
+++ b/src/test/java/org/oakwalk/adapter/ConnectionLimiterTest.java
@@ -116,18 +116,18 @@
   }
 
   private boolean serve(Event event) {
-    if (event instanceof Event.WorkerReports reports) {
+    if (event instanceof Event.WorkerReportReceived reports) {
       listener.respond(
-          reports.exchange(),
-          reports.crowded() && !alone
-              ? new Response.Elsewhere(Optional.of(new NodeId("other")))
+          reports.requestId(),
+          reports.redirectPreferred() && !alone
+              ? new Response.Redirect(Optional.of(new NodeId("other")))
               : new Response.Orders(new Token(1), List.of()));
-    } else if (event instanceof Event.UserAsks asks) {
+    } else if (event instanceof Event.UserRequestReceived asks) {
       listener.respond(
-          asks.exchange(),
+          asks.requestId(),
           new Response.JobStatus(false, new JobId("j-000001"), Response.JobState.QUEUED, 0, 0));
-    } else if (event instanceof Event.HealthAsked asked) {
-      listener.respond(asked.exchange(), new Response.Ready());
+    } else if (event instanceof Event.HealthCheckReceived asked) {
+      listener.respond(asked.requestId(), new Response.Ready());
     }
     return true;
   }
--- a/src/test/java/org/oakwalk/adapter/OutsideTest.java
+++ b/src/test/java/org/oakwalk/adapter/OutsideTest.java
@@ -65,7 +65,7 @@
             List.of("a"),
             Map.of(),
             List.of(),
-            new Settings.Workers(Span.seconds(1), Span.seconds(10), Span.seconds(30)),
+            new Settings.WorkerTiming(Span.seconds(1), Span.seconds(10), Span.seconds(30)),
             new Settings.StateLimits(100, 100, 4, 8),
             new Settings.CloudLimits(10, Span.seconds(1)),
             Span.millis(0));
@@ -114,10 +114,11 @@
     answers("/leases", 200, packed("{\"hold\":3}"));
     answers("/commit", 409, packed("{\"failed\":[\"k\"],\"epoch\":7}"));
     Request.Watch watch =
-        new Request.Watch("c/", new Revision(1), Span.millis(0), Request.Urgency.REST);
+        new Request.Watch("c/", new Revision(1), Span.millis(0), Request.Urgency.ROUTINE);
     assertThat(ask(watch)).isEqualTo(new Answer.Changes(new Revision(7), List.of()));
-    assertThat(ask(new Request.Grant(Span.seconds(1)))).isInstanceOf(Answer.Granted.class);
-    assertThat(ask(new Request.Commit(List.of(), List.of(), Request.Urgency.REST)))
+    assertThat(ask(new Request.GrantLease(Span.seconds(1))))
+        .isInstanceOf(Answer.LeaseGranted.class);
+    assertThat(ask(new Request.Commit(List.of(), List.of(), Request.Urgency.ROUTINE)))
         .isEqualTo(new Answer.Conflict(List.of("k")));
   }
 
@@ -125,8 +126,8 @@
   void takesAnAnswerThatIsCutShortForNone() throws Exception {
     byte[] whole = packed("{\"epoch\":7,\"entries\":[],\"more\":false}");
     answers("/store", 200, Arrays.copyOf(whole, whole.length - 3));
-    assertThat(ask(new Request.ReadPage("c/", Optional.empty(), Request.Urgency.REST)))
-        .isInstanceOf(Answer.Nothing.class);
+    assertThat(ask(new Request.ReadPage("c/", Optional.empty(), Request.Urgency.ROUTINE)))
+        .isInstanceOf(Answer.OutcomeUnknown.class);
   }
 
   @Test
@@ -135,7 +136,7 @@
     answers("/catalog", 500, packed("{}"));
     Request.ListRentals list = new Request.ListRentals(Optional.empty());
     assertThat(ask(list)).isEqualTo(new Answer.Refused(503, ""));
-    assertThat(ask(new Request.FetchCatalog())).isInstanceOf(Answer.Nothing.class);
+    assertThat(ask(new Request.FetchCatalog())).isInstanceOf(Answer.OutcomeUnknown.class);
   }
 
   @Test
@@ -147,9 +148,9 @@
             "{\"host\":\"host-1\",\"addr\":\"x:1\",\"flavor\":\"g\",\"region\":\"a\","
                 + "\"leftovers\":false,\"shift\":2,\"tick\":5,\"baton\":9,\"pieces\":[]}"));
     Answer answer = ask(new Request.Command(address, new Token(4), SessionId.FIRST, List.of()));
-    assertThat(answer).isInstanceOf(Answer.Commanded.class);
-    assertThat(((Answer.Commanded) answer).executed()).isFalse();
-    assertThat(((Answer.Commanded) answer).report().token()).isEqualTo(new Token(9));
+    assertThat(answer).isInstanceOf(Answer.CommandResult.class);
+    assertThat(((Answer.CommandResult) answer).executed()).isFalse();
+    assertThat(((Answer.CommandResult) answer).report().token()).isEqualTo(new Token(9));
   }
 
   @Test
@@ -162,8 +163,8 @@
                 JSON.readTree("{\"sort\":\"acknowledged\",\"from\":\"peer\",\"settled\":true}")));
     PeerMessage digest =
         new PeerMessage.Digest(new NodeId("n"), new Token(1), true, Map.of(), Set.of());
-    assertThat(ask(new Request.Tell(PEER, digest)))
-        .isEqualTo(new Answer.Told(new PeerMessage.Acknowledged(PEER, true)));
+    assertThat(ask(new Request.SendToPeer(PEER, digest)))
+        .isEqualTo(new Answer.PeerReply(new PeerMessage.Acknowledgement(PEER, true)));
   }
 
   @Test
--- a/src/test/java/org/oakwalk/core/WorkerTimesTest.java
+++ b/src/test/java/org/oakwalk/core/WorkerTimingTest.java
@@ -10,12 +10,13 @@
  * What bounds a cancelled task's life, as docs/safety.md sums it up, for settings of all sorts: the
  * sums stay below what cancelling allows, or the way that they stand for is not taken.
  */
-class WorkerTimesTest {
+class WorkerTimingTest {
   /** Clocks of two machines drift apart by up to 0.05%. */
   private static final double DRIFT = 1.0005;
 
-  private static Settings.Workers workers(double report, double lease, double cancel) {
-    return new Settings.Workers(Span.seconds(report), Span.seconds(lease), Span.seconds(cancel));
+  private static Settings.WorkerTiming workers(double report, double lease, double cancel) {
+    return new Settings.WorkerTiming(
+        Span.seconds(report), Span.seconds(lease), Span.seconds(cancel));
   }
 
   @ParameterizedTest
@@ -31,13 +32,13 @@
   })
   void theSumsStayBelowWhatCancellingAllows(
       double report, double lease, double cancel, boolean relays) {
-    Settings.Workers timing = workers(report, lease, cancel);
-    assertThat(timing.cancelsInTime()).isTrue();
-    double grace = timing.graceLimit().surelyNotPassed().asSeconds() * DRIFT;
+    Settings.WorkerTiming timing = workers(report, lease, cancel);
+    assertThat(timing.meetsCancelDeadline()).isTrue();
+    double grace = timing.graceLimit().minusClockDrift().asSeconds() * DRIFT;
     assertThat(grace + lease * DRIFT).isLessThan(cancel);
-    assertThat(timing.relays()).isEqualTo(relays);
+    assertThat(timing.relaysLeases()).isEqualTo(relays);
     if (relays) {
-      double window = timing.relayWindow().surelyNotPassed().asSeconds() * DRIFT;
+      double window = timing.relayWindow().minusClockDrift().asSeconds() * DRIFT;
       assertThat(2 * lease * DRIFT + window).isLessThan(cancel);
     } else {
       assertThat(timing.relayWindow().millis()).isZero();
@@ -48,10 +49,10 @@
   @ParameterizedTest
   @CsvSource({"15.25, 17", "15.25, 15.25", "15.25, 10", "20, 1"})
   void aLeaseThatOutlastsCancellingLeavesNoGrace(double lease, double cancel) {
-    Settings.Workers timing = workers(2.5, lease, cancel);
-    assertThat(timing.cancelsInTime()).isFalse();
+    Settings.WorkerTiming timing = workers(2.5, lease, cancel);
+    assertThat(timing.meetsCancelDeadline()).isFalse();
     assertThat(timing.graceLimit()).isLessThanOrEqualTo(StoreView.LAG);
-    assertThat(timing.relays()).isFalse();
+    assertThat(timing.relaysLeases()).isFalse();
     assertThat(timing.relayWindow().millis()).isZero();
   }
 }
--- a/src/test/java/org/oakwalk/core/cells/LoanExplorationTest.java
+++ b/src/test/java/org/oakwalk/core/cells/LoanExplorationTest.java
@@ -242,7 +242,7 @@
                 new LoanIn(
                     next.state(),
                     next.asked(),
-                    Optional.of(NOW.plus(TERMS.leave().surelyNotPassed())),
+                    Optional.of(NOW.plus(TERMS.leave().minusClockDrift())),
                     next.absent());
           }
           to.accept(w.guest(next, w.kept));
--- a/src/test/java/org/oakwalk/core/fleet/FenceTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/FenceTest.java
@@ -70,15 +70,15 @@
     view.tick(now);
     StoredValue leader = new StoredValue.LeaderRecord(new NodeId("n"), "a", "x");
     JobRecord record = new JobRecord(Arrays.spec("j-1", 60), JobRecord.Phase.OPEN, new WallTime(1));
-    outbox.answered(
-        ((Effect.Call) outbox.drain().get(0)).call(),
+    outbox.deliverAnswer(
+        ((Effect.Call) outbox.takeEffects().get(0)).call(),
         new Answer.Page(
             List.of(
                 new Entry(Keys.job(new JobId("j-1")), record, new Revision(3)),
                 new Entry(Keys.LEADER, leader, new Revision(GRANTED.value()))),
             false,
             new Revision(9)));
-    watch = (Effect.Call) outbox.drain().get(0);
+    watch = (Effect.Call) outbox.takeEffects().get(0);
     assertThat(watch.request()).isInstanceOf(Request.Watch.class);
     JobBook jobs = new JobBook(view, GRANTED, now);
     fleet =
@@ -87,7 +87,7 @@
             jobs,
             view,
             null,
-            new Settings.Workers(Span.seconds(2), Span.seconds(10), Span.seconds(40)),
+            new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(40)),
             new Fleet.Listener() {
               @Override
               public void completed(Placement placement, Span ran) {}
@@ -104,7 +104,7 @@
     fleet.up(machine);
   }
 
-  private Machine report(Token shown, List<Report.Piece> pieces) {
+  private Machine report(Token shown, List<Report.ReportedTask> pieces) {
     Report report =
         new Report(
             MACHINE,
@@ -121,15 +121,16 @@
   }
 
   /** Tasks that were started by command and halted since, as a report lists them. */
-  private List<Report.Piece> ended(int first, int count) {
-    List<Report.Piece> pieces = new ArrayList<>();
+  private List<Report.ReportedTask> ended(int first, int count) {
+    List<Report.ReportedTask> pieces = new ArrayList<>();
     for (int index = first; index < first + count; index++) {
       TaskId task = new TaskId(job.id(), index);
       Attempt attempt = fleet.nextAttempt();
       Machine.Try started = new Machine.Try(task, attempt);
       machine.openRuns().sentByCommand(started, fleet.tokenOf(MACHINE));
       machine.openRuns().commandSettled(started);
-      pieces.add(new Report.Piece(task, attempt, Report.PieceState.ENDED, Report.Cause.HALTED));
+      pieces.add(
+          new Report.ReportedTask(task, attempt, Report.TaskState.ENDED, Report.Cause.HALTED));
     }
     return pieces;
   }
@@ -140,7 +141,7 @@
 
   @Test
   void manyEndedAttemptsRaiseTheTokenAndAreClearedOnceItIsShown() {
-    List<Report.Piece> ended = ended(0, 16);
+    List<Report.ReportedTask> ended = ended(0, 16);
     report(GRANTED, ended.subList(0, 15));
     assertThat(cleared()).isZero();
     assertThat(fleet.tokenOf(MACHINE)).isEqualTo(GRANTED);
@@ -155,16 +156,16 @@
 
   @Test
   void whatWasStartedUnderTheRaisedTokenIsKept() {
-    List<Report.Piece> ended = ended(0, 16);
+    List<Report.ReportedTask> ended = ended(0, 16);
     report(GRANTED, ended);
     cleared();
-    List<Report.Piece> more = ended(20, 3);
+    List<Report.ReportedTask> more = ended(20, 3);
     // Started by command before, and again under the raised token, so it may repeat under that.
-    Report.Piece again = ended.get(4);
+    Report.ReportedTask again = ended.get(4);
     Machine.Try renewed = new Machine.Try(again.task(), again.attempt());
     machine.openRuns().sentByCommand(renewed, fleet.tokenOf(MACHINE));
     machine.openRuns().commandSettled(renewed);
-    List<Report.Piece> all = new ArrayList<>(ended);
+    List<Report.ReportedTask> all = new ArrayList<>(ended);
     all.addAll(more);
     report(new Token(9), all);
     assertThat(cleared()).isEqualTo(15);
@@ -176,7 +177,7 @@
     Placement held = fleet.place(job, 50, fleet.nextAttempt(), machine, Span.seconds(1), now);
     machine.openRuns().sentByCommand(new Machine.Try(task, held.attempt()), GRANTED);
     fleet.halt(held, Span.millis(0), Fleet.Why.NEEDLESS);
-    List<Report.Piece> ended = ended(0, 16);
+    List<Report.ReportedTask> ended = ended(0, 16);
     machine.commanding(true);
     report(GRANTED, ended);
     cleared();
@@ -193,7 +194,7 @@
 
   @Test
   void aLeaderWhoseKeyIsGoneRaisesNothing() {
-    outbox.answered(
+    outbox.deliverAnswer(
         watch.call(),
         new Answer.Changes(
             new Revision(30), List.of(new News(Keys.LEADER, Optional.empty(), new Revision(20)))));
@@ -226,12 +227,12 @@
     CommandDispatcher dispatcher =
         new CommandDispatcher(outbox, fleet, Span.seconds(5), answered -> {});
     Placement placement = fleet.place(job, 0, fleet.nextAttempt(), machine, Span.seconds(1), now);
-    outbox.drain();
+    outbox.takeEffects();
     dispatcher.recall(List.of(placement));
-    assertThat(outbox.drain()).isEmpty();
+    assertThat(outbox.takeEffects()).isEmpty();
     dispatcher.flush(now);
-    outbox.drain();
+    outbox.takeEffects();
     dispatcher.recall(List.of(placement));
-    assertThat(outbox.drain()).containsExactly(new Effect.Recall("m-1:9000"));
+    assertThat(outbox.takeEffects()).containsExactly(new Effect.CancelCommands("m-1:9000"));
   }
 }
--- a/src/test/java/org/oakwalk/core/fleet/RegistryTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/RegistryTest.java
@@ -76,7 +76,7 @@
   private List<Effect.Call> tick() {
     now += 1000;
     registry.tick(new Moment(now));
-    return outbox.drain().stream().map(Effect.Call.class::cast).toList();
+    return outbox.takeEffects().stream().map(Effect.Call.class::cast).toList();
   }
 
   private Answer apply(Request.Commit commit) {
@@ -131,7 +131,7 @@
   private void settle() {
     for (int i = 0; i < 100; i++) {
       for (Effect.Call call : tick()) {
-        outbox.answered(call.call(), apply((Request.Commit) call.request()));
+        outbox.deliverAnswer(call.call(), apply((Request.Commit) call.request()));
       }
     }
   }
@@ -176,16 +176,16 @@
       for (Effect.Call call : tick()) {
         Request.Commit commit = (Request.Commit) call.request();
         switch (random.nextInt(6)) {
-          case 0 -> outbox.answered(call.call(), new Answer.Refused(503, ""));
+          case 0 -> outbox.deliverAnswer(call.call(), new Answer.Refused(503, ""));
           case 1 -> {
             apply(commit);
-            outbox.answered(call.call(), new Answer.Nothing("lost"));
+            outbox.deliverAnswer(call.call(), new Answer.OutcomeUnknown("lost"));
           }
           case 2 -> {
             late.add(commit);
-            outbox.answered(call.call(), new Answer.Nothing("lost"));
+            outbox.deliverAnswer(call.call(), new Answer.OutcomeUnknown("lost"));
           }
-          default -> outbox.answered(call.call(), apply(commit));
+          default -> outbox.deliverAnswer(call.call(), apply(commit));
         }
       }
       if (!late.isEmpty() && random.nextInt(4) == 0) {
--- a/src/test/java/org/oakwalk/core/headroom/RoomsTest.java
+++ b/src/test/java/org/oakwalk/core/headroom/RoomsTest.java
@@ -52,8 +52,8 @@
           @Override
           public void roomChanged() {}
         };
-    Settings.Workers timing =
-        new Settings.Workers(Span.seconds(2), Span.seconds(10), Span.seconds(40));
+    Settings.WorkerTiming timing =
+        new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(40));
     fleet = new Fleet(new Token(1), null, null, null, timing, nobody);
     Room whole = new Room(16, 4, 128);
     fleet.types(
--- a/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.oakwalk.core.CallId;
-import org.oakwalk.core.HoldId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
@@ -50,12 +50,12 @@
             Span.seconds(20),
             new Leadership.Listener() {
               @Override
-              public void rises(Token token, Moment at) {
+              public void leadershipGained(Token token, Moment at) {
                 rises.add(token);
               }
 
               @Override
-              public void falls(Token token, Moment at) {}
+              public void leadershipLost(Token token, Moment at) {}
             });
     view.listen(
         new StoreView.Listener() {
@@ -79,7 +79,7 @@
   @Test
   void aClaimSeenAfterALaterTokenIsGivenUp() {
     claims();
-    leadership.tokenSeen(new Token(20), now);
+    leadership.observeToken(new Token(20), now);
     showsOwnKey(12);
     assertThat(rises).isEmpty();
     assertThat(leadership.state()).isEqualTo(Leadership.State.FOLLOWING);
@@ -93,12 +93,12 @@
     Request.Commit commit = (Request.Commit) removal.request();
     assertThat(commit.guards()).containsExactly(new Guard(Keys.LEADER, new Revision(7)));
     assertThat(commit.changes()).containsExactly(new Change.Remove(Keys.LEADER));
-    outbox.answered(removal.call(), new Answer.Committed(new Revision(11)));
+    outbox.deliverAnswer(removal.call(), new Answer.Committed(new Revision(11)));
     shows(new News(Keys.LEADER, Optional.empty(), new Revision(11)));
     leadership.tick(now.plus(Span.millis(200)));
-    assertThat(sent(Request.Grant.class)).isEmpty();
+    assertThat(sent(Request.GrantLease.class)).isEmpty();
     leadership.tick(now.plus(Span.millis(300)));
-    assertThat(sent(Request.Grant.class)).isPresent();
+    assertThat(sent(Request.GrantLease.class)).isPresent();
   }
 
   @Test
@@ -117,14 +117,14 @@
     while (now.since(read).compareTo(Span.seconds(19.9)) < 0) {
       now = now.plus(Span.millis(100));
       leadership.tick(now);
-      sent(Request.Renew.class)
-          .ifPresent(renewal -> outbox.answered(renewal.call(), new Answer.Ok()));
+      sent(Request.RenewLease.class)
+          .ifPresent(renewal -> outbox.deliverAnswer(renewal.call(), new Answer.Ok()));
     }
-    assertThat(leadership.mayAnswer(now)).isTrue();
+    assertThat(leadership.mayAnswerWorkers(now)).isTrue();
     now = now.plus(Span.millis(100));
     leadership.tick(now);
     assertThat(leadership.state()).isEqualTo(Leadership.State.LEADING);
-    assertThat(leadership.mayAnswer(now)).isFalse();
+    assertThat(leadership.mayAnswerWorkers(now)).isFalse();
   }
 
   /** Its lease may live on, and nobody else may tell it. */
@@ -134,7 +134,7 @@
     showsOwnKey(12);
     shows(new News(Keys.LEADER, Optional.empty(), new Revision(15)));
     assertThat(leadership.holdsToken()).isFalse();
-    assertThat(sent(Request.Drop.class)).isPresent();
+    assertThat(sent(Request.RevokeLease.class)).isPresent();
   }
 
   @Test
@@ -162,7 +162,7 @@
     showsOwnKey(12);
     leadership.historyLost(now);
     assertThat(leadership.holdsToken()).isFalse();
-    assertThat(sent(Request.Drop.class)).isPresent();
+    assertThat(sent(Request.RevokeLease.class)).isPresent();
   }
 
   /**
@@ -176,15 +176,17 @@
     now = now.plus(Span.millis(5100));
     leadership.tick(now);
     assertThat(leadership.state()).isEqualTo(Leadership.State.FOLLOWING);
-    assertThat(sent(Request.Drop.class)).isPresent();
+    assertThat(sent(Request.RevokeLease.class)).isPresent();
     shows(new News(Keys.TYPES, Optional.empty(), new Revision(11)));
     shows(new News(Keys.TYPES, Optional.empty(), new Revision(11)));
     watchesAgain();
     shows(new News(Keys.TYPES, Optional.empty(), new Revision(12)));
     leadership.tick(now);
-    outbox.answered(
-        sent(Request.Grant.class).orElseThrow().call(), new Answer.Granted(new HoldId(2)));
-    outbox.answered(sent(Request.Commit.class).orElseThrow().call(), new Answer.Nothing("lost"));
+    outbox.deliverAnswer(
+        sent(Request.GrantLease.class).orElseThrow().call(),
+        new Answer.LeaseGranted(new LeaseId(2)));
+    outbox.deliverAnswer(
+        sent(Request.Commit.class).orElseThrow().call(), new Answer.OutcomeUnknown("lost"));
     showsOwnKey(13);
     assertThat(rises).containsExactly(new Token(13));
     watchesAgain();
@@ -210,16 +212,17 @@
   private void claims() {
     loads(List.of());
     leadership.tick(now);
-    CallId grant = sent(Request.Grant.class).orElseThrow().call();
-    outbox.answered(grant, new Answer.Granted(new HoldId(1)));
-    outbox.answered(
-        sent(Request.Commit.class).orElseThrow().call(), new Answer.Nothing("the answer is lost"));
+    CallId grant = sent(Request.GrantLease.class).orElseThrow().call();
+    outbox.deliverAnswer(grant, new Answer.LeaseGranted(new LeaseId(1)));
+    outbox.deliverAnswer(
+        sent(Request.Commit.class).orElseThrow().call(),
+        new Answer.OutcomeUnknown("the answer is lost"));
     assertThat(leadership.state()).isEqualTo(Leadership.State.CLAIMING);
   }
 
   private void loads(List<Entry> entries) {
     view.tick(now);
-    outbox.answered(
+    outbox.deliverAnswer(
         sent(Request.ReadPage.class).orElseThrow().call(),
         new Answer.Page(entries, false, new Revision(10)));
   }
@@ -230,7 +233,7 @@
   }
 
   private void shows(News news) {
-    outbox.answered(
+    outbox.deliverAnswer(
         sent(Request.Watch.class).orElseThrow().call(),
         new Answer.Changes(news.stamp(), List.of(news)));
   }
@@ -241,7 +244,7 @@
   }
 
   private Optional<Effect.Call> sent(Class<? extends Request> kind) {
-    for (Effect effect : outbox.drain()) {
+    for (Effect effect : outbox.takeEffects()) {
       if (effect instanceof Effect.Call call) {
         out.add(call);
       }
