--- a/src/test/java/org/oakwalk/core/leadership/RelayTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/RelayTest.java
@@ -33,8 +33,8 @@
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
-  private final Relay relay =
-      new Relay(
+  private final LeaseRelay relay =
+      new LeaseRelay(
           outbox,
           view,
           new Settings(
@@ -44,7 +44,7 @@
               List.of("a", "b"),
               Map.of(),
               List.of(),
-              new Settings.Workers(Span.seconds(2), Span.seconds(10), Span.seconds(45)),
+              new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(45)),
               new Settings.StateLimits(200, 100, 4, 8),
               new Settings.CloudLimits(10, Span.seconds(5)),
               Span.seconds(1)));
@@ -63,17 +63,18 @@
         });
     view.tick(now);
     StoredValue leader = new StoredValue.LeaderRecord(new NodeId("n-1"), "a", "x");
-    outbox.answered(
-        ((Effect.Call) outbox.drain().get(0)).call(),
+    outbox.deliverAnswer(
+        ((Effect.Call) outbox.takeEffects().get(0)).call(),
         new Answer.Page(
             List.of(new Entry(Keys.LEADER, leader, new Revision(GRANTED.value()))),
             false,
             new Revision(9)));
-    Effect.Call watch = (Effect.Call) outbox.drain().get(0);
+    Effect.Call watch = (Effect.Call) outbox.takeEffects().get(0);
     relay.tick(false, now);
-    outbox.answered(((Effect.Call) outbox.drain().get(0)).call(), new Answer.Nothing("timeout"));
+    outbox.deliverAnswer(
+        ((Effect.Call) outbox.takeEffects().get(0)).call(), new Answer.OutcomeUnknown("timeout"));
     StoredValue announced = new StoredValue.RelayRecord("b", GRANTED);
-    outbox.answered(
+    outbox.deliverAnswer(
         watch.call(),
         new Answer.Changes(
             new Revision(10),
@@ -94,7 +95,7 @@
             Optional.empty(),
             List.of());
     List<Optional<Token>> answers = new ArrayList<>();
-    relay.answer(report, now, answers::add);
+    relay.resolveToken(report, now, answers::add);
     assertThat(answers).hasSize(1);
     return answers.get(0);
   }
--- a/src/test/java/org/oakwalk/core/placement/HostSearchTest.java
+++ b/src/test/java/org/oakwalk/core/placement/HostSearchTest.java
@@ -37,7 +37,7 @@
   private static final int SEEDS = 40;
   private static final Moment NOW = new Moment(1_000_000);
 
-  private final IdealHost hosts = new IdealHost(Policy.defaults().hosts());
+  private final IdealHost hosts = new IdealHost(Policy.defaults().placement());
 
   @TestFactory
   List<DynamicTest> sameAsPlain() {
@@ -125,8 +125,8 @@
   }
 
   static Fleet fleet() {
-    Settings.Workers timing =
-        new Settings.Workers(Span.seconds(2), Span.seconds(10), Span.seconds(40));
+    Settings.WorkerTiming timing =
+        new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(40));
     Fleet fleet =
         new Fleet(
             new Token(1),
--- a/src/test/java/org/oakwalk/core/placement/RankingTest.java
+++ b/src/test/java/org/oakwalk/core/placement/RankingTest.java
@@ -47,8 +47,8 @@
   private static final MachineType TYPE =
       new MachineType("m", new Room(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
 
-  private final Settings.Workers timing =
-      new Settings.Workers(Span.seconds(2), Span.seconds(10), Span.seconds(40));
+  private final Settings.WorkerTiming timing =
+      new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(40));
   private final Map<String, Settings.Team> teams =
       Map.of(
           "crew", new Settings.Team("crew", 30, 0, 0, 0),
@@ -270,14 +270,14 @@
     for (int i = 0; i < 300; i++) {
       millis += 100;
       Machine machine = machines.get(i % machines.size());
-      List<Report.Piece> pieces = new ArrayList<>();
+      List<Report.ReportedTask> pieces = new ArrayList<>();
       for (Placement placement : machine.placements()) {
         boolean ends = pieces.isEmpty() && !placement.job().spec().service();
         pieces.add(
-            new Report.Piece(
+            new Report.ReportedTask(
                 placement.task(),
                 placement.attempt(),
-                ends ? Report.PieceState.ENDED : Report.PieceState.RUNNING,
+                ends ? Report.TaskState.ENDED : Report.TaskState.RUNNING,
                 ends ? Report.Cause.DONE : Report.Cause.OTHER));
       }
       report(machine, 10 + i, pieces, new Moment(millis));
@@ -286,7 +286,8 @@
     return placer.work() - before;
   }
 
-  private void report(Machine machine, long sequence, List<Report.Piece> pieces, Moment now) {
+  private void report(
+      Machine machine, long sequence, List<Report.ReportedTask> pieces, Moment now) {
     fleet.report(
         new Report(
             machine.id(),
--- a/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
@@ -90,16 +90,16 @@
           public void jobChanged(KnownJob job, Moment at) {}
         });
     view.tick(ROSE);
-    outbox.answered(
-        ((Effect.Call) outbox.drain().get(0)).call(), page(Keys.job(spec.id()), record));
-    outbox.drain();
+    outbox.deliverAnswer(
+        ((Effect.Call) outbox.takeEffects().get(0)).call(), page(Keys.job(spec.id()), record));
+    outbox.takeEffects();
     return new JobBook(view, TOKEN, ROSE);
   }
 
   private Effect.Call read(String prefix) {
     now = now.plus(Span.millis(250));
     recovery.tick(TYPES, now);
-    List<Effect> effects = outbox.drain();
+    List<Effect> effects = outbox.takeEffects();
     assertThat(effects).hasSize(1);
     Effect.Call call = (Effect.Call) effects.get(0);
     assertThat(((Request.ReadPage) call.request()).prefix()).isEqualTo(prefix);
@@ -134,10 +134,10 @@
               Span.seconds(20),
               ROSE);
       fresh.tick(TYPES, now);
-      outbox.answered(((Effect.Call) outbox.drain().get(0)).call(), answer);
+      outbox.deliverAnswer(((Effect.Call) outbox.takeEffects().get(0)).call(), answer);
       assertThat(jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isZero();
       assertThat(fresh.state()).as("%s", answer).isEqualTo(Recovery.State.READING_MACHINES);
-      outbox.drain();
+      outbox.takeEffects();
     }
   }
 
@@ -147,12 +147,13 @@
    */
   @Test
   void whatIsAnsweredBeforeReportsAreReadRenewsALease() {
-    outbox.answered(read(Keys.DONE).call(), new Answer.Page(List.of(), false, new Revision(9)));
-    Effect.Call machines = (Effect.Call) outbox.drain().get(0);
+    outbox.deliverAnswer(
+        read(Keys.DONE).call(), new Answer.Page(List.of(), false, new Revision(9)));
+    Effect.Call machines = (Effect.Call) outbox.takeEffects().get(0);
     now = now.plus(Span.seconds(5));
     recovery.renewedUnread(now);
     Moment answered = now;
-    outbox.answered(machines.call(), new Answer.Page(List.of(), false, new Revision(9)));
+    outbox.deliverAnswer(machines.call(), new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.readsReports()).isTrue();
     recovery.renewedUnread(now.plus(Span.seconds(1)));
     assertThat(recovery.lastForeignRenewal()).isEqualTo(answered);
@@ -161,17 +162,19 @@
   @Test
   void eachStepIsTriedUntilItIsAnswered() {
     for (Answer answer :
-        List.of(new Answer.Nothing("lost"), new Answer.Refused(503, ""), new Answer.Ok())) {
-      outbox.answered(read(Keys.DONE).call(), answer);
+        List.of(new Answer.OutcomeUnknown("lost"), new Answer.Refused(503, ""), new Answer.Ok())) {
+      outbox.deliverAnswer(read(Keys.DONE).call(), answer);
       assertThat(recovery.state()).isEqualTo(Recovery.State.READING_RESULTS);
     }
-    outbox.answered(read(Keys.DONE).call(), new Answer.Page(List.of(), false, new Revision(9)));
+    outbox.deliverAnswer(
+        read(Keys.DONE).call(), new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.state()).isEqualTo(Recovery.State.READING_MACHINES);
-    Effect.Call machines = (Effect.Call) outbox.drain().get(0);
-    outbox.answered(machines.call(), new Answer.Nothing("lost"));
-    outbox.answered(read(Keys.MACHINES).call(), new Answer.Refused(503, ""));
+    Effect.Call machines = (Effect.Call) outbox.takeEffects().get(0);
+    outbox.deliverAnswer(machines.call(), new Answer.OutcomeUnknown("lost"));
+    outbox.deliverAnswer(read(Keys.MACHINES).call(), new Answer.Refused(503, ""));
     assertThat(recovery.readsReports()).isFalse();
-    outbox.answered(read(Keys.MACHINES).call(), new Answer.Page(List.of(), false, new Revision(9)));
+    outbox.deliverAnswer(
+        read(Keys.MACHINES).call(), new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.state()).isEqualTo(Recovery.State.CONFIRMING);
     recovery.tick(TYPES, now);
     assertThat(recovery.complete()).isTrue();
--- a/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
@@ -74,8 +74,8 @@
     Token token = new Token(100);
     Guard guard = new Guard(Keys.LEADER, new Revision(100));
     jobs = new JobBook(view, token, now);
-    Settings.Workers timing =
-        new Settings.Workers(Span.seconds(1), Span.seconds(10), Span.seconds(30));
+    Settings.WorkerTiming timing =
+        new Settings.WorkerTiming(Span.seconds(1), Span.seconds(10), Span.seconds(30));
     fleet =
         new Fleet(
             token,
@@ -136,13 +136,13 @@
   void workersForgetOnlyWhatIsStoredOrAskedForByNobody() {
     store.put(Keys.DONE + "j-2/0", new StoredValue.DoneChunk("02"));
     rises();
-    List<Report.Piece> pieces = new ArrayList<>();
+    List<Report.ReportedTask> pieces = new ArrayList<>();
     for (String task : List.of("j-1/0", "j-2/1", "j-3/0", "j-4/0")) {
       pieces.add(
-          new Report.Piece(
+          new Report.ReportedTask(
               TaskId.parse(task).orElseThrow(),
               new Attempt(7),
-              Report.PieceState.ENDED,
+              Report.TaskState.ENDED,
               Report.Cause.DONE));
     }
     Machine machine =
--- a/src/test/java/org/oakwalk/core/shared/KeptRecordTest.java
+++ b/src/test/java/org/oakwalk/core/shared/KeptRecordTest.java
@@ -113,7 +113,7 @@
       }
       for (Leader leader : leaders.subList(Math.max(0, leaders.size() - 2), leaders.size())) {
         leader.state.tick(now);
-        for (Effect effect : leader.outbox.drain()) {
+        for (Effect effect : leader.outbox.takeEffects()) {
           Effect.Call call = (Effect.Call) effect;
           sent.add(new Sent(leader, call.call(), call.request(), true));
         }
@@ -139,14 +139,16 @@
         sent.add(item);
       } else if (fate == 1 && item.waited()) {
         // The answer is given up, the request is still on its way.
-        item.from().outbox.answered(item.call(), new Answer.Nothing("lost"));
+        item.from().outbox.deliverAnswer(item.call(), new Answer.OutcomeUnknown("lost"));
         sent.add(new Sent(item.from(), item.call(), item.request(), false));
       } else if (fate == 2 && item.waited()) {
-        item.from().outbox.answered(item.call(), new Answer.Refused(503, ""));
+        item.from().outbox.deliverAnswer(item.call(), new Answer.Refused(503, ""));
       } else {
         Answer answer = apply(item.request());
         if (item.waited()) {
-          item.from().outbox.answered(item.call(), fate == 3 ? new Answer.Nothing("lost") : answer);
+          item.from()
+              .outbox
+              .deliverAnswer(item.call(), fate == 3 ? new Answer.OutcomeUnknown("lost") : answer);
         }
       }
     }
@@ -193,9 +195,9 @@
       SharedRecord<Row> record = state.record("rows", Row.class);
       while (!state.known()) {
         state.tick(new Moment(0));
-        for (Effect effect : outbox.drain()) {
+        for (Effect effect : outbox.takeEffects()) {
           Effect.Call call = (Effect.Call) effect;
-          outbox.answered(call.call(), apply(call.request()));
+          outbox.deliverAnswer(call.call(), apply(call.request()));
         }
       }
       assertThat(record.broken()).as("broken").isFalse();
@@ -268,7 +270,7 @@
     leader.record.want(List.of(new Row(1, 0, 1)));
     leader.state.tick(new Moment(1000));
     leader.state.tick(new Moment(2000));
-    assertThat(leader.outbox.drain()).isEmpty();
+    assertThat(leader.outbox.takeEffects()).isEmpty();
     other.want(List.of(new Row(1, 0, 1)));
     leader.state.tick(new Moment(3000));
     answer(leader, new Answer.Committed(new Revision(2)));
@@ -276,8 +278,8 @@
   }
 
   private static void answer(Leader leader, Answer answer) {
-    List<Effect> effects = leader.outbox.drain();
+    List<Effect> effects = leader.outbox.takeEffects();
     assertThat(effects).hasSize(1);
-    leader.outbox.answered(((Effect.Call) effects.get(0)).call(), answer);
+    leader.outbox.deliverAnswer(((Effect.Call) effects.get(0)).call(), answer);
   }
 }
--- a/src/test/java/org/oakwalk/core/store/LateStore.java
+++ b/src/test/java/org/oakwalk/core/store/LateStore.java
@@ -60,16 +60,19 @@
    * Serves all that a node has asked for, and what it asks for upon that, until nothing is left.
    */
   public void serve(Outbox outbox, Fates fates) {
-    for (List<Effect> effects = outbox.drain(); !effects.isEmpty(); effects = outbox.drain()) {
+    for (List<Effect> effects = outbox.takeEffects();
+        !effects.isEmpty();
+        effects = outbox.takeEffects()) {
       for (Effect effect : effects) {
         if (effect instanceof Effect.Call call) {
-          outbox.answered(call.call(), answer((Request.State) call.request(), fates));
+          outbox.deliverAnswer(
+              call.call(), answer((Request.StateServiceRequest) call.request(), fates));
         }
       }
     }
   }
 
-  private Answer answer(Request.State request, Fates fates) {
+  private Answer answer(Request.StateServiceRequest request, Fates fates) {
     if (request instanceof Request.ReadPage read) {
       return new Answer.Page(below(read.prefix()), false, new Revision(epoch));
     }
@@ -87,11 +90,11 @@
       case REFUSED -> new Answer.Refused(503, "");
       case ANSWER_LOST -> {
         apply(commit);
-        yield new Answer.Nothing("lost");
+        yield new Answer.OutcomeUnknown("lost");
       }
       case LATE -> {
         late.add(commit);
-        yield new Answer.Nothing("late");
+        yield new Answer.OutcomeUnknown("late");
       }
     };
   }
--- a/src/test/java/org/oakwalk/core/store/LimitedService.java
+++ b/src/test/java/org/oakwalk/core/store/LimitedService.java
@@ -45,7 +45,7 @@
         List.of("a"),
         Map.of(),
         List.of(),
-        new Settings.Workers(Span.seconds(1), Span.seconds(10), Span.seconds(30)),
+        new Settings.WorkerTiming(Span.seconds(1), Span.seconds(10), Span.seconds(30)),
         new Settings.StateLimits(REQUESTS, WRITES, 4, 8),
         new Settings.CloudLimits(10, Span.seconds(1)),
         Span.millis(0));
@@ -56,13 +56,13 @@
   }
 
   /** As its page says: both limits allow bursts of one second's worth. */
-  void serve(Request.State request, Consumer<Answer> then) {
+  void serve(Request.StateServiceRequest request, Consumer<Answer> then) {
     after(ONE_WAY_MILLIS, () -> arrived(request, answer -> after(2, () -> then.accept(answer))));
   }
 
-  private void arrived(Request.State request, Consumer<Answer> then) {
+  private void arrived(Request.StateServiceRequest request, Consumer<Answer> then) {
     requests++;
-    int writes = request.writes();
+    int writes = request.writeCount();
     if (requestTokens < 1 || writeTokens < writes) {
       refused++;
       then.accept(new Answer.Refused(429, ""));
@@ -77,10 +77,10 @@
       watchers.clear();
       woken.forEach(watcher -> watcher.then().accept(changes()));
     } else if (request instanceof Request.Watch watch) {
-      if (watch.hold().millis() == 0 || watch.after().value() < epoch) {
+      if (watch.maxWait().millis() == 0 || watch.after().value() < epoch) {
         then.accept(changes());
       } else {
-        watchers.add(new Watcher(watch, now + watch.hold().millis(), then));
+        watchers.add(new Watcher(watch, now + watch.maxWait().millis(), then));
       }
     } else if (request instanceof Request.ReadPage) {
       then.accept(new Answer.Page(List.of(), false, new Revision(epoch)));
--- a/src/test/java/org/oakwalk/core/store/QuestionsTest.java
+++ b/src/test/java/org/oakwalk/core/store/QuestionsTest.java
@@ -52,14 +52,14 @@
     }
 
     private void send() {
-      for (Effect effect : outbox.drain()) {
+      for (Effect effect : outbox.takeEffects()) {
         Effect.Call call = (Effect.Call) effect;
         line.call(
-            (Request.State) call.request(),
+            (Request.StateServiceRequest) call.request(),
             service.now,
             answer -> {
               line.clock(service.now);
-              outbox.answered(call.call(), answer);
+              outbox.deliverAnswer(call.call(), answer);
               send();
             });
       }
--- a/src/test/java/org/oakwalk/core/store/RequestQueueTest.java
+++ b/src/test/java/org/oakwalk/core/store/RequestQueueTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.oakwalk.core.HoldId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.port.Answer;
@@ -99,7 +99,7 @@
       for (RequestQueue line : lines) {
         long begun = service.now;
         line.call(
-            new Request.Renew(new HoldId(1)),
+            new Request.RenewLease(new LeaseId(1)),
             service.now,
             answer -> worst[0] = Math.max(worst[0], service.now - begun));
       }
@@ -118,11 +118,13 @@
     long[] took = new long[2];
     lines
         .get(0)
-        .call(write(Request.Urgency.REST), service.now, answer -> took[1] = service.now - begun);
+        .call(write(Request.Urgency.ROUTINE), service.now, answer -> took[1] = service.now - begun);
     lines
         .get(0)
         .call(
-            write(Request.Urgency.ENROLMENT), service.now, answer -> took[0] = service.now - begun);
+            write(Request.Urgency.REGISTRATION),
+            service.now,
+            answer -> took[0] = service.now - begun);
     run(begun + 5_000);
     assertThat(took[0]).isBetween(1L, 300L);
     // It came first, but waits for submissions to have had as much.
@@ -135,7 +137,7 @@
     int[] rest = new int[1];
     for (int i = 0; i < 100; i++) {
       floods(0);
-      floodsWith(Request.Urgency.REST, rest);
+      floodsWith(Request.Urgency.ROUTINE, rest);
     }
     run(10_000);
     written.clear();
@@ -213,7 +215,7 @@
 
   @Test
   void theLeastUrgentGetThroughAFullLine() {
-    long[] worst = worstInAFullLine(NODES, Request.Urgency.REST);
+    long[] worst = worstInAFullLine(NODES, Request.Urgency.ROUTINE);
     assertThat(worst[1]).as("refused").isZero();
     assertThat(worst[0]).as("longest, ms").isLessThan(1_500);
   }
@@ -232,9 +234,9 @@
     }
     run(1_000);
     long[] worst = new long[2];
-    List<Request.State> asked =
+    List<Request.StateServiceRequest> asked =
         List.of(
-            new Request.Renew(new HoldId(1)),
+            new Request.RenewLease(new LeaseId(1)),
             new Request.Watch("k", Revision.NONE, Span.millis(0), Request.Urgency.ACCEPTANCE));
     for (int round = 0; round < 20; round++) {
       run(service.now + 250);
@@ -258,7 +260,7 @@
   void whatWaitsStaysBoundedAndTheLeastUrgentGivesWay() {
     int[] refused = new int[2];
     for (int i = 0; i < 5_000; i++) {
-      lines.get(0).call(write(Request.Urgency.REST), 0, answer -> refused[0]++);
+      lines.get(0).call(write(Request.Urgency.ROUTINE), 0, answer -> refused[0]++);
     }
     int kept = 5_000 - refused[0];
     assertThat(kept).as("kept").isBetween(300, 500);
--- a/src/test/java/org/oakwalk/core/store/StoreViewTest.java
+++ b/src/test/java/org/oakwalk/core/store/StoreViewTest.java
@@ -60,7 +60,7 @@
     assertThat(view.fresh(now)).isFalse();
     Request.Watch next = (Request.Watch) sent(Request.Watch.class).orElseThrow().request();
     assertThat(next.after()).isEqualTo(new Revision(10));
-    assertThat(next.hold()).isEqualTo(Span.millis(0));
+    assertThat(next.maxWait()).isEqualTo(Span.millis(0));
   }
 
   @Test
@@ -79,7 +79,7 @@
     Moment asked = now;
     Effect.Call watch = sent(Request.Watch.class).orElseThrow();
     later(2000);
-    outbox.answered(watch.call(), new Answer.Changes(new Revision(11), List.of()));
+    outbox.deliverAnswer(watch.call(), new Answer.Changes(new Revision(11), List.of()));
     assertThat(view.contact()).isEqualTo(asked);
   }
 
@@ -89,7 +89,7 @@
     Moment before = view.contact();
     answer(Request.Watch.class, DOWN);
     later(500);
-    answer(Request.Watch.class, new Answer.Nothing("timeout"));
+    answer(Request.Watch.class, new Answer.OutcomeUnknown("timeout"));
     later(500);
     answer(Request.Watch.class, new Answer.Refused(429, "too much"));
     assertThat(view.contact()).isEqualTo(before);
@@ -103,12 +103,12 @@
     Effect.Call watch = sent(Request.Watch.class).orElseThrow();
     Effect.Call read = sent(Request.Watch.class).orElseThrow();
     Answer gone = new Answer.Refused(410, "too old");
-    outbox.answered(watch.call(), gone);
+    outbox.deliverAnswer(watch.call(), gone);
     assertThat(histories).isEqualTo(1);
     later(500);
     Moment first = now;
     answer(Request.ReadPage.class, page("a", true, 50));
-    outbox.answered(read.call(), gone);
+    outbox.deliverAnswer(read.call(), gone);
     assertThat(histories).isEqualTo(1);
     later(500);
     answer(Request.ReadPage.class, page("b", false, 60));
@@ -154,7 +154,7 @@
   }
 
   private void answer(Class<? extends Request> kind, Answer answer) {
-    outbox.answered(sent(kind).orElseThrow().call(), answer);
+    outbox.deliverAnswer(sent(kind).orElseThrow().call(), answer);
   }
 
   private static Answer page(String key, boolean more, long epoch) {
@@ -164,7 +164,7 @@
   }
 
   private Optional<Effect.Call> sent(Class<? extends Request> kind) {
-    for (Effect effect : outbox.drain()) {
+    for (Effect effect : outbox.takeEffects()) {
       if (effect instanceof Effect.Call call) {
         out.add(call);
       }
--- a/src/test/java/org/oakwalk/daemon/SettingsTest.java
+++ b/src/test/java/org/oakwalk/daemon/SettingsTest.java
@@ -65,7 +65,7 @@
   @Test
   void readsThePlatformsFile() throws Exception {
     PlatformSettings settings = PlatformSettings.read(file(TOML));
-    assertThat(settings.core().workers().lease()).isEqualTo(Span.seconds(20));
+    assertThat(settings.core().workers().leaseDuration()).isEqualTo(Span.seconds(20));
     assertThat(settings.core().teams().get("crew").cpusMax()).isEqualTo(2);
     assertThat(settings.core().objectives().get(0).jobClass()).isEqualTo("web");
     assertThat(settings.peers().values()).containsExactly("127.0.0.1:9");
@@ -110,8 +110,8 @@
     Policy policy =
         PolicyFile.read(file("score {\n  alpha = 0.4\n}\nrounds {\n  period_s = 1\n}\n"));
     assertThat(policy.scoring().alpha()).isEqualTo(0.4);
-    assertThat(policy.round()).isEqualTo(Span.seconds(1));
-    assertThat(policy.hosts()).isEqualTo(Policy.defaults().hosts());
+    assertThat(policy.roundInterval()).isEqualTo(Span.seconds(1));
+    assertThat(policy.placement()).isEqualTo(Policy.defaults().placement());
   }
 
   @Test
--- a/src/test/java/org/oakwalk/scenario/ScalingTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScalingTest.java
@@ -183,7 +183,7 @@
     double bytes = 0;
     for (Object worker : workers) {
       Report report = (Report) Census.call(worker, "snapshot");
-      bytes += PeerCodec.encode(new PeerMessage.Carry(report)).length;
+      bytes += PeerCodec.encode(new PeerMessage.ForwardReport(report)).length;
     }
     return bytes / workers.size();
   }
@@ -191,13 +191,13 @@
   /** What a job adds to the digest that the leader sends to each peer every second. */
   private static double digestBytes(Object term) throws ReflectiveOperationException {
     @SuppressWarnings("unchecked")
-    Map<JobId, PeerMessage.Counts> counts =
-        (Map<JobId, PeerMessage.Counts>) Census.call(term, "counts");
+    Map<JobId, PeerMessage.TaskCounts> counts =
+        (Map<JobId, PeerMessage.TaskCounts>) Census.call(term, "counts");
     int empty = digest(new HashMap<>());
     return (digest(counts) - empty) / (double) counts.size();
   }
 
-  private static int digest(Map<JobId, PeerMessage.Counts> counts) {
+  private static int digest(Map<JobId, PeerMessage.TaskCounts> counts) {
     return PeerCodec.encode(
             new PeerMessage.Digest(new NodeId("node-0"), new Token(1), true, counts, Set.of()))
         .length;
--- a/src/test/java/org/oakwalk/wire/WireTest.java
+++ b/src/test/java/org/oakwalk/wire/WireTest.java
@@ -20,13 +20,13 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.oakwalk.core.AskId;
 import org.oakwalk.core.Attempt;
-import org.oakwalk.core.HoldId;
 import org.oakwalk.core.JobId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Order;
+import org.oakwalk.core.RentalRequestId;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.SessionId;
@@ -103,9 +103,9 @@
                 """));
     assertThat(report.machine()).isEqualTo(new MachineId("host-000231"));
     assertThat(report.session()).isEqualTo(new SessionId(1));
-    assertThat(report.notice()).isEmpty();
-    assertThat(report.pieces())
-        .extracting(Report.Piece::cause)
+    assertThat(report.reclaimNotice()).isEmpty();
+    assertThat(report.tasks())
+        .extracting(Report.ReportedTask::cause)
         .containsExactly(null, Report.Cause.DONE, Report.Cause.OTHER);
   }
 
@@ -213,12 +213,12 @@
         new Token(41),
         Optional.of(Span.millis(1500)),
         List.of(
-            new Report.Piece(
-                new TaskId(new JobId("j-1"), 3), new Attempt(2), Report.PieceState.RUNNING, null),
-            new Report.Piece(
+            new Report.ReportedTask(
+                new TaskId(new JobId("j-1"), 3), new Attempt(2), Report.TaskState.RUNNING, null),
+            new Report.ReportedTask(
                 new TaskId(new JobId("j-2"), 0),
                 new Attempt(1),
-                Report.PieceState.ENDED,
+                Report.TaskState.ENDED,
                 Report.Cause.NO_ROOM)));
   }
 
@@ -227,7 +227,7 @@
         new NodeId("n"),
         new Token(3),
         true,
-        Map.of(new JobId("j-1"), new PeerMessage.Counts(2, 5)),
+        Map.of(new JobId("j-1"), new PeerMessage.TaskCounts(2, 5)),
         Set.of(new JobId("j-2")));
   }
 
@@ -236,22 +236,22 @@
     List<PeerMessage> messages =
         List.of(
             digest(),
-            new PeerMessage.Acknowledged(new NodeId("n"), true),
-            new PeerMessage.Carry(report()),
-            new PeerMessage.Carried(Optional.empty(), List.of()),
-            new PeerMessage.Carried(
+            new PeerMessage.Acknowledgement(new NodeId("n"), true),
+            new PeerMessage.ForwardReport(report()),
+            new PeerMessage.ForwardedReportOrders(Optional.empty(), List.of()),
+            new PeerMessage.ForwardedReportOrders(
                 Optional.of(new Token(41)),
                 List.of(
                     new Order.Run(new TaskId(new JobId("j-1"), 4), new Attempt(2)),
                     new Order.Halt(
                         new TaskId(new JobId("j-1"), 1), new Attempt(1), Span.seconds(10)),
                     new Order.Clear(new TaskId(new JobId("j-1"), 0), new Attempt(1)))),
-            new PeerMessage.Forward(new UserRequest.Query(new JobId("j-1"))),
-            new PeerMessage.Forward(new UserRequest.Withdraw(new JobId("j-1"))),
-            new PeerMessage.Forward(
+            new PeerMessage.ForwardUserRequest(new UserRequest.Query(new JobId("j-1"))),
+            new PeerMessage.ForwardUserRequest(new UserRequest.Withdraw(new JobId("j-1"))),
+            new PeerMessage.ForwardUserRequest(
                 new UserRequest.Submit(new JobId("j-000412"), Optional.of(spec()), "")),
-            new PeerMessage.Forwarded(Response.unavailable("later", Span.seconds(1))),
-            new PeerMessage.Forwarded(
+            new PeerMessage.ForwardedResponse(Response.unavailable("later", Span.seconds(1))),
+            new PeerMessage.ForwardedResponse(
                 new Response.JobStatus(true, new JobId("j-1"), Response.JobState.RUNNING, 1, 2)));
     for (PeerMessage message : messages) {
       assertThat(PeerCodec.decode(PeerCodec.encode(message))).isEqualTo(message);
@@ -282,7 +282,7 @@
     Answer.Page read =
         (Answer.Page)
             StateCodec.decode(
-                new Request.ReadPage("", Optional.empty(), Request.Urgency.REST),
+                new Request.ReadPage("", Optional.empty(), Request.Urgency.ROUTINE),
                 200,
                 Pack.messagePack(page));
     assertThat(read.entries()).hasSize(3);
@@ -373,7 +373,7 @@
           Answer.Page read =
               (Answer.Page)
                   StateCodec.decode(
-                      new Request.ReadPage("", Optional.empty(), Request.Urgency.REST),
+                      new Request.ReadPage("", Optional.empty(), Request.Urgency.ROUTINE),
                       200,
                       Pack.messagePack(page));
           assertThat(read.entries().get(1).value()).as(bad.toString()).isEqualTo(record);
@@ -410,9 +410,9 @@
                     new Change.Put(
                         "a/b",
                         new StoredValue.LeaderRecord(new NodeId("n"), "a", "x"),
-                        Optional.of(new HoldId(7))),
+                        Optional.of(new LeaseId(7))),
                     new Change.Remove("c/d")),
-                Request.Urgency.REST));
+                Request.Urgency.ROUTINE));
     assertThat(commit.path()).isEqualTo("/commit");
     assertThat(json(commit.body()))
         .isEqualTo(
@@ -420,7 +420,7 @@
                 + "\"value\":{\"sort\":\"leader\",\"node\":\"n\",\"zone\":\"a\",\"incarnation\":\"x\"},\"hold\":7},"
                 + "{\"delete\":\"c/d\"}]}");
     Request.Watch watch =
-        new Request.Watch("c/", new Revision(431), Span.seconds(10), Request.Urgency.REST);
+        new Request.Watch("c/", new Revision(431), Span.seconds(10), Request.Urgency.ROUTINE);
     assertThat(StateCodec.encode(watch).path())
         .isEqualTo("/watch?starts=c%2F&from=431&hold_ms=10000");
   }
@@ -428,7 +428,7 @@
   @Test
   void readsTheStateServicesAnswers() throws Exception {
     Request.Watch watch =
-        new Request.Watch("c/", new Revision(1), Span.millis(0), Request.Urgency.REST);
+        new Request.Watch("c/", new Revision(1), Span.millis(0), Request.Urgency.ROUTINE);
     Answer answer =
         StateCodec.decode(
             watch,
@@ -436,7 +436,7 @@
             packed(
                 "{\"epoch\":433,\"news\":[{\"set\":\"c/9\",\"value\":{\"sort\":\"done\","
                     + "\"bits\":\"ff\"},\"stamp\":433},{\"delete\":\"c/d\",\"stamp\":432}]}"));
-    assertThat(((Answer.Changes) answer).news()).hasSize(2);
+    assertThat(((Answer.Changes) answer).changes()).hasSize(2);
     assertThat(StateCodec.decode(watch, 410, new byte[0])).isEqualTo(new Answer.Refused(410, ""));
     assertThatThrownBy(() -> StateCodec.decode(watch, 200, "no".getBytes(StandardCharsets.UTF_8)))
         .isInstanceOf(BadMessage.class);
@@ -444,7 +444,8 @@
 
   @Test
   void speaksToTheCloudAsThePageSays() throws Exception {
-    Request.Rent rent = new Request.Rent(new AskId("r-17"), "g8", "a", true, 12);
+    Request.RentMachines rent =
+        new Request.RentMachines(new RentalRequestId("r-17"), "g8", "a", true, 12);
     assertThat(json(CloudCodec.encode(rent).body()))
         .isEqualTo(
             "{\"ask\":\"r-17\",\"flavor\":\"g8\",\"region\":\"a\",\"leftovers\":true,"
