--- a/src/main/java/org/oakwalk/adapter/Inbound.java
+++ b/src/main/java/org/oakwalk/adapter/Inbound.java
@@ -106,7 +106,7 @@
     String id = slash < 0 ? rest : rest.substring(0, slash);
     boolean withdraw = slash >= 0 && rest.substring(slash + 1).equals(UserCodec.WITHDRAW);
     if (expect(slash < 0 || withdraw, withdraw ? "POST" : "GET", method, reply)) {
-      if (!JobId.wellFormed(id)) {
+      if (!JobId.isWellFormed(id)) {
         // Such a job can't have been accepted.
         reply.error(404, "no such job", Optional.empty());
       } else if (withdraw) {
--- a/src/main/java/org/oakwalk/core/CapacityProducts.java
+++ b/src/main/java/org/oakwalk/core/CapacityProducts.java
@@ -50,7 +50,7 @@
   private final Settings settings;
   private final Planner planner;
   private final Headroom headroom;
-  private final ProductContext ground;
+  private final ProductContext context;
   private Optional<SharedState> shared = Optional.empty();
   private Optional<Exchange> exchange = Optional.empty();
   private SharedRecord<PlanRow> plans;
@@ -63,10 +63,10 @@
       Settings settings,
       Headroom headroom,
       Planner planner,
-      ProductContext ground) {
+      ProductContext context) {
     this.headroom = headroom;
     this.planner = planner;
-    this.ground = ground;
+    this.context = context;
     this.keeper = new ProductKeeper(outbox, view, leader, declared);
     this.outbox = outbox;
     this.leader = leader;
@@ -102,7 +102,7 @@
       return;
     }
     if (shared.isEmpty()) {
-      begin(terms);
+      openRecords(terms);
     }
     shared.get().tick(now);
     if (shared.get().known()) {
@@ -112,7 +112,7 @@
     exchange.ifPresent(each -> each.tick(recovered, now, wall));
   }
 
-  private void begin(ProductTerms terms) {
+  private void openRecords(ProductTerms terms) {
     SharedState state = new SharedState(outbox, leader, settings.state());
     headroom.share(state);
     plans = state.record(Planner.RECORD, PlanRow.class);
@@ -123,14 +123,14 @@
               new Exchange(
                   terms.exchanges(),
                   state.record("exchange", Take.class),
-                  ground.fleet(),
-                  ground.jobs(),
-                  ground.quota(),
-                  ground.gate(),
-                  ground.runTimes(),
-                  ground.suspectAfter(),
-                  ground.reserve(),
-                  ground.reserveForGang()));
+                  context.fleet(),
+                  context.jobs(),
+                  context.quota(),
+                  context.gate(),
+                  context.runTimes(),
+                  context.suspectAfter(),
+                  context.reserve(),
+                  context.reserveForGang()));
     }
   }
 
--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -31,17 +31,17 @@
  */
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-  private static final Span DIGEST_EVERY = Span.millis(1000);
-  private static final Span SUMMARY_EVERY = Span.seconds(10);
-  private static final Span READY_WITHOUT_CONTACT = Span.seconds(6);
-  private static final Span DIGEST_COUNTS_FOR = Span.millis(2500);
-  private static final Span SOON = Span.seconds(1);
+  private static final Span DIGEST_INTERVAL = Span.millis(1000);
+  private static final Span SUMMARY_INTERVAL = Span.seconds(10);
+  private static final Span READY_CONTACT_TIMEOUT = Span.seconds(6);
+  private static final Span SERVING_PEER_TIMEOUT = Span.millis(2500);
+  private static final Span RETRY_AFTER = Span.seconds(1);
 
   /** Ticks come far more often; after a longer gap this process itself stood still. */
-  private static final Span STOOD_STILL = Span.seconds(1);
+  private static final Span STALL_THRESHOLD = Span.seconds(1);
 
-  private static final Span NAMES_LEADER_FOR = Span.seconds(5);
-  private static final Span INFORMED_WITHIN = Span.seconds(1);
+  private static final Span LEADER_INFO_MAX_AGE = Span.seconds(5);
+  private static final Span STALL_READ_TIMEOUT = Span.seconds(1);
 
   private final Settings settings;
   private final Outbox outbox = new Outbox();
@@ -52,17 +52,17 @@
   private final WorkerRedirects redirects = new WorkerRedirects();
   private final UserRequestHandler userRequests;
   private final WithdrawalHalts halts;
-  private final OpenQuestions questions = new OpenQuestions();
+  private final OpenQuestions pendingRequests = new OpenQuestions();
   private final Catalogue catalogue;
   private Optional<LeaderTerm> term = Optional.empty();
   private Moment nextDigest = new Moment(Long.MIN_VALUE / 2);
-  private Optional<NodeId> digestFrom = Optional.empty();
-  private Moment digested = new Moment(Long.MIN_VALUE / 2);
+  private Optional<NodeId> digestSender = Optional.empty();
+  private Moment lastServingDigest = new Moment(Long.MIN_VALUE / 2);
   private Moment nextSummary = new Moment(Long.MIN_VALUE / 2);
-  private long strangeDigests;
-  private Optional<Moment> handled = Optional.empty();
+  private long rejectedDigests;
+  private Optional<Moment> lastEvent = Optional.empty();
   private Set<JobId> suspects = Set.of();
-  private Moment awake = new Moment(Long.MIN_VALUE / 2);
+  private Moment stallEnd = new Moment(Long.MIN_VALUE / 2);
   private Moment now = new Moment(0);
   private WallTime wall = new WallTime(0);
 
@@ -152,39 +152,39 @@
   public List<Effect> handle(Event event, Moment steady, WallTime dayTime) {
     now = steady;
     wall = dayTime;
-    if (handled.isPresent() && now.isPast(handled.get(), STOOD_STILL)) {
-      LOG.info("stood still for {}", now.since(handled.get()));
-      awake = now;
+    if (lastEvent.isPresent() && now.isPast(lastEvent.get(), STALL_THRESHOLD)) {
+      LOG.info("stood still for {}", now.since(lastEvent.get()));
+      stallEnd = now;
       term.ifPresent(r -> r.processStalled(now));
     }
-    handled = Optional.of(now);
+    lastEvent = Optional.of(now);
     view.clock(now);
     userRequests.clock(now, wall);
-    step(event);
+    dispatch(event);
     return outbox.takeEffects();
   }
 
-  private void step(Event event) {
+  private void dispatch(Event event) {
     if (event instanceof Event.Tick) {
       tick();
     } else if (event instanceof Event.CallAnswered answered) {
       outbox.deliverAnswer(answered.call(), answered.answer());
     } else if (event instanceof Event.WorkerReportReceived reports) {
-      worker(reports);
+      handleReport(reports);
     } else if (event instanceof Event.UserRequestReceived asks) {
-      serve(asks);
+      serveUser(asks);
     } else if (event instanceof Event.HealthCheckReceived asked) {
-      outbox.respond(asked.requestId(), health());
+      outbox.respond(asked.requestId(), healthResponse());
     } else if (event instanceof Event.PeerMessageReceived says) {
-      peer(says);
+      handlePeerMessage(says);
     }
   }
 
   /** A worker reports: to the leader itself, or to a follower that may have to stand in. */
-  private void worker(Event.WorkerReportReceived reports) {
+  private void handleReport(Event.WorkerReportReceived reports) {
     Report report = reports.report();
     if (term.isPresent()) {
-      Optional<NodeId> host =
+      Optional<NodeId> target =
           reports.redirectPreferred()
                   && leadership.mayAnswerWorkers(now)
                   && !term.get().reportsHigherToken(report)
@@ -192,9 +192,9 @@
               : Optional.empty();
       outbox.respond(
           reports.requestId(),
-          host.isPresent() ? new Response.Redirect(host) : report(report, false));
+          target.isPresent() ? new Response.Redirect(target) : respondToReport(report, false));
     } else if (forwarding.shouldForward(report, now)) {
-      carry(reports, forwarding.leader(now).orElseThrow());
+      forwardReport(reports, forwarding.leader(now).orElseThrow());
     } else {
       relay.resolveToken(
           report,
@@ -204,31 +204,32 @@
                   reports.requestId(),
                   token.isPresent()
                       ? new Response.Orders(token.get(), halts.haltsFor(report))
-                      : elsewhere()));
+                      : redirectToLeader()));
     }
   }
 
-  private void carry(Event.WorkerReportReceived reports, NodeId leader) {
+  private void forwardReport(Event.WorkerReportReceived reports, NodeId leader) {
     outbox.call(
         new Request.SendToPeer(leader, new PeerMessage.ForwardReport(reports.report())),
-        answer -> outbox.respond(reports.requestId(), carried(reports.report(), answer)));
+        answer ->
+            outbox.respond(reports.requestId(), forwardedReportResponse(reports.report(), answer)));
   }
 
   /** The leader's orders for a worker whose report was carried to it. */
-  private Response carried(Report report, Answer answer) {
+  private Response forwardedReportResponse(Report report, Answer answer) {
     if (answer instanceof Answer.PeerReply told
         && told.message() instanceof PeerMessage.ForwardedReportOrders carried
         && carried.token().isPresent()) {
       LOG.debug("orders carried to {}: {}", report.machine(), carried.orders());
       return new Response.Orders(carried.token().get(), halts.withHalts(carried.orders()));
     }
-    return elsewhere();
+    return redirectToLeader();
   }
 
   private void tick() {
     view.tick(now);
-    for (InboundRequestId late : questions.late(now)) {
-      outbox.respond(late, Response.unavailable("no answer in time", SOON));
+    for (InboundRequestId expired : pendingRequests.late(now)) {
+      outbox.respond(expired, Response.unavailable("no answer in time", RETRY_AFTER));
     }
     leadership.tick(now);
     relay.tick(leadership.holdsToken(), now);
@@ -240,13 +241,18 @@
       leadership.stepDown(now);
     }
     term.ifPresent(
-        r -> r.tick(catalogue.types(), leadership.mayAnswerWorkers(now) && informed(), now, wall));
+        r ->
+            r.tick(
+                catalogue.types(),
+                leadership.mayAnswerWorkers(now) && hasReadSinceStall(),
+                now,
+                wall));
     if (term.isPresent() && !nextDigest.isAfter(now)) {
-      nextDigest = now.plus(DIGEST_EVERY);
-      digest(term.get());
+      nextDigest = now.plus(DIGEST_INTERVAL);
+      sendDigests(term.get());
     }
     if (term.isPresent() && !nextSummary.isAfter(now)) {
-      nextSummary = now.plus(SUMMARY_EVERY);
+      nextSummary = now.plus(SUMMARY_INTERVAL);
       LOG.info("{}", term.get().summary());
     }
   }
@@ -256,11 +262,11 @@
    * been succeeded without knowing, and places, rents and returns nothing; where the store can't be
    * read either, it goes on after a moment like any leader that has lost the store.
    */
-  private boolean informed() {
-    return !awake.isAfter(view.contact()) || now.isPast(awake, INFORMED_WITHIN);
+  private boolean hasReadSinceStall() {
+    return !stallEnd.isAfter(view.contact()) || now.isPast(stallEnd, STALL_READ_TIMEOUT);
   }
 
-  private void digest(LeaderTerm current) {
+  private void sendDigests(LeaderTerm current) {
     Map<JobId, PeerMessage.TaskCounts> counts = current.counts();
     userRequests.counts(counts);
     PeerMessage message =
@@ -280,12 +286,12 @@
     }
   }
 
-  private Response report(Report report, boolean cutOff) {
+  private Response respondToReport(Report report, boolean cutOff) {
     if (term.isPresent() && term.get().reportsHigherToken(report)) {
       // Whoever was granted it, this worker drops what is said under this node's token. If nobody
       // was, it stays silent for this leader, and its machine is lost like others that are.
       leadership.workerReportedToken(report.token(), now);
-      return elsewhere();
+      return redirectToLeader();
     }
     if (term.isPresent() && leadership.mayAnswerWorkers(now)) {
       if (!term.get().acceptsReports()) {
@@ -296,23 +302,23 @@
       Optional<Response.Orders> orders = term.get().report(report, cutOff, now);
       return orders.isPresent()
           ? orders.get()
-          : Response.unavailable("no use can be made of the report", SOON);
+          : Response.unavailable("no use can be made of the report", RETRY_AFTER);
     }
-    return elsewhere();
+    return redirectToLeader();
   }
 
   /**
    * Sends a worker to the leader, if this node knows of one. What it read of the store long ago
    * tells nothing: a worker would go to and fro between this node and one that doesn't lead.
    */
-  private Response elsewhere() {
+  private Response redirectToLeader() {
     return new Response.Redirect(
         forwarding
             .leader(now)
             .or(
                 () ->
                     view.leader()
-                        .filter(leader -> !now.isPast(view.contact(), NAMES_LEADER_FOR))
+                        .filter(leader -> !now.isPast(view.contact(), LEADER_INFO_MAX_AGE))
                         .map(leader -> leader.record().node()))
             .filter(node -> !node.equals(settings.node())));
   }
@@ -321,27 +327,27 @@
    * Serves a user, through the leader if this node alone has lost the state service. In an outage
    * the leader has lost it as well, and the user is sent away at once.
    */
-  private void serve(Event.UserRequestReceived asks) {
-    questions.asked(asks.requestId(), asks.request(), now);
+  private void serveUser(Event.UserRequestReceived asks) {
+    pendingRequests.asked(asks.requestId(), asks.request(), now);
     userRequests.serve(
         asks.request(),
         response -> {
           boolean unavailable = response instanceof Response.Problem p && p.status() == 503;
           if (unavailable && servingPeer().isPresent()) {
-            forward(asks, response);
+            forwardUserRequest(asks, response);
           } else {
-            answer(asks, response);
+            answerUser(asks, response);
           }
         });
   }
 
-  private void answer(Event.UserRequestReceived asks, Response response) {
-    if (questions.answered(asks.requestId())) {
+  private void answerUser(Event.UserRequestReceived asks, Response response) {
+    if (pendingRequests.answered(asks.requestId())) {
       outbox.respond(asks.requestId(), response);
     }
   }
 
-  private void forward(Event.UserRequestReceived asks, Response otherwise) {
+  private void forwardUserRequest(Event.UserRequestReceived asks, Response otherwise) {
     NodeId peer = servingPeer().orElseThrow();
     outbox.call(
         new Request.SendToPeer(peer, new PeerMessage.ForwardUserRequest(asks.request())),
@@ -353,7 +359,7 @@
               peer,
               forwarded,
               view.position());
-          answer(
+          answerUser(
               asks, forwarded.map(told -> userRequests.passOn(told, otherwise)).orElse(otherwise));
         });
   }
@@ -366,20 +372,20 @@
   }
 
   private Optional<NodeId> servingPeer() {
-    return now.isPast(digested, DIGEST_COUNTS_FOR) ? Optional.empty() : digestFrom;
+    return now.isPast(lastServingDigest, SERVING_PEER_TIMEOUT) ? Optional.empty() : digestSender;
   }
 
-  private Response health() {
+  private Response healthResponse() {
     boolean reaches =
-        !now.isPast(view.contact(), READY_WITHOUT_CONTACT) || servingPeer().isPresent();
+        !now.isPast(view.contact(), READY_CONTACT_TIMEOUT) || servingPeer().isPresent();
     boolean serves = view.loaded() && userRequests.knowsTypes() && reaches;
-    return serves ? new Response.Ready() : Response.unavailable("not ready", SOON);
+    return serves ? new Response.Ready() : Response.unavailable("not ready", RETRY_AFTER);
   }
 
-  private void peer(Event.PeerMessageReceived says) {
+  private void handlePeerMessage(Event.PeerMessageReceived says) {
     if (says.message() instanceof PeerMessage.Digest digest && view.beyond(digest.token(), now)) {
       // Taken for true it would keep this node from leading, and from hearing who does.
-      if (strangeDigests++ == 0) {
+      if (rejectedDigests++ == 0) {
         LOG.error("digest of {}: nobody was granted token {}", digest.from(), digest.token());
       }
       outbox.respond(says.requestId(), Response.refusal(400, "no such token"));
@@ -394,8 +400,8 @@
         userRequests.counts(digest.counts());
         suspects = digest.suspects();
         if (digest.reachesStateService()) {
-          digestFrom = Optional.of(digest.from());
-          digested = now;
+          digestSender = Optional.of(digest.from());
+          lastServingDigest = now;
         }
       }
       outbox.respond(
@@ -408,7 +414,7 @@
           new Response.PeerResponse(new PeerMessage.Acknowledgement(settings.node(), false)));
     } else if (says.message() instanceof PeerMessage.ForwardReport carry) {
       boolean cutOff = !redirects.redirectedRecently(carry.report().machine(), now);
-      Response response = report(carry.report(), cutOff);
+      Response response = respondToReport(carry.report(), cutOff);
       outbox.respond(
           says.requestId(),
           new Response.PeerResponse(
--- a/src/main/java/org/oakwalk/core/JobId.java
+++ b/src/main/java/org/oakwalk/core/JobId.java
@@ -4,11 +4,11 @@
 
 /** Name of a job, chosen by its user. */
 public record JobId(String value) implements Comparable<JobId> {
-  private static final Pattern FORM = Pattern.compile("j-[0-9]{1,18}");
+  private static final Pattern FORMAT = Pattern.compile("j-[0-9]{1,18}");
 
   /** Whether a text has the form of a job id. */
-  public static boolean wellFormed(String text) {
-    return text != null && FORM.matcher(text).matches();
+  public static boolean isWellFormed(String text) {
+    return text != null && FORMAT.matcher(text).matches();
   }
 
   @Override
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -49,14 +49,14 @@
 /** All that a leader knows and does under one token; it ends with the token. */
 final class LeaderTerm implements Fleet.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
-  private static final Span EVENT_ROUND_SPACING = Span.millis(100);
+  private static final Span MIN_EVENT_ROUND_INTERVAL = Span.millis(100);
 
   private final Token token;
   private final Outbox outbox;
   private final StoreView view;
   private final Policy policy;
   private final JobBook jobs;
-  private final RelayExpiry relays;
+  private final RelayExpiry relayExpiry;
   private final Fleet fleet;
   private final CommandDispatcher dispatcher;
   private final Registry registry;
@@ -69,21 +69,21 @@
   private final Gate gate;
   private final Mover mover;
   private final Drainer drainer;
-  private final CatalogueKeeper keeper;
+  private final CatalogueKeeper catalogueKeeper;
   private final CapacityProducts products;
   private final Planner planner;
   private boolean roundDue = true;
-  private Moment nextRegular;
+  private Moment nextRegularRound;
   private Moment lastRound = new Moment(Long.MIN_VALUE / 2);
   private Map<String, MachineType> types = Map.of();
-  private boolean placedOnce;
-  private Optional<Moment> completed = Optional.empty();
-  private boolean recoveryTold;
-  private final Moment rose;
-  private Moment clock;
+  private boolean hasPlaced;
+  private Optional<Moment> recoveryCompletedAt = Optional.empty();
+  private boolean recoveryLogged;
+  private final Moment termStart;
+  private Moment currentTime;
 
   /** When starts may be ordered, the time of day of the last tick; else nothing. */
-  private Optional<WallTime> placing = Optional.empty();
+  private Optional<WallTime> placementWallTime = Optional.empty();
 
   LeaderTerm(
       Token token,
@@ -98,14 +98,14 @@
     this.outbox = outbox;
     this.view = view;
     this.policy = policy;
-    this.rose = now;
-    this.clock = now;
-    this.nextRegular = now;
+    this.termStart = now;
+    this.currentTime = now;
+    this.nextRegularRound = now;
     Guard guard = new Guard(Keys.LEADER, new Revision(token.value()));
     Span suspectAfter = settings.workers().suspectAfter();
     this.jobs = new JobBook(view, token, now);
-    this.relays = new RelayExpiry(outbox, view, guard, token, settings.workers());
-    this.fleet = new Fleet(token, jobs, view, relays, settings.workers(), this);
+    this.relayExpiry = new RelayExpiry(outbox, view, guard, token, settings.workers());
+    this.fleet = new Fleet(token, jobs, view, relayExpiry, settings.workers(), this);
     this.dispatcher =
         new CommandDispatcher(
             outbox,
@@ -115,7 +115,7 @@
               if (reportsHigherToken(report)) {
                 higherToken.accept(report.token());
               } else {
-                fleet.report(report, false, clock);
+                fleet.report(report, false, currentTime);
               }
             });
     this.registry = new Registry(outbox, fleet, guard, settings.state());
@@ -127,7 +127,7 @@
             jobs,
             results,
             registry,
-            mayHoldGrace(settings, view, graceLimit, now),
+            peersPossiblyInGrace(settings, view, graceLimit, now),
             graceLimit,
             now);
     this.gate =
@@ -152,7 +152,7 @@
             headroom,
             planner,
             new CapacityProducts.ProductContext(
-                fleet, jobs, quota, gate, runTimes, suspectAfter, headroom, this::keepForGang));
+                fleet, jobs, quota, gate, runTimes, suspectAfter, headroom, this::reserveForGang));
     this.placer =
         new Placer(
             fleet,
@@ -165,7 +165,7 @@
             gate::allows,
             headroom,
             products);
-    this.keeper = new CatalogueKeeper(outbox, view, guard, settings.state());
+    this.catalogueKeeper = new CatalogueKeeper(outbox, view, guard, settings.state());
     this.capacity =
         new Capacity(
             outbox,
@@ -177,7 +177,7 @@
             runTimes,
             planner,
             suspectAfter,
-            sort -> bars(view, sort),
+            sort -> isExcludedByDrain(view, sort),
             spec -> quota.placesLeft(spec.team(), spec.room()));
     capacity.keeps(headroom::kept);
     this.drainer =
@@ -191,7 +191,7 @@
             mover);
   }
 
-  private static boolean bars(StoreView view, Boots.Sort sort) {
+  private static boolean isExcludedByDrain(StoreView view, Boots.Sort sort) {
     return view.plans().all().stream()
         .anyMatch(drain -> drain.plan().bars(sort.zone(), sort.type(), sort.spot()));
   }
@@ -201,14 +201,14 @@
    * within the time for which a leader may be in its lease grace, or all if this node has not
    * watched for so long.
    */
-  private static Set<NodeId> mayHoldGrace(
+  private static Set<NodeId> peersPossiblyInGrace(
       Settings settings, StoreView view, Span graceLimit, Moment now) {
     Set<NodeId> peers = new HashSet<>(settings.peers());
     view.ledWithin(graceLimit.plusClockDrift(), now).ifPresent(peers::retainAll);
     return peers;
   }
 
-  private void keepForGang(Machine machine, Job job) {
+  private void reserveForGang(Machine machine, Job job) {
     placer.keep(machine, job);
   }
 
@@ -252,24 +252,24 @@
 
   /** Orders for a worker that reports, or nothing if the report can't be used yet. */
   Optional<Response.Orders> report(Report report, boolean carried, Moment now) {
-    clock = now;
+    currentTime = now;
     Optional<Machine> machine = fleet.report(report, true, now);
     if (machine.isEmpty() || fleet.mustLapse(machine.get(), now)) {
       return Optional.empty();
     }
     machine.get().carried(carried);
     workerAnswered(report.machine(), now);
-    evacuate(machine.get(), now);
+    preemptBeforeReclaim(machine.get(), now);
     if (machine.get().startsByAnswersOnly()) {
       // What is placed after this answer would wait for the next one.
-      placing.ifPresent(wall -> round(now, wall));
+      placementWallTime.ifPresent(wall -> round(now, wall));
     }
     List<Order> orders = fleet.respond(machine.get(), now);
     return Optional.of(new Response.Orders(fleet.tokenOf(report.machine()), orders));
   }
 
   /** Stops what will not end before the cloud takes the machine, so that it can go elsewhere. */
-  private void evacuate(Machine machine, Moment now) {
+  private void preemptBeforeReclaim(Machine machine, Moment now) {
     if (machine.reclaimedAt() == null) {
       return;
     }
@@ -286,8 +286,8 @@
   }
 
   /** Whether hardly any machine reaches this node, though there are some. */
-  boolean isCutOffFromWorkers(boolean othersCarry, Moment now) {
-    return recovery.complete() && capacity.health().blind(othersCarry, now);
+  boolean isCutOffFromWorkers(boolean followersForward, Moment now) {
+    return recovery.complete() && capacity.health().blind(followersForward, now);
   }
 
   /** This process stood still until now, so that nobody's silence tells anything. */
@@ -300,18 +300,19 @@
   }
 
   /** Whether starts may be ordered: not while the token is in doubt for long. */
-  void tick(Map<String, MachineType> known, boolean active, Moment now, WallTime wall) {
-    clock = now;
-    placing = Optional.empty();
-    tellRecovery(now);
-    types = known;
+  void tick(
+      Map<String, MachineType> currentTypes, boolean leaseCertain, Moment now, WallTime wall) {
+    currentTime = now;
+    placementWallTime = Optional.empty();
+    logRecovery(now);
+    types = currentTypes;
     fleet.types(types);
-    boolean waited = !recovery.complete();
+    boolean wasRecovering = !recovery.complete();
     recovery.tick(types, now);
-    if (waited && recovery.complete()) {
+    if (wasRecovering && recovery.complete()) {
       // Work of older leaders has waited for this moment, not for the next regular round.
-      nextRegular = now;
-      completed = Optional.of(now);
+      nextRegularRound = now;
+      recoveryCompletedAt = Optional.of(now);
     }
     if (!recovery.readsReports()) {
       return;
@@ -319,16 +320,16 @@
     fleet.lapse(now, recovery.lastForeignRenewal());
     dispatcher.push(now);
     dispatcher.ask(now);
-    if (active) {
-      relays.tick(now);
+    if (leaseCertain) {
+      relayExpiry.tick(now);
       registry.tick(now);
       results.tick(now);
-      keeper.tick(types, now);
+      catalogueKeeper.tick(types, now);
       capacity.tick(types, recovery.complete(), now, wall);
       drainer.tick(recovery.complete(), now, wall);
       products.tick(types, recovery.complete(), now, wall);
       if (products.allowsPlacement()) {
-        placing = Optional.of(wall);
+        placementWallTime = Optional.of(wall);
         round(now, wall);
       }
     }
@@ -340,20 +341,20 @@
    * Tells once how long it took until work of older leaders was placed again. A round has no clock;
    * how long the first one took shows by the time of the next tick.
    */
-  private void tellRecovery(Moment now) {
-    if (completed.isPresent() && !recoveryTold) {
-      recoveryTold = true;
-      LOG.info("{}; first round {}", recovery.took(), now.since(completed.get()));
+  private void logRecovery(Moment now) {
+    if (recoveryCompletedAt.isPresent() && !recoveryLogged) {
+      recoveryLogged = true;
+      LOG.info("{}; first round {}", recovery.took(), now.since(recoveryCompletedAt.get()));
     }
   }
 
   private void round(Moment now, WallTime wall) {
-    boolean regular = !nextRegular.isAfter(now);
-    if (!regular && !(roundDue && now.isPast(lastRound, EVENT_ROUND_SPACING))) {
+    boolean regular = !nextRegularRound.isAfter(now);
+    if (!regular && !(roundDue && now.isPast(lastRound, MIN_EVENT_ROUND_INTERVAL))) {
       return;
     }
     if (regular) {
-      nextRegular = now.plus(policy.roundInterval());
+      nextRegularRound = now.plus(policy.roundInterval());
       pace.survey(fleet.machines(), now);
     }
     roundDue = false;
@@ -362,10 +363,10 @@
     if (placed > 0) {
       LOG.debug("{} tasks placed, copy of the store at revision {}", placed, view.position());
     }
-    if (placed > 0 && !placedOnce) {
-      placedOnce = true;
-      outbox.recordDuration(Effect.DurationMetric.FAILOVER, now.since(rose));
-      LOG.info("first placement {} after the rise, token {}", now.since(rose), token);
+    if (placed > 0 && !hasPlaced) {
+      hasPlaced = true;
+      outbox.recordDuration(Effect.DurationMetric.FAILOVER, now.since(termStart));
+      LOG.info("first placement {} after the rise, token {}", now.since(termStart), token);
     }
   }
 
--- a/src/main/java/org/oakwalk/core/Settings.java
+++ b/src/main/java/org/oakwalk/core/Settings.java
@@ -38,13 +38,13 @@
     private static final Span GRACE_MARGIN = Span.seconds(2);
 
     /** A leader's copy of the store lags by less, as long as the store answers as usual. */
-    private static final Span LEAST_GRACE = Span.millis(1800);
+    private static final Span MIN_GRACE = Span.millis(1800);
 
-    private static final double MISSED_REPORTS = 2.2;
+    private static final double SUSPECT_AFTER_REPORTS = 2.2;
 
     /** How long a machine may be silent before it is suspected to be out of reach or broken. */
     public Span suspectAfter() {
-      return reportInterval.times(MISSED_REPORTS);
+      return reportInterval.times(SUSPECT_AFTER_REPORTS);
     }
 
     /**
@@ -72,7 +72,7 @@
      */
     public Span graceLimit() {
       Span limit = cancelDeadline.minus(leaseDuration).minus(GRACE_MARGIN);
-      return limit.compareTo(LEAST_GRACE) > 0 ? limit : LEAST_GRACE;
+      return limit.compareTo(MIN_GRACE) > 0 ? limit : MIN_GRACE;
     }
 
     /**
--- a/src/main/java/org/oakwalk/core/Span.java
+++ b/src/main/java/org/oakwalk/core/Span.java
@@ -3,7 +3,7 @@
 /** A length of time in milliseconds. */
 public record Span(long millis) implements Comparable<Span> {
   /** Relative drift that two steady clocks may show against each other. */
-  private static final double DRIFT = 0.0005;
+  private static final double MAX_CLOCK_DRIFT = 0.0005;
 
   public static Span seconds(double seconds) {
     return new Span(Math.round(seconds * 1000));
@@ -35,12 +35,12 @@
 
   /** How long to wait here to be sure that this span has passed on another machine's clock. */
   public Span plusClockDrift() {
-    return new Span((long) Math.ceil(millis * (1 + 2 * DRIFT)));
+    return new Span((long) Math.ceil(millis * (1 + 2 * MAX_CLOCK_DRIFT)));
   }
 
   /** How long one may wait here and be sure that this span has not passed elsewhere. */
   public Span minusClockDrift() {
-    return new Span((long) Math.floor(millis * (1 - 2 * DRIFT)));
+    return new Span((long) Math.floor(millis * (1 - 2 * MAX_CLOCK_DRIFT)));
   }
 
   @Override
--- a/src/main/java/org/oakwalk/core/TaskId.java
+++ b/src/main/java/org/oakwalk/core/TaskId.java
@@ -8,7 +8,7 @@
   /** Reads the form {@code j-000412/3}. */
   public static Optional<TaskId> parse(String text) {
     int slash = text == null ? -1 : text.indexOf('/');
-    if (slash <= 0 || text.length() - slash > 8 || !JobId.wellFormed(text.substring(0, slash))) {
+    if (slash <= 0 || text.length() - slash > 8 || !JobId.isWellFormed(text.substring(0, slash))) {
       return Optional.empty();
     }
     try {
--- a/src/main/java/org/oakwalk/core/leadership/Leadership.java
+++ b/src/main/java/org/oakwalk/core/leadership/Leadership.java
@@ -46,15 +46,15 @@
     ISOLATED
   }
 
-  private static final Map<State, Set<State>> LEGAL = new EnumMap<>(State.class);
+  private static final Map<State, Set<State>> TRANSITIONS = new EnumMap<>(State.class);
 
   static {
-    LEGAL.put(State.FOLLOWING, EnumSet.of(State.ACQUIRING_LEASE));
-    LEGAL.put(State.ACQUIRING_LEASE, EnumSet.of(State.FOLLOWING, State.CLAIMING));
-    LEGAL.put(State.CLAIMING, EnumSet.of(State.FOLLOWING, State.LEADING));
-    LEGAL.put(State.LEADING, EnumSet.of(State.FOLLOWING, State.LEASE_GRACE));
-    LEGAL.put(State.LEASE_GRACE, EnumSet.of(State.FOLLOWING, State.LEADING, State.ISOLATED));
-    LEGAL.put(State.ISOLATED, EnumSet.of(State.FOLLOWING, State.LEADING));
+    TRANSITIONS.put(State.FOLLOWING, EnumSet.of(State.ACQUIRING_LEASE));
+    TRANSITIONS.put(State.ACQUIRING_LEASE, EnumSet.of(State.FOLLOWING, State.CLAIMING));
+    TRANSITIONS.put(State.CLAIMING, EnumSet.of(State.FOLLOWING, State.LEADING));
+    TRANSITIONS.put(State.LEADING, EnumSet.of(State.FOLLOWING, State.LEASE_GRACE));
+    TRANSITIONS.put(State.LEASE_GRACE, EnumSet.of(State.FOLLOWING, State.LEADING, State.ISOLATED));
+    TRANSITIONS.put(State.ISOLATED, EnumSet.of(State.FOLLOWING, State.LEADING));
   }
 
   /** Told when this node begins and ends to lead. */
@@ -64,21 +64,21 @@
     void leadershipLost(Token token, Moment now);
   }
 
-  private static final Span TTL = Span.millis(2500);
-  private static final Span RENEW = Span.millis(700);
-  private static final Span RETRY = Span.millis(200);
+  private static final Span LEASE_TTL = Span.millis(2500);
+  private static final Span RENEW_INTERVAL = Span.millis(700);
+  private static final Span RETRY_DELAY = Span.millis(200);
 
   /** A leader does not step aside sooner, so that two half-cut nodes don't pass it to and fro. */
-  private static final Span LEADS_AT_LEAST = Span.seconds(20);
+  private static final Span MIN_TERM = Span.seconds(20);
 
   /** How long a node that has stepped aside leaves it to the others. */
-  private static final Span STANDS_BACK = Span.seconds(5);
+  private static final Span STEP_DOWN_BACKOFF = Span.seconds(5);
 
   /**
    * How long a node whose own former life led leaves it to the others, which need not read anything
    * first; so one that ends again and again does not keep them from leading.
    */
-  private static final Span LETS_PASS = Span.millis(250);
+  private static final Span RESTART_BACKOFF = Span.millis(250);
 
   private final Outbox outbox;
   private final StoreView view;
@@ -89,18 +89,18 @@
   private final Listener listener;
   private State state = State.FOLLOWING;
   private Token token;
-  private Token highest = new Token(0);
-  private LeaseId hold;
-  private Moment leaseFrom;
-  private Moment rose = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextStep = new Moment(Long.MIN_VALUE / 2);
-  private boolean calling;
+  private Token highestTokenSeen = new Token(0);
+  private LeaseId lease;
+  private Moment leaseStart;
+  private Moment termStart = new Moment(Long.MIN_VALUE / 2);
+  private Moment nextAttempt = new Moment(Long.MIN_VALUE / 2);
+  private boolean requestPending;
 
   /** Whether a read is under way that tells whether a token shown by a worker was granted. */
-  private boolean verifying;
+  private boolean checkingToken;
 
   /** The last token that a worker showed and nobody was granted. */
-  private Token setAside;
+  private Token lastUngrantedToken;
 
   public Leadership(
       Outbox outbox,
@@ -135,13 +135,13 @@
   }
 
   public void tick(Moment now) {
-    if (state == State.LEADING && now.isPast(leaseFrom, TTL.minusClockDrift())) {
-      enter(State.LEASE_GRACE);
+    if (state == State.LEADING && now.isPast(leaseStart, LEASE_TTL.minusClockDrift())) {
+      transitionTo(State.LEASE_GRACE);
     }
     if (state == State.LEASE_GRACE && now.isPast(view.contact(), graceLimit.minusClockDrift())) {
-      enter(State.ISOLATED);
+      transitionTo(State.ISOLATED);
     }
-    if (calling || nextStep.isAfter(now)) {
+    if (requestPending || nextAttempt.isAfter(now)) {
       return;
     }
     switch (state) {
@@ -150,12 +150,12 @@
           if (view.leader().isEmpty()) {
             campaign(now);
           } else if (view.leader().get().record().node().equals(node)) {
-            clearFormer(view.leader().get(), now);
+            removeStaleKey(view.leader().get(), now);
           }
         }
       }
       case ACQUIRING_LEASE -> {}
-      case CLAIMING -> settleClaim(now);
+      case CLAIMING -> checkClaim(now);
       case LEADING, LEASE_GRACE, ISOLATED -> renew(now);
     }
   }
@@ -163,37 +163,40 @@
   /** The copy of the store shows another leader key, or none. */
   public void leaderChanged(Moment now) {
     Optional<StoreView.Leader> leader = view.leader();
-    boolean mine = leader.isPresent() && leader.get().record().incarnation().equals(incarnation);
+    boolean ownKey = leader.isPresent() && leader.get().record().incarnation().equals(incarnation);
     if (state == State.CLAIMING) {
-      if (mine && highest.compareTo(leader.get().token()) > 0 && !view.beyond(highest, now)) {
+      if (ownKey
+          && highestTokenSeen.compareTo(leader.get().token()) > 0
+          && !view.beyond(highestTokenSeen, now)) {
         // Somebody else leads by now, and was told that nothing older goes out from here.
-        LOG.info("claim of token {} is seen after token {}", leader.get().token(), highest);
-        giveUp();
-      } else if (mine) {
+        LOG.info(
+            "claim of token {} is seen after token {}", leader.get().token(), highestTokenSeen);
+        returnToFollowing();
+      } else if (ownKey) {
         token = leader.get().token();
-        rose = now;
-        enter(State.LEADING);
+        termStart = now;
+        transitionTo(State.LEADING);
         view.vacantSince()
             .ifPresent(since -> LOG.info("nobody led for {}, token {}", now.since(since), token));
         listener.leadershipGained(token, now);
       } else if (leader.isPresent()) {
-        giveUp();
+        returnToFollowing();
       }
-    } else if (holdsToken() && !(mine && leader.get().token().equals(token))) {
-      fall(now);
+    } else if (holdsToken() && !(ownKey && leader.get().token().equals(token))) {
+      loseLeadership(now);
     }
   }
 
   /** Whether it could leave leading to others now: not soon after it began. */
   public boolean mayStepDown(Moment now) {
-    return state == State.LEADING && now.isPast(rose, LEADS_AT_LEAST) && view.fresh(now);
+    return state == State.LEADING && now.isPast(termStart, MIN_TERM) && view.fresh(now);
   }
 
   /** Leaves leading to the others, which may reach those that this node can't reach. */
   public void stepDown(Moment now) {
     LOG.info("stepping aside, token {}", token);
-    fall(now);
-    nextStep = now.plus(STANDS_BACK);
+    loseLeadership(now);
+    nextAttempt = now.plus(STEP_DOWN_BACKOFF);
   }
 
   /**
@@ -208,33 +211,33 @@
     }
     if (view.covers(seen) || view.beyond(seen, now)) {
       // The copy would show who was granted it.
-      setAside(seen);
+      ignoreUngrantedToken(seen);
     } else if (state != State.LEADING || !view.fresh(now)) {
       LOG.info("token {} of a worker is above own token {}", seen, token);
-      fall(now);
-    } else if (!verifying) {
+      loseLeadership(now);
+    } else if (!checkingToken) {
       Token own = token;
-      verifying = true;
+      checkingToken = true;
       view.catchUp(
           now,
           known -> {
-            verifying = false;
+            checkingToken = false;
             if (!holdsToken() || !token.equals(own)) {
               return;
             }
             if (known) {
-              setAside(seen);
+              ignoreUngrantedToken(seen);
             } else {
               LOG.info("token {} of a worker is above own token {}", seen, token);
-              fall(now);
+              loseLeadership(now);
             }
           });
     }
   }
 
-  private void setAside(Token seen) {
-    if (!seen.equals(setAside)) {
-      setAside = seen;
+  private void ignoreUngrantedToken(Token seen) {
+    if (!seen.equals(lastUngrantedToken)) {
+      lastUngrantedToken = seen;
       LOG.error("a worker shows token {}, which nobody was granted; own token {}", seen, token);
     }
   }
@@ -245,12 +248,12 @@
    * applied.
    */
   public void observeToken(Token seen, Moment now) {
-    if (seen.compareTo(highest) > 0) {
-      highest = seen;
+    if (seen.compareTo(highestTokenSeen) > 0) {
+      highestTokenSeen = seen;
     }
     if (holdsToken() && seen.compareTo(token) > 0) {
       LOG.info("token {} is above own token {}", seen, token);
-      fall(now);
+      loseLeadership(now);
     }
   }
 
@@ -261,23 +264,23 @@
   public void historyLost(Moment now) {
     if (holdsToken()) {
       LOG.info("changes were missed, token {} is given up", token);
-      fall(now);
+      loseLeadership(now);
     }
   }
 
-  private void fall(Moment now) {
-    Token fallen = token;
+  private void loseLeadership(Moment now) {
+    Token lostToken = token;
     token = null;
-    giveUp();
-    listener.leadershipLost(fallen, now);
+    returnToFollowing();
+    listener.leadershipLost(lostToken, now);
   }
 
   /** Back to following; a lease that is still held is dropped so that the key frees at once. */
-  private void giveUp() {
-    enter(State.FOLLOWING);
-    if (hold != null) {
-      outbox.call(new Request.RevokeLease(hold), answer -> {});
-      hold = null;
+  private void returnToFollowing() {
+    transitionTo(State.FOLLOWING);
+    if (lease != null) {
+      outbox.call(new Request.RevokeLease(lease), answer -> {});
+      lease = null;
     }
   }
 
@@ -285,51 +288,51 @@
    * The key is that of a former life of this node, or of a claim that this life gave up. Neither
    * acts under it any more, so nobody need wait for its lease to end.
    */
-  private void clearFormer(StoreView.Leader former, Moment now) {
-    calling = true;
-    LOG.info("the key of token {} was left by this node and is removed", former.token());
+  private void removeStaleKey(StoreView.Leader staleLeader, Moment now) {
+    requestPending = true;
+    LOG.info("the key of token {} was left by this node and is removed", staleLeader.token());
     outbox.call(
         new Request.Commit(
-            List.of(new Guard(Keys.LEADER, new Revision(former.token().value()))),
+            List.of(new Guard(Keys.LEADER, new Revision(staleLeader.token().value()))),
             List.of(new Change.Remove(Keys.LEADER)),
             Request.Urgency.LEADERSHIP),
         answer -> {
-          calling = false;
-          nextStep = now.plus(LETS_PASS);
+          requestPending = false;
+          nextAttempt = now.plus(RESTART_BACKOFF);
         });
   }
 
   private void campaign(Moment now) {
-    enter(State.ACQUIRING_LEASE);
-    calling = true;
+    transitionTo(State.ACQUIRING_LEASE);
+    requestPending = true;
     outbox.call(
-        new Request.GrantLease(TTL),
+        new Request.GrantLease(LEASE_TTL),
         answer -> {
-          calling = false;
-          nextStep = now.plus(RETRY);
+          requestPending = false;
+          nextAttempt = now.plus(RETRY_DELAY);
           if (answer instanceof Answer.LeaseGranted granted && view.leader().isEmpty()) {
-            hold = granted.lease();
-            leaseFrom = now;
-            enter(State.CLAIMING);
+            lease = granted.lease();
+            leaseStart = now;
+            transitionTo(State.CLAIMING);
             claim(now);
           } else {
-            hold = answer instanceof Answer.LeaseGranted granted ? granted.lease() : null;
-            giveUp();
+            lease = answer instanceof Answer.LeaseGranted granted ? granted.lease() : null;
+            returnToFollowing();
           }
         });
   }
 
   private void claim(Moment now) {
-    calling = true;
+    requestPending = true;
     StoredValue.LeaderRecord record = new StoredValue.LeaderRecord(node, zone, incarnation);
     outbox.call(
         new Request.Commit(
             List.of(new Guard(Keys.LEADER, Revision.NONE)),
-            List.of(new Change.Put(Keys.LEADER, record, Optional.of(hold))),
+            List.of(new Change.Put(Keys.LEADER, record, Optional.of(lease))),
             Request.Urgency.LEADERSHIP),
         answer -> {
-          calling = false;
-          nextStep = now.plus(RETRY);
+          requestPending = false;
+          nextAttempt = now.plus(RETRY_DELAY);
           // Whatever came back, the copy of the store tells: a lost answer may hide a success,
           // and the write may yet be applied.
           if (state == State.CLAIMING) {
@@ -339,48 +342,48 @@
   }
 
   /** A claim is out. Only the copy of the store ends it; a lease that ran out voids it. */
-  private void settleClaim(Moment now) {
-    if (now.isPast(leaseFrom, TTL.plus(TTL).plusClockDrift())) {
+  private void checkClaim(Moment now) {
+    if (now.isPast(leaseStart, LEASE_TTL.plus(LEASE_TTL).plusClockDrift())) {
       // The lease has ended at the store, so the write can't be applied any more.
-      giveUp();
+      returnToFollowing();
       return;
     }
-    nextStep = now.plus(RETRY);
+    nextAttempt = now.plus(RETRY_DELAY);
     view.catchUp(now, known -> {});
   }
 
   private void renew(Moment now) {
-    calling = true;
-    nextStep = now.plus(RENEW);
+    requestPending = true;
+    nextAttempt = now.plus(RENEW_INTERVAL);
     outbox.call(
-        new Request.RenewLease(hold),
+        new Request.RenewLease(lease),
         answer -> {
-          calling = false;
+          requestPending = false;
           if (!holdsToken()) {
             return;
           }
           if (answer instanceof Answer.Ok) {
-            leaseFrom = now;
+            leaseStart = now;
             if (state != State.LEADING) {
-              enter(State.LEADING);
+              transitionTo(State.LEADING);
             }
           } else if (answer instanceof Answer.Refused refused && refused.status() == 404) {
             // The lease ended, so the key is gone or soon will be; the watch will tell as well.
             LOG.info("lease of token {} ended", token);
-            hold = null;
-            fall(now);
+            lease = null;
+            loseLeadership(now);
           } else {
-            nextStep = now.plus(RETRY);
+            nextAttempt = now.plus(RETRY_DELAY);
           }
         });
   }
 
   /** The one place where the state changes. */
-  private void enter(State next) {
+  private void transitionTo(State next) {
     if (next == state) {
       return;
     }
-    if (!LEGAL.get(state).contains(next)) {
+    if (!TRANSITIONS.get(state).contains(next)) {
       throw new IllegalStateException("leadership " + state + " to " + next);
     }
     LOG.info("leadership {} to {}, token {}", state, next, token);
--- a/src/main/java/org/oakwalk/core/leadership/LeaseRelay.java
+++ b/src/main/java/org/oakwalk/core/leadership/LeaseRelay.java
@@ -43,30 +43,30 @@
     ANNOUNCING
   }
 
-  private static final Map<State, Set<State>> LEGAL = new EnumMap<>(State.class);
+  private static final Map<State, Set<State>> TRANSITIONS = new EnumMap<>(State.class);
 
   static {
-    LEGAL.put(State.IDLE, EnumSet.of(State.ANNOUNCING));
-    LEGAL.put(State.ANNOUNCING, EnumSet.of(State.IDLE));
+    TRANSITIONS.put(State.IDLE, EnumSet.of(State.ANNOUNCING));
+    TRANSITIONS.put(State.ANNOUNCING, EnumSet.of(State.IDLE));
   }
 
-  private static final Span DIGESTS_MISSING = Span.millis(1500);
-  private static final Span PROBE_EVERY = Span.millis(1000);
+  private static final Span DIGEST_TIMEOUT = Span.millis(1500);
+  private static final Span PROBE_INTERVAL = Span.millis(1000);
 
   private final Outbox outbox;
   private final StoreView view;
   private final NodeId node;
   private final String zone;
   private final Span window;
-  private final boolean worthwhile;
-  private final List<Consumer<Boolean>> waiting = new ArrayList<>();
+  private final boolean enabled;
+  private final List<Consumer<Boolean>> pendingReports = new ArrayList<>();
   private State state = State.IDLE;
-  private Token highestHeard = new Token(0);
-  private Moment heard = new Moment(Long.MIN_VALUE / 2);
+  private Token highestToken = new Token(0);
+  private Moment lastDigest = new Moment(Long.MIN_VALUE / 2);
   private Moment nextProbe = new Moment(Long.MIN_VALUE / 2);
-  private Moment clock = new Moment(0);
-  private boolean probing;
-  private boolean silent;
+  private Moment currentTime = new Moment(0);
+  private boolean probePending;
+  private boolean leaderSilent;
 
   public LeaseRelay(Outbox outbox, StoreView view, Settings settings) {
     this.outbox = outbox;
@@ -74,25 +74,25 @@
     this.node = settings.node();
     this.zone = settings.zone();
     this.window = settings.workers().relayWindow();
-    this.worthwhile = settings.workers().relaysLeases();
+    this.enabled = settings.workers().relaysLeases();
   }
 
   /** A leader was heard; nothing under an older token goes out from here on. */
   public void leaderHeard(Token leader, Moment now) {
-    heard = now;
-    silent = false;
-    if (leader.compareTo(highestHeard) > 0) {
-      highestHeard = leader;
+    lastDigest = now;
+    leaderSilent = false;
+    if (leader.compareTo(highestToken) > 0) {
+      highestToken = leader;
     }
   }
 
   /** Keeps watch on whether the leader can be reached. */
   public void tick(boolean holdsToken, Moment now) {
-    clock = now;
+    currentTime = now;
     Optional<StoreView.Leader> leader = remoteLeader();
-    if (holdsToken || leader.isEmpty() || !now.isPast(heard, DIGESTS_MISSING)) {
-      silent = false;
-    } else if (worthwhile && !probing && !nextProbe.isAfter(now)) {
+    if (holdsToken || leader.isEmpty() || !now.isPast(lastDigest, DIGEST_TIMEOUT)) {
+      leaderSilent = false;
+    } else if (enabled && !probePending && !nextProbe.isAfter(now)) {
       probe(leader.get().record().node(), now);
     }
   }
@@ -100,7 +100,7 @@
   private Optional<StoreView.Leader> remoteLeader() {
     return view.leader()
         .filter(leader -> !leader.record().zone().equals(zone))
-        .filter(leader -> leader.token().compareTo(highestHeard) >= 0);
+        .filter(leader -> leader.token().compareTo(highestToken) >= 0);
   }
 
   /**
@@ -108,13 +108,13 @@
    * filter between the controllers, while the workers reach the leader all the same.
    */
   private void probe(NodeId leader, Moment now) {
-    probing = true;
-    nextProbe = now.plus(PROBE_EVERY);
+    probePending = true;
+    nextProbe = now.plus(PROBE_INTERVAL);
     outbox.call(
         new Request.SendToPeer(leader, new PeerMessage.Probe(node)),
         answer -> {
-          probing = false;
-          silent = answer instanceof Answer.OutcomeUnknown;
+          probePending = false;
+          leaderSilent = answer instanceof Answer.OutcomeUnknown;
         });
   }
 
@@ -123,21 +123,22 @@
    * unless that has to be announced first.
    */
   public void resolveToken(Report report, Moment now, Consumer<Optional<Token>> then) {
-    clock = now;
+    currentTime = now;
     Optional<Token> leader =
         remoteLeader()
             .map(StoreView.Leader::token)
-            .filter(granted -> toldBy(granted, report.token()));
+            .filter(granted -> issuedBy(granted, report.token()));
     Token shown = report.token();
-    if (!worthwhile || !silent || leader.isEmpty() || !report.zone().equals(zone)) {
+    if (!enabled || !leaderSilent || leader.isEmpty() || !report.zone().equals(zone)) {
       then.accept(Optional.empty());
     } else if (view.relayed(zone).isEmpty() && view.fresh(now)) {
-      waiting.add(known -> then.accept(leader.filter(t -> known && may(t)).map(t -> shown)));
+      pendingReports.add(
+          known -> then.accept(leader.filter(t -> known && mayAnswer(t)).map(t -> shown)));
       if (state == State.IDLE) {
         announce(leader.get(), now);
       }
     } else {
-      then.accept(leader.filter(this::may).map(t -> shown));
+      then.accept(leader.filter(this::mayAnswer).map(t -> shown));
     }
   }
 
@@ -145,7 +146,7 @@
    * Whether a worker can have this token from this leader alone. A leader raises its token up to
    * revisions at which its key stood; as far as this copy reaches nobody else has claimed since.
    */
-  private boolean toldBy(Token granted, Token shown) {
+  private boolean issuedBy(Token granted, Token shown) {
     return shown.compareTo(granted) >= 0 && view.covers(shown);
   }
 
@@ -154,18 +155,18 @@
    * The leader counts from when it saw that, so here it counts from the earliest moment at which it
    * may have been announced, also if this copy of the store learned of it late.
    */
-  private boolean may(Token token) {
-    return silent
-        && view.fresh(clock)
+  private boolean mayAnswer(Token token) {
+    return leaderSilent
+        && view.fresh(currentTime)
         && remoteLeader().filter(leader -> leader.token().equals(token)).isPresent()
         && view.relayed(zone)
             .filter(relayed -> relayed.record().token().equals(token) && relayed.watched())
-            .filter(relayed -> !clock.isPast(relayed.earliest(), window.minusClockDrift()))
+            .filter(relayed -> !currentTime.isPast(relayed.earliest(), window.minusClockDrift()))
             .isPresent();
   }
 
   private void announce(Token token, Moment now) {
-    enter(State.ANNOUNCING);
+    transitionTo(State.ANNOUNCING);
     LOG.info("leader of token {} is out of reach, zone {} asks to be relayed", token, zone);
     String key = Keys.relay(zone);
     outbox.call(
@@ -176,19 +177,19 @@
                 new Change.Put(key, new StoredValue.RelayRecord(zone, token), Optional.empty())),
             Request.Urgency.LEADERSHIP),
         // Whatever came back, the copy of the store tells whether it was written.
-        answer -> view.catchUp(clock, this::settle));
+        answer -> view.catchUp(currentTime, this::completeAnnouncement));
   }
 
-  private void settle(boolean known) {
-    enter(State.IDLE);
-    List<Consumer<Boolean>> served = new ArrayList<>(waiting);
-    waiting.clear();
+  private void completeAnnouncement(boolean known) {
+    transitionTo(State.IDLE);
+    List<Consumer<Boolean>> served = new ArrayList<>(pendingReports);
+    pendingReports.clear();
     served.forEach(waiter -> waiter.accept(known));
   }
 
   /** The one place where the state changes. */
-  private void enter(State next) {
-    if (!LEGAL.get(state).contains(next)) {
+  private void transitionTo(State next) {
+    if (!TRANSITIONS.get(state).contains(next)) {
       throw new IllegalStateException("relay from " + state + " to " + next);
     }
     state = next;
--- a/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
+++ b/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
@@ -14,16 +14,16 @@
 
 /** What a leader makes of followers that keep leases alive for it in a zone. */
 public final class RelayExpiry {
-  private static final Span RETRY = Span.seconds(1);
+  private static final Span RETRY_DELAY = Span.seconds(1);
 
   private final Outbox outbox;
   private final StoreView view;
   private final Guard guard;
   private final Token token;
-  private final Span answers;
-  private final Span lease;
-  private boolean removing;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private final Span relayPeriod;
+  private final Span leaseDuration;
+  private boolean removalPending;
+  private Moment nextAttempt = new Moment(Long.MIN_VALUE / 2);
 
   public RelayExpiry(
       Outbox outbox, StoreView view, Guard guard, Token token, Settings.WorkerTiming timing) {
@@ -31,8 +31,8 @@
     this.view = view;
     this.guard = guard;
     this.token = token;
-    this.answers = timing.relayWindow().plusClockDrift().plus(StoreView.LAG);
-    this.lease = timing.leaseDuration().plusClockDrift();
+    this.relayPeriod = timing.relayWindow().plusClockDrift().plus(StoreView.LAG);
+    this.leaseDuration = timing.leaseDuration().plusClockDrift();
   }
 
   /**
@@ -40,21 +40,21 @@
    * leader's token, or {@code otherwise} if that is later. A zone without a name is one that is not
    * known, so it may be any.
    */
-  public Moment lastRenewal(String zone, Moment otherwise, Moment now) {
+  public Moment lastRenewal(String zone, Moment fallback, Moment now) {
     return zone.isEmpty()
         ? view.relayed().stream()
             .map(relayed -> lastRenewal(relayed, now))
-            .reduce(otherwise, RelayExpiry::later)
+            .reduce(fallback, RelayExpiry::later)
         : view.relayed(zone)
-            .map(relayed -> later(lastRenewal(relayed, now), otherwise))
-            .orElse(otherwise);
+            .map(relayed -> later(lastRenewal(relayed, now), fallback))
+            .orElse(fallback);
   }
 
   private Moment lastRenewal(StoreView.Relayed relayed, Moment now) {
     if (!relayed.record().token().equals(token)) {
       return new Moment(Long.MIN_VALUE / 2);
     }
-    Moment end = relayed.seen().plus(answers);
+    Moment end = relayed.seen().plus(relayPeriod);
     return end.isAfter(now) ? now : end;
   }
 
@@ -67,12 +67,12 @@
    * renewed by the leader itself, so that a later cut may be announced again.
    */
   public void tick(Moment now) {
-    if (removing || nextTry.isAfter(now)) {
+    if (removalPending || nextAttempt.isAfter(now)) {
       return;
     }
     for (StoreView.Relayed relayed : view.relayed()) {
-      boolean older = relayed.record().token().compareTo(token) < 0;
-      if (older || now.isPast(relayed.seen(), answers.plus(lease))) {
+      boolean hasOlderToken = relayed.record().token().compareTo(token) < 0;
+      if (hasOlderToken || now.isPast(relayed.seen(), relayPeriod.plus(leaseDuration))) {
         remove(relayed, now);
         return;
       }
@@ -81,13 +81,13 @@
 
   private void remove(StoreView.Relayed relayed, Moment now) {
     String key = Keys.relay(relayed.record().zone());
-    removing = true;
-    nextTry = now.plus(RETRY);
+    removalPending = true;
+    nextAttempt = now.plus(RETRY_DELAY);
     outbox.call(
         new Request.Commit(
             List.of(guard, new Guard(key, relayed.stamp())),
             List.of(new Change.Remove(key)),
             Request.Urgency.ROUTINE),
-        answer -> removing = false);
+        answer -> removalPending = false);
   }
 }
--- a/src/main/java/org/oakwalk/core/leadership/ReportForwarding.java
+++ b/src/main/java/org/oakwalk/core/leadership/ReportForwarding.java
@@ -30,34 +30,34 @@
     CUT_OFF
   }
 
-  private static final Map<State, Set<State>> LEGAL = new EnumMap<>(State.class);
+  private static final Map<State, Set<State>> TRANSITIONS = new EnumMap<>(State.class);
 
   static {
-    LEGAL.put(State.FORWARDED, EnumSet.of(State.REDIRECTED));
-    LEGAL.put(State.REDIRECTED, EnumSet.of(State.FORWARDED, State.CUT_OFF));
-    LEGAL.put(State.CUT_OFF, EnumSet.of(State.REDIRECTED));
+    TRANSITIONS.put(State.FORWARDED, EnumSet.of(State.REDIRECTED));
+    TRANSITIONS.put(State.REDIRECTED, EnumSet.of(State.FORWARDED, State.CUT_OFF));
+    TRANSITIONS.put(State.CUT_OFF, EnumSet.of(State.REDIRECTED));
   }
 
-  private static final Span HEARD_WITHIN = Span.millis(2500);
+  private static final Span LEADER_TIMEOUT = Span.millis(2500);
 
   /** A worker waits 4 s for an answer and another second before it tries the next node. */
-  private static final Span BACK_WITHIN = Span.seconds(8);
+  private static final Span RETURN_WINDOW = Span.seconds(8);
 
-  private static final Span STRANDED_FOR = Span.seconds(15);
+  private static final Span FORWARD_DURATION = Span.seconds(15);
 
   /** A worker that was here under the present leader. */
-  private static final class Guest {
+  private static final class TrackedWorker {
     State state;
     Moment since;
 
-    Guest(State state, Moment since) {
+    TrackedWorker(State state, Moment since) {
       this.state = state;
       this.since = since;
     }
 
     /** The one place where the state changes. */
-    void enter(State next, Moment now) {
-      if (!LEGAL.get(state).contains(next)) {
+    void transitionTo(State next, Moment now) {
+      if (!TRANSITIONS.get(state).contains(next)) {
         throw new IllegalStateException("worker from " + state + " to " + next);
       }
       state = next;
@@ -65,26 +65,26 @@
     }
   }
 
-  private final Map<MachineId, Guest> guests = new HashMap<>();
+  private final Map<MachineId, TrackedWorker> workers = new HashMap<>();
   private Optional<NodeId> leader = Optional.empty();
   private Token token = new Token(0);
-  private Moment heard = new Moment(Long.MIN_VALUE / 2);
+  private Moment lastHeard = new Moment(Long.MIN_VALUE / 2);
 
   /** A leader was heard over the link between controllers. */
-  public void leaderHeard(NodeId from, Token its, Moment now) {
-    if (its.compareTo(token) > 0) {
-      guests.clear();
-      token = its;
+  public void leaderHeard(NodeId from, Token leaderToken, Moment now) {
+    if (leaderToken.compareTo(token) > 0) {
+      workers.clear();
+      token = leaderToken;
     }
-    if (its.equals(token)) {
+    if (leaderToken.equals(token)) {
       leader = Optional.of(from);
-      heard = now;
+      lastHeard = now;
     }
   }
 
   /** The leader, if it has been heard a moment ago. */
   public Optional<NodeId> leader(Moment now) {
-    return now.isPast(heard, HEARD_WITHIN) ? Optional.empty() : leader;
+    return now.isPast(lastHeard, LEADER_TIMEOUT) ? Optional.empty() : leader;
   }
 
   /** Whether this report is to be carried, rather than its worker sent on to the leader. */
@@ -92,27 +92,29 @@
     if (leader(now).isEmpty()) {
       return false;
     }
-    Guest guest = guests.get(report.machine());
-    if (guest == null) {
+    TrackedWorker worker = workers.get(report.machine());
+    if (worker == null) {
       // Who has the leader's token has been answered by it, and left it for a reason.
-      boolean known = report.token().compareTo(token) >= 0;
-      guests.put(report.machine(), new Guest(known ? State.FORWARDED : State.REDIRECTED, now));
-      return known;
+      boolean hasLeaderToken = report.token().compareTo(token) >= 0;
+      workers.put(
+          report.machine(),
+          new TrackedWorker(hasLeaderToken ? State.FORWARDED : State.REDIRECTED, now));
+      return hasLeaderToken;
     }
-    switch (guest.state) {
-      case FORWARDED -> guest.enter(State.REDIRECTED, now);
+    switch (worker.state) {
+      case FORWARDED -> worker.transitionTo(State.REDIRECTED, now);
       case REDIRECTED -> {
-        boolean back = !now.isPast(guest.since, BACK_WITHIN);
-        guest.enter(back ? State.CUT_OFF : State.FORWARDED, now);
+        boolean returnedSoon = !now.isPast(worker.since, RETURN_WINDOW);
+        worker.transitionTo(returnedSoon ? State.CUT_OFF : State.FORWARDED, now);
         return true;
       }
       case CUT_OFF -> {
-        if (!now.isPast(guest.since, STRANDED_FOR)) {
+        if (!now.isPast(worker.since, FORWARD_DURATION)) {
           return true;
         }
-        guest.enter(State.REDIRECTED, now);
+        worker.transitionTo(State.REDIRECTED, now);
       }
-      default -> throw new IllegalStateException("worker in " + guest.state);
+      default -> throw new IllegalStateException("worker in " + worker.state);
     }
     return false;
   }
--- a/src/main/java/org/oakwalk/core/leadership/WithdrawalHalts.java
+++ b/src/main/java/org/oakwalk/core/leadership/WithdrawalHalts.java
@@ -14,7 +14,7 @@
  * withdrawn must end.
  */
 public final class WithdrawalHalts {
-  private static final Span AT_ONCE = Span.millis(0);
+  private static final Span NO_GRACE = Span.millis(0);
 
   private final StoreView view;
 
@@ -25,9 +25,9 @@
   /** Halts for all tasks of withdrawn jobs that a report shows. */
   public List<Order> haltsFor(Report report) {
     List<Order> halts = new ArrayList<>();
-    for (Report.ReportedTask piece : report.tasks()) {
-      if (withdrawn(piece.task().job()) && !piece.ended()) {
-        halts.add(new Order.Halt(piece.task(), piece.attempt(), AT_ONCE));
+    for (Report.ReportedTask reported : report.tasks()) {
+      if (withdrawn(reported.task().job()) && !reported.ended()) {
+        halts.add(new Order.Halt(reported.task(), reported.attempt(), NO_GRACE));
       }
     }
     return halts;
@@ -39,14 +39,14 @@
    * the attempt from then on, which makes older starts void.
    */
   public List<Order> withHalts(List<Order> orders) {
-    List<Order> added = new ArrayList<>();
+    List<Order> extended = new ArrayList<>();
     for (Order order : orders) {
-      added.add(order);
+      extended.add(order);
       if (order instanceof Order.Run run && withdrawn(run.task().job())) {
-        added.add(new Order.Halt(run.task(), run.attempt(), AT_ONCE));
+        extended.add(new Order.Halt(run.task(), run.attempt(), NO_GRACE));
       }
     }
-    return added;
+    return extended;
   }
 
   private boolean withdrawn(JobId id) {
--- a/src/main/java/org/oakwalk/core/leadership/WorkerRedirects.java
+++ b/src/main/java/org/oakwalk/core/leadership/WorkerRedirects.java
@@ -16,43 +16,44 @@
  * can't reach the leader, they can be reached by command.
  */
 public final class WorkerRedirects {
-  private static final Span HEARD_WITHIN = Span.millis(2500);
+  private static final Span FOLLOWER_TIMEOUT = Span.millis(2500);
 
   /** Longer than a follower carries reports before it sends a worker back. */
-  private static final Span LODGES_FOR = Span.seconds(30);
+  private static final Span REDIRECT_RETENTION = Span.seconds(30);
 
-  private final Map<NodeId, Moment> hosts = new HashMap<>();
-  private final Map<MachineId, Moment> sent = new HashMap<>();
+  private final Map<NodeId, Moment> followers = new HashMap<>();
+  private final Map<MachineId, Moment> redirectedAt = new HashMap<>();
 
   /** A follower answered this leader. */
   public void followerHeard(NodeId follower, Moment now) {
-    hosts.put(follower, now);
-    sent.values().removeIf(at -> now.isPast(at, LODGES_FOR));
+    followers.put(follower, now);
+    redirectedAt.values().removeIf(sentAt -> now.isPast(sentAt, REDIRECT_RETENTION));
   }
 
   /** Whether any follower hears this node. */
   public boolean hasTarget(Moment now) {
-    return hosts.values().stream().anyMatch(heard -> !now.isPast(heard, HEARD_WITHIN));
+    return followers.values().stream()
+        .anyMatch(lastHeard -> !now.isPast(lastHeard, FOLLOWER_TIMEOUT));
   }
 
   /** The node to which this worker is to be sent, if there is one. */
   public Optional<NodeId> target(MachineId machine, Moment now) {
-    List<NodeId> near =
-        hosts.entrySet().stream()
-            .filter(host -> !now.isPast(host.getValue(), HEARD_WITHIN))
+    List<NodeId> reachable =
+        followers.entrySet().stream()
+            .filter(follower -> !now.isPast(follower.getValue(), FOLLOWER_TIMEOUT))
             .map(Map.Entry::getKey)
             .sorted()
             .toList();
-    if (near.isEmpty()) {
+    if (reachable.isEmpty()) {
       return Optional.empty();
     }
-    sent.put(machine, now);
-    return Optional.of(near.get(Math.floorMod(machine.value().hashCode(), near.size())));
+    redirectedAt.put(machine, now);
+    return Optional.of(reachable.get(Math.floorMod(machine.value().hashCode(), reachable.size())));
   }
 
   /** Whether this worker was sent to a follower by this node, and so can reach it. */
   public boolean redirectedRecently(MachineId machine, Moment now) {
-    Moment at = sent.get(machine);
-    return at != null && !now.isPast(at, LODGES_FOR);
+    Moment sentAt = redirectedAt.get(machine);
+    return sentAt != null && !now.isPast(sentAt, REDIRECT_RETENTION);
   }
 }
--- a/src/main/java/org/oakwalk/core/port/Outbox.java
+++ b/src/main/java/org/oakwalk/core/port/Outbox.java
@@ -11,14 +11,14 @@
 
 /** Collects effects and remembers who waits for which answer. */
 public final class Outbox {
-  private final Map<CallId, Consumer<Answer>> waiting = new HashMap<>();
+  private final Map<CallId, Consumer<Answer>> pendingCalls = new HashMap<>();
   private List<Effect> effects = new ArrayList<>();
-  private long calls;
+  private long lastCallId;
 
   /** Sends a request and hands its answer to {@code then}. */
   public void call(Request request, Consumer<Answer> then) {
-    CallId id = new CallId(++calls);
-    waiting.put(id, then);
+    CallId id = new CallId(++lastCallId);
+    pendingCalls.put(id, then);
     effects.add(new Effect.Call(id, request));
   }
 
@@ -38,7 +38,7 @@
 
   /** Delivers an answer; one that nobody waits for is dropped. */
   public void deliverAnswer(CallId call, Answer answer) {
-    Consumer<Answer> then = waiting.remove(call);
+    Consumer<Answer> then = pendingCalls.remove(call);
     if (then != null) {
       then.accept(answer);
     }
--- a/src/main/java/org/oakwalk/core/store/Keys.java
+++ b/src/main/java/org/oakwalk/core/store/Keys.java
@@ -82,7 +82,7 @@
   /** Reads the name of a part of results; empty if it is none. */
   public static Optional<Part> part(String key) {
     Matcher matcher = PART.matcher(key);
-    return matcher.matches() && JobId.wellFormed(matcher.group(1))
+    return matcher.matches() && JobId.isWellFormed(matcher.group(1))
         ? Optional.of(new Part(new JobId(matcher.group(1)), Integer.parseInt(matcher.group(2))))
         : Optional.empty();
   }
--- a/src/main/java/org/oakwalk/wire/JobCodec.java
+++ b/src/main/java/org/oakwalk/wire/JobCodec.java
@@ -32,7 +32,7 @@
 
   static JobId id(Fields fields) throws BadMessage {
     String id = fields.text(ID);
-    if (!JobId.wellFormed(id)) {
+    if (!JobId.isWellFormed(id)) {
       throw new BadMessage("field " + ID + " is malformed");
     }
     return new JobId(id);
--- a/src/main/java/org/oakwalk/wire/PeerCodec.java
+++ b/src/main/java/org/oakwalk/wire/PeerCodec.java
@@ -102,7 +102,7 @@
     Map<JobId, PeerMessage.TaskCounts> counts = new HashMap<>();
     for (Map.Entry<String, JsonNode> field : node.properties()) {
       JsonNode pair = field.getValue();
-      if (!JobId.wellFormed(field.getKey())
+      if (!JobId.isWellFormed(field.getKey())
           || !pair.isArray()
           || pair.size() != 2
           || !count(pair.get(0))
@@ -124,7 +124,7 @@
     Set<JobId> suspects = new HashSet<>();
     if (fields.has("suspects")) {
       for (JsonNode id : fields.list("suspects")) {
-        if (JobId.wellFormed(id.asText())) {
+        if (JobId.isWellFormed(id.asText())) {
           suspects.add(new JobId(id.asText()));
         }
       }
@@ -144,7 +144,7 @@
   }
 
   private static UserRequest request(Fields fields) throws BadMessage {
-    if (!JobId.wellFormed(fields.text("job"))) {
+    if (!JobId.isWellFormed(fields.text("job"))) {
       throw new BadMessage("field job is malformed");
     }
     JobId job = new JobId(fields.text("job"));
--- a/src/test/java/org/oakwalk/core/WorkerTimingTest.java
+++ b/src/test/java/org/oakwalk/core/WorkerTimingTest.java
@@ -12,7 +12,7 @@
  */
 class WorkerTimingTest {
   /** Clocks of two machines drift apart by up to 0.05%. */
-  private static final double DRIFT = 1.0005;
+  private static final double CLOCK_DRIFT = 1.0005;
 
   private static Settings.WorkerTiming workers(double report, double lease, double cancel) {
     return new Settings.WorkerTiming(
@@ -30,16 +30,16 @@
     "2.5, 15.25, 17.5, false",
     "2, 10, 40, true"
   })
-  void theSumsStayBelowWhatCancellingAllows(
+  void cancelledTaskLifetimeStaysBelowCancelDeadline(
       double report, double lease, double cancel, boolean relays) {
     Settings.WorkerTiming timing = workers(report, lease, cancel);
     assertThat(timing.meetsCancelDeadline()).isTrue();
-    double grace = timing.graceLimit().minusClockDrift().asSeconds() * DRIFT;
-    assertThat(grace + lease * DRIFT).isLessThan(cancel);
+    double grace = timing.graceLimit().minusClockDrift().asSeconds() * CLOCK_DRIFT;
+    assertThat(grace + lease * CLOCK_DRIFT).isLessThan(cancel);
     assertThat(timing.relaysLeases()).isEqualTo(relays);
     if (relays) {
-      double window = timing.relayWindow().minusClockDrift().asSeconds() * DRIFT;
-      assertThat(2 * lease * DRIFT + window).isLessThan(cancel);
+      double window = timing.relayWindow().minusClockDrift().asSeconds() * CLOCK_DRIFT;
+      assertThat(2 * lease * CLOCK_DRIFT + window).isLessThan(cancel);
     } else {
       assertThat(timing.relayWindow().millis()).isZero();
     }
@@ -48,7 +48,7 @@
   /** Nothing can hold them then; leaders answer by a copy that is as good as current, no longer. */
   @ParameterizedTest
   @CsvSource({"15.25, 17", "15.25, 15.25", "15.25, 10", "20, 1"})
-  void aLeaseThatOutlastsCancellingLeavesNoGrace(double lease, double cancel) {
+  void noGraceWhenLeaseOutlastsCancelDeadline(double lease, double cancel) {
     Settings.WorkerTiming timing = workers(2.5, lease, cancel);
     assertThat(timing.meetsCancelDeadline()).isFalse();
     assertThat(timing.graceLimit()).isLessThanOrEqualTo(StoreView.LAG);
--- a/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
@@ -33,13 +33,13 @@
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
-  private final List<Token> rises = new ArrayList<>();
-  private final List<Effect.Call> out = new ArrayList<>();
+  private final List<Token> gainedTokens = new ArrayList<>();
+  private final List<Effect.Call> sentCalls = new ArrayList<>();
   private Moment now = new Moment(1_000_000);
   private Leadership leadership;
 
   @BeforeEach
-  void begin() {
+  void setUp() {
     leadership =
         new Leadership(
             outbox,
@@ -51,7 +51,7 @@
             new Leadership.Listener() {
               @Override
               public void leadershipGained(Token token, Moment at) {
-                rises.add(token);
+                gainedTokens.add(token);
               }
 
               @Override
@@ -70,54 +70,54 @@
   }
 
   @Test
-  void aClaimOfItsOwnMakesItLead() {
-    claims();
-    showsOwnKey(12);
-    assertThat(rises).containsExactly(new Token(12));
+  void becomesLeaderWhenOwnClaimIsSeen() {
+    sendClaim();
+    deliverOwnKey(12);
+    assertThat(gainedTokens).containsExactly(new Token(12));
   }
 
   @Test
-  void aClaimSeenAfterALaterTokenIsGivenUp() {
-    claims();
+  void abandonsClaimSeenAfterHigherToken() {
+    sendClaim();
     leadership.observeToken(new Token(20), now);
-    showsOwnKey(12);
-    assertThat(rises).isEmpty();
+    deliverOwnKey(12);
+    assertThat(gainedTokens).isEmpty();
     assertThat(leadership.state()).isEqualTo(Leadership.State.FOLLOWING);
   }
 
   @Test
-  void theKeyOfItsFormerLifeIsRemovedAndOthersMayClaimFirst() {
-    loads(List.of(key(NODE, "former", 7)));
+  void removesKeyOfPreviousIncarnationThenBacksOff() {
+    loadStore(List.of(leaderKey(NODE, "former", 7)));
     leadership.tick(now);
-    Effect.Call removal = sent(Request.Commit.class).orElseThrow();
+    Effect.Call removal = takeSent(Request.Commit.class).orElseThrow();
     Request.Commit commit = (Request.Commit) removal.request();
     assertThat(commit.guards()).containsExactly(new Guard(Keys.LEADER, new Revision(7)));
     assertThat(commit.changes()).containsExactly(new Change.Remove(Keys.LEADER));
     outbox.deliverAnswer(removal.call(), new Answer.Committed(new Revision(11)));
-    shows(new News(Keys.LEADER, Optional.empty(), new Revision(11)));
+    deliverChange(new News(Keys.LEADER, Optional.empty(), new Revision(11)));
     leadership.tick(now.plus(Span.millis(200)));
-    assertThat(sent(Request.GrantLease.class)).isEmpty();
+    assertThat(takeSent(Request.GrantLease.class)).isEmpty();
     leadership.tick(now.plus(Span.millis(300)));
-    assertThat(sent(Request.GrantLease.class)).isPresent();
+    assertThat(takeSent(Request.GrantLease.class)).isPresent();
   }
 
   @Test
-  void theKeyOfAnotherNodeIsLeftAlone() {
-    loads(List.of(key(new NodeId("m"), "former", 7)));
+  void keepsLeaderKeyOfAnotherNode() {
+    loadStore(List.of(leaderKey(new NodeId("m"), "former", 7)));
     leadership.tick(now);
-    assertThat(sent(Request.Commit.class)).isEmpty();
+    assertThat(takeSent(Request.Commit.class)).isEmpty();
   }
 
   /** What is withdrawn shows in reads alone, so nothing else may keep workers answered. */
   @Test
-  void aRenewalDoesNotLengthenTheTimeForWhichWorkersAreAnswered() {
-    claims();
-    showsOwnKey(12);
+  void leaseRenewalDoesNotExtendWorkerAnswerWindow() {
+    sendClaim();
+    deliverOwnKey(12);
     Moment read = view.contact();
     while (now.since(read).compareTo(Span.seconds(19.9)) < 0) {
       now = now.plus(Span.millis(100));
       leadership.tick(now);
-      sent(Request.RenewLease.class)
+      takeSent(Request.RenewLease.class)
           .ifPresent(renewal -> outbox.deliverAnswer(renewal.call(), new Answer.Ok()));
     }
     assertThat(leadership.mayAnswerWorkers(now)).isTrue();
@@ -129,40 +129,40 @@
 
   /** Its lease may live on, and nobody else may tell it. */
   @Test
-  void aLeaderWhoseKeyIsRemovedFallsAtOnce() {
-    claims();
-    showsOwnKey(12);
-    shows(new News(Keys.LEADER, Optional.empty(), new Revision(15)));
+  void losesLeadershipWhenKeyIsRemoved() {
+    sendClaim();
+    deliverOwnKey(12);
+    deliverChange(new News(Keys.LEADER, Optional.empty(), new Revision(15)));
     assertThat(leadership.holdsToken()).isFalse();
-    assertThat(sent(Request.RevokeLease.class)).isPresent();
+    assertThat(takeSent(Request.RevokeLease.class)).isPresent();
   }
 
   @Test
-  void aLeaderWhoseKeyIsAnothersFallsAtOnce() {
-    claims();
-    showsOwnKey(12);
-    Entry others = key(new NodeId("m"), "present", 15);
-    shows(new News(others.key(), Optional.of(others.value()), others.stamp()));
+  void losesLeadershipWhenAnotherNodeHoldsKey() {
+    sendClaim();
+    deliverOwnKey(12);
+    Entry others = leaderKey(new NodeId("m"), "present", 15);
+    deliverChange(new News(others.key(), Optional.of(others.value()), others.stamp()));
     assertThat(leadership.holdsToken()).isFalse();
   }
 
   /** The key stands with a claim of this life that was carried out late: not under this token. */
   @Test
-  void aLeaderWhoseKeyIsWrittenAnewFallsAtOnce() {
-    claims();
-    showsOwnKey(12);
-    showsOwnKey(15);
+  void losesLeadershipWhenKeyIsRewritten() {
+    sendClaim();
+    deliverOwnKey(12);
+    deliverOwnKey(15);
     assertThat(leadership.holdsToken()).isFalse();
   }
 
   /** Pages would show jobs that were stored under a later leader before that leader. */
   @Test
-  void aLeaderWhoseHistoryIsLostGivesItsTokenUp() {
-    claims();
-    showsOwnKey(12);
+  void losesLeadershipWhenWatchHistoryIsLost() {
+    sendClaim();
+    deliverOwnKey(12);
     leadership.historyLost(now);
     assertThat(leadership.holdsToken()).isFalse();
-    assertThat(sent(Request.RevokeLease.class)).isPresent();
+    assertThat(takeSent(Request.RevokeLease.class)).isPresent();
   }
 
   /**
@@ -171,87 +171,88 @@
    * does not renew; the other claim, carried out even later, is removed again.
    */
   @Test
-  void aClaimCarriedOutAfterItClaimedAgainCountsUntilItsLeaseEnds() {
-    claims();
+  void claimAppliedLateGrantsLeadershipOnlyUntilItsLeaseEnds() {
+    sendClaim();
     now = now.plus(Span.millis(5100));
     leadership.tick(now);
     assertThat(leadership.state()).isEqualTo(Leadership.State.FOLLOWING);
-    assertThat(sent(Request.RevokeLease.class)).isPresent();
-    shows(new News(Keys.TYPES, Optional.empty(), new Revision(11)));
-    shows(new News(Keys.TYPES, Optional.empty(), new Revision(11)));
-    watchesAgain();
-    shows(new News(Keys.TYPES, Optional.empty(), new Revision(12)));
+    assertThat(takeSent(Request.RevokeLease.class)).isPresent();
+    deliverChange(new News(Keys.TYPES, Optional.empty(), new Revision(11)));
+    deliverChange(new News(Keys.TYPES, Optional.empty(), new Revision(11)));
+    restartWatch();
+    deliverChange(new News(Keys.TYPES, Optional.empty(), new Revision(12)));
     leadership.tick(now);
     outbox.deliverAnswer(
-        sent(Request.GrantLease.class).orElseThrow().call(),
+        takeSent(Request.GrantLease.class).orElseThrow().call(),
         new Answer.LeaseGranted(new LeaseId(2)));
     outbox.deliverAnswer(
-        sent(Request.Commit.class).orElseThrow().call(), new Answer.OutcomeUnknown("lost"));
-    showsOwnKey(13);
-    assertThat(rises).containsExactly(new Token(13));
-    watchesAgain();
-    shows(new News(Keys.LEADER, Optional.empty(), new Revision(14)));
+        takeSent(Request.Commit.class).orElseThrow().call(), new Answer.OutcomeUnknown("lost"));
+    deliverOwnKey(13);
+    assertThat(gainedTokens).containsExactly(new Token(13));
+    restartWatch();
+    deliverChange(new News(Keys.LEADER, Optional.empty(), new Revision(14)));
     assertThat(leadership.holdsToken()).isFalse();
-    watchesAgain();
-    showsOwnKey(15);
+    restartWatch();
+    deliverOwnKey(15);
     assertThat(leadership.holdsToken()).as("it has given that claim up").isFalse();
-    watchesAgain();
-    out.removeIf(call -> call.request() instanceof Request.Commit);
+    restartWatch();
+    sentCalls.removeIf(call -> call.request() instanceof Request.Commit);
     leadership.tick(now);
-    Request.Commit removal = (Request.Commit) sent(Request.Commit.class).orElseThrow().request();
+    Request.Commit removal =
+        (Request.Commit) takeSent(Request.Commit.class).orElseThrow().request();
     assertThat(removal.guards()).containsExactly(new Guard(Keys.LEADER, new Revision(15)));
-    assertThat(rises).hasSize(1);
+    assertThat(gainedTokens).hasSize(1);
   }
 
-  private void watchesAgain() {
+  private void restartWatch() {
     now = now.plus(Span.millis(400));
     view.clock(now);
     view.tick(now);
   }
 
-  private void claims() {
-    loads(List.of());
+  private void sendClaim() {
+    loadStore(List.of());
     leadership.tick(now);
-    CallId grant = sent(Request.GrantLease.class).orElseThrow().call();
+    CallId grant = takeSent(Request.GrantLease.class).orElseThrow().call();
     outbox.deliverAnswer(grant, new Answer.LeaseGranted(new LeaseId(1)));
     outbox.deliverAnswer(
-        sent(Request.Commit.class).orElseThrow().call(),
+        takeSent(Request.Commit.class).orElseThrow().call(),
         new Answer.OutcomeUnknown("the answer is lost"));
     assertThat(leadership.state()).isEqualTo(Leadership.State.CLAIMING);
   }
 
-  private void loads(List<Entry> entries) {
+  private void loadStore(List<Entry> entries) {
     view.tick(now);
     outbox.deliverAnswer(
-        sent(Request.ReadPage.class).orElseThrow().call(),
+        takeSent(Request.ReadPage.class).orElseThrow().call(),
         new Answer.Page(entries, false, new Revision(10)));
   }
 
-  private void showsOwnKey(long stamp) {
-    Entry own = key(NODE, "present", stamp);
-    shows(new News(own.key(), Optional.of(own.value()), own.stamp()));
+  private void deliverOwnKey(long stamp) {
+    Entry own = leaderKey(NODE, "present", stamp);
+    deliverChange(new News(own.key(), Optional.of(own.value()), own.stamp()));
   }
 
-  private void shows(News news) {
+  private void deliverChange(News news) {
     outbox.deliverAnswer(
-        sent(Request.Watch.class).orElseThrow().call(),
+        takeSent(Request.Watch.class).orElseThrow().call(),
         new Answer.Changes(news.stamp(), List.of(news)));
   }
 
-  private static Entry key(NodeId node, String incarnation, long stamp) {
+  private static Entry leaderKey(NodeId node, String incarnation, long stamp) {
     return new Entry(
         Keys.LEADER, new StoredValue.LeaderRecord(node, "z", incarnation), new Revision(stamp));
   }
 
-  private Optional<Effect.Call> sent(Class<? extends Request> kind) {
+  private Optional<Effect.Call> takeSent(Class<? extends Request> kind) {
     for (Effect effect : outbox.takeEffects()) {
       if (effect instanceof Effect.Call call) {
-        out.add(call);
+        sentCalls.add(call);
       }
     }
     Optional<Effect.Call> found =
-        out.stream().filter(call -> kind.isInstance(call.request())).findFirst();
-    found.ifPresent(out::remove);
+        sentCalls.stream().filter(call -> kind.isInstance(call.request())).findFirst();
+    found.ifPresent(sentCalls::remove);
     return found;
   }
 }
--- a/src/test/java/org/oakwalk/core/leadership/RelayTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/LeaseRelayTest.java
@@ -28,7 +28,7 @@
 import org.oakwalk.core.store.StoredValue;
 
 /** Which workers a follower answers for a leader that raises its token. */
-class RelayTest {
+class LeaseRelayTest {
   private static final Token GRANTED = new Token(7);
 
   private final Outbox outbox = new Outbox();
@@ -52,7 +52,7 @@
 
   /** The copy reaches revision 9, and the leader in the other zone is silent. */
   @BeforeEach
-  void cutOffFromTheLeader() {
+  void loseContactWithLeader() {
     view.listen(
         new StoreView.Listener() {
           @Override
@@ -81,7 +81,7 @@
             List.of(new News(Keys.relay("b"), Optional.of(announced), new Revision(10)))));
   }
 
-  private Optional<Token> answer(long shown) {
+  private Optional<Token> tokenForReport(long shown) {
     Report report =
         new Report(
             new MachineId("m-1"),
@@ -101,14 +101,14 @@
   }
 
   @Test
-  void aWorkerIsAnsweredUnderTheTokenThatTheLeaderRaisedForIt() {
-    assertThat(answer(7)).contains(new Token(7));
-    assertThat(answer(10)).contains(new Token(10));
+  void answersUnderTokenRaisedByLeader() {
+    assertThat(tokenForReport(7)).contains(new Token(7));
+    assertThat(tokenForReport(10)).contains(new Token(10));
   }
 
   @Test
-  void anOlderTokenOrOneBeyondThisCopyMayBeAnothersAndIsNotAnswered() {
-    assertThat(answer(6)).isEmpty();
-    assertThat(answer(11)).isEmpty();
+  void ignoresOlderTokenAndTokenBeyondStoreCopy() {
+    assertThat(tokenForReport(6)).isEmpty();
+    assertThat(tokenForReport(11)).isEmpty();
   }
 }
