--- a/src/main/java/org/oakwalk/core/CallId.java
+++ b/src/main/java/org/oakwalk/core/CallId.java
@@ -1,4 +1,4 @@
 package org.oakwalk.core;
 
-/** A request that this node sent out and whose answer comes back as an event. */
+/** Id of a request that this node sent; its answer arrives as an event with the same id. */
 public record CallId(long value) {}
--- a/src/main/java/org/oakwalk/core/CapacityProducts.java
+++ b/src/main/java/org/oakwalk/core/CapacityProducts.java
@@ -29,11 +29,12 @@
 import org.oakwalk.core.store.StoreView;
 
 /**
- * What stands round the scheduler under one token: dawns, headroom, exchanges. Without terms in the
- * store or in this node's file it does nothing at all.
+ * Capacity features around the scheduler under one token: planning for recurring batch deadlines
+ * (dawns), headroom for service replicas, and exchanges of room between batch jobs and services. It
+ * does nothing unless terms for them are stored or configured on this node.
  */
 final class CapacityProducts implements Takes {
-  /** What the parts work on. */
+  /** Scheduler components that the capacity features operate on. */
   record ProductContext(
       Fleet fleet,
       JobBook jobs,
@@ -74,19 +75,19 @@
   }
 
   /**
-   * Whether tasks may be placed: what older leaders promised has been read, or there can be no such
-   * promise.
+   * Whether tasks may be placed: the commitments of earlier leaders have been read, or there can be
+   * none.
    */
   boolean allowsPlacement() {
     return keeper.inForce().none() || shared.filter(SharedState::known).isPresent();
   }
 
-  /** What is to be added to the line on the state of things; empty without terms. */
+  /** An addition to the leader's log summary; empty without terms. */
   String summary() {
     return headroom.summary().map(line -> "; " + line).orElse("");
   }
 
-  /** Follows what is in force. */
+  /** Applies the terms in force. */
   void tick(Map<String, MachineType> types, boolean recovered, Moment now, WallTime wall) {
     if (keeper.idle()) {
       return;
--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -26,21 +26,29 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller node without input or output: events go in, effects come out. It has no clock, no
- * thread and no randomness of its own, so the same events always give the same effects.
+ * A controller node without I/O: it takes events and returns effects. It has no clock, thread or
+ * source of randomness of its own, so the same events always produce the same effects.
  */
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
   private static final Span DIGEST_INTERVAL = Span.millis(1000);
   private static final Span SUMMARY_INTERVAL = Span.seconds(10);
+
+  /** A node without a store read for longer than this is ready only while a peer can serve it. */
   private static final Span READY_CONTACT_TIMEOUT = Span.seconds(6);
+
+  /** How long after its last digest a leader still counts as able to serve user requests. */
   private static final Span SERVING_PEER_TIMEOUT = Span.millis(2500);
+
   private static final Span RETRY_AFTER = Span.seconds(1);
 
-  /** Ticks come far more often; after a longer gap this process itself stood still. */
+  /** Ticks arrive far more often; a longer gap between events means that this process stalled. */
   private static final Span STALL_THRESHOLD = Span.seconds(1);
 
+  /** Maximum age of the last store read for a worker to be redirected to the leader it names. */
   private static final Span LEADER_INFO_MAX_AGE = Span.seconds(5);
+
+  /** How long after a stall this node waits for a read of the store. */
   private static final Span STALL_READ_TIMEOUT = Span.seconds(1);
 
   private final Settings settings;
@@ -67,9 +75,9 @@
   private WallTime wall = new WallTime(0);
 
   /**
-   * A node that has just started.
+   * Creates a node in its initial state.
    *
-   * @param incarnation tells this life of the node from all others
+   * @param incarnation distinguishes this run of the node's process from all others
    */
   public Controller(Settings settings, Policy policy, String incarnation) {
     this.settings = settings;
@@ -77,7 +85,7 @@
         new StoreView(outbox, settings.state().requestsPerSecond(), settings.peers().size() + 1);
     Span graceLimit = settings.workers().graceLimit();
     if (!settings.workers().meetsCancelDeadline()) {
-      LOG.warn("a lease alone may outlast cancel_s: tasks out of reach may end too late");
+      LOG.warn("lease_s is too long for cancel_s: unreachable tasks may outlive a cancellation");
     }
     this.leadership =
         new Leadership(
@@ -129,7 +137,7 @@
 
           @Override
           public void jobChanged(KnownJob job, Moment at) {
-            term.ifPresent(r -> r.jobChanged(job, at));
+            term.ifPresent(t -> t.jobChanged(job, at));
           }
 
           @Override
@@ -139,7 +147,7 @@
         });
   }
 
-  /** Whether this node holds a token that it has not seen fall. */
+  /** Whether this node holds a token that it has not lost as far as it knows. */
   public boolean leads() {
     return leadership.holdsToken();
   }
@@ -148,14 +156,14 @@
     return leadership;
   }
 
-  /** Takes an event and returns what is to be done. */
-  public List<Effect> handle(Event event, Moment steady, WallTime dayTime) {
-    now = steady;
-    wall = dayTime;
+  /** Handles an event and returns the resulting effects. */
+  public List<Effect> handle(Event event, Moment monotonicTime, WallTime timeOfDay) {
+    now = monotonicTime;
+    wall = timeOfDay;
     if (lastEvent.isPresent() && now.isPast(lastEvent.get(), STALL_THRESHOLD)) {
-      LOG.info("stood still for {}", now.since(lastEvent.get()));
+      LOG.info("process stalled for {}", now.since(lastEvent.get()));
       stallEnd = now;
-      term.ifPresent(r -> r.processStalled(now));
+      term.ifPresent(t -> t.processStalled(now));
     }
     lastEvent = Optional.of(now);
     view.clock(now);
@@ -169,29 +177,29 @@
       tick();
     } else if (event instanceof Event.CallAnswered answered) {
       outbox.deliverAnswer(answered.call(), answered.answer());
-    } else if (event instanceof Event.WorkerReportReceived reports) {
-      handleReport(reports);
-    } else if (event instanceof Event.UserRequestReceived asks) {
-      serveUser(asks);
-    } else if (event instanceof Event.HealthCheckReceived asked) {
-      outbox.respond(asked.requestId(), healthResponse());
-    } else if (event instanceof Event.PeerMessageReceived says) {
-      handlePeerMessage(says);
+    } else if (event instanceof Event.WorkerReportReceived received) {
+      handleReport(received);
+    } else if (event instanceof Event.UserRequestReceived received) {
+      serveUser(received);
+    } else if (event instanceof Event.HealthCheckReceived healthCheck) {
+      outbox.respond(healthCheck.requestId(), healthResponse());
+    } else if (event instanceof Event.PeerMessageReceived received) {
+      handlePeerMessage(received);
     }
   }
 
-  /** A worker reports: to the leader itself, or to a follower that may have to stand in. */
-  private void handleReport(Event.WorkerReportReceived reports) {
-    Report report = reports.report();
+  /** Handles a worker's report. A follower forwards it, or renews the lease for the leader. */
+  private void handleReport(Event.WorkerReportReceived received) {
+    Report report = received.report();
     if (term.isPresent()) {
       Optional<NodeId> target =
-          reports.redirectPreferred()
+          received.redirectPreferred()
                   && leadership.mayAnswerWorkers(now)
                   && !term.get().reportsHigherToken(report)
               ? redirects.target(report.machine(), now)
               : Optional.empty();
       outbox.respond(
-          reports.requestId(),
+          received.requestId(),
           target.isPresent() ? new Response.Redirect(target) : respondToReport(report, false));
     } else if (forwarding.shouldForward(report, now)) {
       forwardReport(reports, forwarding.leader(now).orElseThrow());
@@ -201,27 +209,28 @@
           now,
           token ->
               outbox.respond(
-                  reports.requestId(),
+                  received.requestId(),
                   token.isPresent()
                       ? new Response.Orders(token.get(), halts.haltsFor(report))
                       : redirectToLeader()));
     }
   }
 
-  private void forwardReport(Event.WorkerReportReceived reports, NodeId leader) {
+  private void forwardReport(Event.WorkerReportReceived received, NodeId leader) {
     outbox.call(
-        new Request.SendToPeer(leader, new PeerMessage.ForwardReport(reports.report())),
+        new Request.SendToPeer(leader, new PeerMessage.ForwardReport(received.report())),
         answer ->
-            outbox.respond(reports.requestId(), forwardedReportResponse(reports.report(), answer)));
+            outbox.respond(
+                received.requestId(), forwardedReportResponse(received.report(), answer)));
   }
 
-  /** The leader's orders for a worker whose report was carried to it. */
+  /** The leader's orders for a worker whose report was forwarded to it. */
   private Response forwardedReportResponse(Report report, Answer answer) {
-    if (answer instanceof Answer.PeerReply told
-        && told.message() instanceof PeerMessage.ForwardedReportOrders carried
-        && carried.token().isPresent()) {
-      LOG.debug("orders carried to {}: {}", report.machine(), carried.orders());
-      return new Response.Orders(carried.token().get(), halts.withHalts(carried.orders()));
+    if (answer instanceof Answer.PeerReply reply
+        && reply.message() instanceof PeerMessage.ForwardedReportOrders forwarded
+        && forwarded.token().isPresent()) {
+      LOG.debug("orders forwarded to {}: {}", report.machine(), forwarded.orders());
+      return new Response.Orders(forwarded.token().get(), halts.withHalts(forwarded.orders()));
     }
     return redirectToLeader();
   }
@@ -241,8 +250,8 @@
       leadership.stepDown(now);
     }
     term.ifPresent(
-        r ->
-            r.tick(
+        t ->
+            t.tick(
                 catalogue.types(),
                 leadership.mayAnswerWorkers(now) && hasReadSinceStall(),
                 now,
@@ -258,9 +267,9 @@
   }
 
   /**
-   * Whether the store has been read since this process last stood still. Before that it may have
-   * been succeeded without knowing, and places, rents and returns nothing; where the store can't be
-   * read either, it goes on after a moment like any leader that has lost the store.
+   * Whether the store has been read since this process last stalled. Before that read another
+   * leader may have taken over unnoticed, so this node places, rents and returns nothing. If the
+   * store can't be read, it continues after a short wait like any leader that has lost the store.
    */
   private boolean hasReadSinceStall() {
     return !stallEnd.isAfter(view.contact()) || now.isPast(stallEnd, STALL_READ_TIMEOUT);
@@ -276,30 +285,31 @@
       outbox.call(
           new Request.SendToPeer(peer, message),
           answer -> {
-            if (answer instanceof Answer.PeerReply told
-                && told.message() instanceof PeerMessage.Acknowledgement acknowledged) {
+            if (answer instanceof Answer.PeerReply reply
+                && reply.message() instanceof PeerMessage.Acknowledgement acknowledged) {
               redirects.followerHeard(acknowledged.from(), now);
-              term.filter(r -> r == current && acknowledged.relinquished())
-                  .ifPresent(r -> r.peerRelinquished(acknowledged.from(), now));
+              term.filter(t -> t == current && acknowledged.relinquished())
+                  .ifPresent(t -> t.peerRelinquished(acknowledged.from(), now));
             }
           });
     }
   }
 
-  private Response respondToReport(Report report, boolean cutOff) {
+  private Response respondToReport(Report report, boolean workerCutOff) {
     if (term.isPresent() && term.get().reportsHigherToken(report)) {
-      // Whoever was granted it, this worker drops what is said under this node's token. If nobody
-      // was, it stays silent for this leader, and its machine is lost like others that are.
+      // Whether or not the token was ever granted, this worker ignores orders under this node's
+      // token. If it was not granted, the leader treats the worker as silent, and its machine as
+      // lost.
       leadership.workerReportedToken(report.token(), now);
       return redirectToLeader();
     }
     if (term.isPresent() && leadership.mayAnswerWorkers(now)) {
       if (!term.get().acceptsReports()) {
-        // The lease is renewed all the same, so what was withdrawn must end by this answer.
+        // This answer renews the lease, so it must halt the tasks of withdrawn jobs.
         term.get().workerAnswered(report.machine(), now);
         return new Response.Orders(term.get().token(), halts.haltsFor(report));
       }
-      Optional<Response.Orders> orders = term.get().report(report, cutOff, now);
+      Optional<Response.Orders> orders = term.get().report(report, workerCutOff, now);
       return orders.isPresent()
           ? orders.get()
           : Response.unavailable("no use can be made of the report", RETRY_AFTER);
@@ -308,8 +318,8 @@
   }
 
   /**
-   * Sends a worker to the leader, if this node knows of one. What it read of the store long ago
-   * tells nothing: a worker would go to and fro between this node and one that doesn't lead.
+   * Redirects a worker to the leader, if this node knows of one. An outdated copy of the store is
+   * not used: the worker would go back and forth between this node and one that does not lead.
    */
   private Response redirectToLeader() {
     return new Response.Redirect(
@@ -324,49 +334,50 @@
   }
 
   /**
-   * Serves a user, through the leader if this node alone has lost the state service. In an outage
-   * the leader has lost it as well, and the user is sent away at once.
+   * Serves a user's request, through the leader if only this node has lost the state service. In an
+   * outage the leader has lost it as well, and the request is refused at once.
    */
-  private void serveUser(Event.UserRequestReceived asks) {
-    pendingRequests.asked(asks.requestId(), asks.request(), now);
+  private void serveUser(Event.UserRequestReceived received) {
+    pendingRequests.asked(received.requestId(), received.request(), now);
     userRequests.serve(
-        asks.request(),
+        received.request(),
         response -> {
           boolean unavailable = response instanceof Response.Problem p && p.status() == 503;
           if (unavailable && servingPeer().isPresent()) {
-            forwardUserRequest(asks, response);
+            forwardUserRequest(received, response);
           } else {
-            answerUser(asks, response);
+            answerUser(received, response);
           }
         });
   }
 
-  private void answerUser(Event.UserRequestReceived asks, Response response) {
-    if (pendingRequests.answered(asks.requestId())) {
-      outbox.respond(asks.requestId(), response);
+  private void answerUser(Event.UserRequestReceived received, Response response) {
+    if (pendingRequests.answered(received.requestId())) {
+      outbox.respond(received.requestId(), response);
     }
   }
 
-  private void forwardUserRequest(Event.UserRequestReceived asks, Response otherwise) {
+  private void forwardUserRequest(Event.UserRequestReceived received, Response fallback) {
     NodeId peer = servingPeer().orElseThrow();
     outbox.call(
-        new Request.SendToPeer(peer, new PeerMessage.ForwardUserRequest(asks.request())),
+        new Request.SendToPeer(peer, new PeerMessage.ForwardUserRequest(received.request())),
         answer -> {
           Optional<Response> forwarded = forwardedResponse(answer);
           LOG.debug(
-              "request for job {} forwarded to {}, answered {}; copy of the store at revision {}",
-              asks.request().job(),
+              "request for job {} forwarded to {}, response {}; store copy at revision {}",
+              received.request().job(),
               peer,
               forwarded,
               view.position());
           answerUser(
-              asks, forwarded.map(told -> userRequests.passOn(told, otherwise)).orElse(otherwise));
+              received,
+              forwarded.map(reply -> userRequests.passOn(reply, fallback)).orElse(fallback));
         });
   }
 
   private static Optional<Response> forwardedResponse(Answer answer) {
-    return answer instanceof Answer.PeerReply told
-            && told.message() instanceof PeerMessage.ForwardedResponse forwarded
+    return answer instanceof Answer.PeerReply reply
+            && reply.message() instanceof PeerMessage.ForwardedResponse forwarded
         ? Optional.of(forwarded.response())
         : Optional.empty();
   }
@@ -376,24 +387,26 @@
   }
 
   private Response healthResponse() {
-    boolean reaches =
+    boolean reachesStore =
         !now.isPast(view.contact(), READY_CONTACT_TIMEOUT) || servingPeer().isPresent();
-    boolean serves = view.loaded() && userRequests.knowsTypes() && reaches;
-    return serves ? new Response.Ready() : Response.unavailable("not ready", RETRY_AFTER);
+    boolean ready = view.loaded() && userRequests.knowsTypes() && reachesStore;
+    return ready ? new Response.Ready() : Response.unavailable("not ready", RETRY_AFTER);
   }
 
-  private void handlePeerMessage(Event.PeerMessageReceived says) {
-    if (says.message() instanceof PeerMessage.Digest digest && view.beyond(digest.token(), now)) {
-      // Taken for true it would keep this node from leading, and from hearing who does.
+  private void handlePeerMessage(Event.PeerMessageReceived received) {
+    if (received.message() instanceof PeerMessage.Digest digest
+        && view.beyond(digest.token(), now)) {
+      // Accepting it would keep this node from leading, and from recognizing the real leader.
       if (rejectedDigests++ == 0) {
-        LOG.error("digest of {}: nobody was granted token {}", digest.from(), digest.token());
+        LOG.error(
+            "digest from {} rejected: token {} was never granted", digest.from(), digest.token());
       }
-      outbox.respond(says.requestId(), Response.refusal(400, "no such token"));
-    } else if (says.message() instanceof PeerMessage.Digest digest) {
+      outbox.respond(received.requestId(), Response.refusal(400, "no such token"));
+    } else if (received.message() instanceof PeerMessage.Digest digest) {
       leadership.observeToken(digest.token(), now);
       relay.leaderHeard(digest.token(), now);
       if (view.leader().filter(l -> l.token().compareTo(digest.token()) > 0).isEmpty()) {
-        // Not one that was succeeded and does not know.
+        // Excludes a leader that has been replaced without knowing it yet.
         forwarding.leaderHeard(digest.from(), digest.token(), now);
       }
       if (term.isEmpty()) {
@@ -405,32 +418,32 @@
         }
       }
       outbox.respond(
-          says.requestId(),
+          received.requestId(),
           new Response.PeerResponse(
               new PeerMessage.Acknowledgement(settings.node(), !leadership.holdsToken())));
-    } else if (says.message() instanceof PeerMessage.Probe) {
+    } else if (received.message() instanceof PeerMessage.Probe) {
       outbox.respond(
-          says.requestId(),
+          received.requestId(),
           new Response.PeerResponse(new PeerMessage.Acknowledgement(settings.node(), false)));
-    } else if (says.message() instanceof PeerMessage.ForwardReport carry) {
-      boolean cutOff = !redirects.redirectedRecently(carry.report().machine(), now);
-      Response response = respondToReport(carry.report(), cutOff);
+    } else if (received.message() instanceof PeerMessage.ForwardReport forwarded) {
+      boolean workerCutOff = !redirects.redirectedRecently(forwarded.report().machine(), now);
+      Response response = respondToReport(forwarded.report(), workerCutOff);
       outbox.respond(
-          says.requestId(),
+          received.requestId(),
           new Response.PeerResponse(
               response instanceof Response.Orders orders
                   ? new PeerMessage.ForwardedReportOrders(
                       Optional.of(orders.token()), orders.orders())
                   : new PeerMessage.ForwardedReportOrders(Optional.empty(), List.of())));
-    } else if (says.message() instanceof PeerMessage.ForwardUserRequest forward) {
+    } else if (received.message() instanceof PeerMessage.ForwardUserRequest forward) {
       userRequests.serve(
           forward.request(),
           response ->
               outbox.respond(
-                  says.requestId(),
+                  received.requestId(),
                   new Response.PeerResponse(new PeerMessage.ForwardedResponse(response))));
     } else {
-      outbox.respond(says.requestId(), Response.refusal(400, "unexpected message"));
+      outbox.respond(received.requestId(), Response.refusal(400, "unexpected message"));
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/InboundRequestId.java
+++ b/src/main/java/org/oakwalk/core/InboundRequestId.java
@@ -1,4 +1,4 @@
 package org.oakwalk.core;
 
-/** A request that somebody sent here and that is to be answered once. */
+/** Id of a request that this node received and answers exactly once. */
 public record InboundRequestId(long value) {}
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -46,9 +46,11 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All that a leader knows and does under one token; it ends with the token. */
+/** State and activities of a leader under one fencing token; discarded when the token is lost. */
 final class LeaderTerm implements Fleet.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
+
+  /** Minimum time between a placement round triggered by an event and the round before it. */
   private static final Span MIN_EVENT_ROUND_INTERVAL = Span.millis(100);
 
   private final Token token;
@@ -82,7 +84,7 @@
   private final Moment termStart;
   private Moment currentTime;
 
-  /** When starts may be ordered, the time of day of the last tick; else nothing. */
+  /** The time of day of the last tick if starts may be ordered; empty otherwise. */
   private Optional<WallTime> placementWallTime = Optional.empty();
 
   LeaderTerm(
@@ -92,7 +94,7 @@
       Outbox outbox,
       StoreView view,
       Span graceLimit,
-      Consumer<Token> higherToken,
+      Consumer<Token> onHigherToken,
       Moment now) {
     this.token = token;
     this.outbox = outbox;
@@ -113,7 +115,7 @@
             suspectAfter,
             report -> {
               if (reportsHigherToken(report)) {
-                higherToken.accept(report.token());
+                onHigherToken.accept(report.token());
               } else {
                 fleet.report(report, false, currentTime);
               }
@@ -197,9 +199,9 @@
   }
 
   /**
-   * Peers that may still answer workers under an older token: those whose key was seen to end
-   * within the time for which a leader may be in its lease grace, or all if this node has not
-   * watched for so long.
+   * Peers that may still answer workers under an older token: those whose leader key was seen to
+   * disappear within the maximum lease grace, or all peers if this node has not followed the key
+   * for that long.
    */
   private static Set<NodeId> peersPossiblyInGrace(
       Settings settings, StoreView view, Span graceLimit, Moment now) {
@@ -212,21 +214,22 @@
     placer.keep(machine, job);
   }
 
+  /** The fencing token of this term. */
   Token token() {
     return token;
   }
 
-  /** Whether a worker shows a higher token than this leader has told it. */
+  /** Whether a worker reports a higher token than this leader has sent it. */
   boolean reportsHigherToken(Report report) {
     return fleet.above(report);
   }
 
-  /** A job was stored, finished or withdrawn. */
-  void jobChanged(KnownJob known, Moment now) {
-    Optional<Job> withdrawn = jobs.changed(known, now);
+  /** Handles a job that was stored, finished or withdrawn. */
+  void jobChanged(KnownJob job, Moment now) {
+    Optional<Job> withdrawn = jobs.changed(job, now);
     withdrawn.ifPresent(this::haltAll);
-    if (known.phase().isFinal()) {
-      jobs.find(known.id()).ifPresent(results::ended);
+    if (job.phase().isFinal()) {
+      jobs.find(job.id()).ifPresent(results::ended);
     }
     roundDue = true;
   }
@@ -237,12 +240,12 @@
     dispatcher.recall(placements);
   }
 
-  /** Whether what older leaders left has been read, so that reports can be made use of. */
+  /** Whether the state left by earlier leaders has been read, so that reports can be processed. */
   boolean acceptsReports() {
     return recovery.readsReports();
   }
 
-  /** A worker was answered before its report could be made use of. */
+  /** Records an answer to a worker, which may come before its report can be processed. */
   void workerAnswered(MachineId machine, Moment now) {
     recovery.renewedUnread(now);
     if (!recovery.complete()) {
@@ -250,56 +253,63 @@
     }
   }
 
-  /** Orders for a worker that reports, or nothing if the report can't be used yet. */
-  Optional<Response.Orders> report(Report report, boolean carried, Moment now) {
+  /** Orders for a worker that reported; empty if its report can't be used yet. */
+  Optional<Response.Orders> report(Report report, boolean forwarded, Moment now) {
     currentTime = now;
     Optional<Machine> machine = fleet.report(report, true, now);
     if (machine.isEmpty() || fleet.mustLapse(machine.get(), now)) {
       return Optional.empty();
     }
-    machine.get().carried(carried);
+    machine.get().carried(forwarded);
     workerAnswered(report.machine(), now);
     preemptBeforeReclaim(machine.get(), now);
     if (machine.get().startsByAnswersOnly()) {
-      // What is placed after this answer would wait for the next one.
+      // A task placed after this answer would wait for the worker's next report.
       placementWallTime.ifPresent(wall -> round(now, wall));
     }
     List<Order> orders = fleet.respond(machine.get(), now);
     return Optional.of(new Response.Orders(fleet.tokenOf(report.machine()), orders));
   }
 
-  /** Stops what will not end before the cloud takes the machine, so that it can go elsewhere. */
+  /** Halts tasks that will not finish before the cloud reclaims the machine, to place them anew. */
   private void preemptBeforeReclaim(Machine machine, Moment now) {
     if (machine.reclaimedAt() == null) {
       return;
     }
-    double left = machine.reclaimedAt().since(now).asSeconds();
+    double secondsLeft = machine.reclaimedAt().since(now).asSeconds();
     for (Placement placement : machine.placements()) {
       Span expected = runTimes.expected(placement.job().spec());
       double ran =
           placement.runningSince() == null ? 0 : now.since(placement.runningSince()).asSeconds();
-      boolean endsInTime = !placement.job().spec().service() && expected.asSeconds() - ran < left;
+      boolean endsInTime =
+          !placement.job().spec().service() && expected.asSeconds() - ran < secondsLeft;
       if (!placement.halting() && !endsInTime) {
         fleet.halt(placement, placement.job().spec().saveTime(), Fleet.Why.RECLAIMED);
       }
     }
   }
 
-  /** Whether hardly any machine reaches this node, though there are some. */
+  /** Whether machines exist but hardly any of them reaches this node. */
   boolean isCutOffFromWorkers(boolean followersForward, Moment now) {
     return recovery.complete() && capacity.health().blind(followersForward, now);
   }
 
-  /** This process stood still until now, so that nobody's silence tells anything. */
+  /** Records a stall of this process, so that machines silent until now do not count as lost. */
   void processStalled(Moment now) {
     capacity.health().stoodStill(now);
   }
 
+  /** Records that a peer no longer acts under any older token. */
   void peerRelinquished(NodeId peer, Moment now) {
     recovery.settled(peer, now);
   }
 
-  /** Whether starts may be ordered: not while the token is in doubt for long. */
+  /**
+   * Runs the periodic work of a leader.
+   *
+   * @param leaseCertain whether this node may still act under its token; if not, it writes, rents,
+   *     returns and places nothing
+   */
   void tick(
       Map<String, MachineType> currentTypes, boolean leaseCertain, Moment now, WallTime wall) {
     currentTime = now;
@@ -310,7 +320,7 @@
     boolean wasRecovering = !recovery.complete();
     recovery.tick(types, now);
     if (wasRecovering && recovery.complete()) {
-      // Work of older leaders has waited for this moment, not for the next regular round.
+      // Tasks of earlier leaders wait for the end of recovery, not for the next regular round.
       nextRegularRound = now;
       recoveryCompletedAt = Optional.of(now);
     }
@@ -338,8 +348,8 @@
   }
 
   /**
-   * Tells once how long it took until work of older leaders was placed again. A round has no clock;
-   * how long the first one took shows by the time of the next tick.
+   * Logs once how long recovery took until tasks of earlier leaders were placed again. A round
+   * can't read a clock, so the duration of the first one is measured by the time of the next tick.
    */
   private void logRecovery(Moment now) {
     if (recoveryCompletedAt.isPresent() && !recoveryLogged) {
@@ -361,16 +371,17 @@
     lastRound = now;
     int placed = placer.round(recovery.complete(), regular, now, wall);
     if (placed > 0) {
-      LOG.debug("{} tasks placed, copy of the store at revision {}", placed, view.position());
+      LOG.debug("{} tasks placed, store copy at revision {}", placed, view.position());
     }
     if (placed > 0 && !hasPlaced) {
       hasPlaced = true;
       outbox.recordDuration(Effect.DurationMetric.FAILOVER, now.since(termStart));
-      LOG.info("first placement {} after the rise, token {}", now.since(termStart), token);
+      LOG.info(
+          "first placement {} after gaining leadership, token {}", now.since(termStart), token);
     }
   }
 
-  /** How far the open jobs are. */
+  /** Task counts of the jobs in progress. */
   Map<JobId, PeerMessage.TaskCounts> counts() {
     Map<JobId, PeerMessage.TaskCounts> counts = new HashMap<>();
     for (Job job : jobs.begun()) {
@@ -379,12 +390,12 @@
     return counts;
   }
 
-  /** Jobs that an earlier leader found to fail everywhere. */
+  /** Marks jobs that an earlier leader found to fail on every machine. */
   void markSuspects(Set<JobId> ids) {
     ids.forEach(id -> jobs.find(id).ifPresent(Job::suspected));
   }
 
-  /** Open jobs that fail everywhere. */
+  /** Open jobs that fail on every machine. */
   Set<JobId> suspects() {
     return jobs.all().stream()
         .filter(job -> job.open() && job.suspect())
@@ -392,7 +403,7 @@
         .collect(Collectors.toSet());
   }
 
-  /** One line on the state of things, for the log. */
+  /** A one-line summary of jobs and machines for the log. */
   String summary() {
     int pending = 0;
     int active = 0;
@@ -431,7 +442,7 @@
       pace.completed(placement, ran);
       runTimes.learn(placement.job(), ran);
       if (placement.attempt().token().equals(token)) {
-        // What an older leader started has run for longer than this one has seen.
+        // A task started by an earlier leader has run for longer than this leader has observed.
         planner.completed(placement.job(), ran);
       }
     }
--- a/src/main/java/org/oakwalk/core/LeaseId.java
+++ b/src/main/java/org/oakwalk/core/LeaseId.java
@@ -1,4 +1,4 @@
 package org.oakwalk.core;
 
-/** Name of a lease at the state service. */
+/** Id of a lease at the state service. */
 public record LeaseId(long value) {}
--- a/src/main/java/org/oakwalk/core/MachineId.java
+++ b/src/main/java/org/oakwalk/core/MachineId.java
@@ -1,6 +1,6 @@
 package org.oakwalk.core;
 
-/** Name that the cloud gave a machine. */
+/** Id that the cloud assigned to a machine. */
 public record MachineId(String value) implements Comparable<MachineId> {
   @Override
   public int compareTo(MachineId other) {
--- a/src/main/java/org/oakwalk/core/Moment.java
+++ b/src/main/java/org/oakwalk/core/Moment.java
@@ -1,6 +1,6 @@
 package org.oakwalk.core;
 
-/** A reading of this process's steady clock. */
+/** A reading of this process's monotonic clock, in milliseconds. */
 public record Moment(long millis) implements Comparable<Moment> {
   public Moment plus(Span span) {
     return new Moment(millis + span.millis());
--- a/src/main/java/org/oakwalk/core/NodeId.java
+++ b/src/main/java/org/oakwalk/core/NodeId.java
@@ -1,6 +1,6 @@
 package org.oakwalk.core;
 
-/** Name of a controller node. */
+/** Id of a controller node. */
 public record NodeId(String value) implements Comparable<NodeId> {
   @Override
   public int compareTo(NodeId other) {
--- a/src/main/java/org/oakwalk/core/Order.java
+++ b/src/main/java/org/oakwalk/core/Order.java
@@ -1,17 +1,19 @@
 package org.oakwalk.core;
 
-/** A command to a worker. All of them may be repeated. */
+/** A command to a worker. Orders are idempotent: they may be sent more than once. */
 public sealed interface Order {
+  /** The task that the order is about. */
   TaskId task();
 
+  /** The attempt at the task that the order is about. */
   Attempt attempt();
 
-  /** Start a task. */
+  /** Starts a task. */
   record Run(TaskId task, Attempt attempt) implements Order {}
 
-  /** Stop a task, with time to save its progress if it can. */
+  /** Stops a task, with a grace period in which it can save its progress. */
   record Halt(TaskId task, Attempt attempt, Span grace) implements Order {}
 
-  /** Remove an ended task from the reports. */
+  /** Removes an ended task from the worker's reports. */
   record Clear(TaskId task, Attempt attempt) implements Order {}
 }
--- a/src/main/java/org/oakwalk/core/Policy.java
+++ b/src/main/java/org/oakwalk/core/Policy.java
@@ -3,7 +3,7 @@
 import org.oakwalk.core.drain.Drains;
 import org.oakwalk.core.product.ProductTerms;
 
-/** The operators' own choices; every default is documented in docs/operations.md. */
+/** Scheduling policy set by the operators; docs/operations.md documents every default. */
 public record Policy(
     ScoringPolicy scoring,
     PlacementPolicy placement,
@@ -13,7 +13,7 @@
     Drains drains,
     ProductTerms product) {
 
-  /** Weights of the score. */
+  /** Weights of the job score. */
   public record ScoringPolicy(
       double alpha,
       double deadlineWeight,
@@ -22,11 +22,16 @@
       double guaranteeBonus,
       Span minTimeLeft) {}
 
-  /** Choice of machines. */
+  /**
+   * Selection of machines for tasks.
+   *
+   * @param maxUtilization share of a machine that tasks may use, unless one task needs more than
+   *     the rest
+   */
   public record PlacementPolicy(
       double maxUtilization, double imageWeight, int reserveAfterRounds) {}
 
-  /** What to rent and what to return. */
+  /** Renting and returning of machines. */
   public record CapacityPolicy(
       double headroom,
       int spareMachines,
@@ -35,6 +40,7 @@
       Span suspectAfter,
       Span bootTimeout) {}
 
+  /** The policy that applies where the operators set nothing. */
   public static Policy defaults() {
     return new Policy(
         new ScoringPolicy(0.3, 0.3, 0.3, 0.35, 150, Span.seconds(5)),
--- a/src/main/java/org/oakwalk/core/Report.java
+++ b/src/main/java/org/oakwalk/core/Report.java
@@ -3,7 +3,13 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a worker says of itself. */
+/**
+ * A worker's report of its own state.
+ *
+ * @param session the worker's session; reports are ordered by session, then by sequence
+ * @param token the highest leader token that the worker has seen
+ * @param reclaimNotice time until the cloud reclaims the machine, if it has announced that
+ */
 public record Report(
     MachineId machine,
     String address,
@@ -25,7 +31,7 @@
     ENDED
   }
 
-  /** Why a task ended. */
+  /** Reason for the end of a task. */
   public enum Cause {
     DONE,
     HALTED,
--- a/src/main/java/org/oakwalk/core/Revision.java
+++ b/src/main/java/org/oakwalk/core/Revision.java
@@ -1,7 +1,8 @@
 package org.oakwalk.core;
 
-/** Position in the state service's history; zero stands for a key that does not exist. */
+/** Revision of the state service's store; zero stands for a key that does not exist. */
 public record Revision(long value) implements Comparable<Revision> {
+  /** The revision of a key that does not exist. */
   public static final Revision NONE = new Revision(0);
 
   @Override
--- a/src/main/java/org/oakwalk/core/SessionId.java
+++ b/src/main/java/org/oakwalk/core/SessionId.java
@@ -1,6 +1,6 @@
 package org.oakwalk.core;
 
-/** A worker's session; the next one begins when its lease has run out. */
+/** Number of a worker's session; a new session begins when the worker's lease has expired. */
 public record SessionId(long value) implements Comparable<SessionId> {
   /** The session of a worker that has just started. */
   public static final SessionId FIRST = new SessionId(1);
--- a/src/main/java/org/oakwalk/core/Settings.java
+++ b/src/main/java/org/oakwalk/core/Settings.java
@@ -4,9 +4,9 @@
 import java.util.Map;
 
 /**
- * What the platform says of the deployment, as far as the core needs it.
+ * Deployment settings from the platform, as far as the core needs them.
  *
- * @param maxClockError by how much the time of day may be off, either way
+ * @param maxClockError maximum error of the time-of-day clock in either direction
  */
 public record Settings(
     NodeId node,
@@ -22,53 +22,58 @@
 
   /** A team's guarantee and limit; zero means none. */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
-    /** Whether there is a limit to what it uses. */
+    /** Whether the team's usage is limited. */
     public boolean limited() {
       return cpusMax > 0 || gpusMax > 0;
     }
   }
 
-  /** What is expected of a class of jobs. */
+  /** A service-level objective for a class of jobs. */
   public record Objective(
       String kind, String jobClass, double withinSeconds, double share, double runTimeFactor) {}
 
-  /** The workers' timing. */
+  /**
+   * Timing of workers.
+   *
+   * @param cancelDeadline time within which all tasks of a cancelled job must have ended
+   */
   public record WorkerTiming(Span reportInterval, Span leaseDuration, Span cancelDeadline) {
     private static final Span RELAY_MARGIN = Span.seconds(4);
     private static final Span GRACE_MARGIN = Span.seconds(2);
 
-    /** A leader's copy of the store lags by less, as long as the store answers as usual. */
+    /** A leader's copy of the store lags by less than this while the store answers normally. */
     private static final Span MIN_GRACE = Span.millis(1800);
 
+    /** Silence after which a machine is suspected, in report intervals. */
     private static final double SUSPECT_AFTER_REPORTS = 2.2;
 
-    /** How long a machine may be silent before it is suspected to be out of reach or broken. */
+    /** How long a machine may be silent before it is suspected to be unreachable or broken. */
     public Span suspectAfter() {
       return reportInterval.times(SUSPECT_AFTER_REPORTS);
     }
 
     /**
-     * How long followers may keep leases alive for a leader that workers can't reach. A start
-     * command that a cut holds back is executed as long as its session lives: by then no user may
-     * have been told for more than {@code cancel} that its job is cancelled.
+     * How long followers may renew leases for a leader that workers cannot reach. A start command
+     * delayed by a partition is executed as long as its session lives; by then at most {@code
+     * cancelDeadline} may have passed since the user was told that the job is cancelled.
      */
     public Span relayWindow() {
       Span window = cancelDeadline.minus(leaseDuration.times(2)).minus(RELAY_MARGIN);
-      // A shorter time gains nothing over the lease that the workers have anyway.
+      // A shorter window gains nothing over the lease that the workers hold in any case.
       return window.compareTo(leaseDuration.times(0.5)) > 0 ? window : Span.millis(0);
     }
 
-    /** Whether followers keep leases alive at all. */
+    /** Whether followers renew leases for the leader at all. */
     public boolean relaysLeases() {
       return relayWindow().millis() > 0;
     }
 
     /**
-     * How long after a moment from which on a withdrawal may be unknown here, or its tasks may yet
-     * start, workers may be answered; for a leader that is the begin of its last read of the store.
-     * An answer keeps tasks alive for a lease, and by then their sessions end within {@code cancel}
-     * of that moment. Settings that leave no time for that leave it an ordinary copy's lag, without
-     * which it could never answer.
+     * How long workers may be answered after the earliest moment from which a withdrawal may be
+     * unknown to this node, or its tasks may still start; for a leader that moment is the begin of
+     * its last store read. An answer keeps tasks alive for one lease, so their sessions end within
+     * {@code cancelDeadline} of that moment. If the settings leave no time for this, the limit is
+     * the normal lag of a store copy, without which the leader could never answer.
      */
     public Span graceLimit() {
       Span limit = cancelDeadline.minus(leaseDuration).minus(GRACE_MARGIN);
@@ -76,18 +81,18 @@
     }
 
     /**
-     * Whether a task of a cancelled job is gone in time whatever is out of reach. Otherwise a lease
-     * alone may outlast what cancelling allows.
+     * Whether tasks of a cancelled job end within the cancel deadline whatever is unreachable. If
+     * not, a single lease may outlast the deadline.
      */
     public boolean meetsCancelDeadline() {
       return !graceLimit().plus(leaseDuration.plusClockDrift()).isLongerThan(cancelDeadline);
     }
   }
 
-  /** Limits of the state service. */
+  /** Request and size limits of the state service. */
   public record StateLimits(
       double requestsPerSecond, double writesPerSecond, double valueKb, int changesPerCommit) {}
 
-  /** Limits of the cloud. */
+  /** Request limits of the cloud, and the lag of its machine list. */
   public record CloudLimits(double requestsPerSecond, Span listLag) {}
 }
--- a/src/main/java/org/oakwalk/core/Span.java
+++ b/src/main/java/org/oakwalk/core/Span.java
@@ -2,7 +2,10 @@
 
 /** A length of time in milliseconds. */
 public record Span(long millis) implements Comparable<Span> {
-  /** Relative drift that two steady clocks may show against each other. */
+  /**
+   * Maximum relative drift of one monotonic clock against true time; two clocks can differ by twice
+   * this.
+   */
   private static final double MAX_CLOCK_DRIFT = 0.0005;
 
   public static Span seconds(double seconds) {
@@ -33,12 +36,18 @@
     return millis > other.millis;
   }
 
-  /** How long to wait here to be sure that this span has passed on another machine's clock. */
+  /**
+   * This span lengthened for clock drift: after waiting this long on the local clock, the span has
+   * certainly passed on another machine's clock.
+   */
   public Span plusClockDrift() {
     return new Span((long) Math.ceil(millis * (1 + 2 * MAX_CLOCK_DRIFT)));
   }
 
-  /** How long one may wait here and be sure that this span has not passed elsewhere. */
+  /**
+   * This span shortened for clock drift: within this time on the local clock, the span has
+   * certainly not passed on another machine's clock.
+   */
   public Span minusClockDrift() {
     return new Span((long) Math.floor(millis * (1 - 2 * MAX_CLOCK_DRIFT)));
   }
--- a/src/main/java/org/oakwalk/core/TaskId.java
+++ b/src/main/java/org/oakwalk/core/TaskId.java
@@ -5,7 +5,7 @@
 /** One task of a job, numbered from 0. */
 public record TaskId(JobId job, int index) implements Comparable<TaskId> {
 
-  /** Reads the form {@code j-000412/3}. */
+  /** Parses a task id such as {@code j-000412/3}; empty if the text is malformed. */
   public static Optional<TaskId> parse(String text) {
     int slash = text == null ? -1 : text.indexOf('/');
     if (slash <= 0 || text.length() - slash > 8 || !JobId.isWellFormed(text.substring(0, slash))) {
@@ -21,7 +21,7 @@
     }
   }
 
-  // Looked up for each task of each report; a record's own are several times slower.
+  // Called for each task of each report; the generated record methods are several times slower.
   @Override
   public int hashCode() {
     return 31 * job.value().hashCode() + index;
--- a/src/main/java/org/oakwalk/core/Token.java
+++ b/src/main/java/org/oakwalk/core/Token.java
@@ -1,8 +1,8 @@
 package org.oakwalk.core;
 
 /**
- * Fencing token of a leader: the revision at which it wrote the leader key or, as what one machine
- * is told, a later one at which that key still stood.
+ * Fencing token of a leader: the revision at which it wrote the leader key. In messages to one
+ * machine it may be a later revision at which that key still existed.
  */
 public record Token(long value) implements Comparable<Token> {
   @Override
--- a/src/main/java/org/oakwalk/core/WallTime.java
+++ b/src/main/java/org/oakwalk/core/WallTime.java
@@ -1,6 +1,9 @@
 package org.oakwalk.core;
 
-/** A reading of the time of day, in milliseconds since the epoch. Never used for safety. */
+/**
+ * A reading of the time of day, in milliseconds since the epoch. Never used for safety decisions,
+ * because wall clocks may be wrong.
+ */
 public record WallTime(long millis) {
   public Span since(WallTime earlier) {
     return new Span(millis - earlier.millis);
--- a/src/main/java/org/oakwalk/core/leadership/Leadership.java
+++ b/src/main/java/org/oakwalk/core/leadership/Leadership.java
@@ -24,25 +24,28 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who leads. The leader key is bound to a lease of its writer; the revision of that write is the
- * token under which all commands go out.
+ * Leader election of one node. The leader key is bound to a lease of the node that wrote it; the
+ * revision of that write is the fencing token that all commands of the leader carry.
  */
 public final class Leadership {
   private static final Logger LOG = LoggerFactory.getLogger(Leadership.class);
 
-  /** States of a node with respect to leading. */
+  /** States of a node in leader election. */
   public enum State {
-    /** Another node leads, or nobody does. */
+    /** Another node leads, or there is no leader. */
     FOLLOWING,
-    /** A lease was asked for. */
+    /** A lease has been requested. */
     ACQUIRING_LEASE,
-    /** The leader key was written, and the copy of the store does not show it yet. */
+    /** The leader key has been written, but this node's copy of the store does not show it yet. */
     CLAIMING,
     /** This node leads and renews its lease. */
     LEADING,
-    /** This node led; the lease may be over, but the workers' leases are kept alive. */
+    /** This node's lease may have expired, but it still renews the workers' leases. */
     LEASE_GRACE,
-    /** As above, but out of contact for so long that workers must not be answered. */
+    /**
+     * As LEASE_GRACE, but without contact to the store for so long that workers must not be
+     * answered.
+     */
     ISOLATED
   }
 
@@ -57,10 +60,12 @@
     TRANSITIONS.put(State.ISOLATED, EnumSet.of(State.FOLLOWING, State.LEADING));
   }
 
-  /** Told when this node begins and ends to lead. */
+  /** Is notified when this node gains or loses leadership. */
   public interface Listener {
+    /** This node has become the leader under this token. */
     void leadershipGained(Token token, Moment now);
 
+    /** This node no longer leads under this token. */
     void leadershipLost(Token token, Moment now);
   }
 
@@ -68,15 +73,19 @@
   private static final Span RENEW_INTERVAL = Span.millis(700);
   private static final Span RETRY_DELAY = Span.millis(200);
 
-  /** A leader does not step aside sooner, so that two half-cut nodes don't pass it to and fro. */
+  /**
+   * Minimum time between gaining leadership and stepping down, so that two nodes that are both
+   * partly partitioned do not pass leadership back and forth.
+   */
   private static final Span MIN_TERM = Span.seconds(20);
 
-  /** How long a node that has stepped aside leaves it to the others. */
+  /** How long a node that has stepped down does not campaign. */
   private static final Span STEP_DOWN_BACKOFF = Span.seconds(5);
 
   /**
-   * How long a node whose own former life led leaves it to the others, which need not read anything
-   * first; so one that ends again and again does not keep them from leading.
+   * How long a node does not campaign after it has removed the leader key of its own previous
+   * incarnation. The other nodes need not load the store first, so a node that crashes repeatedly
+   * does not keep them from leading.
    */
   private static final Span RESTART_BACKOFF = Span.millis(250);
 
@@ -96,10 +105,10 @@
   private Moment nextAttempt = new Moment(Long.MIN_VALUE / 2);
   private boolean requestPending;
 
-  /** Whether a read is under way that tells whether a token shown by a worker was granted. */
+  /** Whether a store read that checks a token reported by a worker is in progress. */
   private boolean checkingToken;
 
-  /** The last token that a worker showed and nobody was granted. */
+  /** The last token that a worker reported although it was granted to no node. */
   private Token lastUngrantedToken;
 
   public Leadership(
@@ -119,21 +128,26 @@
     this.listener = listener;
   }
 
+  /** This node's current state. */
   public State state() {
     return state;
   }
 
-  /** Whether workers may be answered under this node's token. */
+  /**
+   * Whether workers may be answered under this node's token. Only store reads extend this, because
+   * withdrawals become known through reads alone; lease renewals do not.
+   */
   public boolean mayAnswerWorkers(Moment now) {
     return (state == State.LEADING || state == State.LEASE_GRACE)
         && !now.isPast(view.contact(), graceLimit.minusClockDrift());
   }
 
-  /** Whether this node holds a token that has not been seen to fall. */
+  /** Whether this node holds a token that it has not lost as far as it knows. */
   public boolean holdsToken() {
     return state == State.LEADING || state == State.LEASE_GRACE || state == State.ISOLATED;
   }
 
+  /** Advances timeouts, and campaigns or renews the lease when due. */
   public void tick(Moment now) {
     if (state == State.LEADING && now.isPast(leaseStart, LEASE_TTL.minusClockDrift())) {
       transitionTo(State.LEASE_GRACE);
@@ -160,7 +174,7 @@
     }
   }
 
-  /** The copy of the store shows another leader key, or none. */
+  /** Handles a change of the leader key in this node's copy of the store. */
   public void leaderChanged(Moment now) {
     Optional<StoreView.Leader> leader = view.leader();
     boolean ownKey = leader.isPresent() && leader.get().record().incarnation().equals(incarnation);
@@ -168,16 +182,20 @@
       if (ownKey
           && highestTokenSeen.compareTo(leader.get().token()) > 0
           && !view.beyond(highestTokenSeen, now)) {
-        // Somebody else leads by now, and was told that nothing older goes out from here.
+        // A newer leader exists, and this node has acknowledged that it acts under no older token.
         LOG.info(
-            "claim of token {} is seen after token {}", leader.get().token(), highestTokenSeen);
+            "own claim with token {} applied after higher token {} was seen; claim abandoned",
+            leader.get().token(),
+            highestTokenSeen);
         returnToFollowing();
       } else if (ownKey) {
         token = leader.get().token();
         termStart = now;
         transitionTo(State.LEADING);
         view.vacantSince()
-            .ifPresent(since -> LOG.info("nobody led for {}, token {}", now.since(since), token));
+            .ifPresent(
+                since ->
+                    LOG.info("leaderless period lasted {}, token {}", now.since(since), token));
         listener.leadershipGained(token, now);
       } else if (leader.isPresent()) {
         returnToFollowing();
@@ -187,48 +205,49 @@
     }
   }
 
-  /** Whether it could leave leading to others now: not soon after it began. */
+  /** Whether this node may step down now: it has led for the minimum term and its copy is fresh. */
   public boolean mayStepDown(Moment now) {
     return state == State.LEADING && now.isPast(termStart, MIN_TERM) && view.fresh(now);
   }
 
-  /** Leaves leading to the others, which may reach those that this node can't reach. */
+  /** Gives up leadership so that a node which reaches more workers can take over. */
   public void stepDown(Moment now) {
-    LOG.info("stepping aside, token {}", token);
+    LOG.info("stepping down, token {}", token);
     loseLeadership(now);
     nextAttempt = now.plus(STEP_DOWN_BACKOFF);
   }
 
   /**
-   * A worker showed a token above this node's own. Either another node leads, or nobody was ever
-   * granted it: then falling for it would end this term, and each one after it, for as long as that
-   * worker lives. What the store says decides; whoever can't ask it falls, unless no store could
-   * have come that far.
+   * Handles a token above this node's own that a worker reported. Either another node leads, or the
+   * token was never granted; giving up leadership for such a token would end this term and every
+   * later one for as long as that worker lives. The store decides. If it can't be read, this node
+   * gives up leadership, unless the store cannot have reached that revision yet.
    */
   public void workerReportedToken(Token seen, Moment now) {
     if (!holdsToken() || seen.compareTo(token) <= 0) {
       return;
     }
     if (view.covers(seen) || view.beyond(seen, now)) {
-      // The copy would show who was granted it.
+      // If the token had been granted, this copy would show its leader.
       ignoreUngrantedToken(seen);
     } else if (state != State.LEADING || !view.fresh(now)) {
-      LOG.info("token {} of a worker is above own token {}", seen, token);
+      LOG.info("worker reported token {} above own token {}; giving up leadership", seen, token);
       loseLeadership(now);
     } else if (!checkingToken) {
       Token own = token;
       checkingToken = true;
       view.catchUp(
           now,
-          known -> {
+          caughtUp -> {
             checkingToken = false;
             if (!holdsToken() || !token.equals(own)) {
               return;
             }
-            if (known) {
+            if (caughtUp) {
               ignoreUngrantedToken(seen);
             } else {
-              LOG.info("token {} of a worker is above own token {}", seen, token);
+              LOG.info(
+                  "worker reported token {} above own token {}; giving up leadership", seen, token);
               loseLeadership(now);
             }
           });
@@ -238,13 +257,13 @@
   private void ignoreUngrantedToken(Token seen) {
     if (!seen.equals(lastUngrantedToken)) {
       lastUngrantedToken = seen;
-      LOG.error("a worker shows token {}, which nobody was granted; own token {}", seen, token);
+      LOG.error("worker reported token {}, which was never granted; own token {}", seen, token);
     }
   }
 
   /**
-   * A leader showed its token: if it is above this node's own, another node leads. From here on
-   * this node acts under no older one, also if it is yet to learn that a claim of its own was
+   * Records the token of a leader. If it is above this node's own, another node leads. From then on
+   * this node acts under no older token, even if it has yet to learn that a claim of its own was
    * applied.
    */
   public void observeToken(Token seen, Moment now) {
@@ -252,18 +271,18 @@
       highestTokenSeen = seen;
     }
     if (holdsToken() && seen.compareTo(token) > 0) {
-      LOG.info("token {} is above own token {}", seen, token);
+      LOG.info("leader token {} is above own token {}; giving up leadership", seen, token);
       loseLeadership(now);
     }
   }
 
   /**
-   * The copy of the store has to be read anew. Its pages come in the order of their keys: jobs that
-   * were stored under a later leader would be seen before the change of leader.
+   * Gives up leadership because the copy of the store must be reloaded. Pages arrive in key order,
+   * so jobs stored under a later leader could be seen before the change of leader.
    */
   public void historyLost(Moment now) {
     if (holdsToken()) {
-      LOG.info("changes were missed, token {} is given up", token);
+      LOG.info("watch history lost; giving up leadership, token {}", token);
       loseLeadership(now);
     }
   }
@@ -275,7 +294,9 @@
     listener.leadershipLost(lostToken, now);
   }
 
-  /** Back to following; a lease that is still held is dropped so that the key frees at once. */
+  /**
+   * Returns to following. Revokes a lease that is still held, which frees the leader key at once.
+   */
   private void returnToFollowing() {
     transitionTo(State.FOLLOWING);
     if (lease != null) {
@@ -285,12 +306,13 @@
   }
 
   /**
-   * The key is that of a former life of this node, or of a claim that this life gave up. Neither
-   * acts under it any more, so nobody need wait for its lease to end.
+   * Removes a leader key that was written by a previous incarnation of this node or by a claim that
+   * it has abandoned. Neither acts under that key any more, so no node need wait for its lease to
+   * expire.
    */
   private void removeStaleKey(StoreView.Leader staleLeader, Moment now) {
     requestPending = true;
-    LOG.info("the key of token {} was left by this node and is removed", staleLeader.token());
+    LOG.info("removing stale leader key of this node, token {}", staleLeader.token());
     outbox.call(
         new Request.Commit(
             List.of(new Guard(Keys.LEADER, new Revision(staleLeader.token().value()))),
@@ -333,23 +355,23 @@
         answer -> {
           requestPending = false;
           nextAttempt = now.plus(RETRY_DELAY);
-          // Whatever came back, the copy of the store tells: a lost answer may hide a success,
-          // and the write may yet be applied.
+          // Only the copy of the store shows the outcome: the answer to an applied write may be
+          // lost, and a write without an answer may still be applied later.
           if (state == State.CLAIMING) {
-            view.catchUp(now, known -> {});
+            view.catchUp(now, caughtUp -> {});
           }
         });
   }
 
-  /** A claim is out. Only the copy of the store ends it; a lease that ran out voids it. */
+  /** Checks a pending claim. The copy of the store decides it; an expired lease voids it. */
   private void checkClaim(Moment now) {
     if (now.isPast(leaseStart, LEASE_TTL.plus(LEASE_TTL).plusClockDrift())) {
-      // The lease has ended at the store, so the write can't be applied any more.
+      // The lease has expired at the store, so the write can no longer be applied.
       returnToFollowing();
       return;
     }
     nextAttempt = now.plus(RETRY_DELAY);
-    view.catchUp(now, known -> {});
+    view.catchUp(now, caughtUp -> {});
   }
 
   private void renew(Moment now) {
@@ -368,8 +390,9 @@
               transitionTo(State.LEADING);
             }
           } else if (answer instanceof Answer.Refused refused && refused.status() == 404) {
-            // The lease ended, so the key is gone or soon will be; the watch will tell as well.
-            LOG.info("lease of token {} ended", token);
+            // The lease has expired, so the key is gone or will be soon; the watch reports that
+            // too.
+            LOG.info("lease expired, token {}", token);
             lease = null;
             loseLeadership(now);
           } else {
@@ -378,15 +401,16 @@
         });
   }
 
-  /** The one place where the state changes. */
+  /** Changes the state; no other method assigns it. */
   private void transitionTo(State next) {
     if (next == state) {
       return;
     }
     if (!TRANSITIONS.get(state).contains(next)) {
-      throw new IllegalStateException("leadership " + state + " to " + next);
+      throw new IllegalStateException(
+          "illegal leadership transition from " + state + " to " + next);
     }
-    LOG.info("leadership {} to {}, token {}", state, next, token);
+    LOG.info("leadership state {} -> {}, token {}", state, next, token);
     state = next;
   }
 }
--- a/src/main/java/org/oakwalk/core/leadership/LeaseRelay.java
+++ b/src/main/java/org/oakwalk/core/leadership/LeaseRelay.java
@@ -28,16 +28,18 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A follower that is cut off from the leader in another zone keeps the leases of its own zone's
- * workers alive under the leader's token, for a bounded time. Before the first such answer that is
- * announced in the store, under a guard that the leader still leads, so that the leader takes no
- * machine of the zone for empty too early. docs/safety.md argues why no rule is broken.
+ * Lease renewal by a follower that cannot reach the leader in another zone. For a bounded time the
+ * follower renews the leases of its own zone's workers under the leader's token. Before the first
+ * such answer it announces the relay in the store, guarded by the leader key, so that the leader
+ * does not consider a machine of the zone empty too early. docs/safety.md gives the safety
+ * argument.
  */
 public final class LeaseRelay {
   private static final Logger LOG = LoggerFactory.getLogger(LeaseRelay.class);
 
-  /** States of a node with respect to announcing. */
+  /** States of a node's relay announcement. */
   public enum State {
+    /** No announcement is being written. */
     IDLE,
     /** The announcement is being written; reports wait for its outcome. */
     ANNOUNCING
@@ -77,7 +79,7 @@
     this.enabled = settings.workers().relaysLeases();
   }
 
-  /** A leader was heard; nothing under an older token goes out from here on. */
+  /** Records contact with a leader. This node answers under no older token from then on. */
   public void leaderHeard(Token leader, Moment now) {
     lastDigest = now;
     leaderSilent = false;
@@ -86,7 +88,7 @@
     }
   }
 
-  /** Keeps watch on whether the leader can be reached. */
+  /** Probes the leader when its digests stop arriving. */
   public void tick(boolean holdsToken, Moment now) {
     currentTime = now;
     Optional<StoreView.Leader> leader = remoteLeader();
@@ -104,8 +106,8 @@
   }
 
   /**
-   * Asks the leader for a sign of life. Only silence counts: a refused connection may come from a
-   * filter between the controllers, while the workers reach the leader all the same.
+   * Probes the leader. Only a missing answer marks it silent: a refused connection may come from a
+   * packet filter between the controllers while the workers still reach the leader.
    */
   private void probe(NodeId leader, Moment now) {
     probePending = true;
@@ -119,41 +121,44 @@
   }
 
   /**
-   * Tells under which token the worker that sent this report may be answered, if any; at once,
-   * unless that has to be announced first.
+   * Passes the token under which the worker that sent this report may be answered, if any, to the
+   * callback: at once, or after the relay has been announced if that is still to be done.
    */
-  public void resolveToken(Report report, Moment now, Consumer<Optional<Token>> then) {
+  public void resolveToken(Report report, Moment now, Consumer<Optional<Token>> callback) {
     currentTime = now;
     Optional<Token> leader =
         remoteLeader()
             .map(StoreView.Leader::token)
             .filter(granted -> issuedBy(granted, report.token()));
-    Token shown = report.token();
+    Token reported = report.token();
     if (!enabled || !leaderSilent || leader.isEmpty() || !report.zone().equals(zone)) {
-      then.accept(Optional.empty());
+      callback.accept(Optional.empty());
     } else if (view.relayed(zone).isEmpty() && view.fresh(now)) {
       pendingReports.add(
-          known -> then.accept(leader.filter(t -> known && mayAnswer(t)).map(t -> shown)));
+          caughtUp ->
+              callback.accept(leader.filter(t -> caughtUp && mayAnswer(t)).map(t -> reported)));
       if (state == State.IDLE) {
         announce(leader.get(), now);
       }
     } else {
-      then.accept(leader.filter(this::mayAnswer).map(t -> shown));
+      callback.accept(leader.filter(this::mayAnswer).map(t -> reported));
     }
   }
 
   /**
-   * Whether a worker can have this token from this leader alone. A leader raises its token up to
-   * revisions at which its key stood; as far as this copy reaches nobody else has claimed since.
+   * Whether a reported token can only have been issued by this leader. A leader raises its token up
+   * to revisions at which its key still existed, and up to the revision of this copy no other node
+   * has claimed leadership since.
    */
-  private boolean issuedBy(Token granted, Token shown) {
-    return shown.compareTo(granted) >= 0 && view.covers(shown);
+  private boolean issuedBy(Token granted, Token reported) {
+    return reported.compareTo(granted) >= 0 && view.covers(reported);
   }
 
   /**
-   * Whether workers may be answered under this token now: it is announced, and not for too long.
-   * The leader counts from when it saw that, so here it counts from the earliest moment at which it
-   * may have been announced, also if this copy of the store learned of it late.
+   * Whether workers may be answered under this token now: the relay is announced and its window has
+   * not passed. The leader counts the window from when it saw the announcement, so this node counts
+   * from the earliest moment at which the announcement may have been written, even if its copy of
+   * the store learned of it late.
    */
   private boolean mayAnswer(Token token) {
     return leaderSilent
@@ -167,7 +172,7 @@
 
   private void announce(Token token, Moment now) {
     transitionTo(State.ANNOUNCING);
-    LOG.info("leader of token {} is out of reach, zone {} asks to be relayed", token, zone);
+    LOG.info("leader with token {} unreachable; announcing lease relay for zone {}", token, zone);
     String key = Keys.relay(zone);
     outbox.call(
         new Request.Commit(
@@ -176,21 +181,21 @@
             List.of(
                 new Change.Put(key, new StoredValue.RelayRecord(zone, token), Optional.empty())),
             Request.Urgency.LEADERSHIP),
-        // Whatever came back, the copy of the store tells whether it was written.
+        // The answer may be lost; the copy of the store shows whether the write was applied.
         answer -> view.catchUp(currentTime, this::completeAnnouncement));
   }
 
-  private void completeAnnouncement(boolean known) {
+  private void completeAnnouncement(boolean caughtUp) {
     transitionTo(State.IDLE);
-    List<Consumer<Boolean>> served = new ArrayList<>(pendingReports);
+    List<Consumer<Boolean>> callbacks = new ArrayList<>(pendingReports);
     pendingReports.clear();
-    served.forEach(waiter -> waiter.accept(known));
+    callbacks.forEach(callback -> callback.accept(caughtUp));
   }
 
-  /** The one place where the state changes. */
+  /** Changes the state; no other method assigns it. */
   private void transitionTo(State next) {
     if (!TRANSITIONS.get(state).contains(next)) {
-      throw new IllegalStateException("relay from " + state + " to " + next);
+      throw new IllegalStateException("illegal relay transition from " + state + " to " + next);
     }
     state = next;
   }
--- a/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
+++ b/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
@@ -12,7 +12,10 @@
 import org.oakwalk.core.store.Keys;
 import org.oakwalk.core.store.StoreView;
 
-/** What a leader makes of followers that keep leases alive for it in a zone. */
+/**
+ * The leader's view of followers that renew worker leases on its behalf: until when they may do so
+ * in each zone, and when their announcements can be removed from the store.
+ */
 public final class RelayExpiry {
   private static final Span RETRY_DELAY = Span.seconds(1);
 
@@ -37,8 +40,8 @@
 
   /**
    * The last moment up to now at which a follower may have renewed leases in the zone under this
-   * leader's token, or {@code otherwise} if that is later. A zone without a name is one that is not
-   * known, so it may be any.
+   * leader's token, or {@code fallback} if that is later. An empty zone name stands for an unknown
+   * zone, so all zones count.
    */
   public Moment lastRenewal(String zone, Moment fallback, Moment now) {
     return zone.isEmpty()
@@ -63,8 +66,8 @@
   }
 
   /**
-   * Removes announcements under older tokens, and those under which every lease has ended or was
-   * renewed by the leader itself, so that a later cut may be announced again.
+   * Removes announcements under older tokens, and those under which every lease has expired or has
+   * been renewed by the leader itself, so that a later partition can be announced again.
    */
   public void tick(Moment now) {
     if (removalPending || nextAttempt.isAfter(now)) {
--- a/src/main/java/org/oakwalk/core/leadership/ReportForwarding.java
+++ b/src/main/java/org/oakwalk/core/leadership/ReportForwarding.java
@@ -14,19 +14,19 @@
 import org.oakwalk.core.Token;
 
 /**
- * Which workers' reports a follower carries to the leader, because their workers can't reach it
- * while this node can. The leader's orders go back in the answer, so a leader that is cut from its
- * workers alone loses none of them. Now and then each worker is sent to the leader all the same, to
- * find out whether the way is free again.
+ * Decides which worker reports a follower forwards to the leader because the worker cannot reach
+ * the leader while this node can. The leader's orders go back in the answer, so a leader that is
+ * partitioned from its workers only does not lose them. Each worker is redirected to the leader
+ * periodically, to find out whether it can reach the leader again.
  */
 public final class ReportForwarding {
-  /** What this node has found out about a worker's way to the leader. */
+  /** What this node knows of a worker's connection to the leader. */
   public enum State {
-    /** Its report was carried once; nothing is known yet. */
+    /** One report was forwarded; nothing is known of the connection yet. */
     FORWARDED,
-    /** It was sent to the leader. */
+    /** The worker was redirected to the leader. */
     REDIRECTED,
-    /** It came back from there, so its reports are carried for a while. */
+    /** The worker came back soon after a redirect, so its reports are forwarded for a while. */
     CUT_OFF
   }
 
@@ -38,14 +38,19 @@
     TRANSITIONS.put(State.CUT_OFF, EnumSet.of(State.REDIRECTED));
   }
 
+  /** Longest gap between digests at which the leader still counts as reachable. */
   private static final Span LEADER_TIMEOUT = Span.millis(2500);
 
-  /** A worker waits 4 s for an answer and another second before it tries the next node. */
+  /**
+   * A worker that reports here again within this time after a redirect did not reach the leader. It
+   * waits 4 s for an answer and another second before it tries the next node.
+   */
   private static final Span RETURN_WINDOW = Span.seconds(8);
 
+  /** How long the reports of a cut-off worker are forwarded before its next redirect. */
   private static final Span FORWARD_DURATION = Span.seconds(15);
 
-  /** A worker that was here under the present leader. */
+  /** A worker that has reported to this node under the current leader. */
   private static final class TrackedWorker {
     State state;
     Moment since;
@@ -55,10 +60,11 @@
       this.since = since;
     }
 
-    /** The one place where the state changes. */
+    /** Changes the state; no other method assigns it after construction. */
     void transitionTo(State next, Moment now) {
       if (!TRANSITIONS.get(state).contains(next)) {
-        throw new IllegalStateException("worker from " + state + " to " + next);
+        throw new IllegalStateException(
+            "illegal forwarding transition from " + state + " to " + next);
       }
       state = next;
       since = now;
@@ -70,7 +76,7 @@
   private Token token = new Token(0);
   private Moment lastHeard = new Moment(Long.MIN_VALUE / 2);
 
-  /** A leader was heard over the link between controllers. */
+  /** Records a digest from a leader. A higher token discards all knowledge of workers. */
   public void leaderHeard(NodeId from, Token leaderToken, Moment now) {
     if (leaderToken.compareTo(token) > 0) {
       workers.clear();
@@ -82,19 +88,19 @@
     }
   }
 
-  /** The leader, if it has been heard a moment ago. */
+  /** The leader, if a digest from it arrived within the timeout. */
   public Optional<NodeId> leader(Moment now) {
     return now.isPast(lastHeard, LEADER_TIMEOUT) ? Optional.empty() : leader;
   }
 
-  /** Whether this report is to be carried, rather than its worker sent on to the leader. */
+  /** Whether to forward this report to the leader instead of redirecting its worker there. */
   public boolean shouldForward(Report report, Moment now) {
     if (leader(now).isEmpty()) {
       return false;
     }
     TrackedWorker worker = workers.get(report.machine());
     if (worker == null) {
-      // Who has the leader's token has been answered by it, and left it for a reason.
+      // The leader has answered a worker that has its token, so the worker left it for a reason.
       boolean hasLeaderToken = report.token().compareTo(token) >= 0;
       workers.put(
           report.machine(),
@@ -114,7 +120,7 @@
         }
         worker.transitionTo(State.REDIRECTED, now);
       }
-      default -> throw new IllegalStateException("worker in " + worker.state);
+      default -> throw new IllegalStateException("unexpected forwarding state " + worker.state);
     }
     return false;
   }
--- a/src/main/java/org/oakwalk/core/leadership/WithdrawalHalts.java
+++ b/src/main/java/org/oakwalk/core/leadership/WithdrawalHalts.java
@@ -10,8 +10,8 @@
 import org.oakwalk.core.store.StoreView;
 
 /**
- * What a controller may order without knowing the fleet: tasks of jobs that it knows to be
- * withdrawn must end.
+ * Halt orders for tasks of withdrawn jobs. A controller may issue them without knowing the fleet's
+ * state, because a task of a withdrawn job must end in any case.
  */
 public final class WithdrawalHalts {
   private static final Span NO_GRACE = Span.millis(0);
@@ -22,7 +22,7 @@
     this.view = view;
   }
 
-  /** Halts for all tasks of withdrawn jobs that a report shows. */
+  /** Halt orders for all unfinished tasks of withdrawn jobs in a report. */
   public List<Order> haltsFor(Report report) {
     List<Order> halts = new ArrayList<>();
     for (Report.ReportedTask reported : report.tasks()) {
@@ -34,9 +34,9 @@
   }
 
   /**
-   * A leader's orders as they may be handed on to a worker: a start of a withdrawn job's task is
-   * stopped in the same answer. It is not left out, since the leader counts on the worker to know
-   * the attempt from then on, which makes older starts void.
+   * Adds halts to a leader's orders before they are passed on to a worker: the start of a withdrawn
+   * job's task is followed by a halt in the same answer. The start is not omitted, because the
+   * leader relies on the worker to know the attempt from then on, which voids older starts.
    */
   public List<Order> withHalts(List<Order> orders) {
     List<Order> extended = new ArrayList<>();
--- a/src/main/java/org/oakwalk/core/leadership/WorkerRedirects.java
+++ b/src/main/java/org/oakwalk/core/leadership/WorkerRedirects.java
@@ -10,33 +10,35 @@
 import org.oakwalk.core.Span;
 
 /**
- * Where a leader sends the workers for which it has no sockets: to followers that hear it, which
- * carry their reports ({@link ReportForwarding}). A follower sends each of them back now and then,
- * so they stay here again once there is room. Other than those that a follower carries because they
- * can't reach the leader, they can be reached by command.
+ * Redirects workers for which the leader has no free sockets to followers in contact with it, which
+ * forward their reports ({@link ReportForwarding}). Followers redirect each worker back
+ * periodically, so it stays with the leader again once sockets are free. Unlike workers whose
+ * reports are forwarded because they cannot reach the leader, redirected workers can receive
+ * commands from the leader.
  */
 public final class WorkerRedirects {
+  /** A follower without a reply for longer than this is no redirect target. */
   private static final Span FOLLOWER_TIMEOUT = Span.millis(2500);
 
-  /** Longer than a follower carries reports before it sends a worker back. */
+  /** Longer than a follower forwards a worker's reports before it redirects the worker back. */
   private static final Span REDIRECT_RETENTION = Span.seconds(30);
 
   private final Map<NodeId, Moment> followers = new HashMap<>();
   private final Map<MachineId, Moment> redirectedAt = new HashMap<>();
 
-  /** A follower answered this leader. */
+  /** Records a reply from a follower. */
   public void followerHeard(NodeId follower, Moment now) {
     followers.put(follower, now);
     redirectedAt.values().removeIf(sentAt -> now.isPast(sentAt, REDIRECT_RETENTION));
   }
 
-  /** Whether any follower hears this node. */
+  /** Whether any follower is in contact with this node. */
   public boolean hasTarget(Moment now) {
     return followers.values().stream()
         .anyMatch(lastHeard -> !now.isPast(lastHeard, FOLLOWER_TIMEOUT));
   }
 
-  /** The node to which this worker is to be sent, if there is one. */
+  /** Chooses the follower to which this worker is redirected, if any is in contact. */
   public Optional<NodeId> target(MachineId machine, Moment now) {
     List<NodeId> reachable =
         followers.entrySet().stream()
@@ -51,7 +53,9 @@
     return Optional.of(reachable.get(Math.floorMod(machine.value().hashCode(), reachable.size())));
   }
 
-  /** Whether this worker was sent to a follower by this node, and so can reach it. */
+  /**
+   * Whether this node redirected this worker recently, which shows that the worker can reach it.
+   */
   public boolean redirectedRecently(MachineId machine, Moment now) {
     Moment sentAt = redirectedAt.get(machine);
     return sentAt != null && !now.isPast(sentAt, REDIRECT_RETENTION);
--- a/src/main/java/org/oakwalk/core/port/Answer.java
+++ b/src/main/java/org/oakwalk/core/port/Answer.java
@@ -11,37 +11,37 @@
 import org.oakwalk.core.store.Entry;
 import org.oakwalk.core.store.News;
 
-/** What came of a {@link Request}. */
+/** The outcome of a {@link Request}. */
 public sealed interface Answer {
 
-  /** Nothing usable came back: the request may have been executed, or may yet be. */
+  /** No usable answer arrived: the request may have been executed, or may still be. */
   record OutcomeUnknown(String reason) implements Answer {}
 
-  /** The request was surely not executed. */
+  /** The request was certainly not executed. */
   record Refused(int status, String reason) implements Answer {}
 
-  /** A page of keys. */
+  /** A page of keys, and the store revision at which it was read. */
   record Page(List<Entry> entries, boolean hasMore, Revision revision) implements Answer {}
 
-  /** Changes up to and including the epoch. */
+  /** Changes up to and including the revision. */
   record Changes(Revision revision, List<News> changes) implements Answer {}
 
-  /** The transaction was applied. */
+  /** The transaction was applied at this revision. */
   record Committed(Revision revision) implements Answer {}
 
-  /** The transaction's guards did not hold. */
+  /** The transaction was not applied, because the guards of these keys did not hold. */
   record Conflict(List<String> failedKeys) implements Answer {}
 
-  /** A lease was opened. */
+  /** A lease was granted. */
   record LeaseGranted(LeaseId lease) implements Answer {}
 
-  /** Done, with nothing more to say. */
+  /** The request was executed and returns no data. */
   record Ok() implements Answer {}
 
   /** The cloud's machine types. */
   record Catalog(Map<String, MachineType> types) implements Answer {}
 
-  /** A page of the cloud's list. */
+  /** A page of the cloud's machine list. */
   record Rentals(List<Rental> rentals, boolean hasMore) implements Answer {}
 
   /** Machines that were rented. */
--- a/src/main/java/org/oakwalk/core/port/Effect.java
+++ b/src/main/java/org/oakwalk/core/port/Effect.java
@@ -4,31 +4,31 @@
 import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.Span;
 
-/** Something the core wants done outside. */
+/** An action that the core requests from its environment. */
 public sealed interface Effect {
 
-  /** Answer an exchange. */
+  /** Answers a received request. */
   record Respond(InboundRequestId requestId, Response response) implements Effect {}
 
-  /** Send a request; its answer is to come back under the same id. */
+  /** Sends a request; its answer must be delivered under the same id. */
   record Call(CallId call, Request request) implements Effect {}
 
   /**
-   * Commands to this address that have not left yet must not leave any more. Each is answered as
-   * refused, so that its sender knows that nothing was sent.
+   * Cancels commands to this address that have not been sent yet. Each is answered as refused, so
+   * that the core knows that it was not sent.
    */
   record CancelCommands(String address) implements Effect {}
 
-  /** What is measured for the operators. */
+  /** Durations measured for the operators' metrics. */
   enum DurationMetric {
-    /** From a job's acceptance, as far as this leader has seen it, to a task's order. */
+    /** From a job's acceptance, as far as observed by this leader, to the order to start a task. */
     QUEUE_WAIT,
-    /** From a leader's rise to its first placement. */
+    /** From gaining leadership to the leader's first placement. */
     FAILOVER,
     /** From the order to stop a replica on one machine until it is seen running on the next. */
     REPLICA_GAP
   }
 
-  /** Something was measured. */
+  /** Records a measured duration. */
   record RecordDuration(DurationMetric metric, Span span) implements Effect {}
 }
--- a/src/main/java/org/oakwalk/core/port/Event.java
+++ b/src/main/java/org/oakwalk/core/port/Event.java
@@ -4,29 +4,29 @@
 import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.Report;
 
-/** Something that happened outside the core. */
+/** An input to the core from its environment. */
 public sealed interface Event {
 
-  /** Time went on. */
+  /** Periodic tick of the clock. */
   record Tick() implements Event {}
 
-  /** A user asks for something. */
+  /** A user's request arrived. */
   record UserRequestReceived(InboundRequestId requestId, UserRequest request) implements Event {}
 
-  /** The load balancer asks whether this node can take requests. */
+  /** The load balancer asked whether this node can take requests. */
   record HealthCheckReceived(InboundRequestId requestId) implements Event {}
 
   /**
-   * A worker reports.
+   * A worker's report arrived.
    *
-   * @param crowded whether it had better report elsewhere, for want of sockets here
+   * @param crowded whether the worker should be redirected because this node is short of sockets
    */
   record WorkerReportReceived(InboundRequestId requestId, Report report, boolean redirectPreferred)
       implements Event {}
 
-  /** Another controller says something. */
+  /** A message from another controller arrived. */
   record PeerMessageReceived(InboundRequestId requestId, PeerMessage message) implements Event {}
 
-  /** A call came to its end, one way or the other. */
+  /** A call ended, with an answer or without a known outcome. */
   record CallAnswered(CallId call, Answer answer) implements Event {}
 }
--- a/src/main/java/org/oakwalk/core/port/Outbox.java
+++ b/src/main/java/org/oakwalk/core/port/Outbox.java
@@ -9,42 +9,43 @@
 import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.Span;
 
-/** Collects effects and remembers who waits for which answer. */
+/** Collects effects, and matches answers to the callbacks of pending calls. */
 public final class Outbox {
   private final Map<CallId, Consumer<Answer>> pendingCalls = new HashMap<>();
   private List<Effect> effects = new ArrayList<>();
   private long lastCallId;
 
-  /** Sends a request and hands its answer to {@code then}. */
-  public void call(Request request, Consumer<Answer> then) {
+  /** Sends a request and passes its answer to the callback. */
+  public void call(Request request, Consumer<Answer> callback) {
     CallId id = new CallId(++lastCallId);
-    pendingCalls.put(id, then);
+    pendingCalls.put(id, callback);
     effects.add(new Effect.Call(id, request));
   }
 
+  /** Answers a received request. */
   public void respond(InboundRequestId exchange, Response response) {
     effects.add(new Effect.Respond(exchange, response));
   }
 
-  /** Keeps commands to this address from leaving if they have not left yet. */
+  /** Cancels commands to this address that have not been sent yet. */
   public void cancelCommands(String address) {
     effects.add(new Effect.CancelCommands(address));
   }
 
-  /** Tells the operators how long something took. */
+  /** Records a duration for the operators' metrics. */
   public void recordDuration(Effect.DurationMetric measure, Span span) {
     effects.add(new Effect.RecordDuration(measure, span));
   }
 
-  /** Delivers an answer; one that nobody waits for is dropped. */
+  /** Delivers an answer to its callback; an answer without a pending call is dropped. */
   public void deliverAnswer(CallId call, Answer answer) {
-    Consumer<Answer> then = pendingCalls.remove(call);
-    if (then != null) {
-      then.accept(answer);
+    Consumer<Answer> callback = pendingCalls.remove(call);
+    if (callback != null) {
+      callback.accept(answer);
     }
   }
 
-  /** Hands over what has been collected. */
+  /** Returns the collected effects and clears them. */
   public List<Effect> takeEffects() {
     List<Effect> drained = effects;
     effects = new ArrayList<>();
--- a/src/main/java/org/oakwalk/core/port/PeerMessage.java
+++ b/src/main/java/org/oakwalk/core/port/PeerMessage.java
@@ -10,16 +10,19 @@
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Token;
 
-/** What controllers say to each other. */
+/** Messages between controllers. */
 public sealed interface PeerMessage {
 
-  /** How many tasks of a job are done and running. */
+  /** Numbers of a job's done and running tasks. */
   record TaskCounts(int done, int running) {}
 
   /**
-   * The leader's view of the open jobs. {@code serves} says that the sender reaches the state
-   * service, so that others may hand it requests. The counts are for display; the suspects are jobs
-   * that fail everywhere, which a successor should know of.
+   * The leader's periodic summary of the open jobs.
+   *
+   * @param reachesStateService whether the sender reaches the state service, so that other
+   *     controllers may forward requests to it
+   * @param counts task counts for display
+   * @param suspects jobs that fail on every machine, for a succeeding leader
    */
   record Digest(
       NodeId from,
@@ -30,21 +33,23 @@
       implements PeerMessage {}
 
   /**
-   * Answer to a digest. {@code settled} says that the sender acts under no token of its own older
-   * than the digest's and never will again in this life.
+   * Answer to a digest or a probe.
+   *
+   * @param relinquished whether the sender acts under no token of its own that is older than the
+   *     digest's, and never will again in this incarnation
    */
   record Acknowledgement(NodeId from, boolean relinquished) implements PeerMessage {}
 
-  /** Asks whether the receiver can be reached at all. */
+  /** Checks that the receiver can be reached. */
   record Probe(NodeId from) implements PeerMessage {}
 
-  /** A worker's report that reached its receiver instead of the leader. */
+  /** A worker's report that a follower received and forwards to the leader. */
   record ForwardReport(Report report) implements PeerMessage {}
 
-  /** The leader's answer to a carried report; without a token it does not lead. */
+  /** Answer to a forwarded report; without a token its sender does not lead. */
   record ForwardedReportOrders(Optional<Token> token, List<Order> orders) implements PeerMessage {}
 
-  /** A user's request that its receiver cannot serve, for lack of the state service. */
+  /** A user's request, forwarded by a controller that cannot reach the state service. */
   record ForwardUserRequest(UserRequest request) implements PeerMessage {}
 
   /** Answer to a forwarded request. */
--- a/src/main/java/org/oakwalk/core/port/Request.java
+++ b/src/main/java/org/oakwalk/core/port/Request.java
@@ -14,14 +14,20 @@
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
 
-/** Something this node asks of an outside system. */
+/** A request from this node to another system. */
 public sealed interface Request {
 
-  /** Order in which requests to the state service go out when its rate is short. */
+  /**
+   * Order in which requests to the state service are sent when its rate limit is reached, most
+   * urgent first.
+   */
   enum Urgency {
     LEADERSHIP,
     WITHDRAWAL,
-    /** Machines that have come up: a change for dozens of them, and without it nothing starts. */
+    /**
+     * Registration of new machines: one change covers dozens of them, and no task starts without
+     * it.
+     */
     REGISTRATION,
     ACCEPTANCE,
     RESULT,
@@ -30,9 +36,10 @@
 
   /** Requests to the state service. */
   sealed interface StateServiceRequest extends Request {
+    /** How urgent the request is. */
     Urgency urgency();
 
-    /** How many puts and deletes this counts as. */
+    /** Number of puts and deletes that count against the write rate. */
     default int writeCount() {
       return 0;
     }
@@ -45,7 +52,7 @@
   record ReadPage(String prefix, Optional<String> after, Urgency urgency)
       implements StateServiceRequest {}
 
-  /** Waits for changes below a prefix; with no waiting time it returns what there is. */
+  /** Waits for changes below a prefix; with a wait of zero it returns the changes present. */
   record Watch(String prefix, Revision after, Span maxWait, Urgency urgency)
       implements StateServiceRequest {}
 
@@ -58,7 +65,7 @@
     }
   }
 
-  /** Opens a lease. */
+  /** Requests a lease. */
   record GrantLease(Span ttl) implements StateServiceRequest {
     @Override
     public Urgency urgency() {
@@ -74,7 +81,7 @@
     }
   }
 
-  /** Ends a lease at once. */
+  /** Revokes a lease, which ends it at once. */
   record RevokeLease(LeaseId lease) implements StateServiceRequest {
     @Override
     public Urgency urgency() {
@@ -95,10 +102,10 @@
   /** Returns machines. */
   record ReleaseMachines(List<MachineId> machines) implements CloudRequest {}
 
-  /** Sends orders straight to a worker. */
+  /** Sends orders directly to a worker. */
   record Command(String address, Token token, SessionId session, List<Order> orders)
       implements Request {}
 
-  /** Tells another controller something. */
+  /** Sends a message to another controller. */
   record SendToPeer(NodeId node, PeerMessage message) implements Request {}
 }
--- a/src/main/java/org/oakwalk/core/port/Response.java
+++ b/src/main/java/org/oakwalk/core/port/Response.java
@@ -8,7 +8,7 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.Token;
 
-/** The answer to something that somebody sent here. */
+/** Answer to a request that this node received. */
 public sealed interface Response {
 
   /** State of a job as users see it. */
@@ -19,11 +19,11 @@
     CANCELLED
   }
 
-  /** A job's state; {@code created} tells a new job from a known one. */
+  /** A job's state; {@code created} is true if the request created the job. */
   record JobStatus(boolean created, JobId job, JobState state, int done, int running)
       implements Response {}
 
-  /** An error; with a span the caller may come back after it. */
+  /** An error; the caller may retry after the span, if there is one. */
   record Problem(int status, String reason, Optional<Span> retryAfter) implements Response {}
 
   /** Orders for a worker that reported. */
@@ -32,21 +32,23 @@
   /** The worker should report to the leader, if one is known. */
   record Redirect(Optional<NodeId> leader) implements Response {}
 
-  /** All is well. */
+  /** The node is ready to take requests. */
   record Ready() implements Response {}
 
   /** Answer to another controller. */
   record PeerResponse(PeerMessage message) implements Response {}
 
+  /** The service is temporarily unavailable. */
   static Problem unavailable(String reason, Span retryAfter) {
     return new Problem(503, reason, Optional.of(retryAfter));
   }
 
-  /** More than can be held now; it may be asked again later. */
+  /** Too many open jobs or requests at present; the caller may retry later. */
   static Problem overloaded(String reason, Span retryAfter) {
     return new Problem(429, reason, Optional.of(retryAfter));
   }
 
+  /** The request is refused, and a retry would be too. */
   static Problem refusal(int status, String reason) {
     return new Problem(status, reason, Optional.empty());
   }
