--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -202,7 +202,7 @@
           received.requestId(),
           target.isPresent() ? new Response.Redirect(target) : respondToReport(report, false));
     } else if (forwarding.shouldForward(report, now)) {
-      forwardReport(reports, forwarding.leader(now).orElseThrow());
+      forwardReport(received, forwarding.leader(now).orElseThrow());
     } else {
       relay.resolveToken(
           report,
--- a/src/main/java/org/oakwalk/core/Span.java
+++ b/src/main/java/org/oakwalk/core/Span.java
@@ -3,8 +3,8 @@
 /** A length of time in milliseconds. */
 public record Span(long millis) implements Comparable<Span> {
   /**
-   * Maximum relative drift of one monotonic clock against true time; two clocks can differ by twice
-   * this.
+   * Maximum relative drift of two monotonic clocks against each other; the margins below allow for
+   * twice this.
    */
   private static final double MAX_CLOCK_DRIFT = 0.0005;
 
@@ -16,6 +16,7 @@
     return new Span(millis);
   }
 
+  /** The length in seconds. */
   public double asSeconds() {
     return millis / 1000.0;
   }
--- a/src/main/java/org/oakwalk/core/leadership/Leadership.java
+++ b/src/main/java/org/oakwalk/core/leadership/Leadership.java
@@ -60,7 +60,7 @@
     TRANSITIONS.put(State.ISOLATED, EnumSet.of(State.FOLLOWING, State.LEADING));
   }
 
-  /** Is notified when this node gains or loses leadership. */
+  /** Receives changes of this node's leadership. */
   public interface Listener {
     /** This node has become the leader under this token. */
     void leadershipGained(Token token, Moment now);
--- a/src/main/java/org/oakwalk/core/port/Outbox.java
+++ b/src/main/java/org/oakwalk/core/port/Outbox.java
@@ -23,8 +23,8 @@
   }
 
   /** Answers a received request. */
-  public void respond(InboundRequestId exchange, Response response) {
-    effects.add(new Effect.Respond(exchange, response));
+  public void respond(InboundRequestId requestId, Response response) {
+    effects.add(new Effect.Respond(requestId, response));
   }
 
   /** Cancels commands to this address that have not been sent yet. */
@@ -33,8 +33,8 @@
   }
 
   /** Records a duration for the operators' metrics. */
-  public void recordDuration(Effect.DurationMetric measure, Span span) {
-    effects.add(new Effect.RecordDuration(measure, span));
+  public void recordDuration(Effect.DurationMetric metric, Span span) {
+    effects.add(new Effect.RecordDuration(metric, span));
   }
 
   /** Delivers an answer to its callback; an answer without a pending call is dropped. */
@@ -47,8 +47,8 @@
 
   /** Returns the collected effects and clears them. */
   public List<Effect> takeEffects() {
-    List<Effect> drained = effects;
+    List<Effect> collected = effects;
     effects = new ArrayList<>();
-    return drained;
+    return collected;
   }
 }
--- a/src/main/java/org/oakwalk/core/port/Response.java
+++ b/src/main/java/org/oakwalk/core/port/Response.java
@@ -48,7 +48,7 @@
     return new Problem(429, reason, Optional.of(retryAfter));
   }
 
-  /** The request is refused, and a retry would be too. */
+  /** An error without a retry time. */
   static Problem refusal(int status, String reason) {
     return new Problem(status, reason, Optional.empty());
   }
--- a/src/test/java/org/oakwalk/core/WorkerTimingTest.java
+++ b/src/test/java/org/oakwalk/core/WorkerTimingTest.java
@@ -7,8 +7,8 @@
 import org.oakwalk.core.store.StoreView;
 
 /**
- * What bounds a cancelled task's life, as docs/safety.md sums it up, for settings of all sorts: the
- * sums stay below what cancelling allows, or the way that they stand for is not taken.
+ * Guards against tasks that outlive the cancel deadline. For various settings, the bounds given in
+ * docs/safety.md stay below the deadline, or the mechanism that would exceed it is disabled.
  */
 class WorkerTimingTest {
   /** Clocks of two machines drift apart by up to 0.05%. */
@@ -45,7 +45,7 @@
     }
   }
 
-  /** Nothing can hold them then; leaders answer by a copy that is as good as current, no longer. */
+  /** No setting can meet the deadline then, so leaders answer only from a nearly current copy. */
   @ParameterizedTest
   @CsvSource({"15.25, 17", "15.25, 15.25", "15.25, 10", "20, 1"})
   void noGraceWhenLeaseOutlastsCancelDeadline(double lease, double cancel) {
--- a/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
@@ -27,7 +27,10 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** Keys that former lives left, and claims that are seen late. */
+/**
+ * Guards against a node that leads without holding the leader key: keys left by earlier
+ * incarnations, claims that are applied late, and changes of the key that a leader misses.
+ */
 class LeadershipTest {
   private static final NodeId NODE = new NodeId("n");
 
@@ -108,7 +111,7 @@
     assertThat(takeSent(Request.Commit.class)).isEmpty();
   }
 
-  /** What is withdrawn shows in reads alone, so nothing else may keep workers answered. */
+  /** Withdrawals become known only through reads, so only reads may extend the answer window. */
   @Test
   void leaseRenewalDoesNotExtendWorkerAnswerWindow() {
     sendClaim();
@@ -127,7 +130,7 @@
     assertThat(leadership.mayAnswerWorkers(now)).isFalse();
   }
 
-  /** Its lease may live on, and nobody else may tell it. */
+  /** The lease may still be valid, and no other node may notify the leader. */
   @Test
   void losesLeadershipWhenKeyIsRemoved() {
     sendClaim();
@@ -146,7 +149,7 @@
     assertThat(leadership.holdsToken()).isFalse();
   }
 
-  /** The key stands with a claim of this life that was carried out late: not under this token. */
+  /** The key comes from a claim of this incarnation that was applied late, not from this token. */
   @Test
   void losesLeadershipWhenKeyIsRewritten() {
     sendClaim();
@@ -155,7 +158,7 @@
     assertThat(leadership.holdsToken()).isFalse();
   }
 
-  /** Pages would show jobs that were stored under a later leader before that leader. */
+  /** Reloaded pages could show jobs stored under a later leader before that leader itself. */
   @Test
   void losesLeadershipWhenWatchHistoryIsLost() {
     sendClaim();
@@ -166,9 +169,9 @@
   }
 
   /**
-   * A claim without an answer was given up, and is carried out while its lease lives and another
-   * claim of this node is out. It leads under that claim's token until its lease ends, which it
-   * does not renew; the other claim, carried out even later, is removed again.
+   * An abandoned claim without an answer is applied while its lease is valid and another claim of
+   * this node is pending. The node leads under the first claim's token until that lease expires,
+   * because it does not renew it. The other claim, applied even later, is removed.
    */
   @Test
   void claimAppliedLateGrantsLeadershipOnlyUntilItsLeaseEnds() {
@@ -194,7 +197,7 @@
     assertThat(leadership.holdsToken()).isFalse();
     restartWatch();
     deliverOwnKey(15);
-    assertThat(leadership.holdsToken()).as("it has given that claim up").isFalse();
+    assertThat(leadership.holdsToken()).as("the claim has been abandoned").isFalse();
     restartWatch();
     sentCalls.removeIf(call -> call.request() instanceof Request.Commit);
     leadership.tick(now);
--- a/src/test/java/org/oakwalk/core/leadership/LeaseRelayTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/LeaseRelayTest.java
@@ -27,7 +27,10 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** Which workers a follower answers for a leader that raises its token. */
+/**
+ * Guards against a follower that answers a worker under a token which another leader may have
+ * issued.
+ */
 class LeaseRelayTest {
   private static final Token GRANTED = new Token(7);
 
@@ -50,7 +53,7 @@
               Span.seconds(1)));
   private final Moment now = new Moment(1_000_000);
 
-  /** The copy reaches revision 9, and the leader in the other zone is silent. */
+  /** The store copy is at revision 9, then 10, and the leader in the other zone does not answer. */
   @BeforeEach
   void loseContactWithLeader() {
     view.listen(
@@ -81,7 +84,7 @@
             List.of(new News(Keys.relay("b"), Optional.of(announced), new Revision(10)))));
   }
 
-  private Optional<Token> tokenForReport(long shown) {
+  private Optional<Token> tokenForReport(long reported) {
     Report report =
         new Report(
             new MachineId("m-1"),
@@ -91,7 +94,7 @@
             false,
             SessionId.FIRST,
             1,
-            new Token(shown),
+            new Token(reported),
             Optional.empty(),
             List.of());
     List<Optional<Token>> answers = new ArrayList<>();
