--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -307,8 +307,8 @@
   /**
    * Runs the periodic work of a leader.
    *
-   * @param leaseCertain whether this node may still act under its token; if not, it writes, rents,
-   *     returns and places nothing
+   * @param leaseCertain whether this node may still act under its token; if not, it places, rents
+   *     and returns nothing and stores no results
    */
   void tick(
       Map<String, MachineType> currentTypes, boolean leaseCertain, Moment now, WallTime wall) {
--- a/src/main/java/org/oakwalk/core/Settings.java
+++ b/src/main/java/org/oakwalk/core/Settings.java
@@ -30,7 +30,7 @@
 
   /** A service-level objective for a class of jobs. */
   public record Objective(
-      String kind, String jobClass, double withinSeconds, double share, double runTimeFactor) {}
+      String kind, String jobClass, double withinSeconds, double share, double deadlineFactor) {}
 
   /**
    * Timing of workers.
--- a/src/main/java/org/oakwalk/core/placement/Targets.java
+++ b/src/main/java/org/oakwalk/core/placement/Targets.java
@@ -68,7 +68,7 @@
   private static Span target(Settings.Objective objective, JobSpec spec) {
     return switch (objective.kind()) {
       case "finished" -> Span.seconds(objective.withinSeconds());
-      case "deadline" -> spec.due().map(due -> due.times(objective.runTimeFactor())).orElse(null);
+      case "deadline" -> spec.due().map(due -> due.times(objective.deadlineFactor())).orElse(null);
       default -> null;
     };
   }
