--- a/src/main/java/org/oakwalk/core/Products.java
+++ b/src/main/java/org/oakwalk/core/CapacityProducts.java
@@ -29,12 +29,13 @@
 import org.oakwalk.core.store.StoreView;
 
 /**
- * What stands round the scheduler under one token: dawns, headroom, exchanges. Without terms in the
- * store or in this node's file it does nothing at all.
+ * Capacity features around the scheduler under one token: planning for recurring batch deadlines
+ * (dawns), headroom for service replicas, and exchanges of room between batch jobs and services. It
+ * does nothing unless terms for them are stored or configured on this node.
  */
-final class Products implements CapacityExchange {
-  /** What the parts work on. */
-  record Ground(
+final class CapacityProducts implements CapacityExchange {
+  /** Scheduler components that the capacity features operate on. */
+  record ProductContext(
       Fleet fleet,
       JobRegistry jobs,
       Quota quota,
@@ -42,7 +43,7 @@
       RunTimeEstimates runTimes,
       Span suspectAfter,
       CapacityReserve reserve,
-      BiConsumer<Machine, Job> keepForGang) {}
+      BiConsumer<Machine, Job> reserveForGang) {}
 
   private final ProductKeeper keeper;
   private final Outbox outbox;
@@ -50,12 +51,12 @@
   private final Settings settings;
   private final Planner planner;
   private final Headroom headroom;
-  private final Ground ground;
+  private final ProductContext context;
   private Optional<SharedRecords> shared = Optional.empty();
   private Optional<Exchange> exchange = Optional.empty();
   private SharedRecord<PlanRow> plans;
 
-  Products(
+  CapacityProducts(
       ProductTerms declared,
       StoreView view,
       Outbox outbox,
@@ -63,10 +64,10 @@
       Settings settings,
       Headroom headroom,
       Planner planner,
-      Ground ground) {
+      ProductContext context) {
     this.headroom = headroom;
     this.planner = planner;
-    this.ground = ground;
+    this.context = context;
     this.keeper = new ProductKeeper(outbox, view, leader, declared);
     this.outbox = outbox;
     this.leader = leader;
@@ -74,19 +75,19 @@
   }
 
   /**
-   * Whether tasks may be placed: what older leaders promised has been read, or there can be no such
-   * promise.
+   * Whether tasks may be placed: the commitments of earlier leaders have been read, or there can be
+   * none.
    */
-  boolean known() {
+  boolean allowsPlacement() {
     return keeper.inForce().none() || shared.filter(SharedRecords::isLoaded).isPresent();
   }
 
-  /** What is to be added to the line on the state of things; empty without terms. */
+  /** An addition to the leader's log summary; empty without terms. */
   String summary() {
     return headroom.summary().map(line -> "; " + line).orElse("");
   }
 
-  /** Follows what is in force. */
+  /** Applies the terms in force. */
   void tick(Map<String, MachineType> types, boolean recovered, Moment now, WallTime wall) {
     if (keeper.idle()) {
       return;
@@ -102,7 +103,7 @@
       return;
     }
     if (shared.isEmpty()) {
-      begin(terms);
+      openRecords(terms);
     }
     shared.get().tick(now);
     if (shared.get().isLoaded()) {
@@ -112,7 +113,7 @@
     exchange.ifPresent(each -> each.tick(recovered, now, wall));
   }
 
-  private void begin(ProductTerms terms) {
+  private void openRecords(ProductTerms terms) {
     SharedRecords state = new SharedRecords(outbox, leader, settings.state());
     headroom.share(state);
     plans = state.declare(Planner.RECORD, PlanRow.class);
@@ -123,14 +124,14 @@
               new Exchange(
                   terms.exchanges(),
                   state.declare("exchange", Take.class),
-                  ground.fleet(),
-                  ground.jobs(),
-                  ground.quota(),
-                  ground.gate(),
-                  ground.runTimes(),
-                  ground.suspectAfter(),
-                  ground.reserve(),
-                  ground.keepForGang()));
+                  context.fleet(),
+                  context.jobs(),
+                  context.quota(),
+                  context.gate(),
+                  context.runTimes(),
+                  context.suspectAfter(),
+                  context.reserve(),
+                  context.reserveForGang()));
     }
   }
 
--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -9,7 +9,7 @@
 import org.oakwalk.core.job.PendingUserRequests;
 import org.oakwalk.core.job.UserRequestHandler;
 import org.oakwalk.core.leadership.Leadership;
-import org.oakwalk.core.leadership.Relay;
+import org.oakwalk.core.leadership.LeaseRelay;
 import org.oakwalk.core.leadership.ReportForwarding;
 import org.oakwalk.core.leadership.WithdrawalHalts;
 import org.oakwalk.core.leadership.WorkerRedirects;
@@ -26,58 +26,66 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * A controller node without input or output: events go in, effects come out. It has no clock, no
- * thread and no randomness of its own, so the same events always give the same effects.
+ * A controller node without I/O: it takes events and returns effects. It has no clock, thread or
+ * source of randomness of its own, so the same events always produce the same effects.
  */
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-  private static final Span DIGEST_EVERY = Span.millis(1000);
-  private static final Span SUMMARY_EVERY = Span.seconds(10);
-  private static final Span READY_WITHOUT_CONTACT = Span.seconds(6);
-  private static final Span DIGEST_COUNTS_FOR = Span.millis(2500);
-  private static final Span SOON = Span.seconds(1);
+  private static final Span DIGEST_INTERVAL = Span.millis(1000);
+  private static final Span SUMMARY_INTERVAL = Span.seconds(10);
 
-  /** Ticks come far more often; after a longer gap this process itself stood still. */
-  private static final Span STOOD_STILL = Span.seconds(1);
+  /** A node without a store read for longer than this is ready only while a peer can serve it. */
+  private static final Span READY_CONTACT_TIMEOUT = Span.seconds(6);
 
-  private static final Span NAMES_LEADER_FOR = Span.seconds(5);
-  private static final Span INFORMED_WITHIN = Span.seconds(1);
+  /** How long after its last digest a leader still counts as able to serve user requests. */
+  private static final Span SERVING_PEER_TIMEOUT = Span.millis(2500);
+
+  private static final Span RETRY_AFTER = Span.seconds(1);
+
+  /** Ticks arrive far more often; a longer gap between events means that this process stalled. */
+  private static final Span STALL_THRESHOLD = Span.seconds(1);
+
+  /** Maximum age of the last store read for a worker to be redirected to the leader it names. */
+  private static final Span LEADER_INFO_MAX_AGE = Span.seconds(5);
+
+  /** How long after a stall this node waits for a read of the store. */
+  private static final Span STALL_READ_TIMEOUT = Span.seconds(1);
 
   private final Settings settings;
   private final Outbox outbox = new Outbox();
   private final StoreView view;
   private final Leadership leadership;
-  private final Relay relay;
+  private final LeaseRelay relay;
   private final ReportForwarding forwarding = new ReportForwarding();
   private final WorkerRedirects redirects = new WorkerRedirects();
   private final UserRequestHandler userRequests;
   private final WithdrawalHalts halts;
-  private final PendingUserRequests questions = new PendingUserRequests();
+  private final PendingUserRequests pendingRequests = new PendingUserRequests();
   private final Catalogue catalogue;
   private Optional<LeaderTerm> term = Optional.empty();
   private Moment nextDigest = new Moment(Long.MIN_VALUE / 2);
-  private Optional<NodeId> digestFrom = Optional.empty();
-  private Moment digested = new Moment(Long.MIN_VALUE / 2);
+  private Optional<NodeId> digestSender = Optional.empty();
+  private Moment lastServingDigest = new Moment(Long.MIN_VALUE / 2);
   private Moment nextSummary = new Moment(Long.MIN_VALUE / 2);
-  private long strangeDigests;
-  private Optional<Moment> handled = Optional.empty();
+  private long rejectedDigests;
+  private Optional<Moment> lastEvent = Optional.empty();
   private Set<JobId> suspects = Set.of();
-  private Moment awake = new Moment(Long.MIN_VALUE / 2);
+  private Moment stallEnd = new Moment(Long.MIN_VALUE / 2);
   private Moment now = new Moment(0);
   private WallTime wall = new WallTime(0);
 
   /**
-   * A node that has just started.
+   * Creates a node in its initial state.
    *
-   * @param incarnation tells this life of the node from all others
+   * @param incarnation distinguishes this run of the node's process from all others
    */
   public Controller(Settings settings, Policy policy, String incarnation) {
     this.settings = settings;
     this.view =
         new StoreView(outbox, settings.state().requestsPerSecond(), settings.peers().size() + 1);
     Span graceLimit = settings.workers().graceLimit();
-    if (!settings.workers().cancelsInTime()) {
-      LOG.warn("a lease alone may outlast cancel_s: tasks out of reach may end too late");
+    if (!settings.workers().meetsCancelDeadline()) {
+      LOG.warn("lease_s is too long for cancel_s: unreachable tasks may outlive a cancellation");
     }
     this.leadership =
         new Leadership(
@@ -89,7 +97,7 @@
             graceLimit,
             new Leadership.Listener() {
               @Override
-              public void rises(Token token, Moment at) {
+              public void leadershipGained(Token token, Moment at) {
                 view.setLeading(true);
                 term =
                     Optional.of(
@@ -100,25 +108,25 @@
                             outbox,
                             view,
                             graceLimit,
-                            seen -> leadership().shownByWorker(seen, now),
+                            seen -> leadership().workerReportedToken(seen, now),
                             at));
-                term.get().suspected(suspects);
+                term.get().markSuspects(suspects);
               }
 
               @Override
-              public void falls(Token token, Moment at) {
+              public void leadershipLost(Token token, Moment at) {
                 view.setLeading(false);
                 term = Optional.empty();
               }
             });
     this.halts = new WithdrawalHalts(view);
-    this.relay = new Relay(outbox, view, settings);
+    this.relay = new LeaseRelay(outbox, view, settings);
     this.userRequests =
         new UserRequestHandler(
             outbox,
             view,
             settings.teams(),
-            new AdmissionControl(settings.teams(), view, policy.mostOpenJobs()));
+            new AdmissionControl(settings.teams(), view, policy.maxOpenJobs()));
     this.catalogue = new Catalogue(outbox);
     view.setListener(
         new StoreView.Listener() {
@@ -129,7 +137,7 @@
 
           @Override
           public void jobChanged(KnownJob job, Moment at) {
-            term.ifPresent(r -> r.jobChanged(job, at));
+            term.ifPresent(t -> t.jobChanged(job, at));
           }
 
           @Override
@@ -139,7 +147,7 @@
         });
   }
 
-  /** Whether this node holds a token that it has not seen fall. */
+  /** Whether this node holds a token that it has not lost as far as it knows. */
   public boolean leads() {
     return leadership.holdsToken();
   }
@@ -148,283 +156,296 @@
     return leadership;
   }
 
-  /** Takes an event and returns what is to be done. */
-  public List<Effect> handle(Event event, Moment steady, WallTime dayTime) {
-    now = steady;
-    wall = dayTime;
-    if (handled.isPresent() && now.past(handled.get(), STOOD_STILL)) {
-      LOG.info("stood still for {}", now.since(handled.get()));
-      awake = now;
-      term.ifPresent(r -> r.stoodStill(now));
+  /** Handles an event and returns the resulting effects. */
+  public List<Effect> handle(Event event, Moment monotonicTime, WallTime timeOfDay) {
+    now = monotonicTime;
+    wall = timeOfDay;
+    if (lastEvent.isPresent() && now.isPast(lastEvent.get(), STALL_THRESHOLD)) {
+      LOG.info("process stalled for {}", now.since(lastEvent.get()));
+      stallEnd = now;
+      term.ifPresent(t -> t.processStalled(now));
     }
-    handled = Optional.of(now);
+    lastEvent = Optional.of(now);
     view.setTime(now);
     userRequests.clock(now, wall);
-    step(event);
-    return outbox.drain();
+    dispatch(event);
+    return outbox.takeEffects();
   }
 
-  private void step(Event event) {
+  private void dispatch(Event event) {
     if (event instanceof Event.Tick) {
       tick();
-    } else if (event instanceof Event.Answered answered) {
-      outbox.answered(answered.call(), answered.answer());
-    } else if (event instanceof Event.WorkerReports reports) {
-      worker(reports);
-    } else if (event instanceof Event.UserAsks asks) {
-      serve(asks);
-    } else if (event instanceof Event.HealthAsked asked) {
-      outbox.respond(asked.exchange(), health());
-    } else if (event instanceof Event.PeerSays says) {
-      peer(says);
+    } else if (event instanceof Event.CallAnswered answered) {
+      outbox.deliverAnswer(answered.call(), answered.answer());
+    } else if (event instanceof Event.WorkerReportReceived received) {
+      handleReport(received);
+    } else if (event instanceof Event.UserRequestReceived received) {
+      serveUser(received);
+    } else if (event instanceof Event.HealthCheckReceived healthCheck) {
+      outbox.respond(healthCheck.requestId(), healthResponse());
+    } else if (event instanceof Event.PeerMessageReceived received) {
+      handlePeerMessage(received);
     }
   }
 
-  /** A worker reports: to the leader itself, or to a follower that may have to stand in. */
-  private void worker(Event.WorkerReports reports) {
-    Report report = reports.report();
+  /** Handles a worker's report. A follower forwards it, or renews the lease for the leader. */
+  private void handleReport(Event.WorkerReportReceived received) {
+    Report report = received.report();
     if (term.isPresent()) {
-      Optional<NodeId> host =
-          reports.crowded() && leadership.mayAnswer(now) && !term.get().above(report)
-              ? redirects.host(report.machine(), now)
+      Optional<NodeId> target =
+          received.redirectPreferred()
+                  && leadership.mayAnswerWorkers(now)
+                  && !term.get().reportsHigherToken(report)
+              ? redirects.target(report.machine(), now)
               : Optional.empty();
       outbox.respond(
-          reports.exchange(),
-          host.isPresent() ? new Response.Elsewhere(host) : report(report, false));
-    } else if (forwarding.carries(report, now)) {
-      carry(reports, forwarding.leader(now).orElseThrow());
+          received.requestId(),
+          target.isPresent() ? new Response.Redirect(target) : respondToReport(report, false));
+    } else if (forwarding.shouldForward(report, now)) {
+      forwardReport(received, forwarding.leader(now).orElseThrow());
     } else {
-      relay.answer(
+      relay.resolveToken(
           report,
           now,
           token ->
               outbox.respond(
-                  reports.exchange(),
+                  received.requestId(),
                   token.isPresent()
-                      ? new Response.Orders(token.get(), halts.of(report))
-                      : elsewhere()));
+                      ? new Response.Orders(token.get(), halts.haltsFor(report))
+                      : redirectToLeader()));
     }
   }
 
-  private void carry(Event.WorkerReports reports, NodeId leader) {
+  private void forwardReport(Event.WorkerReportReceived received, NodeId leader) {
     outbox.call(
-        new Request.Tell(leader, new PeerMessage.Carry(reports.report())),
-        answer -> outbox.respond(reports.exchange(), carried(reports.report(), answer)));
+        new Request.SendToPeer(leader, new PeerMessage.ForwardReport(received.report())),
+        answer ->
+            outbox.respond(
+                received.requestId(), forwardedReportResponse(received.report(), answer)));
   }
 
-  /** The leader's orders for a worker whose report was carried to it. */
-  private Response carried(Report report, Answer answer) {
-    if (answer instanceof Answer.Told told
-        && told.message() instanceof PeerMessage.Carried carried
-        && carried.token().isPresent()) {
-      LOG.debug("orders carried to {}: {}", report.machine(), carried.orders());
-      return new Response.Orders(carried.token().get(), halts.added(carried.orders()));
+  /** The leader's orders for a worker whose report was forwarded to it. */
+  private Response forwardedReportResponse(Report report, Answer answer) {
+    if (answer instanceof Answer.PeerReply reply
+        && reply.message() instanceof PeerMessage.ForwardedReportOrders forwarded
+        && forwarded.token().isPresent()) {
+      LOG.debug("orders forwarded to {}: {}", report.machine(), forwarded.orders());
+      return new Response.Orders(forwarded.token().get(), halts.withHalts(forwarded.orders()));
     }
-    return elsewhere();
+    return redirectToLeader();
   }
 
   private void tick() {
     view.tick(now);
-    for (ExchangeId late : questions.expire(now)) {
-      outbox.respond(late, Response.unavailable("no answer in time", SOON));
+    for (InboundRequestId expired : pendingRequests.expire(now)) {
+      outbox.respond(expired, Response.unavailable("no answer in time", RETRY_AFTER));
     }
     leadership.tick(now);
     relay.tick(leadership.holdsToken(), now);
     catalogue.tick(leadership.holdsToken(), view.machineTypes(), now);
     userRequests.machineTypes(catalogue.types());
     if (term.isPresent()
-        && leadership.mayStepAside(now)
-        && term.get().blind(redirects.anyHost(now), now)) {
-      leadership.stepAside(now);
+        && leadership.mayStepDown(now)
+        && term.get().isCutOffFromWorkers(redirects.hasTarget(now), now)) {
+      leadership.stepDown(now);
     }
     term.ifPresent(
-        r -> r.tick(catalogue.types(), leadership.mayAnswer(now) && informed(), now, wall));
+        t ->
+            t.tick(
+                catalogue.types(),
+                leadership.mayAnswerWorkers(now) && hasReadSinceStall(),
+                now,
+                wall));
     if (term.isPresent() && !nextDigest.isAfter(now)) {
-      nextDigest = now.plus(DIGEST_EVERY);
-      digest(term.get());
+      nextDigest = now.plus(DIGEST_INTERVAL);
+      sendDigests(term.get());
     }
     if (term.isPresent() && !nextSummary.isAfter(now)) {
-      nextSummary = now.plus(SUMMARY_EVERY);
+      nextSummary = now.plus(SUMMARY_INTERVAL);
       LOG.info("{}", term.get().summary());
     }
   }
 
   /**
-   * Whether the store has been read since this process last stood still. Before that it may have
-   * been succeeded without knowing, and places, rents and returns nothing; where the store can't be
-   * read either, it goes on after a moment like any leader that has lost the store.
+   * Whether the store has been read since this process last stalled. Before that read another
+   * leader may have taken over unnoticed, so this node places, rents and returns nothing. If the
+   * store can't be read, it continues after a short wait like any leader that has lost the store.
    */
-  private boolean informed() {
-    return !awake.isAfter(view.lastConfirmed()) || now.past(awake, INFORMED_WITHIN);
+  private boolean hasReadSinceStall() {
+    return !stallEnd.isAfter(view.lastConfirmed()) || now.isPast(stallEnd, STALL_READ_TIMEOUT);
   }
 
-  private void digest(LeaderTerm current) {
-    Map<JobId, PeerMessage.Counts> counts = current.counts();
+  private void sendDigests(LeaderTerm current) {
+    Map<JobId, PeerMessage.TaskCounts> counts = current.counts();
     userRequests.taskCounts(counts);
     PeerMessage message =
         new PeerMessage.Digest(
             settings.node(), current.token(), view.isFresh(now), counts, current.suspects());
     for (NodeId peer : settings.peers()) {
       outbox.call(
-          new Request.Tell(peer, message),
+          new Request.SendToPeer(peer, message),
           answer -> {
-            if (answer instanceof Answer.Told told
-                && told.message() instanceof PeerMessage.Acknowledged acknowledged) {
-              redirects.heard(acknowledged.from(), now);
-              term.filter(r -> r == current && acknowledged.settled())
-                  .ifPresent(r -> r.peerSettled(acknowledged.from(), now));
+            if (answer instanceof Answer.PeerReply reply
+                && reply.message() instanceof PeerMessage.Acknowledgement acknowledged) {
+              redirects.followerHeard(acknowledged.from(), now);
+              term.filter(t -> t == current && acknowledged.relinquished())
+                  .ifPresent(t -> t.peerRelinquished(acknowledged.from(), now));
             }
           });
     }
   }
 
-  private Response report(Report report, boolean cutOff) {
-    if (term.isPresent() && term.get().above(report)) {
-      // Whoever was granted it, this worker drops what is said under this node's token. If nobody
-      // was, it stays silent for this leader, and its machine is lost like others that are.
-      leadership.shownByWorker(report.token(), now);
-      return elsewhere();
+  private Response respondToReport(Report report, boolean workerCutOff) {
+    if (term.isPresent() && term.get().reportsHigherToken(report)) {
+      // Whether or not the token was ever granted, this worker ignores orders under this node's
+      // token. If it was not granted, the leader treats the worker as silent, and its machine as
+      // lost.
+      leadership.workerReportedToken(report.token(), now);
+      return redirectToLeader();
     }
-    if (term.isPresent() && leadership.mayAnswer(now)) {
-      if (!term.get().readsReports()) {
-        // The lease is renewed all the same, so what was withdrawn must end by this answer.
-        term.get().answered(report.machine(), now);
-        return new Response.Orders(term.get().token(), halts.of(report));
+    if (term.isPresent() && leadership.mayAnswerWorkers(now)) {
+      if (!term.get().acceptsReports()) {
+        // This answer renews the lease, so it must halt the tasks of withdrawn jobs.
+        term.get().workerAnswered(report.machine(), now);
+        return new Response.Orders(term.get().token(), halts.haltsFor(report));
       }
-      Optional<Response.Orders> orders = term.get().report(report, cutOff, now);
+      Optional<Response.Orders> orders = term.get().report(report, workerCutOff, now);
       return orders.isPresent()
           ? orders.get()
-          : Response.unavailable("no use can be made of the report", SOON);
+          : Response.unavailable("no use can be made of the report", RETRY_AFTER);
     }
-    return elsewhere();
+    return redirectToLeader();
   }
 
   /**
-   * Sends a worker to the leader, if this node knows of one. What it read of the store long ago
-   * tells nothing: a worker would go to and fro between this node and one that doesn't lead.
+   * Redirects a worker to the leader, if this node knows of one. An outdated copy of the store is
+   * not used: the worker would go back and forth between this node and one that does not lead.
    */
-  private Response elsewhere() {
-    return new Response.Elsewhere(
+  private Response redirectToLeader() {
+    return new Response.Redirect(
         forwarding
             .leader(now)
             .or(
                 () ->
                     view.leader()
-                        .filter(leader -> !now.past(view.lastConfirmed(), NAMES_LEADER_FOR))
+                        .filter(leader -> !now.isPast(view.lastConfirmed(), LEADER_INFO_MAX_AGE))
                         .map(leader -> leader.record().node()))
             .filter(node -> !node.equals(settings.node())));
   }
 
   /**
-   * Serves a user, through the leader if this node alone has lost the state service. In an outage
-   * the leader has lost it as well, and the user is sent away at once.
+   * Serves a user's request, through the leader if only this node has lost the state service. In an
+   * outage the leader has lost it as well, and the request is refused at once.
    */
-  private void serve(Event.UserAsks asks) {
-    questions.add(asks.exchange(), asks.request(), now);
+  private void serveUser(Event.UserRequestReceived received) {
+    pendingRequests.add(received.requestId(), received.request(), now);
     userRequests.serve(
-        asks.request(),
+        received.request(),
         response -> {
           boolean unavailable = response instanceof Response.Problem p && p.status() == 503;
           if (unavailable && servingPeer().isPresent()) {
-            forward(asks, response);
+            forwardUserRequest(received, response);
           } else {
-            answer(asks, response);
+            answerUser(received, response);
           }
         });
   }
 
-  private void answer(Event.UserAsks asks, Response response) {
-    if (questions.markAnswered(asks.exchange())) {
-      outbox.respond(asks.exchange(), response);
+  private void answerUser(Event.UserRequestReceived received, Response response) {
+    if (pendingRequests.markAnswered(received.requestId())) {
+      outbox.respond(received.requestId(), response);
     }
   }
 
-  private void forward(Event.UserAsks asks, Response otherwise) {
+  private void forwardUserRequest(Event.UserRequestReceived received, Response fallback) {
     NodeId peer = servingPeer().orElseThrow();
     outbox.call(
-        new Request.Tell(peer, new PeerMessage.Forward(asks.request())),
+        new Request.SendToPeer(peer, new PeerMessage.ForwardUserRequest(received.request())),
         answer -> {
           Optional<Response> forwarded = forwardedResponse(answer);
           LOG.debug(
-              "request for job {} forwarded to {}, answered {}; copy of the store at revision {}",
-              asks.request().job(),
+              "request for job {} forwarded to {}, response {}; store copy at revision {}",
+              received.request().job(),
               peer,
               forwarded,
               view.position());
-          answer(
-              asks,
+          answerUser(
+              received,
               forwarded
-                  .map(told -> userRequests.resolveForwarded(told, otherwise))
-                  .orElse(otherwise));
+                  .map(reply -> userRequests.resolveForwarded(reply, fallback))
+                  .orElse(fallback));
         });
   }
 
   private static Optional<Response> forwardedResponse(Answer answer) {
-    return answer instanceof Answer.Told told
-            && told.message() instanceof PeerMessage.Forwarded forwarded
+    return answer instanceof Answer.PeerReply reply
+            && reply.message() instanceof PeerMessage.ForwardedResponse forwarded
         ? Optional.of(forwarded.response())
         : Optional.empty();
   }
 
   private Optional<NodeId> servingPeer() {
-    return now.past(digested, DIGEST_COUNTS_FOR) ? Optional.empty() : digestFrom;
+    return now.isPast(lastServingDigest, SERVING_PEER_TIMEOUT) ? Optional.empty() : digestSender;
   }
 
-  private Response health() {
-    boolean reaches =
-        !now.past(view.lastConfirmed(), READY_WITHOUT_CONTACT) || servingPeer().isPresent();
-    boolean serves = view.isLoaded() && userRequests.hasMachineTypes() && reaches;
-    return serves ? new Response.Ready() : Response.unavailable("not ready", SOON);
+  private Response healthResponse() {
+    boolean reachesStore =
+        !now.isPast(view.lastConfirmed(), READY_CONTACT_TIMEOUT) || servingPeer().isPresent();
+    boolean ready = view.isLoaded() && userRequests.hasMachineTypes() && reachesStore;
+    return ready ? new Response.Ready() : Response.unavailable("not ready", RETRY_AFTER);
   }
 
-  private void peer(Event.PeerSays says) {
-    if (says.message() instanceof PeerMessage.Digest digest
+  private void handlePeerMessage(Event.PeerMessageReceived received) {
+    if (received.message() instanceof PeerMessage.Digest digest
         && view.isImplausible(digest.token(), now)) {
-      // Taken for true it would keep this node from leading, and from hearing who does.
-      if (strangeDigests++ == 0) {
-        LOG.error("digest of {}: nobody was granted token {}", digest.from(), digest.token());
+      // Accepting it would keep this node from leading, and from recognizing the real leader.
+      if (rejectedDigests++ == 0) {
+        LOG.error(
+            "digest from {} rejected: token {} was never granted", digest.from(), digest.token());
       }
-      outbox.respond(says.exchange(), Response.refusal(400, "no such token"));
-    } else if (says.message() instanceof PeerMessage.Digest digest) {
-      leadership.tokenSeen(digest.token(), now);
-      relay.heard(digest.token(), now);
+      outbox.respond(received.requestId(), Response.refusal(400, "no such token"));
+    } else if (received.message() instanceof PeerMessage.Digest digest) {
+      leadership.observeToken(digest.token(), now);
+      relay.leaderHeard(digest.token(), now);
       if (view.leader().filter(l -> l.token().compareTo(digest.token()) > 0).isEmpty()) {
-        // Not one that was succeeded and does not know.
-        forwarding.heard(digest.from(), digest.token(), now);
+        // Excludes a leader that has been replaced without knowing it yet.
+        forwarding.leaderHeard(digest.from(), digest.token(), now);
       }
       if (term.isEmpty()) {
         userRequests.taskCounts(digest.counts());
         suspects = digest.suspects();
-        if (digest.serves()) {
-          digestFrom = Optional.of(digest.from());
-          digested = now;
+        if (digest.reachesStateService()) {
+          digestSender = Optional.of(digest.from());
+          lastServingDigest = now;
         }
       }
       outbox.respond(
-          says.exchange(),
-          new Response.ToPeer(
-              new PeerMessage.Acknowledged(settings.node(), !leadership.holdsToken())));
-    } else if (says.message() instanceof PeerMessage.Probe) {
+          received.requestId(),
+          new Response.PeerResponse(
+              new PeerMessage.Acknowledgement(settings.node(), !leadership.holdsToken())));
+    } else if (received.message() instanceof PeerMessage.Probe) {
       outbox.respond(
-          says.exchange(),
-          new Response.ToPeer(new PeerMessage.Acknowledged(settings.node(), false)));
-    } else if (says.message() instanceof PeerMessage.Carry carry) {
-      boolean cutOff = !redirects.lodges(carry.report().machine(), now);
-      Response response = report(carry.report(), cutOff);
+          received.requestId(),
+          new Response.PeerResponse(new PeerMessage.Acknowledgement(settings.node(), false)));
+    } else if (received.message() instanceof PeerMessage.ForwardReport forwarded) {
+      boolean workerCutOff = !redirects.redirectedRecently(forwarded.report().machine(), now);
+      Response response = respondToReport(forwarded.report(), workerCutOff);
       outbox.respond(
-          says.exchange(),
-          new Response.ToPeer(
+          received.requestId(),
+          new Response.PeerResponse(
               response instanceof Response.Orders orders
-                  ? new PeerMessage.Carried(Optional.of(orders.token()), orders.orders())
-                  : new PeerMessage.Carried(Optional.empty(), List.of())));
-    } else if (says.message() instanceof PeerMessage.Forward forward) {
+                  ? new PeerMessage.ForwardedReportOrders(
+                      Optional.of(orders.token()), orders.orders())
+                  : new PeerMessage.ForwardedReportOrders(Optional.empty(), List.of())));
+    } else if (received.message() instanceof PeerMessage.ForwardUserRequest forward) {
       userRequests.serve(
           forward.request(),
           response ->
               outbox.respond(
-                  says.exchange(), new Response.ToPeer(new PeerMessage.Forwarded(response))));
+                  received.requestId(),
+                  new Response.PeerResponse(new PeerMessage.ForwardedResponse(response))));
     } else {
-      outbox.respond(says.exchange(), Response.refusal(400, "unexpected message"));
+      outbox.respond(received.requestId(), Response.refusal(400, "unexpected message"));
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/ExchangeId.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package org.oakwalk.core;
-
-/** A request that somebody sent here and that is to be answered once. */
-public record ExchangeId(long value) {}
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -27,7 +27,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.ResultWriter;
-import org.oakwalk.core.leadership.RelayEnds;
+import org.oakwalk.core.leadership.RelayExpiry;
 import org.oakwalk.core.placement.JobTargets;
 import org.oakwalk.core.placement.Placer;
 import org.oakwalk.core.placement.Quota;
@@ -46,17 +46,19 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** All that a leader knows and does under one token; it ends with the token. */
+/** State and activities of a leader under one fencing token; discarded when the token is lost. */
 final class LeaderTerm implements Fleet.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
-  private static final Span EVENT_ROUND_SPACING = Span.millis(100);
+
+  /** Minimum time between a placement round triggered by an event and the round before it. */
+  private static final Span MIN_EVENT_ROUND_INTERVAL = Span.millis(100);
 
   private final Token token;
   private final Outbox outbox;
   private final StoreView view;
   private final Policy policy;
   private final JobRegistry jobs;
-  private final RelayEnds relays;
+  private final RelayExpiry relayExpiry;
   private final Fleet fleet;
   private final CommandDispatcher dispatcher;
   private final MachineRegistry registry;
@@ -69,21 +71,21 @@
   private final Gate gate;
   private final Mover mover;
   private final Drainer drainer;
-  private final CatalogueKeeper keeper;
-  private final Products products;
+  private final CatalogueKeeper catalogueKeeper;
+  private final CapacityProducts products;
   private final Planner planner;
   private boolean roundDue = true;
-  private Moment nextRegular;
+  private Moment nextRegularRound;
   private Moment lastRound = new Moment(Long.MIN_VALUE / 2);
   private Map<String, MachineType> types = Map.of();
-  private boolean placedOnce;
-  private Optional<Moment> completed = Optional.empty();
-  private boolean recoveryTold;
-  private final Moment rose;
-  private Moment clock;
+  private boolean hasPlaced;
+  private Optional<Moment> recoveryCompletedAt = Optional.empty();
+  private boolean recoveryLogged;
+  private final Moment termStart;
+  private Moment currentTime;
 
-  /** When starts may be ordered, the time of day of the last tick; else nothing. */
-  private Optional<WallTime> placing = Optional.empty();
+  /** The time of day of the last tick if starts may be ordered; empty otherwise. */
+  private Optional<WallTime> placementWallTime = Optional.empty();
 
   LeaderTerm(
       Token token,
@@ -92,30 +94,30 @@
       Outbox outbox,
       StoreView view,
       Span graceLimit,
-      Consumer<Token> higherToken,
+      Consumer<Token> onHigherToken,
       Moment now) {
     this.token = token;
     this.outbox = outbox;
     this.view = view;
     this.policy = policy;
-    this.rose = now;
-    this.clock = now;
-    this.nextRegular = now;
+    this.termStart = now;
+    this.currentTime = now;
+    this.nextRegularRound = now;
     Guard guard = new Guard(StoreKeys.LEADER, new Revision(token.value()));
     Span suspectAfter = settings.workers().suspectAfter();
     this.jobs = new JobRegistry(view, token, now);
-    this.relays = new RelayEnds(outbox, view, guard, token, settings.workers());
-    this.fleet = new Fleet(token, jobs, view, relays, settings.workers(), this);
+    this.relayExpiry = new RelayExpiry(outbox, view, guard, token, settings.workers());
+    this.fleet = new Fleet(token, jobs, view, relayExpiry, settings.workers(), this);
     this.dispatcher =
         new CommandDispatcher(
             outbox,
             fleet,
             suspectAfter,
             report -> {
-              if (above(report)) {
-                higherToken.accept(report.token());
+              if (reportsHigherToken(report)) {
+                onHigherToken.accept(report.token());
               } else {
-                fleet.handleReport(report, false, clock);
+                fleet.handleReport(report, false, currentTime);
               }
             });
     this.registry = new MachineRegistry(outbox, fleet, guard, settings.state());
@@ -127,7 +129,7 @@
             jobs,
             results,
             registry,
-            mayHoldGrace(settings, view, graceLimit, now),
+            peersPossiblyInGrace(settings, view, graceLimit, now),
             graceLimit,
             now);
     this.gate =
@@ -139,10 +141,11 @@
             suspectAfter);
     Quota quota = new Quota(settings.teams(), fleet);
     Headroom headroom = new Headroom(fleet, jobs, quota, settings, gate::allows);
-    this.planner = new Planner(fleet, jobs, settings, policy.scoring().floor(), headroom::kept);
+    this.planner =
+        new Planner(fleet, jobs, settings, policy.scoring().minTimeLeft(), headroom::kept);
     this.mover = new Mover(fleet, quota, gate, outbox, suspectAfter, headroom);
     this.products =
-        new Products(
+        new CapacityProducts(
             policy.product(),
             view,
             outbox,
@@ -150,8 +153,8 @@
             settings,
             headroom,
             planner,
-            new Products.Ground(
-                fleet, jobs, quota, gate, runTimes, suspectAfter, headroom, this::keepForGang));
+            new CapacityProducts.ProductContext(
+                fleet, jobs, quota, gate, runTimes, suspectAfter, headroom, this::reserveForGang));
     this.placer =
         new Placer(
             fleet,
@@ -164,7 +167,7 @@
             gate::allows,
             headroom,
             products);
-    this.keeper = new CatalogueKeeper(outbox, view, guard, settings.state());
+    this.catalogueKeeper = new CatalogueKeeper(outbox, view, guard, settings.state());
     this.capacity =
         new Capacity(
             outbox,
@@ -176,7 +179,7 @@
             runTimes,
             planner,
             suspectAfter,
-            sort -> bars(view, sort),
+            sort -> isExcludedByDrain(view, sort),
             spec -> quota.placesLeft(spec.team(), spec.resources()));
     capacity.keeps(headroom::kept);
     this.drainer =
@@ -190,42 +193,43 @@
             mover);
   }
 
-  private static boolean bars(StoreView view, Boots.Sort sort) {
+  private static boolean isExcludedByDrain(StoreView view, Boots.Sort sort) {
     return view.drainPlans().all().stream()
         .anyMatch(drain -> drain.plan().bars(sort.zone(), sort.type(), sort.spot()));
   }
 
   /**
-   * Peers that may still answer workers under an older token: those whose key was seen to end
-   * within the time for which a leader may be in its lease grace, or all if this node has not
-   * watched for so long.
+   * Peers that may still answer workers under an older token: those whose leader key was seen to
+   * disappear within the maximum lease grace, or all peers if this node has not followed the key
+   * for that long.
    */
-  private static Set<NodeId> mayHoldGrace(
+  private static Set<NodeId> peersPossiblyInGrace(
       Settings settings, StoreView view, Span graceLimit, Moment now) {
     Set<NodeId> peers = new HashSet<>(settings.peers());
-    view.recentLeaders(graceLimit.surelyPassed(), now).ifPresent(peers::retainAll);
+    view.recentLeaders(graceLimit.plusClockDrift(), now).ifPresent(peers::retainAll);
     return peers;
   }
 
-  private void keepForGang(Machine machine, Job job) {
+  private void reserveForGang(Machine machine, Job job) {
     placer.reserveMachine(machine, job);
   }
 
+  /** The fencing token of this term. */
   Token token() {
     return token;
   }
 
-  /** Whether a worker shows a higher token than this leader has told it. */
-  boolean above(Report report) {
+  /** Whether a worker reports a higher token than this leader has sent it. */
+  boolean reportsHigherToken(Report report) {
     return fleet.showsUnissuedToken(report);
   }
 
-  /** A job was stored, finished or withdrawn. */
-  void jobChanged(KnownJob known, Moment now) {
-    Optional<Job> withdrawn = jobs.applyStoredChange(known, now);
+  /** Handles a job that was stored, finished or withdrawn. */
+  void jobChanged(KnownJob job, Moment now) {
+    Optional<Job> withdrawn = jobs.applyStoredChange(job, now);
     withdrawn.ifPresent(this::haltAll);
-    if (known.phase().isFinal()) {
-      jobs.find(known.id()).ifPresent(results::jobEnded);
+    if (job.phase().isFinal()) {
+      jobs.find(job.id()).ifPresent(results::jobEnded);
     }
     roundDue = true;
   }
@@ -237,48 +241,49 @@
     dispatcher.cancelStarts(placements);
   }
 
-  /** Whether what older leaders left has been read, so that reports can be made use of. */
-  boolean readsReports() {
+  /** Whether the state left by earlier leaders has been read, so that reports can be processed. */
+  boolean acceptsReports() {
     return recovery.acceptsReports();
   }
 
-  /** A worker was answered before its report could be made use of. */
-  void answered(MachineId machine, Moment now) {
+  /** Records an answer to a worker, which may come before its report can be processed. */
+  void workerAnswered(MachineId machine, Moment now) {
     recovery.leaseRenewedBeforeReports(now);
     if (!recovery.complete()) {
       dispatcher.responseSent(machine, now);
     }
   }
 
-  /** Orders for a worker that reports, or nothing if the report can't be used yet. */
-  Optional<Response.Orders> report(Report report, boolean carried, Moment now) {
-    clock = now;
+  /** Orders for a worker that reported; empty if its report can't be used yet. */
+  Optional<Response.Orders> report(Report report, boolean forwarded, Moment now) {
+    currentTime = now;
     Optional<Machine> machine = fleet.handleReport(report, true, now);
     if (machine.isEmpty() || fleet.mustNotRenewLease(machine.get(), now)) {
       return Optional.empty();
     }
-    machine.get().reportForwarded(carried);
-    answered(report.machine(), now);
-    evacuate(machine.get(), now);
+    machine.get().reportForwarded(forwarded);
+    workerAnswered(report.machine(), now);
+    preemptBeforeReclaim(machine.get(), now);
     if (machine.get().commandStartLimitReached()) {
-      // What is placed after this answer would wait for the next one.
-      placing.ifPresent(wall -> round(now, wall));
+      // A task placed after this answer would wait for the worker's next report.
+      placementWallTime.ifPresent(wall -> round(now, wall));
     }
     List<Order> orders = fleet.respond(machine.get(), now);
     return Optional.of(new Response.Orders(fleet.tokenOf(report.machine()), orders));
   }
 
-  /** Stops what will not end before the cloud takes the machine, so that it can go elsewhere. */
-  private void evacuate(Machine machine, Moment now) {
+  /** Halts tasks that will not finish before the cloud reclaims the machine, to place them anew. */
+  private void preemptBeforeReclaim(Machine machine, Moment now) {
     if (machine.reclaimedAt() == null) {
       return;
     }
-    double left = machine.reclaimedAt().since(now).asSeconds();
+    double secondsLeft = machine.reclaimedAt().since(now).asSeconds();
     for (Placement placement : machine.placements()) {
       Span expected = runTimes.expected(placement.job().spec());
       double ran =
           placement.runningSince() == null ? 0 : now.since(placement.runningSince()).asSeconds();
-      boolean endsInTime = !placement.job().spec().service() && expected.asSeconds() - ran < left;
+      boolean endsInTime =
+          !placement.job().spec().service() && expected.asSeconds() - ran < secondsLeft;
       if (!placement.halting() && !endsInTime) {
         fleet.halt(
             placement, placement.job().spec().checkpointDuration(), Fleet.StopReason.RECLAIMED);
@@ -286,33 +291,40 @@
     }
   }
 
-  /** Whether hardly any machine reaches this node, though there are some. */
-  boolean blind(boolean othersCarry, Moment now) {
-    return recovery.complete() && capacity.health().blind(othersCarry, now);
+  /** Whether machines exist but hardly any of them reaches this node. */
+  boolean isCutOffFromWorkers(boolean followersForward, Moment now) {
+    return recovery.complete() && capacity.health().blind(followersForward, now);
   }
 
-  /** This process stood still until now, so that nobody's silence tells anything. */
-  void stoodStill(Moment now) {
+  /** Records a stall of this process, so that machines silent until now do not count as lost. */
+  void processStalled(Moment now) {
     capacity.health().stoodStill(now);
   }
 
-  void peerSettled(NodeId peer, Moment now) {
+  /** Records that a peer no longer acts under any older token. */
+  void peerRelinquished(NodeId peer, Moment now) {
     recovery.peerRelinquished(peer, now);
   }
 
-  /** Whether starts may be ordered: not while the token is in doubt for long. */
-  void tick(Map<String, MachineType> known, boolean active, Moment now, WallTime wall) {
-    clock = now;
-    placing = Optional.empty();
-    tellRecovery(now);
-    types = known;
+  /**
+   * Runs the periodic work of a leader.
+   *
+   * @param leaseCertain whether this node may still act under its token; if not, it places, rents
+   *     and returns nothing and stores no results
+   */
+  void tick(
+      Map<String, MachineType> currentTypes, boolean leaseCertain, Moment now, WallTime wall) {
+    currentTime = now;
+    placementWallTime = Optional.empty();
+    logRecovery(now);
+    types = currentTypes;
     fleet.types(types);
-    boolean waited = !recovery.complete();
+    boolean wasRecovering = !recovery.complete();
     recovery.tick(types, now);
-    if (waited && recovery.complete()) {
-      // Work of older leaders has waited for this moment, not for the next regular round.
-      nextRegular = now;
-      completed = Optional.of(now);
+    if (wasRecovering && recovery.complete()) {
+      // Tasks of earlier leaders wait for the end of recovery, not for the next regular round.
+      nextRegularRound = now;
+      recoveryCompletedAt = Optional.of(now);
     }
     if (!recovery.acceptsReports()) {
       return;
@@ -320,16 +332,16 @@
     fleet.expireLeases(now, recovery.lastUnseenRenewal());
     dispatcher.pushTokens(now);
     dispatcher.probeSilentMachines(now);
-    if (active) {
-      relays.tick(now);
+    if (leaseCertain) {
+      relayExpiry.tick(now);
       registry.tick(now);
       results.tick(now);
-      keeper.tick(types, now);
+      catalogueKeeper.tick(types, now);
       capacity.tick(types, recovery.complete(), now, wall);
       drainer.tick(recovery.complete(), now, wall);
       products.tick(types, recovery.complete(), now, wall);
-      if (products.known()) {
-        placing = Optional.of(wall);
+      if (products.allowsPlacement()) {
+        placementWallTime = Optional.of(wall);
         round(now, wall);
       }
     }
@@ -338,53 +350,54 @@
   }
 
   /**
-   * Tells once how long it took until work of older leaders was placed again. A round has no clock;
-   * how long the first one took shows by the time of the next tick.
+   * Logs once how long recovery took until tasks of earlier leaders were placed again. A round
+   * can't read a clock, so the duration of the first one is measured by the time of the next tick.
    */
-  private void tellRecovery(Moment now) {
-    if (completed.isPresent() && !recoveryTold) {
-      recoveryTold = true;
-      LOG.info("{}; first round {}", recovery.summary(), now.since(completed.get()));
+  private void logRecovery(Moment now) {
+    if (recoveryCompletedAt.isPresent() && !recoveryLogged) {
+      recoveryLogged = true;
+      LOG.info("{}; first round {}", recovery.summary(), now.since(recoveryCompletedAt.get()));
     }
   }
 
   private void round(Moment now, WallTime wall) {
-    boolean regular = !nextRegular.isAfter(now);
-    if (!regular && !(roundDue && now.past(lastRound, EVENT_ROUND_SPACING))) {
+    boolean regular = !nextRegularRound.isAfter(now);
+    if (!regular && !(roundDue && now.isPast(lastRound, MIN_EVENT_ROUND_INTERVAL))) {
       return;
     }
     if (regular) {
-      nextRegular = now.plus(policy.round());
+      nextRegularRound = now.plus(policy.roundInterval());
       pace.checkRunning(fleet.machines(), now);
     }
     roundDue = false;
     lastRound = now;
     int placed = placer.runRound(recovery.complete(), regular, now, wall);
     if (placed > 0) {
-      LOG.debug("{} tasks placed, copy of the store at revision {}", placed, view.position());
+      LOG.debug("{} tasks placed, store copy at revision {}", placed, view.position());
     }
-    if (placed > 0 && !placedOnce) {
-      placedOnce = true;
-      outbox.measured(Effect.Measure.FAILOVER, now.since(rose));
-      LOG.info("first placement {} after the rise, token {}", now.since(rose), token);
+    if (placed > 0 && !hasPlaced) {
+      hasPlaced = true;
+      outbox.recordDuration(Effect.DurationMetric.FAILOVER, now.since(termStart));
+      LOG.info(
+          "first placement {} after gaining leadership, token {}", now.since(termStart), token);
     }
   }
 
-  /** How far the open jobs are. */
-  Map<JobId, PeerMessage.Counts> counts() {
-    Map<JobId, PeerMessage.Counts> counts = new HashMap<>();
+  /** Task counts of the jobs in progress. */
+  Map<JobId, PeerMessage.TaskCounts> counts() {
+    Map<JobId, PeerMessage.TaskCounts> counts = new HashMap<>();
     for (Job job : jobs.inProgress()) {
-      counts.put(job.id(), new PeerMessage.Counts(job.doneCount(), job.runningCount()));
+      counts.put(job.id(), new PeerMessage.TaskCounts(job.doneCount(), job.runningCount()));
     }
     return counts;
   }
 
-  /** Jobs that an earlier leader found to fail everywhere. */
-  void suspected(Set<JobId> ids) {
+  /** Marks jobs that an earlier leader found to fail on every machine. */
+  void markSuspects(Set<JobId> ids) {
     ids.forEach(id -> jobs.find(id).ifPresent(Job::markSuspect));
   }
 
-  /** Open jobs that fail everywhere. */
+  /** Open jobs that fail on every machine. */
   Set<JobId> suspects() {
     return jobs.all().stream()
         .filter(job -> job.isOpen() && job.isSuspect())
@@ -392,7 +405,7 @@
         .collect(Collectors.toSet());
   }
 
-  /** One line on the state of things, for the log. */
+  /** A one-line summary of jobs and machines for the log. */
   String summary() {
     int pending = 0;
     int active = 0;
@@ -431,7 +444,7 @@
       pace.completed(placement, ran);
       runTimes.record(placement.job(), ran);
       if (placement.attempt().token().equals(token)) {
-        // What an older leader started has run for longer than this one has seen.
+        // A task started by an earlier leader has run for longer than this leader has observed.
         planner.completed(placement.job(), ran);
       }
     }
@@ -439,7 +452,7 @@
 
   @Override
   public void placed(Job job, Moment now) {
-    outbox.measured(Effect.Measure.QUEUE_WAIT, now.since(job.waitingSince()));
+    outbox.recordDuration(Effect.DurationMetric.QUEUE_WAIT, now.since(job.waitingSince()));
   }
 
   @Override
--- a/src/main/java/org/oakwalk/core/Moment.java
+++ b/src/main/java/org/oakwalk/core/Moment.java
@@ -1,6 +1,6 @@
 package org.oakwalk.core;
 
-/** A reading of this process's steady clock. */
+/** A reading of this process's monotonic clock, in milliseconds. */
 public record Moment(long millis) implements Comparable<Moment> {
   public Moment plus(Span span) {
     return new Moment(millis + span.millis());
@@ -15,7 +15,7 @@
   }
 
   /** Whether more than {@code span} has passed since {@code earlier}. */
-  public boolean past(Moment earlier, Span span) {
+  public boolean isPast(Moment earlier, Span span) {
     return millis - earlier.millis > span.millis();
   }
 
--- a/src/main/java/org/oakwalk/core/Report.java
+++ b/src/main/java/org/oakwalk/core/Report.java
@@ -3,7 +3,13 @@
 import java.util.List;
 import java.util.Optional;
 
-/** What a worker says of itself. */
+/**
+ * A worker's report of its own state.
+ *
+ * @param session the worker's session; reports are ordered by session, then by sequence
+ * @param token the highest leader token that the worker has seen
+ * @param reclaimNotice time until the cloud reclaims the machine, if it has announced that
+ */
 public record Report(
     MachineId machine,
     String address,
@@ -13,11 +19,11 @@
     SessionId session,
     long sequence,
     Token token,
-    Optional<Span> notice,
-    List<Piece> pieces) {
+    Optional<Span> reclaimNotice,
+    List<ReportedTask> tasks) {
 
   /** State of a task on a machine. */
-  public enum PieceState {
+  public enum TaskState {
     FETCHING,
     GATHERING,
     RUNNING,
@@ -25,7 +31,7 @@
     ENDED
   }
 
-  /** Why a task ended. */
+  /** Reason for the end of a task. */
   public enum Cause {
     DONE,
     HALTED,
@@ -37,14 +43,14 @@
   }
 
   /** One task on the machine; the cause is null unless it has ended. */
-  public record Piece(TaskId task, Attempt attempt, PieceState state, Cause cause) {
+  public record ReportedTask(TaskId task, Attempt attempt, TaskState state, Cause cause) {
     public boolean ended() {
-      return state == PieceState.ENDED;
+      return state == TaskState.ENDED;
     }
   }
 
   /** Whether this report was made after one with the given session and sequence. */
-  public boolean newerThan(SessionId otherSession, long otherSequence) {
+  public boolean isNewerThan(SessionId otherSession, long otherSequence) {
     int bySession = session.compareTo(otherSession);
     return bySession > 0 || (bySession == 0 && sequence > otherSequence);
   }
--- a/src/main/java/org/oakwalk/core/Span.java
+++ b/src/main/java/org/oakwalk/core/Span.java
@@ -2,8 +2,11 @@
 
 /** A length of time in milliseconds. */
 public record Span(long millis) implements Comparable<Span> {
-  /** Relative drift that two steady clocks may show against each other. */
-  private static final double DRIFT = 0.0005;
+  /**
+   * Maximum relative drift of two monotonic clocks against each other; the margins below allow for
+   * twice this.
+   */
+  private static final double MAX_CLOCK_DRIFT = 0.0005;
 
   public static Span seconds(double seconds) {
     return new Span(Math.round(seconds * 1000));
@@ -13,6 +16,7 @@
     return new Span(millis);
   }
 
+  /** The length in seconds. */
   public double asSeconds() {
     return millis / 1000.0;
   }
@@ -33,14 +37,20 @@
     return millis > other.millis;
   }
 
-  /** How long to wait here to be sure that this span has passed on another machine's clock. */
-  public Span surelyPassed() {
-    return new Span((long) Math.ceil(millis * (1 + 2 * DRIFT)));
+  /**
+   * This span lengthened for clock drift: after waiting this long on the local clock, the span has
+   * certainly passed on another machine's clock.
+   */
+  public Span plusClockDrift() {
+    return new Span((long) Math.ceil(millis * (1 + 2 * MAX_CLOCK_DRIFT)));
   }
 
-  /** How long one may wait here and be sure that this span has not passed elsewhere. */
-  public Span surelyNotPassed() {
-    return new Span((long) Math.floor(millis * (1 - 2 * DRIFT)));
+  /**
+   * This span shortened for clock drift: within this time on the local clock, the span has
+   * certainly not passed on another machine's clock.
+   */
+  public Span minusClockDrift() {
+    return new Span((long) Math.floor(millis * (1 - 2 * MAX_CLOCK_DRIFT)));
   }
 
   @Override
--- a/src/main/java/org/oakwalk/core/capacity/BoundWork.java
+++ b/src/main/java/org/oakwalk/core/capacity/BoundWork.java
@@ -56,7 +56,7 @@
     for (Job job : jobs.all()) {
       JobSpec spec = job.spec();
       boolean waits =
-          job.isOpen() && job.pendingCount() > 0 && now.past(job.waitingSince(), PATIENCE);
+          job.isOpen() && job.pendingCount() > 0 && now.isPast(job.waitingSince(), PATIENCE);
       if (!waits || spec.zone().isEmpty() && !(spec.oneZone() && job.assignedCount() > 0)) {
         continue;
       }
--- a/src/main/java/org/oakwalk/core/capacity/CatalogueKeeper.java
+++ b/src/main/java/org/oakwalk/core/capacity/CatalogueKeeper.java
@@ -59,7 +59,7 @@
                     StoreKeys.MACHINE_TYPES,
                     new StoredValue.MachineTypesRecord(types),
                     Optional.empty())),
-            Request.Urgency.REST),
+            Request.Urgency.ROUTINE),
         answer -> writing = false);
   }
 
--- a/src/main/java/org/oakwalk/core/drain/Caution.java
+++ b/src/main/java/org/oakwalk/core/drain/Caution.java
@@ -51,11 +51,11 @@
       reason = present.get();
       seen = now;
     }
-    return now.past(seen, COUNTS_FOR) ? Optional.empty() : Optional.of(reason);
+    return now.isPast(seen, COUNTS_FOR) ? Optional.empty() : Optional.of(reason);
   }
 
   private Optional<String> present(Collection<DrainPlan> plans, Moment now) {
-    if (now.past(view.lastConfirmed(), STORE_OUT_AFTER)) {
+    if (now.isPast(view.lastConfirmed(), STORE_OUT_AFTER)) {
       return Optional.of("the state service is out of reach");
     }
     if (!capacity.health().listens(now)) {
@@ -89,7 +89,7 @@
             .filter(
                 machine ->
                     machine.schedulingMode() == SchedulingMode.UNFIT && !machine.removalPlanned())
-            .filter(machine -> !now.past(machine.knownSince(), NEW_FOR))
+            .filter(machine -> !now.isPast(machine.knownSince(), NEW_FOR))
             .count()
         >= SEVERAL;
   }
@@ -103,7 +103,7 @@
     }
     int next = job.nextPending(0, now);
     return next >= 0
-        && now.past(job.waitingSince(), mayWait)
+        && now.isPast(job.waitingSince(), mayWait)
         && !mover.moves(new TaskId(job.id(), next));
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/CommandDispatcher.java
+++ b/src/main/java/org/oakwalk/core/fleet/CommandDispatcher.java
@@ -120,7 +120,7 @@
         .filter(Machine::commandInFlight)
         .map(Machine::address)
         .distinct()
-        .forEach(outbox::recall);
+        .forEach(outbox::cancelCommands);
   }
 
   /** Records that a response with this leader's token was sent to a machine's report. */
@@ -164,11 +164,11 @@
       }
       boolean silent =
           (machine.state() == Machine.State.UP || machine.state() == Machine.State.LEASE_EXPIRED)
-              && now.past(machine.lastReportAt(), suspectAfter.times(PROBE_DELAY_FACTOR));
+              && now.isPast(machine.lastReportAt(), suspectAfter.times(PROBE_DELAY_FACTOR));
       if (silent
           && !machine.commandInFlight()
           && !machine.address().isEmpty()
-          && now.past(machine.delivery().lastProbeAt(), suspectAfter)) {
+          && now.isPast(machine.delivery().lastProbeAt(), suspectAfter)) {
         activeProbes++;
         machine.delivery().probed(now);
         send(machine, machine.session().orElse(SessionId.FIRST), List.of(), () -> activeProbes--);
@@ -179,7 +179,7 @@
   private static boolean within(
       Map<MachineId, Moment> times, Span span, Machine machine, Moment now) {
     Moment last = times.get(machine.id());
-    return last != null && !now.past(last, span);
+    return last != null && !now.isPast(last, span);
   }
 
   private void send(Machine machine, SessionId session, List<Order> orders, Runnable completed) {
@@ -200,10 +200,10 @@
         answer -> {
           machine.commandInFlight(false);
           completed.run();
-          if (!(answer instanceof Answer.Nothing)) {
+          if (!(answer instanceof Answer.OutcomeUnknown)) {
             runs.forEach(machine.pendingStarts()::commandAnswered);
           }
-          if (answer instanceof Answer.Commanded commanded) {
+          if (answer instanceof Answer.CommandResult commanded) {
             machine.delivery().commandReplied(clock);
             reportHandler.accept(commanded.report());
             if (!commanded.executed() && machine.state() == Machine.State.UNCONFIRMED) {
--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -22,7 +22,7 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.Resources;
-import org.oakwalk.core.leadership.RelayEnds;
+import org.oakwalk.core.leadership.RelayExpiry;
 import org.oakwalk.core.store.JobRecord;
 import org.oakwalk.core.store.StoreView;
 import org.slf4j.Logger;
@@ -105,8 +105,8 @@
   private final Token token;
   private final JobRegistry jobs;
   private final StoreView view;
-  private final RelayEnds relays;
-  private final Settings.Workers timing;
+  private final RelayExpiry relays;
+  private final Settings.WorkerTiming timing;
   private final Listener listener;
   private final Map<MachineId, Machine> machines = new LinkedHashMap<>();
   private final Map<TaskId, Placement> byTask = new HashMap<>();
@@ -131,8 +131,8 @@
       Token token,
       JobRegistry jobs,
       StoreView view,
-      RelayEnds relays,
-      Settings.Workers timing,
+      RelayExpiry relays,
+      Settings.WorkerTiming timing,
       Listener listener) {
     this.relays = relays;
     this.token = token;
@@ -386,7 +386,7 @@
    * be executed on it.
    */
   public boolean mustNotRenewLease(Machine machine, Moment now) {
-    return machine.mustNotRenewLease(now, timing.graceLimit().surelyNotPassed());
+    return machine.mustNotRenewLease(now, timing.graceLimit().minusClockDrift());
   }
 
   /** The orders to send in response to an unsolicited report, which renews the machine's lease. */
@@ -431,7 +431,7 @@
     Machine machine = placement.machine();
     boolean inTime =
         placement.job().state() != Job.State.WITHDRAWN
-            || !now.past(placement.orderedAt(), timing.cancel().minus(START_MARGIN));
+            || !now.isPast(placement.orderedAt(), timing.cancelDeadline().minus(START_MARGIN));
     return placement.state() == Placement.State.ORDERED
         && (machine.state() == Machine.State.UP || machine.state() == Machine.State.RETURNING)
         && !machine.commandInFlight()
@@ -518,7 +518,7 @@
     Moment renewed =
         lastUnseenRenewal.isAfter(machine.knownSince()) ? lastUnseenRenewal : machine.knownSince();
     return view.lastConfirmed()
-        .past(renewed, timing.lease().surelyPassed().plus(LEASE_EXPIRY_MARGIN));
+        .isPast(renewed, timing.leaseDuration().plusClockDrift().plus(LEASE_EXPIRY_MARGIN));
   }
 
   /**
@@ -529,7 +529,7 @@
    */
   public void expireLeases(Moment now, Moment lastUnseenRenewal) {
     this.lastUnseenRenewal = lastUnseenRenewal;
-    Span lease = timing.lease().surelyPassed().plus(LEASE_EXPIRY_MARGIN);
+    Span lease = timing.leaseDuration().plusClockDrift().plus(LEASE_EXPIRY_MARGIN);
     for (Machine machine : machines.values()) {
       Moment renewed = machine.leaseRenewedAt();
       if (machine.unverified() && lastUnseenRenewal.isAfter(renewed)) {
@@ -539,7 +539,7 @@
       renewed = relays.lastRenewal(machine.zone(), renewed, now);
       // A later leader may renew leases as well. Only a read of the store that began after the
       // expiry and still showed this leader proves that none did.
-      if (canExpire(machine) && view.lastConfirmed().past(renewed, lease)) {
+      if (canExpire(machine) && view.lastConfirmed().isPast(renewed, lease)) {
         LOG.info(
             "lease of machine {} expired with {} tasks", machine.id(), machine.placements().size());
         if (machine.state() != Machine.State.RETURNING) {
--- a/src/main/java/org/oakwalk/core/fleet/Machine.java
+++ b/src/main/java/org/oakwalk/core/fleet/Machine.java
@@ -313,7 +313,7 @@
         && (schedulingMode == SchedulingMode.ACTIVE || schedulingMode.backfillOnly())
         && session().isPresent()
         && delivery.working()
-        && !now.past(lastReportAt, suspectAfter)
+        && !now.isPast(lastReportAt, suspectAfter)
         && !blockedUntil.isAfter(now);
   }
 
@@ -525,7 +525,7 @@
     for (Placement placement : placements.values()) {
       Moment withdrawn = placement.job().earliestWithdrawalNotice();
       if (withdrawn != null
-          && now.past(withdrawn, limit)
+          && now.isPast(withdrawn, limit)
           && pendingStarts.commandUnanswered(
               new TaskAttempt(placement.task(), placement.attempt()))) {
         return true;
--- a/src/main/java/org/oakwalk/core/fleet/MachineRegistry.java
+++ b/src/main/java/org/oakwalk/core/fleet/MachineRegistry.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.oakwalk.core.HoldId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Revision;
@@ -76,7 +76,7 @@
       return new Change.Put(
           key,
           new StoredValue.MachineListRecord(List.copyOf(members.values())),
-          Optional.<HoldId>empty());
+          Optional.<LeaseId>empty());
     }
   }
 
@@ -164,12 +164,12 @@
         new Request.Commit(
             transaction.guards,
             transaction.changes,
-            registersMachines ? Request.Urgency.ENROLMENT : Request.Urgency.RESULT),
+            registersMachines ? Request.Urgency.REGISTRATION : Request.Urgency.RESULT),
         answer -> {
           writing = false;
           if (answer instanceof Answer.Committed committed) {
             nextAttemptAt = transaction.incomplete ? now : now.plus(COMMIT_INTERVAL);
-            applied(transaction, committed.epoch());
+            applied(transaction, committed.revision());
           } else {
             // The machines may not be stored, so they must not get tasks yet.
             nextAttemptAt = now.plus(RETRY_DELAY);
--- a/src/main/java/org/oakwalk/core/fleet/Reconciler.java
+++ b/src/main/java/org/oakwalk/core/fleet/Reconciler.java
@@ -30,10 +30,10 @@
 
   private final Fleet fleet;
   private final JobRegistry jobs;
-  private final Settings.Workers timing;
+  private final Settings.WorkerTiming timing;
   private final Fleet.Listener listener;
 
-  Reconciler(Fleet fleet, JobRegistry jobs, Settings.Workers timing, Fleet.Listener listener) {
+  Reconciler(Fleet fleet, JobRegistry jobs, Settings.WorkerTiming timing, Fleet.Listener listener) {
     this.fleet = fleet;
     this.jobs = jobs;
     this.timing = timing;
@@ -98,7 +98,7 @@
       machine.leaseRenewedAt(now);
     }
     machine.address(report.address());
-    if (now.past(machine.lastReportAt(), timing.suspectAfter())) {
+    if (now.isPast(machine.lastReportAt(), timing.suspectAfter())) {
       // Unreachable or hanging: tasks that ended meanwhile would seem to have run until now.
       machine.placements().forEach(Placement::markObservationGap);
     }
@@ -114,8 +114,8 @@
       LOG.info("machine {} started session {}", machine.id(), report.session());
       fleet.removeAllPlacements(machine, now);
     }
-    if (report.notice().isPresent()) {
-      handleReclaimNotice(machine, report.notice().get(), now);
+    if (report.reclaimNotice().isPresent()) {
+      handleReclaimNotice(machine, report.reclaimNotice().get(), now);
     }
     reconcile(machine, report, now);
     if (machine.unverified() && unsolicited && fleet.olderAttemptsOver(machine, report.token())) {
@@ -162,11 +162,11 @@
     if (machine.fence().mayHaveIssued(report.token())) {
       machine.delivery().tokenConfirmed();
     }
-    Span lease = timing.lease();
+    Span lease = timing.leaseDuration();
     if (!newSession) {
-      machine.delivery().sessionContinued(lease.surelyPassed(), now);
-    } else if (now.past(machine.leaseRenewedAt(), MIN_RESPONSE_WAIT)
-        && !now.past(machine.leaseRenewedAt(), lease.minus(MAX_REPORT_DELAY))) {
+      machine.delivery().sessionContinued(lease.plusClockDrift(), now);
+    } else if (now.isPast(machine.leaseRenewedAt(), MIN_RESPONSE_WAIT)
+        && !now.isPast(machine.leaseRenewedAt(), lease.minus(MAX_REPORT_DELAY))) {
       // Had it received the last response, the previous session would have continued.
       LOG.info("machine {} does not receive responses", machine.id());
       machine.delivery().markFailing(ResponseDelivery.State.RESPONSES_NOT_RECEIVED, now);
@@ -185,7 +185,7 @@
     Resources previousOrphanRoom = machine.unmatched().orphanRoom();
     machine.unmatched().clear();
     List<Placement> missing = machine.placementsCopy();
-    for (Report.Piece reported : report.pieces()) {
+    for (Report.ReportedTask reported : report.tasks()) {
       Placement placement = machine.placement(reported.task());
       if (placement != null && placement.attempt().equals(reported.attempt())) {
         missing.remove(placement);
@@ -213,7 +213,7 @@
     }
   }
 
-  private void observe(Placement placement, Report.Piece reported, Moment now) {
+  private void observe(Placement placement, Report.ReportedTask reported, Moment now) {
     switch (reported.state()) {
       case FETCHING -> {
         if (placement.state() == Placement.State.ORDERED) {
@@ -268,7 +268,7 @@
   }
 
   /** Handles an attempt without a placement: ordered by an earlier leader, or ended before. */
-  private void handleUnmatched(Machine machine, Report.Piece reported, Moment now) {
+  private void handleUnmatched(Machine machine, Report.ReportedTask reported, Moment now) {
     Machine.TaskAttempt attempt = new Machine.TaskAttempt(reported.task(), reported.attempt());
     int index = reported.task().index();
     // An ended attempt is no reason to load a finished job; it may remain in reports for long.
@@ -318,7 +318,7 @@
    * has shown. An older leader ordered the later attempt when it was certain that the earlier one
    * had ended. Without the removal, the later attempt would be stopped as a duplicate.
    */
-  private void removeSuperseded(Job job, Report.Piece reported, Moment now) {
+  private void removeSuperseded(Job job, Report.ReportedTask reported, Moment now) {
     if (job.isDone(reported.task().index())
         || reported.attempt().token().compareTo(fleet.token()) >= 0) {
       return;
--- a/src/main/java/org/oakwalk/core/fleet/ResponseDelivery.java
+++ b/src/main/java/org/oakwalk/core/fleet/ResponseDelivery.java
@@ -64,7 +64,7 @@
 
   /** Records a report of the same session as before, which continues only if responses arrive. */
   void sessionContinued(Span lease, Moment now) {
-    if (state == State.RESPONSES_NOT_RECEIVED && now.past(failingSince, lease)) {
+    if (state == State.RESPONSES_NOT_RECEIVED && now.isPast(failingSince, lease)) {
       state = State.DELIVERED;
     }
   }
--- a/src/main/java/org/oakwalk/core/headroom/Refill.java
+++ b/src/main/java/org/oakwalk/core/headroom/Refill.java
@@ -72,7 +72,7 @@
           soon(machine, rooms).capacityFor(spec.resources())
               - rooms.beyond(machine).capacityFor(spec.resources());
       Span patience = machine.type().bootTime().times(BOOTS).plus(WAIT);
-      Plan plan = now.past(since, patience) ? plan(machine, row, rooms, now) : null;
+      Plan plan = now.isPast(since, patience) ? plan(machine, row, rooms, now) : null;
       if (plan != null && (best == null || cost(plan, row) < cost(best, row))) {
         best = plan;
       }
--- a/src/main/java/org/oakwalk/core/job/JobFaultDetector.java
+++ b/src/main/java/org/oakwalk/core/job/JobFaultDetector.java
@@ -53,7 +53,7 @@
 
   /** Clears the suspicion if tasks of the job have been running for {@link #HEALTHY_RUN_TIME}. */
   void clearAfterHealthyRun(Moment now) {
-    if (runningSince != null && now.past(runningSince, HEALTHY_RUN_TIME)) {
+    if (runningSince != null && now.isPast(runningSince, HEALTHY_RUN_TIME)) {
       failedMachines.clear();
       errorCount = 0;
       reportedByEarlierLeader = false;
--- a/src/main/java/org/oakwalk/core/job/PendingUserRequests.java
+++ b/src/main/java/org/oakwalk/core/job/PendingUserRequests.java
@@ -6,7 +6,7 @@
 import java.util.HashSet;
 import java.util.List;
 import java.util.Set;
-import org.oakwalk.core.ExchangeId;
+import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.port.UserRequest;
@@ -26,14 +26,14 @@
   /** Clients time out after 5 s for submissions and withdrawals. */
   private static final Span CHANGE_TIMEOUT = Span.millis(4_500);
 
-  private record PendingRequest(ExchangeId id, Moment deadline) {}
+  private record PendingRequest(InboundRequestId id, Moment deadline) {}
 
   private final Deque<PendingRequest> queries = new ArrayDeque<>();
   private final Deque<PendingRequest> changes = new ArrayDeque<>();
-  private final Set<ExchangeId> unanswered = new HashSet<>();
+  private final Set<InboundRequestId> unanswered = new HashSet<>();
 
   /** Adds a request that has just been received. */
-  public void add(ExchangeId id, UserRequest request, Moment now) {
+  public void add(InboundRequestId id, UserRequest request, Moment now) {
     unanswered.add(id);
     if (request instanceof UserRequest.Query) {
       queries.add(new PendingRequest(id, now.plus(QUERY_TIMEOUT)));
@@ -43,16 +43,16 @@
   }
 
   /** Marks a request as answered; returns false if it has been answered before. */
-  public boolean markAnswered(ExchangeId id) {
+  public boolean markAnswered(InboundRequestId id) {
     return unanswered.remove(id);
   }
 
   /** Removes the requests whose timeout has passed and returns them; they count as answered. */
-  public List<ExchangeId> expire(Moment now) {
-    List<ExchangeId> expired = new ArrayList<>();
+  public List<InboundRequestId> expire(Moment now) {
+    List<InboundRequestId> expired = new ArrayList<>();
     for (Deque<PendingRequest> pending : List.of(queries, changes)) {
       while (!pending.isEmpty() && !pending.peek().deadline().isAfter(now)) {
-        ExchangeId id = pending.poll().id();
+        InboundRequestId id = pending.poll().id();
         if (unanswered.remove(id)) {
           expired.add(id);
         }
--- a/src/main/java/org/oakwalk/core/job/ResultWriter.java
+++ b/src/main/java/org/oakwalk/core/job/ResultWriter.java
@@ -148,7 +148,7 @@
             return;
           }
           if (answer instanceof Answer.Committed committed) {
-            job.markEnded(false, committed.epoch());
+            job.markEnded(false, committed.revision());
             jobEnded(job);
             // Users are answered from the copy of the store only, so bring it up to date at once.
             view.catchUp(now, known -> {});
@@ -178,7 +178,7 @@
 
   private void blockOnRecordConflict(Answer answer, Job job) {
     if (answer instanceof Answer.Conflict conflict
-        && conflict.failed().contains(StoreKeys.job(job.id()))) {
+        && conflict.failedKeys().contains(StoreKeys.job(job.id()))) {
       blockedJobs.add(job.id());
     }
   }
@@ -249,19 +249,19 @@
     }
     flushing = true;
     outbox.call(
-        new Request.Commit(guards, changes, Request.Urgency.REST),
+        new Request.Commit(guards, changes, Request.Urgency.ROUTINE),
         answer -> {
           flushing = false;
           if (answer instanceof Answer.Committed committed) {
             batchSize = maxBatchSize;
-            writes.forEach(write -> chunkStored(write, committed.epoch(), now));
+            writes.forEach(write -> chunkStored(write, committed.revision(), now));
             obsoleteChunks.removeAll(removed);
           } else if (answer instanceof Answer.Conflict conflict) {
             nextFlush = now.plus(RETRY_DELAY);
             writes.forEach(write -> chunkConflicted(write, conflict));
           } else {
             batchSize = Math.max(1, batchSize / 2);
-            if (answer instanceof Answer.Nothing) {
+            if (answer instanceof Answer.OutcomeUnknown) {
               writes.forEach(write -> trackStoredChunks(write.job()));
             }
           }
@@ -277,7 +277,7 @@
   /** Handles a commit that wrote nothing because a guard failed. */
   private void chunkConflicted(ChunkWrite write, Answer.Conflict conflict) {
     blockOnRecordConflict(conflict, write.job());
-    if (conflict.failed().contains(write.key())) {
+    if (conflict.failedKeys().contains(write.key())) {
       staleChunks.add(write.key());
     }
     trackStoredChunks(write.job());
--- a/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
+++ b/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
@@ -52,7 +52,7 @@
   private final Map<String, Settings.Team> teams;
   private final AdmissionControl admission;
   private Map<String, MachineType> machineTypes = Map.of();
-  private Map<JobId, PeerMessage.Counts> taskCounts = new HashMap<>();
+  private Map<JobId, PeerMessage.TaskCounts> taskCounts = new HashMap<>();
   private Moment now = new Moment(0);
   private WallTime wallTime = new WallTime(0);
 
@@ -70,7 +70,7 @@
   }
 
   /** Sets the task counts of open jobs, as last sent by the leader. */
-  public void taskCounts(Map<JobId, PeerMessage.Counts> current) {
+  public void taskCounts(Map<JobId, PeerMessage.TaskCounts> current) {
     taskCounts = current;
   }
 
@@ -197,7 +197,7 @@
   private void create(JobSpec spec, Consumer<Response> answer) {
     if (!admission.admits(spec.team())) {
       answer.accept(
-          Response.tooMany("too many open jobs of team " + spec.team(), OVERLOAD_RETRY_DELAY));
+          Response.overloaded("too many open jobs of team " + spec.team(), OVERLOAD_RETRY_DELAY));
       return;
     }
     String key = StoreKeys.job(spec.id());
@@ -246,10 +246,10 @@
             Request.Urgency.WITHDRAWAL),
         reply -> {
           if (reply instanceof Answer.Committed committed) {
-            LOG.info("job {} withdrawn at revision {}", job.id(), committed.epoch());
+            LOG.info("job {} withdrawn at revision {}", job.id(), committed.revision());
             // If this node is the leader, it must not start tasks of the job once the user knows of
             // the withdrawal.
-            view.applyOwnWrite(record, committed.epoch());
+            view.applyOwnWrite(record, committed.revision());
             answer.accept(
                 new Response.JobStatus(false, job.id(), Response.JobState.CANCELLED, 0, 0));
           } else if (reply instanceof Answer.Conflict) {
@@ -284,7 +284,8 @@
   }
 
   private Response status(KnownJob job) {
-    PeerMessage.Counts count = taskCounts.getOrDefault(job.id(), new PeerMessage.Counts(0, 0));
+    PeerMessage.TaskCounts count =
+        taskCounts.getOrDefault(job.id(), new PeerMessage.TaskCounts(0, 0));
     return switch (job.phase()) {
       case DONE -> new Response.JobStatus(false, job.id(), Response.JobState.DONE, job.tasks(), 0);
       case WITHDRAWN ->
--- a/src/main/java/org/oakwalk/core/leadership/RelayEnds.java
+++ b/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
@@ -12,49 +12,52 @@
 import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoreView;
 
-/** What a leader makes of followers that keep leases alive for it in a zone. */
-public final class RelayEnds {
-  private static final Span RETRY = Span.seconds(1);
+/**
+ * The leader's view of followers that renew worker leases on its behalf: until when they may do so
+ * in each zone, and when their announcements can be removed from the store.
+ */
+public final class RelayExpiry {
+  private static final Span RETRY_DELAY = Span.seconds(1);
 
   private final Outbox outbox;
   private final StoreView view;
   private final Guard guard;
   private final Token token;
-  private final Span answers;
-  private final Span lease;
-  private boolean removing;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private final Span relayPeriod;
+  private final Span leaseDuration;
+  private boolean removalPending;
+  private Moment nextAttempt = new Moment(Long.MIN_VALUE / 2);
 
-  public RelayEnds(
-      Outbox outbox, StoreView view, Guard guard, Token token, Settings.Workers timing) {
+  public RelayExpiry(
+      Outbox outbox, StoreView view, Guard guard, Token token, Settings.WorkerTiming timing) {
     this.outbox = outbox;
     this.view = view;
     this.guard = guard;
     this.token = token;
-    this.answers = timing.relayWindow().surelyPassed().plus(StoreView.MAX_LAG);
-    this.lease = timing.lease().surelyPassed();
+    this.relayPeriod = timing.relayWindow().plusClockDrift().plus(StoreView.MAX_LAG);
+    this.leaseDuration = timing.leaseDuration().plusClockDrift();
   }
 
   /**
    * The last moment up to now at which a follower may have renewed leases in the zone under this
-   * leader's token, or {@code otherwise} if that is later. A zone without a name is one that is not
-   * known, so it may be any.
+   * leader's token, or {@code fallback} if that is later. An empty zone name stands for an unknown
+   * zone, so all zones count.
    */
-  public Moment lastRenewal(String zone, Moment otherwise, Moment now) {
+  public Moment lastRenewal(String zone, Moment fallback, Moment now) {
     return zone.isEmpty()
         ? view.relays().stream()
             .map(relayed -> lastRenewal(relayed, now))
-            .reduce(otherwise, RelayEnds::later)
+            .reduce(fallback, RelayExpiry::later)
         : view.relays(zone)
-            .map(relayed -> later(lastRenewal(relayed, now), otherwise))
-            .orElse(otherwise);
+            .map(relayed -> later(lastRenewal(relayed, now), fallback))
+            .orElse(fallback);
   }
 
   private Moment lastRenewal(StoreView.RelayAnnouncement relayed, Moment now) {
     if (!relayed.record().token().equals(token)) {
       return new Moment(Long.MIN_VALUE / 2);
     }
-    Moment end = relayed.seenAt().plus(answers);
+    Moment end = relayed.seenAt().plus(relayPeriod);
     return end.isAfter(now) ? now : end;
   }
 
@@ -63,16 +66,16 @@
   }
 
   /**
-   * Removes announcements under older tokens, and those under which every lease has ended or was
-   * renewed by the leader itself, so that a later cut may be announced again.
+   * Removes announcements under older tokens, and those under which every lease has expired or has
+   * been renewed by the leader itself, so that a later partition can be announced again.
    */
   public void tick(Moment now) {
-    if (removing || nextTry.isAfter(now)) {
+    if (removalPending || nextAttempt.isAfter(now)) {
       return;
     }
     for (StoreView.RelayAnnouncement relayed : view.relays()) {
-      boolean older = relayed.record().token().compareTo(token) < 0;
-      if (older || now.past(relayed.seenAt(), answers.plus(lease))) {
+      boolean hasOlderToken = relayed.record().token().compareTo(token) < 0;
+      if (hasOlderToken || now.isPast(relayed.seenAt(), relayPeriod.plus(leaseDuration))) {
         remove(relayed, now);
         return;
       }
@@ -81,13 +84,13 @@
 
   private void remove(StoreView.RelayAnnouncement relayed, Moment now) {
     String key = StoreKeys.relay(relayed.record().zone());
-    removing = true;
-    nextTry = now.plus(RETRY);
+    removalPending = true;
+    nextAttempt = now.plus(RETRY_DELAY);
     outbox.call(
         new Request.Commit(
             List.of(guard, new Guard(key, relayed.revision())),
             List.of(new Change.Remove(key)),
-            Request.Urgency.REST),
-        answer -> removing = false);
+            Request.Urgency.ROUTINE),
+        answer -> removalPending = false);
   }
 }
--- a/src/main/java/org/oakwalk/core/leadership/ReportForwarding.java
+++ b/src/main/java/org/oakwalk/core/leadership/ReportForwarding.java
@@ -14,105 +14,113 @@
 import org.oakwalk.core.Token;
 
 /**
- * Which workers' reports a follower carries to the leader, because their workers can't reach it
- * while this node can. The leader's orders go back in the answer, so a leader that is cut from its
- * workers alone loses none of them. Now and then each worker is sent to the leader all the same, to
- * find out whether the way is free again.
+ * Decides which worker reports a follower forwards to the leader because the worker cannot reach
+ * the leader while this node can. The leader's orders go back in the answer, so a leader that is
+ * partitioned from its workers only does not lose them. Each worker is redirected to the leader
+ * periodically, to find out whether it can reach the leader again.
  */
 public final class ReportForwarding {
-  /** What this node has found out about a worker's way to the leader. */
+  /** What this node knows of a worker's connection to the leader. */
   public enum State {
-    /** Its report was carried once; nothing is known yet. */
-    VISITING,
-    /** It was sent to the leader. */
-    SENT_ON,
-    /** It came back from there, so its reports are carried for a while. */
-    STRANDED
+    /** One report was forwarded; nothing is known of the connection yet. */
+    FORWARDED,
+    /** The worker was redirected to the leader. */
+    REDIRECTED,
+    /** The worker came back soon after a redirect, so its reports are forwarded for a while. */
+    CUT_OFF
   }
 
-  private static final Map<State, Set<State>> LEGAL = new EnumMap<>(State.class);
+  private static final Map<State, Set<State>> TRANSITIONS = new EnumMap<>(State.class);
 
   static {
-    LEGAL.put(State.VISITING, EnumSet.of(State.SENT_ON));
-    LEGAL.put(State.SENT_ON, EnumSet.of(State.VISITING, State.STRANDED));
-    LEGAL.put(State.STRANDED, EnumSet.of(State.SENT_ON));
+    TRANSITIONS.put(State.FORWARDED, EnumSet.of(State.REDIRECTED));
+    TRANSITIONS.put(State.REDIRECTED, EnumSet.of(State.FORWARDED, State.CUT_OFF));
+    TRANSITIONS.put(State.CUT_OFF, EnumSet.of(State.REDIRECTED));
   }
 
-  private static final Span HEARD_WITHIN = Span.millis(2500);
+  /** Longest gap between digests at which the leader still counts as reachable. */
+  private static final Span LEADER_TIMEOUT = Span.millis(2500);
 
-  /** A worker waits 4 s for an answer and another second before it tries the next node. */
-  private static final Span BACK_WITHIN = Span.seconds(8);
+  /**
+   * A worker that reports here again within this time after a redirect did not reach the leader. It
+   * waits 4 s for an answer and another second before it tries the next node.
+   */
+  private static final Span RETURN_WINDOW = Span.seconds(8);
 
-  private static final Span STRANDED_FOR = Span.seconds(15);
+  /** How long the reports of a cut-off worker are forwarded before its next redirect. */
+  private static final Span FORWARD_DURATION = Span.seconds(15);
 
-  /** A worker that was here under the present leader. */
-  private static final class Guest {
+  /** A worker that has reported to this node under the current leader. */
+  private static final class TrackedWorker {
     State state;
     Moment since;
 
-    Guest(State state, Moment since) {
+    TrackedWorker(State state, Moment since) {
       this.state = state;
       this.since = since;
     }
 
-    /** The one place where the state changes. */
-    void enter(State next, Moment now) {
-      if (!LEGAL.get(state).contains(next)) {
-        throw new IllegalStateException("worker from " + state + " to " + next);
+    /** Changes the state; no other method assigns it after construction. */
+    void transitionTo(State next, Moment now) {
+      if (!TRANSITIONS.get(state).contains(next)) {
+        throw new IllegalStateException(
+            "illegal forwarding transition from " + state + " to " + next);
       }
       state = next;
       since = now;
     }
   }
 
-  private final Map<MachineId, Guest> guests = new HashMap<>();
+  private final Map<MachineId, TrackedWorker> workers = new HashMap<>();
   private Optional<NodeId> leader = Optional.empty();
   private Token token = new Token(0);
-  private Moment heard = new Moment(Long.MIN_VALUE / 2);
+  private Moment lastHeard = new Moment(Long.MIN_VALUE / 2);
 
-  /** A leader was heard over the link between controllers. */
-  public void heard(NodeId from, Token its, Moment now) {
-    if (its.compareTo(token) > 0) {
-      guests.clear();
-      token = its;
+  /** Records a digest from a leader. A higher token discards all knowledge of workers. */
+  public void leaderHeard(NodeId from, Token leaderToken, Moment now) {
+    if (leaderToken.compareTo(token) > 0) {
+      workers.clear();
+      token = leaderToken;
     }
-    if (its.equals(token)) {
+    if (leaderToken.equals(token)) {
       leader = Optional.of(from);
-      heard = now;
+      lastHeard = now;
     }
   }
 
-  /** The leader, if it has been heard a moment ago. */
+  /** The leader, if a digest from it arrived within the timeout. */
   public Optional<NodeId> leader(Moment now) {
-    return now.past(heard, HEARD_WITHIN) ? Optional.empty() : leader;
+    return now.isPast(lastHeard, LEADER_TIMEOUT) ? Optional.empty() : leader;
   }
 
-  /** Whether this report is to be carried, rather than its worker sent on to the leader. */
-  public boolean carries(Report report, Moment now) {
+  /** Whether to forward this report to the leader instead of redirecting its worker there. */
+  public boolean shouldForward(Report report, Moment now) {
     if (leader(now).isEmpty()) {
       return false;
     }
-    Guest guest = guests.get(report.machine());
-    if (guest == null) {
-      // Who has the leader's token has been answered by it, and left it for a reason.
-      boolean known = report.token().compareTo(token) >= 0;
-      guests.put(report.machine(), new Guest(known ? State.VISITING : State.SENT_ON, now));
-      return known;
+    TrackedWorker worker = workers.get(report.machine());
+    if (worker == null) {
+      // The leader has answered a worker that has its token, so the worker left it for a reason.
+      boolean hasLeaderToken = report.token().compareTo(token) >= 0;
+      workers.put(
+          report.machine(),
+          new TrackedWorker(hasLeaderToken ? State.FORWARDED : State.REDIRECTED, now));
+      return hasLeaderToken;
     }
-    switch (guest.state) {
-      case VISITING -> guest.enter(State.SENT_ON, now);
-      case SENT_ON -> {
-        boolean back = !now.past(guest.since, BACK_WITHIN);
-        guest.enter(back ? State.STRANDED : State.VISITING, now);
+    switch (worker.state) {
+      case FORWARDED -> worker.transitionTo(State.REDIRECTED, now);
+      case REDIRECTED -> {
+        boolean returnedSoon = !now.isPast(worker.since, RETURN_WINDOW);
+        worker.transitionTo(returnedSoon ? State.CUT_OFF : State.FORWARDED, now);
         return true;
       }
-      case STRANDED -> {
-        if (!now.past(guest.since, STRANDED_FOR)) {
+      case CUT_OFF -> {
+        if (!now.isPast(worker.since, FORWARD_DURATION)) {
           return true;
         }
-        guest.enter(State.SENT_ON, now);
+        worker.transitionTo(State.REDIRECTED, now);
       }
-      default -> throw new IllegalStateException("worker in " + guest.state);
+      default -> throw new IllegalStateException("unexpected forwarding state " + worker.state);
     }
     return false;
   }
--- a/src/main/java/org/oakwalk/core/leadership/WithdrawalHalts.java
+++ b/src/main/java/org/oakwalk/core/leadership/WithdrawalHalts.java
@@ -10,11 +10,11 @@
 import org.oakwalk.core.store.StoreView;
 
 /**
- * What a controller may order without knowing the fleet: tasks of jobs that it knows to be
- * withdrawn must end.
+ * Halt orders for tasks of withdrawn jobs. A controller may issue them without knowing the fleet's
+ * state, because a task of a withdrawn job must end in any case.
  */
 public final class WithdrawalHalts {
-  private static final Span AT_ONCE = Span.millis(0);
+  private static final Span NO_GRACE = Span.millis(0);
 
   private final StoreView view;
 
@@ -22,31 +22,31 @@
     this.view = view;
   }
 
-  /** Halts for all tasks of withdrawn jobs that a report shows. */
-  public List<Order> of(Report report) {
+  /** Halt orders for all unfinished tasks of withdrawn jobs in a report. */
+  public List<Order> haltsFor(Report report) {
     List<Order> halts = new ArrayList<>();
-    for (Report.Piece piece : report.pieces()) {
-      if (withdrawn(piece.task().job()) && !piece.ended()) {
-        halts.add(new Order.Halt(piece.task(), piece.attempt(), AT_ONCE));
+    for (Report.ReportedTask reported : report.tasks()) {
+      if (withdrawn(reported.task().job()) && !reported.ended()) {
+        halts.add(new Order.Halt(reported.task(), reported.attempt(), NO_GRACE));
       }
     }
     return halts;
   }
 
   /**
-   * A leader's orders as they may be handed on to a worker: a start of a withdrawn job's task is
-   * stopped in the same answer. It is not left out, since the leader counts on the worker to know
-   * the attempt from then on, which makes older starts void.
+   * Adds halts to a leader's orders before they are passed on to a worker: the start of a withdrawn
+   * job's task is followed by a halt in the same answer. The start is not omitted, because the
+   * leader relies on the worker to know the attempt from then on, which voids older starts.
    */
-  public List<Order> added(List<Order> orders) {
-    List<Order> added = new ArrayList<>();
+  public List<Order> withHalts(List<Order> orders) {
+    List<Order> extended = new ArrayList<>();
     for (Order order : orders) {
-      added.add(order);
+      extended.add(order);
       if (order instanceof Order.Run run && withdrawn(run.task().job())) {
-        added.add(new Order.Halt(run.task(), run.attempt(), AT_ONCE));
+        extended.add(new Order.Halt(run.task(), run.attempt(), NO_GRACE));
       }
     }
-    return added;
+    return extended;
   }
 
   private boolean withdrawn(JobId id) {
--- a/src/main/java/org/oakwalk/core/placement/GangReservations.java
+++ b/src/main/java/org/oakwalk/core/placement/GangReservations.java
@@ -166,7 +166,7 @@
     }
     Moment firstEstimate =
         candidates.expectedStarts().merge(gang, startAt, (a, b) -> a.isAfter(b) ? b : a);
-    if (now.past(firstEstimate, START_GRACE)) {
+    if (now.isPast(firstEstimate, START_GRACE)) {
       candidates.expectedStarts().remove(gang);
       pausedUntil.put(gang, now.plus(MAX_TIME_TO_START));
       return false;
--- a/src/main/java/org/oakwalk/core/placement/JobScorer.java
+++ b/src/main/java/org/oakwalk/core/placement/JobScorer.java
@@ -23,14 +23,14 @@
   /** Bounds how often scores are recomputed close to a deadline. */
   private static final long MIN_VALIDITY_MS = 100;
 
-  private final Policy.Scoring weights;
+  private final Policy.ScoringPolicy weights;
   private final JobTargets targets;
   private final double floorHours;
 
-  public JobScorer(Policy.Scoring weights, JobTargets targets) {
+  public JobScorer(Policy.ScoringPolicy weights, JobTargets targets) {
     this.weights = weights;
     this.targets = targets;
-    this.floorHours = weights.floor().millis() / HOUR_MS;
+    this.floorHours = weights.minTimeLeft().millis() / HOUR_MS;
   }
 
   /**
--- a/src/main/java/org/oakwalk/core/placement/JobTargets.java
+++ b/src/main/java/org/oakwalk/core/placement/JobTargets.java
@@ -69,7 +69,8 @@
   private static Span target(Settings.Objective objective, JobSpec spec) {
     return switch (objective.kind()) {
       case "finished" -> Span.seconds(objective.withinSeconds());
-      case "deadline" -> spec.deadline().map(due -> due.times(objective.times())).orElse(null);
+      case "deadline" ->
+          spec.deadline().map(due -> due.times(objective.deadlineFactor())).orElse(null);
       default -> null;
     };
   }
--- a/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
+++ b/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
@@ -213,7 +213,7 @@
   void beginRound(Moment now, WallTime wall) {
     decay(now);
     while (!unclassified.isEmpty()
-        && now.past(unclassified.peek().job.firstSeen(), ServedShares.COUNTED_AFTER)) {
+        && now.isPast(unclassified.peek().job.firstSeen(), ServedShares.COUNTED_AFTER)) {
       classify(unclassified.poll());
     }
     bonuses.clear();
--- a/src/main/java/org/oakwalk/core/placement/MachineDistance.java
+++ b/src/main/java/org/oakwalk/core/placement/MachineDistance.java
@@ -34,15 +34,15 @@
    */
   private static final double NO_REPLICA_PENALTY = 0.3;
 
-  private final Policy.Hosts policy;
+  private final Policy.PlacementPolicy policy;
   private final CapacityReserve reserve;
 
   /** Computes distances where no room is reserved. */
-  public MachineDistance(Policy.Hosts policy) {
+  public MachineDistance(Policy.PlacementPolicy policy) {
     this(policy, CapacityReserve.NONE);
   }
 
-  MachineDistance(Policy.Hosts policy, CapacityReserve reserve) {
+  MachineDistance(Policy.PlacementPolicy policy, CapacityReserve reserve) {
     this.policy = policy;
     this.reserve = reserve;
   }
@@ -82,7 +82,7 @@
    * leave a whole place unused.
    */
   private boolean leavesSpare(double asked, double free, double whole) {
-    double spare = (1 - policy.mark()) * whole;
+    double spare = (1 - policy.maxUtilization()) * whole;
     return asked > spare || free - asked >= spare - 1e-9;
   }
 
--- a/src/main/java/org/oakwalk/core/placement/Placer.java
+++ b/src/main/java/org/oakwalk/core/placement/Placer.java
@@ -90,7 +90,7 @@
     this.policy = policy;
     this.quota = quota;
     this.runTimes = runTimes;
-    this.distances = new MachineDistance(policy.hosts(), reserve);
+    this.distances = new MachineDistance(policy.placement(), reserve);
     this.candidates = new CandidateMachines(fleet, runTimes, suspectAfter, reserve);
     this.ranking = new Ranking(jobs, runTimes, new JobScorer(policy.scoring(), targets), quota);
     PreemptionPlanner preemption =
@@ -158,7 +158,7 @@
                 || !UnplacedJobHandler.mayWaitForImage(job, now));
     largeJobs.beginRound(now, wall);
     if (regular && inheritedToo) {
-      gangReservations.reserve(regularRounds, policy.hosts().reserveAfterRounds(), now, wall);
+      gangReservations.reserve(regularRounds, policy.placement().reserveAfterRounds(), now, wall);
     }
     placeInOrder(inheritedToo);
     return placed;
@@ -239,7 +239,7 @@
           return ClassDecision.SKIP_CLASS;
         }
         boolean stopped = unplacedJobs.preemptFor(job);
-        if (regularRounds - job.unplacedSinceRound() >= policy.hosts().reserveAfterRounds()
+        if (regularRounds - job.unplacedSinceRound() >= policy.placement().reserveAfterRounds()
             && !unplacedJobs.reserveNearest(job)) {
           return stopped ? ClassDecision.CONTINUE : ClassDecision.SKIP_CLASS;
         }
--- a/src/main/java/org/oakwalk/core/placement/ServedShares.java
+++ b/src/main/java/org/oakwalk/core/placement/ServedShares.java
@@ -95,7 +95,7 @@
   /** Starts a round: counts jobs that have become old enough and decays old counts. */
   void beginRound(Moment now) {
     while (!notYetCounted.isEmpty()
-        && now.past(notYetCounted.peek().job.firstSeen(), COUNTED_AFTER)) {
+        && now.isPast(notYetCounted.peek().job.firstSeen(), COUNTED_AFTER)) {
       JobContribution contribution = notYetCounted.poll();
       if (contributions.get(contribution.job) == contribution) {
         contribution.counted = true;
--- a/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
+++ b/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
@@ -150,7 +150,7 @@
   static boolean mayWaitForImage(Job job, Moment now) {
     return job.spec().service()
         && job.spec().priority().compareTo(Priority.NORMAL) > 0
-        && !now.past(job.waitingSince(), MAX_IMAGE_WAIT);
+        && !now.isPast(job.waitingSince(), MAX_IMAGE_WAIT);
   }
 
   /**
--- a/src/main/java/org/oakwalk/core/port/Answer.java
+++ b/src/main/java/org/oakwalk/core/port/Answer.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Map;
-import org.oakwalk.core.HoldId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Revision;
@@ -11,45 +11,45 @@
 import org.oakwalk.core.store.Entry;
 import org.oakwalk.core.store.KeyChange;
 
-/** What came of a {@link Request}. */
+/** The outcome of a {@link Request}. */
 public sealed interface Answer {
 
-  /** Nothing usable came back: the request may have been executed, or may yet be. */
-  record Nothing(String reason) implements Answer {}
+  /** No usable answer arrived: the request may have been executed, or may still be. */
+  record OutcomeUnknown(String reason) implements Answer {}
 
-  /** The request was surely not executed. */
+  /** The request was certainly not executed. */
   record Refused(int status, String reason) implements Answer {}
 
-  /** A page of keys. */
-  record Page(List<Entry> entries, boolean more, Revision epoch) implements Answer {}
+  /** A page of keys, and the store revision at which it was read. */
+  record Page(List<Entry> entries, boolean hasMore, Revision revision) implements Answer {}
 
-  /** Changes up to and including the epoch. */
-  record Changes(Revision epoch, List<KeyChange> news) implements Answer {}
+  /** Changes up to and including the revision. */
+  record Changes(Revision revision, List<KeyChange> changes) implements Answer {}
 
-  /** The transaction was applied. */
-  record Committed(Revision epoch) implements Answer {}
+  /** The transaction was applied at this revision. */
+  record Committed(Revision revision) implements Answer {}
 
-  /** The transaction's guards did not hold. */
-  record Conflict(List<String> failed) implements Answer {}
+  /** The transaction was not applied, because the guards of these keys did not hold. */
+  record Conflict(List<String> failedKeys) implements Answer {}
 
-  /** A lease was opened. */
-  record Granted(HoldId hold) implements Answer {}
+  /** A lease was granted. */
+  record LeaseGranted(LeaseId lease) implements Answer {}
 
-  /** Done, with nothing more to say. */
+  /** The request was executed and returns no data. */
   record Ok() implements Answer {}
 
   /** The cloud's machine types. */
   record Catalog(Map<String, MachineType> types) implements Answer {}
 
-  /** A page of the cloud's list. */
-  record Rentals(List<Rental> rentals, boolean more) implements Answer {}
+  /** A page of the cloud's machine list. */
+  record Rentals(List<Rental> rentals, boolean hasMore) implements Answer {}
 
   /** Machines that were rented. */
   record Rented(List<MachineId> machines) implements Answer {}
 
   /** A worker's answer to orders: its report, and whether it executed them. */
-  record Commanded(boolean executed, Report report) implements Answer {}
+  record CommandResult(boolean executed, Report report) implements Answer {}
 
   /** Another controller's answer. */
-  record Told(PeerMessage message) implements Answer {}
+  record PeerReply(PeerMessage message) implements Answer {}
 }
--- a/src/main/java/org/oakwalk/core/port/Outbox.java
+++ b/src/main/java/org/oakwalk/core/port/Outbox.java
@@ -6,48 +6,49 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.oakwalk.core.CallId;
-import org.oakwalk.core.ExchangeId;
+import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.Span;
 
-/** Collects effects and remembers who waits for which answer. */
+/** Collects effects, and matches answers to the callbacks of pending calls. */
 public final class Outbox {
-  private final Map<CallId, Consumer<Answer>> waiting = new HashMap<>();
+  private final Map<CallId, Consumer<Answer>> pendingCalls = new HashMap<>();
   private List<Effect> effects = new ArrayList<>();
-  private long calls;
+  private long lastCallId;
 
-  /** Sends a request and hands its answer to {@code then}. */
-  public void call(Request request, Consumer<Answer> then) {
-    CallId id = new CallId(++calls);
-    waiting.put(id, then);
+  /** Sends a request and passes its answer to the callback. */
+  public void call(Request request, Consumer<Answer> callback) {
+    CallId id = new CallId(++lastCallId);
+    pendingCalls.put(id, callback);
     effects.add(new Effect.Call(id, request));
   }
 
-  public void respond(ExchangeId exchange, Response response) {
-    effects.add(new Effect.Respond(exchange, response));
+  /** Answers a received request. */
+  public void respond(InboundRequestId requestId, Response response) {
+    effects.add(new Effect.Respond(requestId, response));
   }
 
-  /** Keeps commands to this address from leaving if they have not left yet. */
-  public void recall(String address) {
-    effects.add(new Effect.Recall(address));
+  /** Cancels commands to this address that have not been sent yet. */
+  public void cancelCommands(String address) {
+    effects.add(new Effect.CancelCommands(address));
   }
 
-  /** Tells the operators how long something took. */
-  public void measured(Effect.Measure measure, Span span) {
-    effects.add(new Effect.Measured(measure, span));
+  /** Records a duration for the operators' metrics. */
+  public void recordDuration(Effect.DurationMetric metric, Span span) {
+    effects.add(new Effect.RecordDuration(metric, span));
   }
 
-  /** Delivers an answer; one that nobody waits for is dropped. */
-  public void answered(CallId call, Answer answer) {
-    Consumer<Answer> then = waiting.remove(call);
-    if (then != null) {
-      then.accept(answer);
+  /** Delivers an answer to its callback; an answer without a pending call is dropped. */
+  public void deliverAnswer(CallId call, Answer answer) {
+    Consumer<Answer> callback = pendingCalls.remove(call);
+    if (callback != null) {
+      callback.accept(answer);
     }
   }
 
-  /** Hands over what has been collected. */
-  public List<Effect> drain() {
-    List<Effect> drained = effects;
+  /** Returns the collected effects and clears them. */
+  public List<Effect> takeEffects() {
+    List<Effect> collected = effects;
     effects = new ArrayList<>();
-    return drained;
+    return collected;
   }
 }
--- a/src/main/java/org/oakwalk/core/product/ProductKeeper.java
+++ b/src/main/java/org/oakwalk/core/product/ProductKeeper.java
@@ -88,7 +88,7 @@
                     StoreKeys.PRODUCT_TERMS,
                     new StoredValue.ProductRecord(declared),
                     Optional.empty())),
-            Request.Urgency.REST),
+            Request.Urgency.ROUTINE),
         answer -> {
           writing = false;
           if (answer instanceof Answer.Committed) {
--- a/src/main/java/org/oakwalk/core/recovery/Recovery.java
+++ b/src/main/java/org/oakwalk/core/recovery/Recovery.java
@@ -95,9 +95,9 @@
     this.peersOnOlderTokens = new HashSet<>(peersInGrace);
     // A follower that kept a zone's leases alive under an older token stops once its copy of the
     // store shows the change of leader.
-    this.relayEnd = termStart.plus(StoreView.MAX_LAG.surelyPassed());
+    this.relayEnd = termStart.plus(StoreView.MAX_LAG.plusClockDrift());
     this.lastUnseenRenewal =
-        peersInGrace.isEmpty() ? relayEnd : termStart.plus(graceLimit.surelyPassed());
+        peersInGrace.isEmpty() ? relayEnd : termStart.plus(graceLimit.plusClockDrift());
   }
 
   public State state() {
@@ -190,7 +190,7 @@
           }
           pages++;
           page.entries().forEach(handler);
-          if (page.more() && !page.entries().isEmpty()) {
+          if (page.hasMore() && !page.entries().isEmpty()) {
             pageCursor = Optional.of(page.entries().get(page.entries().size() - 1).key());
           } else {
             pageCursor = Optional.empty();
--- a/src/main/java/org/oakwalk/core/shared/SharedRecords.java
+++ b/src/main/java/org/oakwalk/core/shared/SharedRecords.java
@@ -126,7 +126,7 @@
             loadedValues.put(entry.key(), entry.value());
             loadedRevisions.put(entry.key(), entry.revision());
           }
-          if (page.more() && !page.entries().isEmpty()) {
+          if (page.hasMore() && !page.entries().isEmpty()) {
             lastLoadedKey = Optional.of(page.entries().get(page.entries().size() - 1).key());
           } else {
             finishLoad();
--- a/src/main/java/org/oakwalk/core/shared/StoredSharedRecord.java
+++ b/src/main/java/org/oakwalk/core/shared/StoredSharedRecord.java
@@ -303,13 +303,13 @@
         new Request.Commit(
             List.of(leaderGuard, new Guard(StoreKeys.sharedHead(name), headStoreRevision)),
             changes,
-            Request.Urgency.REST),
+            Request.Urgency.ROUTINE),
         answer -> {
           requestPending = false;
           if (answer instanceof Answer.Committed committed) {
             retryDelay = MIN_RETRY_DELAY;
             boolean headWritten = state == State.WRITING_HEAD || state == State.FENCING;
-            headStoreRevision = headWritten ? committed.epoch() : headStoreRevision;
+            headStoreRevision = headWritten ? committed.revision() : headStoreRevision;
             onCommitted.run();
           } else if (answer instanceof Answer.Refused) {
             backOff(now);
@@ -331,7 +331,7 @@
   private void readHead(Moment now) {
     requestPending = true;
     outbox.call(
-        new Request.ReadPage(StoreKeys.sharedHead(name), Optional.empty(), Request.Urgency.REST),
+        new Request.ReadPage(StoreKeys.sharedHead(name), Optional.empty(), Request.Urgency.ROUTINE),
         answer -> {
           requestPending = false;
           if (!(answer instanceof Answer.Page page)) {
--- a/src/main/java/org/oakwalk/core/store/RequestQueue.java
+++ b/src/main/java/org/oakwalk/core/store/RequestQueue.java
@@ -33,7 +33,10 @@
   private static final int MAX_PAUSE_MILLIS = 80;
 
   private record QueuedRequest(
-      Request.State request, long sequence, long queuedAt, Consumer<Answer> callback) {
+      Request.StateServiceRequest request,
+      long sequence,
+      long queuedAt,
+      Consumer<Answer> callback) {
     int rank() {
       return request.urgency().ordinal();
     }
@@ -62,7 +65,7 @@
 
   private final AdaptiveTokenBucket requestRate;
   private final AdaptiveTokenBucket writeRate;
-  private final BiConsumer<Request.State, Consumer<Answer>> sender;
+  private final BiConsumer<Request.StateServiceRequest, Consumer<Answer>> sender;
   private final PriorityQueue<QueuedRequest> reading = new PriorityQueue<>(ORDER);
   private final PriorityQueue<QueuedRequest> writing = new PriorityQueue<>(ORDER);
   private final SplittableRandom jitter;
@@ -84,7 +87,9 @@
    * @param now milliseconds of the steady clock
    */
   public RequestQueue(
-      Settings settings, long now, BiConsumer<Request.State, Consumer<Answer>> sender) {
+      Settings settings,
+      long now,
+      BiConsumer<Request.StateServiceRequest, Consumer<Answer>> sender) {
     Settings.StateLimits limits = settings.state();
     int nodes = settings.peers().size() + 1;
     this.requestRate = new AdaptiveTokenBucket(limits.requestsPerSecond(), nodes, 3, 4, now);
@@ -107,7 +112,7 @@
    * @param callback receives the service's answer, or a refusal if the queue is full or the request
    *     has waited too long
    */
-  public void enqueue(Request.State request, long now, Consumer<Answer> callback) {
+  public void enqueue(Request.StateServiceRequest request, long now, Consumer<Answer> callback) {
     PriorityQueue<QueuedRequest> queue = queueFor(request);
     queue.add(new QueuedRequest(request, ++lastSequence, now, callback));
     if (queue.size() > MAX_QUEUE_LENGTH) {
@@ -134,8 +139,8 @@
         .orElseThrow();
   }
 
-  private PriorityQueue<QueuedRequest> queueFor(Request.State request) {
-    return request.writes() > 0 ? writing : reading;
+  private PriorityQueue<QueuedRequest> queueFor(Request.StateServiceRequest request) {
+    return request.writeCount() > 0 ? writing : reading;
   }
 
   /** Refuses requests that have waited too long and sends those that the rates now allow. */
@@ -155,7 +160,7 @@
         queue.removeIf(queued -> queued == sent);
       }
       requestRate.consume(1);
-      writeRate.consume(sent.request().writes());
+      writeRate.consume(sent.request().writeCount());
       updateSubmissionLead(sent);
       sender.accept(sent.request(), answer -> onAnswer(sent, answer));
     }
@@ -206,14 +211,15 @@
     return writing.stream()
         .filter(
             queued ->
-                queued.lessUrgentThanSubmissions() && queued.request().writes() <= submissionLead)
+                queued.lessUrgentThanSubmissions()
+                    && queued.request().writeCount() <= submissionLead)
         .min(Comparator.comparingLong(QueuedRequest::sequence))
         .orElse(first);
   }
 
   /** Updates the number of changes by which submissions are ahead of less urgent writes. */
   private void updateSubmissionLead(QueuedRequest sent) {
-    int cost = sent.request().writes();
+    int cost = sent.request().writeCount();
     if (cost == 0) {
       return;
     }
@@ -231,7 +237,7 @@
     if (first == null) {
       return null;
     }
-    int cost = first.request().writes();
+    int cost = first.request().writeCount();
     if (first.bypassesRates()) {
       return requestRate.isPaused(now) || (cost > 0 && writeRate.isPaused(now)) ? null : first;
     }
@@ -244,7 +250,7 @@
     if (answer instanceof Answer.Refused refused && refused.status() == HTTP_TOO_MANY_REQUESTS) {
       // The service does not say which limit was exceeded. The write limit is far lower than the
       // request limit, so for a write it is most likely that one.
-      AdaptiveTokenBucket exceeded = sent.request().writes() > 0 ? writeRate : requestRate;
+      AdaptiveTokenBucket exceeded = sent.request().writeCount() > 0 ? writeRate : requestRate;
       exceeded.onRefused(clock, jitter.nextInt(MIN_PAUSE_MILLIS, MAX_PAUSE_MILLIS));
       queueFor(sent.request()).add(sent);
       return;
--- a/src/main/java/org/oakwalk/core/store/StoreKeys.java
+++ b/src/main/java/org/oakwalk/core/store/StoreKeys.java
@@ -103,7 +103,7 @@
   /** Parses the key of a chunk of finished tasks; empty if the key is not one. */
   public static Optional<DoneChunkKey> parseDoneChunk(String key) {
     Matcher matcher = DONE_CHUNK_PATTERN.matcher(key);
-    return matcher.matches() && JobId.wellFormed(matcher.group(1))
+    return matcher.matches() && JobId.isWellFormed(matcher.group(1))
         ? Optional.of(
             new DoneChunkKey(new JobId(matcher.group(1)), Integer.parseInt(matcher.group(2))))
         : Optional.empty();
--- a/src/main/java/org/oakwalk/core/store/StoreView.java
+++ b/src/main/java/org/oakwalk/core/store/StoreView.java
@@ -176,13 +176,13 @@
    * copy has not followed the leader key without a gap for that long.
    */
   public Optional<Set<NodeId>> recentLeaders(Span span, Moment now) {
-    if (state != State.LIVE || !now.past(liveSince, span)) {
+    if (state != State.LIVE || !now.isPast(liveSince, span)) {
       return Optional.empty();
     }
     Set<NodeId> nodes = new HashSet<>();
     ledUntil.forEach(
         (node, until) -> {
-          if (!now.past(until, span)) {
+          if (!now.isPast(until, span)) {
             nodes.add(node);
           }
         });
@@ -266,7 +266,7 @@
 
   /** Returns true if the copy is complete and was confirmed recently. */
   public boolean isFresh(Moment now) {
-    return state == State.LIVE && !now.past(lastConfirmed, STALE_AFTER);
+    return state == State.LIVE && !now.isPast(lastConfirmed, STALE_AFTER);
   }
 
   /** Start of the last successful read: the copy holds everything stored before that time. */
@@ -402,7 +402,7 @@
     loadOrWatchPending = true;
     long startCount = catchUpCount;
     // After a load that took long, the changes made in the meantime are requested without waiting.
-    Span hold = now.past(lastConfirmed, STALE_AFTER) && !failing ? Span.millis(0) : WATCH_HOLD;
+    Span hold = now.isPast(lastConfirmed, STALE_AFTER) && !failing ? Span.millis(0) : WATCH_HOLD;
     outbox.call(
         new Request.Watch(StoreKeys.WATCHED_PREFIX, position, hold, Request.Urgency.LEADERSHIP),
         answer -> {
@@ -427,13 +427,13 @@
    */
   private boolean applyChanges(Answer answer, Moment begun) {
     if (answer instanceof Answer.Changes changes) {
-      for (KeyChange change : changes.news()) {
+      for (KeyChange change : changes.changes()) {
         if (change.revision().compareTo(position) > 0) {
           apply(change.key(), change.value(), change.revision());
         }
       }
-      if (changes.epoch().compareTo(position) > 0) {
-        position = changes.epoch();
+      if (changes.revision().compareTo(position) > 0) {
+        position = changes.revision();
       }
       confirmed(begun);
       return true;
@@ -467,7 +467,7 @@
           }
           loadedPages++;
           if (loadRevision == null) {
-            loadRevision = page.epoch();
+            loadRevision = page.revision();
           }
           for (Entry entry : page.entries()) {
             leaderLoaded |= entry.key().equals(StoreKeys.LEADER);
@@ -476,7 +476,7 @@
             }
             apply(entry.key(), Optional.of(entry.value()), entry.revision());
           }
-          if (page.more() && !page.entries().isEmpty()) {
+          if (page.hasMore() && !page.entries().isEmpty()) {
             lastLoadedKey = Optional.of(page.entries().get(page.entries().size() - 1).key());
           } else {
             if (!leaderLoaded && leaderRevision.compareTo(loadRevision) < 0) {
--- a/src/test/java/org/oakwalk/core/fleet/FenceTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/FenceTest.java
@@ -75,15 +75,15 @@
     StoredValue leader = new StoredValue.LeaderRecord(new NodeId("n"), "a", "x");
     JobRecord record =
         new JobRecord(ArrayJobs.spec("j-1", 60), JobRecord.Phase.OPEN, new WallTime(1));
-    outbox.answered(
-        ((Effect.Call) outbox.drain().get(0)).call(),
+    outbox.deliverAnswer(
+        ((Effect.Call) outbox.takeEffects().get(0)).call(),
         new Answer.Page(
             List.of(
                 new Entry(StoreKeys.job(new JobId("j-1")), record, new Revision(3)),
                 new Entry(StoreKeys.LEADER, leader, new Revision(GRANTED.value()))),
             false,
             new Revision(9)));
-    watch = (Effect.Call) outbox.drain().get(0);
+    watch = (Effect.Call) outbox.takeEffects().get(0);
     assertThat(watch.request()).isInstanceOf(Request.Watch.class);
     JobRegistry jobs = new JobRegistry(view, GRANTED, now);
     fleet =
@@ -92,7 +92,7 @@
             jobs,
             view,
             null,
-            new Settings.Workers(Span.seconds(2), Span.seconds(10), Span.seconds(40)),
+            new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(40)),
             new Fleet.Listener() {
               @Override
               public void completed(Placement placement, Span ran) {}
@@ -109,7 +109,7 @@
     fleet.markUp(machine);
   }
 
-  private Machine report(Token reportedToken, List<Report.Piece> pieces) {
+  private Machine report(Token reportedToken, List<Report.ReportedTask> pieces) {
     Report report =
         new Report(
             MACHINE,
@@ -126,15 +126,16 @@
   }
 
   /** Tasks that were started by command and halted, as listed in a report. */
-  private List<Report.Piece> endedTasks(int first, int count) {
-    List<Report.Piece> pieces = new ArrayList<>();
+  private List<Report.ReportedTask> endedTasks(int first, int count) {
+    List<Report.ReportedTask> pieces = new ArrayList<>();
     for (int index = first; index < first + count; index++) {
       TaskId task = new TaskId(job.id(), index);
       Attempt attempt = fleet.nextAttempt();
       Machine.TaskAttempt started = new Machine.TaskAttempt(task, attempt);
       machine.pendingStarts().sentByCommand(started, fleet.tokenOf(MACHINE));
       machine.pendingStarts().commandAnswered(started);
-      pieces.add(new Report.Piece(task, attempt, Report.PieceState.ENDED, Report.Cause.HALTED));
+      pieces.add(
+          new Report.ReportedTask(task, attempt, Report.TaskState.ENDED, Report.Cause.HALTED));
     }
     return pieces;
   }
@@ -145,7 +146,7 @@
 
   @Test
   void endedAttemptsAreClearedOnceTheRaisedTokenIsConfirmed() {
-    List<Report.Piece> ended = endedTasks(0, 16);
+    List<Report.ReportedTask> ended = endedTasks(0, 16);
     report(GRANTED, ended.subList(0, 15));
     assertThat(clearOrderCount()).isZero();
     assertThat(fleet.tokenOf(MACHINE)).isEqualTo(GRANTED);
@@ -160,16 +161,16 @@
 
   @Test
   void attemptsStartedUnderTheRaisedTokenAreNotCleared() {
-    List<Report.Piece> ended = endedTasks(0, 16);
+    List<Report.ReportedTask> ended = endedTasks(0, 16);
     report(GRANTED, ended);
     clearOrderCount();
-    List<Report.Piece> more = endedTasks(20, 3);
+    List<Report.ReportedTask> more = endedTasks(20, 3);
     // Started by command again under the raised token, so a duplicate under that may still arrive.
-    Report.Piece again = ended.get(4);
+    Report.ReportedTask again = ended.get(4);
     Machine.TaskAttempt renewed = new Machine.TaskAttempt(again.task(), again.attempt());
     machine.pendingStarts().sentByCommand(renewed, fleet.tokenOf(MACHINE));
     machine.pendingStarts().commandAnswered(renewed);
-    List<Report.Piece> all = new ArrayList<>(ended);
+    List<Report.ReportedTask> all = new ArrayList<>(ended);
     all.addAll(more);
     report(new Token(9), all);
     assertThat(clearOrderCount()).isEqualTo(15);
@@ -181,7 +182,7 @@
     Placement held = fleet.place(job, 50, fleet.nextAttempt(), machine, Span.seconds(1), now);
     machine.pendingStarts().sentByCommand(new Machine.TaskAttempt(task, held.attempt()), GRANTED);
     fleet.halt(held, Span.millis(0), Fleet.StopReason.NEEDLESS);
-    List<Report.Piece> ended = endedTasks(0, 16);
+    List<Report.ReportedTask> ended = endedTasks(0, 16);
     machine.commandInFlight(true);
     report(GRANTED, ended);
     clearOrderCount();
@@ -198,7 +199,7 @@
 
   @Test
   void leaderWithoutItsKeyDoesNotRaiseTheToken() {
-    outbox.answered(
+    outbox.deliverAnswer(
         watch.call(),
         new Answer.Changes(
             new Revision(30),
@@ -232,12 +233,12 @@
     CommandDispatcher dispatcher =
         new CommandDispatcher(outbox, fleet, Span.seconds(5), answered -> {});
     Placement placement = fleet.place(job, 0, fleet.nextAttempt(), machine, Span.seconds(1), now);
-    outbox.drain();
+    outbox.takeEffects();
     dispatcher.cancelStarts(List.of(placement));
-    assertThat(outbox.drain()).isEmpty();
+    assertThat(outbox.takeEffects()).isEmpty();
     dispatcher.flush(now);
-    outbox.drain();
+    outbox.takeEffects();
     dispatcher.cancelStarts(List.of(placement));
-    assertThat(outbox.drain()).containsExactly(new Effect.Recall("m-1:9000"));
+    assertThat(outbox.takeEffects()).containsExactly(new Effect.CancelCommands("m-1:9000"));
   }
 }
--- a/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
@@ -8,7 +8,7 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.oakwalk.core.CallId;
-import org.oakwalk.core.HoldId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
@@ -27,19 +27,22 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** Keys that former lives left, and claims that are seen late. */
+/**
+ * Guards against a node that leads without holding the leader key: keys left by earlier
+ * incarnations, claims that are applied late, and changes of the key that a leader misses.
+ */
 class LeadershipTest {
   private static final NodeId NODE = new NodeId("n");
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
-  private final List<Token> rises = new ArrayList<>();
-  private final List<Effect.Call> out = new ArrayList<>();
+  private final List<Token> gainedTokens = new ArrayList<>();
+  private final List<Effect.Call> sentCalls = new ArrayList<>();
   private Moment now = new Moment(1_000_000);
   private Leadership leadership;
 
   @BeforeEach
-  void begin() {
+  void setUp() {
     leadership =
         new Leadership(
             outbox,
@@ -50,12 +53,12 @@
             Span.seconds(20),
             new Leadership.Listener() {
               @Override
-              public void rises(Token token, Moment at) {
-                rises.add(token);
+              public void leadershipGained(Token token, Moment at) {
+                gainedTokens.add(token);
               }
 
               @Override
-              public void falls(Token token, Moment at) {}
+              public void leadershipLost(Token token, Moment at) {}
             });
     view.setListener(
         new StoreView.Listener() {
@@ -70,187 +73,191 @@
   }
 
   @Test
-  void aClaimOfItsOwnMakesItLead() {
-    claims();
-    showsOwnKey(12);
-    assertThat(rises).containsExactly(new Token(12));
+  void becomesLeaderWhenOwnClaimIsSeen() {
+    sendClaim();
+    deliverOwnKey(12);
+    assertThat(gainedTokens).containsExactly(new Token(12));
   }
 
   @Test
-  void aClaimSeenAfterALaterTokenIsGivenUp() {
-    claims();
-    leadership.tokenSeen(new Token(20), now);
-    showsOwnKey(12);
-    assertThat(rises).isEmpty();
+  void abandonsClaimSeenAfterHigherToken() {
+    sendClaim();
+    leadership.observeToken(new Token(20), now);
+    deliverOwnKey(12);
+    assertThat(gainedTokens).isEmpty();
     assertThat(leadership.state()).isEqualTo(Leadership.State.FOLLOWING);
   }
 
   @Test
-  void theKeyOfItsFormerLifeIsRemovedAndOthersMayClaimFirst() {
-    loads(List.of(key(NODE, "former", 7)));
+  void removesKeyOfPreviousIncarnationThenBacksOff() {
+    loadStore(List.of(leaderKey(NODE, "former", 7)));
     leadership.tick(now);
-    Effect.Call removal = sent(Request.Commit.class).orElseThrow();
+    Effect.Call removal = takeSent(Request.Commit.class).orElseThrow();
     Request.Commit commit = (Request.Commit) removal.request();
     assertThat(commit.guards()).containsExactly(new Guard(StoreKeys.LEADER, new Revision(7)));
     assertThat(commit.changes()).containsExactly(new Change.Remove(StoreKeys.LEADER));
-    outbox.answered(removal.call(), new Answer.Committed(new Revision(11)));
-    shows(new KeyChange(StoreKeys.LEADER, Optional.empty(), new Revision(11)));
+    outbox.deliverAnswer(removal.call(), new Answer.Committed(new Revision(11)));
+    deliverChange(new KeyChange(StoreKeys.LEADER, Optional.empty(), new Revision(11)));
     leadership.tick(now.plus(Span.millis(200)));
-    assertThat(sent(Request.Grant.class)).isEmpty();
+    assertThat(takeSent(Request.GrantLease.class)).isEmpty();
     leadership.tick(now.plus(Span.millis(300)));
-    assertThat(sent(Request.Grant.class)).isPresent();
+    assertThat(takeSent(Request.GrantLease.class)).isPresent();
   }
 
   @Test
-  void theKeyOfAnotherNodeIsLeftAlone() {
-    loads(List.of(key(new NodeId("m"), "former", 7)));
+  void keepsLeaderKeyOfAnotherNode() {
+    loadStore(List.of(leaderKey(new NodeId("m"), "former", 7)));
     leadership.tick(now);
-    assertThat(sent(Request.Commit.class)).isEmpty();
+    assertThat(takeSent(Request.Commit.class)).isEmpty();
   }
 
-  /** What is withdrawn shows in reads alone, so nothing else may keep workers answered. */
+  /** Withdrawals become known only through reads, so only reads may extend the answer window. */
   @Test
-  void aRenewalDoesNotLengthenTheTimeForWhichWorkersAreAnswered() {
-    claims();
-    showsOwnKey(12);
+  void leaseRenewalDoesNotExtendWorkerAnswerWindow() {
+    sendClaim();
+    deliverOwnKey(12);
     Moment read = view.lastConfirmed();
     while (now.since(read).compareTo(Span.seconds(19.9)) < 0) {
       now = now.plus(Span.millis(100));
       leadership.tick(now);
-      sent(Request.Renew.class)
-          .ifPresent(renewal -> outbox.answered(renewal.call(), new Answer.Ok()));
+      takeSent(Request.RenewLease.class)
+          .ifPresent(renewal -> outbox.deliverAnswer(renewal.call(), new Answer.Ok()));
     }
-    assertThat(leadership.mayAnswer(now)).isTrue();
+    assertThat(leadership.mayAnswerWorkers(now)).isTrue();
     now = now.plus(Span.millis(100));
     leadership.tick(now);
     assertThat(leadership.state()).isEqualTo(Leadership.State.LEADING);
-    assertThat(leadership.mayAnswer(now)).isFalse();
+    assertThat(leadership.mayAnswerWorkers(now)).isFalse();
   }
 
-  /** Its lease may live on, and nobody else may tell it. */
+  /** The lease may still be valid, and no other node may notify the leader. */
   @Test
-  void aLeaderWhoseKeyIsRemovedFallsAtOnce() {
-    claims();
-    showsOwnKey(12);
-    shows(new KeyChange(StoreKeys.LEADER, Optional.empty(), new Revision(15)));
+  void losesLeadershipWhenKeyIsRemoved() {
+    sendClaim();
+    deliverOwnKey(12);
+    deliverChange(new KeyChange(StoreKeys.LEADER, Optional.empty(), new Revision(15)));
     assertThat(leadership.holdsToken()).isFalse();
-    assertThat(sent(Request.Drop.class)).isPresent();
+    assertThat(takeSent(Request.RevokeLease.class)).isPresent();
   }
 
   @Test
-  void aLeaderWhoseKeyIsAnothersFallsAtOnce() {
-    claims();
-    showsOwnKey(12);
-    Entry others = key(new NodeId("m"), "present", 15);
-    shows(new KeyChange(others.key(), Optional.of(others.value()), others.revision()));
+  void losesLeadershipWhenAnotherNodeHoldsKey() {
+    sendClaim();
+    deliverOwnKey(12);
+    Entry others = leaderKey(new NodeId("m"), "present", 15);
+    deliverChange(new KeyChange(others.key(), Optional.of(others.value()), others.revision()));
     assertThat(leadership.holdsToken()).isFalse();
   }
 
-  /** The key stands with a claim of this life that was carried out late: not under this token. */
+  /** The key comes from a claim of this incarnation that was applied late, not from this token. */
   @Test
-  void aLeaderWhoseKeyIsWrittenAnewFallsAtOnce() {
-    claims();
-    showsOwnKey(12);
-    showsOwnKey(15);
+  void losesLeadershipWhenKeyIsRewritten() {
+    sendClaim();
+    deliverOwnKey(12);
+    deliverOwnKey(15);
     assertThat(leadership.holdsToken()).isFalse();
   }
 
-  /** Pages would show jobs that were stored under a later leader before that leader. */
+  /** Reloaded pages could show jobs stored under a later leader before that leader itself. */
   @Test
-  void aLeaderWhoseHistoryIsLostGivesItsTokenUp() {
-    claims();
-    showsOwnKey(12);
+  void losesLeadershipWhenWatchHistoryIsLost() {
+    sendClaim();
+    deliverOwnKey(12);
     leadership.historyLost(now);
     assertThat(leadership.holdsToken()).isFalse();
-    assertThat(sent(Request.Drop.class)).isPresent();
+    assertThat(takeSent(Request.RevokeLease.class)).isPresent();
   }
 
   /**
-   * A claim without an answer was given up, and is carried out while its lease lives and another
-   * claim of this node is out. It leads under that claim's token until its lease ends, which it
-   * does not renew; the other claim, carried out even later, is removed again.
+   * An abandoned claim without an answer is applied while its lease is valid and another claim of
+   * this node is pending. The node leads under the first claim's token until that lease expires,
+   * because it does not renew it. The other claim, applied even later, is removed.
    */
   @Test
-  void aClaimCarriedOutAfterItClaimedAgainCountsUntilItsLeaseEnds() {
-    claims();
+  void claimAppliedLateGrantsLeadershipOnlyUntilItsLeaseEnds() {
+    sendClaim();
     now = now.plus(Span.millis(5100));
     leadership.tick(now);
     assertThat(leadership.state()).isEqualTo(Leadership.State.FOLLOWING);
-    assertThat(sent(Request.Drop.class)).isPresent();
-    shows(new KeyChange(StoreKeys.MACHINE_TYPES, Optional.empty(), new Revision(11)));
-    shows(new KeyChange(StoreKeys.MACHINE_TYPES, Optional.empty(), new Revision(11)));
-    watchesAgain();
-    shows(new KeyChange(StoreKeys.MACHINE_TYPES, Optional.empty(), new Revision(12)));
+    assertThat(takeSent(Request.RevokeLease.class)).isPresent();
+    deliverChange(new KeyChange(StoreKeys.MACHINE_TYPES, Optional.empty(), new Revision(11)));
+    deliverChange(new KeyChange(StoreKeys.MACHINE_TYPES, Optional.empty(), new Revision(11)));
+    restartWatch();
+    deliverChange(new KeyChange(StoreKeys.MACHINE_TYPES, Optional.empty(), new Revision(12)));
     leadership.tick(now);
-    outbox.answered(
-        sent(Request.Grant.class).orElseThrow().call(), new Answer.Granted(new HoldId(2)));
-    outbox.answered(sent(Request.Commit.class).orElseThrow().call(), new Answer.Nothing("lost"));
-    showsOwnKey(13);
-    assertThat(rises).containsExactly(new Token(13));
-    watchesAgain();
-    shows(new KeyChange(StoreKeys.LEADER, Optional.empty(), new Revision(14)));
+    outbox.deliverAnswer(
+        takeSent(Request.GrantLease.class).orElseThrow().call(),
+        new Answer.LeaseGranted(new LeaseId(2)));
+    outbox.deliverAnswer(
+        takeSent(Request.Commit.class).orElseThrow().call(), new Answer.OutcomeUnknown("lost"));
+    deliverOwnKey(13);
+    assertThat(gainedTokens).containsExactly(new Token(13));
+    restartWatch();
+    deliverChange(new KeyChange(StoreKeys.LEADER, Optional.empty(), new Revision(14)));
     assertThat(leadership.holdsToken()).isFalse();
-    watchesAgain();
-    showsOwnKey(15);
-    assertThat(leadership.holdsToken()).as("it has given that claim up").isFalse();
-    watchesAgain();
-    out.removeIf(call -> call.request() instanceof Request.Commit);
+    restartWatch();
+    deliverOwnKey(15);
+    assertThat(leadership.holdsToken()).as("the claim has been abandoned").isFalse();
+    restartWatch();
+    sentCalls.removeIf(call -> call.request() instanceof Request.Commit);
     leadership.tick(now);
-    Request.Commit removal = (Request.Commit) sent(Request.Commit.class).orElseThrow().request();
+    Request.Commit removal =
+        (Request.Commit) takeSent(Request.Commit.class).orElseThrow().request();
     assertThat(removal.guards()).containsExactly(new Guard(StoreKeys.LEADER, new Revision(15)));
-    assertThat(rises).hasSize(1);
+    assertThat(gainedTokens).hasSize(1);
   }
 
-  private void watchesAgain() {
+  private void restartWatch() {
     now = now.plus(Span.millis(400));
     view.setTime(now);
     view.tick(now);
   }
 
-  private void claims() {
-    loads(List.of());
+  private void sendClaim() {
+    loadStore(List.of());
     leadership.tick(now);
-    CallId grant = sent(Request.Grant.class).orElseThrow().call();
-    outbox.answered(grant, new Answer.Granted(new HoldId(1)));
-    outbox.answered(
-        sent(Request.Commit.class).orElseThrow().call(), new Answer.Nothing("the answer is lost"));
+    CallId grant = takeSent(Request.GrantLease.class).orElseThrow().call();
+    outbox.deliverAnswer(grant, new Answer.LeaseGranted(new LeaseId(1)));
+    outbox.deliverAnswer(
+        takeSent(Request.Commit.class).orElseThrow().call(),
+        new Answer.OutcomeUnknown("the answer is lost"));
     assertThat(leadership.state()).isEqualTo(Leadership.State.CLAIMING);
   }
 
-  private void loads(List<Entry> entries) {
+  private void loadStore(List<Entry> entries) {
     view.tick(now);
-    outbox.answered(
-        sent(Request.ReadPage.class).orElseThrow().call(),
+    outbox.deliverAnswer(
+        takeSent(Request.ReadPage.class).orElseThrow().call(),
         new Answer.Page(entries, false, new Revision(10)));
   }
 
-  private void showsOwnKey(long stamp) {
-    Entry own = key(NODE, "present", stamp);
-    shows(new KeyChange(own.key(), Optional.of(own.value()), own.revision()));
+  private void deliverOwnKey(long stamp) {
+    Entry own = leaderKey(NODE, "present", stamp);
+    deliverChange(new KeyChange(own.key(), Optional.of(own.value()), own.revision()));
   }
 
-  private void shows(KeyChange news) {
-    outbox.answered(
-        sent(Request.Watch.class).orElseThrow().call(),
+  private void deliverChange(KeyChange news) {
+    outbox.deliverAnswer(
+        takeSent(Request.Watch.class).orElseThrow().call(),
         new Answer.Changes(news.revision(), List.of(news)));
   }
 
-  private static Entry key(NodeId node, String incarnation, long stamp) {
+  private static Entry leaderKey(NodeId node, String incarnation, long stamp) {
     return new Entry(
         StoreKeys.LEADER,
         new StoredValue.LeaderRecord(node, "z", incarnation),
         new Revision(stamp));
   }
 
-  private Optional<Effect.Call> sent(Class<? extends Request> kind) {
-    for (Effect effect : outbox.drain()) {
+  private Optional<Effect.Call> takeSent(Class<? extends Request> kind) {
+    for (Effect effect : outbox.takeEffects()) {
       if (effect instanceof Effect.Call call) {
-        out.add(call);
+        sentCalls.add(call);
       }
     }
     Optional<Effect.Call> found =
-        out.stream().filter(call -> kind.isInstance(call.request())).findFirst();
-    found.ifPresent(out::remove);
+        sentCalls.stream().filter(call -> kind.isInstance(call.request())).findFirst();
+    found.ifPresent(sentCalls::remove);
     return found;
   }
 }
--- a/src/test/java/org/oakwalk/core/leadership/RelayTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/LeaseRelayTest.java
@@ -27,14 +27,17 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** Which workers a follower answers for a leader that raises its token. */
-class RelayTest {
+/**
+ * Guards against a follower that answers a worker under a token which another leader may have
+ * issued.
+ */
+class LeaseRelayTest {
   private static final Token GRANTED = new Token(7);
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
-  private final Relay relay =
-      new Relay(
+  private final LeaseRelay relay =
+      new LeaseRelay(
           outbox,
           view,
           new Settings(
@@ -44,15 +47,15 @@
               List.of("a", "b"),
               Map.of(),
               List.of(),
-              new Settings.Workers(Span.seconds(2), Span.seconds(10), Span.seconds(45)),
+              new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(45)),
               new Settings.StateLimits(200, 100, 4, 8),
               new Settings.CloudLimits(10, Span.seconds(5)),
               Span.seconds(1)));
   private final Moment now = new Moment(1_000_000);
 
-  /** The copy reaches revision 9, and the leader in the other zone is silent. */
+  /** The store copy is at revision 9, then 10, and the leader in the other zone does not answer. */
   @BeforeEach
-  void cutOffFromTheLeader() {
+  void loseContactWithLeader() {
     view.setListener(
         new StoreView.Listener() {
           @Override
@@ -63,17 +66,18 @@
         });
     view.tick(now);
     StoredValue leader = new StoredValue.LeaderRecord(new NodeId("n-1"), "a", "x");
-    outbox.answered(
-        ((Effect.Call) outbox.drain().get(0)).call(),
+    outbox.deliverAnswer(
+        ((Effect.Call) outbox.takeEffects().get(0)).call(),
         new Answer.Page(
             List.of(new Entry(StoreKeys.LEADER, leader, new Revision(GRANTED.value()))),
             false,
             new Revision(9)));
-    Effect.Call watch = (Effect.Call) outbox.drain().get(0);
+    Effect.Call watch = (Effect.Call) outbox.takeEffects().get(0);
     relay.tick(false, now);
-    outbox.answered(((Effect.Call) outbox.drain().get(0)).call(), new Answer.Nothing("timeout"));
+    outbox.deliverAnswer(
+        ((Effect.Call) outbox.takeEffects().get(0)).call(), new Answer.OutcomeUnknown("timeout"));
     StoredValue announced = new StoredValue.RelayRecord("b", GRANTED);
-    outbox.answered(
+    outbox.deliverAnswer(
         watch.call(),
         new Answer.Changes(
             new Revision(10),
@@ -81,7 +85,7 @@
                 new KeyChange(StoreKeys.relay("b"), Optional.of(announced), new Revision(10)))));
   }
 
-  private Optional<Token> answer(long shown) {
+  private Optional<Token> tokenForReport(long reported) {
     Report report =
         new Report(
             new MachineId("m-1"),
@@ -91,24 +95,24 @@
             false,
             SessionId.FIRST,
             1,
-            new Token(shown),
+            new Token(reported),
             Optional.empty(),
             List.of());
     List<Optional<Token>> answers = new ArrayList<>();
-    relay.answer(report, now, answers::add);
+    relay.resolveToken(report, now, answers::add);
     assertThat(answers).hasSize(1);
     return answers.get(0);
   }
 
   @Test
-  void aWorkerIsAnsweredUnderTheTokenThatTheLeaderRaisedForIt() {
-    assertThat(answer(7)).contains(new Token(7));
-    assertThat(answer(10)).contains(new Token(10));
+  void answersUnderTokenRaisedByLeader() {
+    assertThat(tokenForReport(7)).contains(new Token(7));
+    assertThat(tokenForReport(10)).contains(new Token(10));
   }
 
   @Test
-  void anOlderTokenOrOneBeyondThisCopyMayBeAnothersAndIsNotAnswered() {
-    assertThat(answer(6)).isEmpty();
-    assertThat(answer(11)).isEmpty();
+  void ignoresOlderTokenAndTokenBeyondStoreCopy() {
+    assertThat(tokenForReport(6)).isEmpty();
+    assertThat(tokenForReport(11)).isEmpty();
   }
 }
--- a/src/test/java/org/oakwalk/core/placement/MachineSearchTest.java
+++ b/src/test/java/org/oakwalk/core/placement/MachineSearchTest.java
@@ -37,7 +37,7 @@
   private static final int SEEDS = 40;
   private static final Moment NOW = new Moment(1_000_000);
 
-  private final MachineDistance distances = new MachineDistance(Policy.defaults().hosts());
+  private final MachineDistance distances = new MachineDistance(Policy.defaults().placement());
 
   @TestFactory
   List<DynamicTest> matchesExhaustiveSearch() {
@@ -127,8 +127,8 @@
   }
 
   static Fleet fleet() {
-    Settings.Workers timing =
-        new Settings.Workers(Span.seconds(2), Span.seconds(10), Span.seconds(40));
+    Settings.WorkerTiming timing =
+        new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(40));
     Fleet fleet =
         new Fleet(
             new Token(1),
--- a/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
@@ -91,16 +91,16 @@
           public void jobChanged(KnownJob job, Moment at) {}
         });
     view.tick(TERM_START);
-    outbox.answered(
-        ((Effect.Call) outbox.drain().get(0)).call(), page(StoreKeys.job(spec.id()), record));
-    outbox.drain();
+    outbox.deliverAnswer(
+        ((Effect.Call) outbox.takeEffects().get(0)).call(), page(StoreKeys.job(spec.id()), record));
+    outbox.takeEffects();
     return new JobRegistry(view, TOKEN, TERM_START);
   }
 
   private Effect.Call tickAndExpectRead(String prefix) {
     now = now.plus(Span.millis(250));
     recovery.tick(TYPES, now);
-    List<Effect> effects = outbox.drain();
+    List<Effect> effects = outbox.takeEffects();
     assertThat(effects).hasSize(1);
     Effect.Call call = (Effect.Call) effects.get(0);
     assertThat(((Request.ReadPage) call.request()).prefix()).isEqualTo(prefix);
@@ -135,10 +135,10 @@
               Span.seconds(20),
               TERM_START);
       fresh.tick(TYPES, now);
-      outbox.answered(((Effect.Call) outbox.drain().get(0)).call(), answer);
+      outbox.deliverAnswer(((Effect.Call) outbox.takeEffects().get(0)).call(), answer);
       assertThat(jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isZero();
       assertThat(fresh.state()).as("%s", answer).isEqualTo(Recovery.State.READING_MACHINES);
-      outbox.drain();
+      outbox.takeEffects();
     }
   }
 
@@ -149,14 +149,14 @@
    */
   @Test
   void responseBeforeReportsAreAcceptedRenewsTheLease() {
-    outbox.answered(
+    outbox.deliverAnswer(
         tickAndExpectRead(StoreKeys.DONE_PREFIX).call(),
         new Answer.Page(List.of(), false, new Revision(9)));
-    Effect.Call machines = (Effect.Call) outbox.drain().get(0);
+    Effect.Call machines = (Effect.Call) outbox.takeEffects().get(0);
     now = now.plus(Span.seconds(5));
     recovery.leaseRenewedBeforeReports(now);
     Moment answered = now;
-    outbox.answered(machines.call(), new Answer.Page(List.of(), false, new Revision(9)));
+    outbox.deliverAnswer(machines.call(), new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.acceptsReports()).isTrue();
     recovery.leaseRenewedBeforeReports(now.plus(Span.seconds(1)));
     assertThat(recovery.lastUnseenRenewal()).isEqualTo(answered);
@@ -165,20 +165,20 @@
   @Test
   void failedReadsAreRetriedInEachState() {
     for (Answer answer :
-        List.of(new Answer.Nothing("lost"), new Answer.Refused(503, ""), new Answer.Ok())) {
-      outbox.answered(tickAndExpectRead(StoreKeys.DONE_PREFIX).call(), answer);
+        List.of(new Answer.OutcomeUnknown("lost"), new Answer.Refused(503, ""), new Answer.Ok())) {
+      outbox.deliverAnswer(tickAndExpectRead(StoreKeys.DONE_PREFIX).call(), answer);
       assertThat(recovery.state()).isEqualTo(Recovery.State.READING_RESULTS);
     }
-    outbox.answered(
+    outbox.deliverAnswer(
         tickAndExpectRead(StoreKeys.DONE_PREFIX).call(),
         new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.state()).isEqualTo(Recovery.State.READING_MACHINES);
-    Effect.Call machines = (Effect.Call) outbox.drain().get(0);
-    outbox.answered(machines.call(), new Answer.Nothing("lost"));
-    outbox.answered(
+    Effect.Call machines = (Effect.Call) outbox.takeEffects().get(0);
+    outbox.deliverAnswer(machines.call(), new Answer.OutcomeUnknown("lost"));
+    outbox.deliverAnswer(
         tickAndExpectRead(StoreKeys.MACHINE_PREFIX).call(), new Answer.Refused(503, ""));
     assertThat(recovery.acceptsReports()).isFalse();
-    outbox.answered(
+    outbox.deliverAnswer(
         tickAndExpectRead(StoreKeys.MACHINE_PREFIX).call(),
         new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.state()).isEqualTo(Recovery.State.CONFIRMING);
--- a/src/test/java/org/oakwalk/core/shared/StoredSharedRecordTest.java
+++ b/src/test/java/org/oakwalk/core/shared/StoredSharedRecordTest.java
@@ -115,7 +115,7 @@
       }
       for (Leader leader : leaders.subList(Math.max(0, leaders.size() - 2), leaders.size())) {
         leader.state.tick(now);
-        for (Effect effect : leader.outbox.drain()) {
+        for (Effect effect : leader.outbox.takeEffects()) {
           Effect.Call call = (Effect.Call) effect;
           pending.add(new PendingRequest(leader, call.call(), call.request(), true));
         }
@@ -144,16 +144,16 @@
         pending.add(item);
       } else if (event == 1 && item.awaited()) {
         // The sender stops waiting for an answer while the request is still in flight.
-        item.from().outbox.answered(item.call(), new Answer.Nothing("lost"));
+        item.from().outbox.deliverAnswer(item.call(), new Answer.OutcomeUnknown("lost"));
         pending.add(new PendingRequest(item.from(), item.call(), item.request(), false));
       } else if (event == 2 && item.awaited()) {
-        item.from().outbox.answered(item.call(), new Answer.Refused(503, ""));
+        item.from().outbox.deliverAnswer(item.call(), new Answer.Refused(503, ""));
       } else {
         Answer answer = apply(item.request());
         if (item.awaited()) {
           item.from()
               .outbox
-              .answered(item.call(), event == 3 ? new Answer.Nothing("lost") : answer);
+              .deliverAnswer(item.call(), event == 3 ? new Answer.OutcomeUnknown("lost") : answer);
         }
       }
     }
@@ -201,9 +201,9 @@
       SharedRecord<Row> record = state.declare("rows", Row.class);
       while (!state.isLoaded()) {
         state.tick(new Moment(0));
-        for (Effect effect : outbox.drain()) {
+        for (Effect effect : outbox.takeEffects()) {
           Effect.Call call = (Effect.Call) effect;
-          outbox.answered(call.call(), apply(call.request()));
+          outbox.deliverAnswer(call.call(), apply(call.request()));
         }
       }
       assertThat(record.isUnusable()).as("unusable").isFalse();
@@ -282,7 +282,7 @@
     leader.record.requestWrite(List.of(new Row(1, 0, 1)));
     leader.state.tick(new Moment(1000));
     leader.state.tick(new Moment(2000));
-    assertThat(leader.outbox.drain()).isEmpty();
+    assertThat(leader.outbox.takeEffects()).isEmpty();
     other.requestWrite(List.of(new Row(1, 0, 1)));
     leader.state.tick(new Moment(3000));
     answer(leader, new Answer.Committed(new Revision(2)));
@@ -290,8 +290,8 @@
   }
 
   private static void answer(Leader leader, Answer answer) {
-    List<Effect> effects = leader.outbox.drain();
+    List<Effect> effects = leader.outbox.takeEffects();
     assertThat(effects).hasSize(1);
-    leader.outbox.answered(((Effect.Call) effects.get(0)).call(), answer);
+    leader.outbox.deliverAnswer(((Effect.Call) effects.get(0)).call(), answer);
   }
 }
--- a/src/test/java/org/oakwalk/core/store/FaultyStore.java
+++ b/src/test/java/org/oakwalk/core/store/FaultyStore.java
@@ -60,16 +60,19 @@
 
   /** Serves all requests of a node, including those that its answers cause, until none is left. */
   public void serve(Outbox outbox, CommitOutcomes outcomes) {
-    for (List<Effect> effects = outbox.drain(); !effects.isEmpty(); effects = outbox.drain()) {
+    for (List<Effect> effects = outbox.takeEffects();
+        !effects.isEmpty();
+        effects = outbox.takeEffects()) {
       for (Effect effect : effects) {
         if (effect instanceof Effect.Call call) {
-          outbox.answered(call.call(), answer((Request.State) call.request(), outcomes));
+          outbox.deliverAnswer(
+              call.call(), answer((Request.StateServiceRequest) call.request(), outcomes));
         }
       }
     }
   }
 
-  private Answer answer(Request.State request, CommitOutcomes outcomes) {
+  private Answer answer(Request.StateServiceRequest request, CommitOutcomes outcomes) {
     if (request instanceof Request.ReadPage read) {
       return new Answer.Page(entriesBelow(read.prefix()), false, new Revision(revision));
     }
@@ -87,11 +90,11 @@
       case REFUSED -> new Answer.Refused(503, "");
       case ANSWER_LOST -> {
         apply(commit);
-        yield new Answer.Nothing("lost");
+        yield new Answer.OutcomeUnknown("lost");
       }
       case DELAYED -> {
         delayed.add(commit);
-        yield new Answer.Nothing("late");
+        yield new Answer.OutcomeUnknown("late");
       }
     };
   }
--- a/src/test/java/org/oakwalk/core/store/RateLimitedService.java
+++ b/src/test/java/org/oakwalk/core/store/RateLimitedService.java
@@ -45,7 +45,7 @@
         List.of("a"),
         Map.of(),
         List.of(),
-        new Settings.Workers(Span.seconds(1), Span.seconds(10), Span.seconds(30)),
+        new Settings.WorkerTiming(Span.seconds(1), Span.seconds(10), Span.seconds(30)),
         new Settings.StateLimits(REQUESTS_PER_SECOND, WRITES_PER_SECOND, 4, 8),
         new Settings.CloudLimits(10, Span.seconds(1)),
         Span.millis(0));
@@ -56,14 +56,14 @@
   }
 
   /** Both limits allow bursts of one second's worth, as the real service does. */
-  void serve(Request.State request, Consumer<Answer> callback) {
+  void serve(Request.StateServiceRequest request, Consumer<Answer> callback) {
     after(
         ONE_WAY_MILLIS, () -> receive(request, answer -> after(2, () -> callback.accept(answer))));
   }
 
-  private void receive(Request.State request, Consumer<Answer> callback) {
+  private void receive(Request.StateServiceRequest request, Consumer<Answer> callback) {
     requests++;
-    int writes = request.writes();
+    int writes = request.writeCount();
     if (requestTokens < 1 || writeTokens < writes) {
       refused++;
       callback.accept(new Answer.Refused(429, ""));
@@ -78,10 +78,10 @@
       watchers.clear();
       notified.forEach(watcher -> watcher.callback().accept(changes()));
     } else if (request instanceof Request.Watch watch) {
-      if (watch.hold().millis() == 0 || watch.after().value() < revision) {
+      if (watch.maxWait().millis() == 0 || watch.after().value() < revision) {
         callback.accept(changes());
       } else {
-        watchers.add(new Watcher(watch, now + watch.hold().millis(), callback));
+        watchers.add(new Watcher(watch, now + watch.maxWait().millis(), callback));
       }
     } else if (request instanceof Request.ReadPage) {
       callback.accept(new Answer.Page(List.of(), false, new Revision(revision)));
--- a/src/test/java/org/oakwalk/core/store/RequestQueueTest.java
+++ b/src/test/java/org/oakwalk/core/store/RequestQueueTest.java
@@ -8,7 +8,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.oakwalk.core.HoldId;
+import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.port.Answer;
@@ -99,7 +99,7 @@
       for (RequestQueue queue : queues) {
         long startedAt = service.now;
         queue.enqueue(
-            new Request.Renew(new HoldId(1)),
+            new Request.RenewLease(new LeaseId(1)),
             service.now,
             answer -> worst[0] = Math.max(worst[0], service.now - startedAt));
       }
@@ -119,13 +119,13 @@
     queues
         .get(0)
         .enqueue(
-            write(Request.Urgency.REST),
+            write(Request.Urgency.ROUTINE),
             service.now,
             answer -> waitMillis[1] = service.now - startedAt);
     queues
         .get(0)
         .enqueue(
-            write(Request.Urgency.ENROLMENT),
+            write(Request.Urgency.REGISTRATION),
             service.now,
             answer -> waitMillis[0] = service.now - startedAt);
     run(startedAt + 5_000);
@@ -143,7 +143,7 @@
     int[] committed = new int[1];
     for (int i = 0; i < 100; i++) {
       floodWithSubmissions(0);
-      floodWith(Request.Urgency.REST, committed);
+      floodWith(Request.Urgency.ROUTINE, committed);
     }
     run(10_000);
     written.clear();
@@ -232,7 +232,7 @@
 
   @Test
   void leastUrgentWritesAreNotStarvedByAFullQueue() {
-    long[] worst = longestWaitInFullQueue(NODES, Request.Urgency.REST);
+    long[] worst = longestWaitInFullQueue(NODES, Request.Urgency.ROUTINE);
     assertThat(worst[1]).as("refused").isZero();
     assertThat(worst[0]).as("longest, ms").isLessThan(1_500);
   }
@@ -251,9 +251,9 @@
     }
     run(1_000);
     long[] worst = new long[2];
-    List<Request.State> requests =
+    List<Request.StateServiceRequest> requests =
         List.of(
-            new Request.Renew(new HoldId(1)),
+            new Request.RenewLease(new LeaseId(1)),
             new Request.Watch("k", Revision.NONE, Span.millis(0), Request.Urgency.ACCEPTANCE));
     for (int round = 0; round < 20; round++) {
       run(service.now + 250);
@@ -277,7 +277,7 @@
   void queueLengthIsBoundedAndLeastUrgentRequestIsRefused() {
     int[] refused = new int[2];
     for (int i = 0; i < 5_000; i++) {
-      queues.get(0).enqueue(write(Request.Urgency.REST), 0, answer -> refused[0]++);
+      queues.get(0).enqueue(write(Request.Urgency.ROUTINE), 0, answer -> refused[0]++);
     }
     int kept = 5_000 - refused[0];
     assertThat(kept).as("kept").isBetween(300, 500);
--- a/src/test/java/org/oakwalk/core/store/StatusReadRateTest.java
+++ b/src/test/java/org/oakwalk/core/store/StatusReadRateTest.java
@@ -57,14 +57,14 @@
     }
 
     private void send() {
-      for (Effect effect : outbox.drain()) {
+      for (Effect effect : outbox.takeEffects()) {
         Effect.Call call = (Effect.Call) effect;
         queue.enqueue(
-            (Request.State) call.request(),
+            (Request.StateServiceRequest) call.request(),
             service.now,
             answer -> {
               queue.setTime(service.now);
-              outbox.answered(call.call(), answer);
+              outbox.deliverAnswer(call.call(), answer);
               send();
             });
       }
--- a/src/test/java/org/oakwalk/core/store/StoreViewTest.java
+++ b/src/test/java/org/oakwalk/core/store/StoreViewTest.java
@@ -63,7 +63,7 @@
     assertThat(view.isFresh(now)).isFalse();
     Request.Watch next = (Request.Watch) takeSent(Request.Watch.class).orElseThrow().request();
     assertThat(next.after()).isEqualTo(new Revision(10));
-    assertThat(next.hold()).isEqualTo(Span.millis(0));
+    assertThat(next.maxWait()).isEqualTo(Span.millis(0));
   }
 
   @Test
@@ -82,7 +82,7 @@
     Moment watchSent = now;
     Effect.Call watch = takeSent(Request.Watch.class).orElseThrow();
     advance(2000);
-    outbox.answered(watch.call(), new Answer.Changes(new Revision(11), List.of()));
+    outbox.deliverAnswer(watch.call(), new Answer.Changes(new Revision(11), List.of()));
     assertThat(view.lastConfirmed()).isEqualTo(watchSent);
   }
 
@@ -92,7 +92,7 @@
     Moment before = view.lastConfirmed();
     answer(Request.Watch.class, DOWN);
     advance(500);
-    answer(Request.Watch.class, new Answer.Nothing("timeout"));
+    answer(Request.Watch.class, new Answer.OutcomeUnknown("timeout"));
     advance(500);
     answer(Request.Watch.class, new Answer.Refused(429, "too much"));
     assertThat(view.lastConfirmed()).isEqualTo(before);
@@ -106,12 +106,12 @@
     Effect.Call watch = takeSent(Request.Watch.class).orElseThrow();
     Effect.Call read = takeSent(Request.Watch.class).orElseThrow();
     Answer gone = new Answer.Refused(410, "too old");
-    outbox.answered(watch.call(), gone);
+    outbox.deliverAnswer(watch.call(), gone);
     assertThat(historyTruncations).isEqualTo(1);
     advance(500);
     Moment firstPageSent = now;
     answer(Request.ReadPage.class, page("a", true, 50));
-    outbox.answered(read.call(), gone);
+    outbox.deliverAnswer(read.call(), gone);
     assertThat(historyTruncations).isEqualTo(1);
     advance(500);
     answer(Request.ReadPage.class, page("b", false, 60));
@@ -157,7 +157,7 @@
   }
 
   private void answer(Class<? extends Request> kind, Answer answer) {
-    outbox.answered(takeSent(kind).orElseThrow().call(), answer);
+    outbox.deliverAnswer(takeSent(kind).orElseThrow().call(), answer);
   }
 
   private static Answer page(String key, boolean more, long revision) {
@@ -169,7 +169,7 @@
   }
 
   private Optional<Effect.Call> takeSent(Class<? extends Request> kind) {
-    for (Effect effect : outbox.drain()) {
+    for (Effect effect : outbox.takeEffects()) {
       if (effect instanceof Effect.Call call) {
         sentCalls.add(call);
       }
