--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -23,7 +23,7 @@
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.fleet.Registry;
-import org.oakwalk.core.headroom.Headroom;
+import org.oakwalk.core.headroom.HeadroomController;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.ResultWriter;
@@ -138,8 +138,10 @@
             jobs,
             suspectAfter);
     Quota quota = new Quota(settings.teams(), fleet);
-    Headroom headroom = new Headroom(fleet, jobs, quota, settings, gate::allows);
-    this.planner = new Planner(fleet, jobs, settings, policy.scoring().floor(), headroom::kept);
+    HeadroomController headroom =
+        new HeadroomController(fleet, jobs, quota, settings, gate::allows);
+    this.planner =
+        new Planner(fleet, jobs, settings, policy.scoring().floor(), headroom::reservedSpecs);
     this.mover = new Mover(fleet, quota, gate, outbox, suspectAfter, headroom);
     this.products =
         new Products(
@@ -178,7 +180,7 @@
             suspectAfter,
             sort -> bars(view, sort),
             spec -> quota.placesLeft(spec.team(), spec.resources()));
-    capacity.keeps(headroom::kept);
+    capacity.keeps(headroom::reservedSpecs);
     this.drainer =
         new Drainer(
             fleet,
--- a/src/main/java/org/oakwalk/core/Products.java
+++ b/src/main/java/org/oakwalk/core/Products.java
@@ -5,13 +5,13 @@
 import java.util.Optional;
 import java.util.function.BiConsumer;
 import org.oakwalk.core.drain.Gate;
-import org.oakwalk.core.exchange.Exchange;
-import org.oakwalk.core.exchange.Take;
+import org.oakwalk.core.exchange.CapacityTransfer;
+import org.oakwalk.core.exchange.ExchangeController;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.headroom.Headroom;
+import org.oakwalk.core.headroom.HeadroomController;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.placement.Quota;
@@ -21,8 +21,8 @@
 import org.oakwalk.core.planner.PlanRow;
 import org.oakwalk.core.planner.Planner;
 import org.oakwalk.core.port.Outbox;
-import org.oakwalk.core.product.ProductKeeper;
 import org.oakwalk.core.product.ProductTerms;
+import org.oakwalk.core.product.ProductTermsWriter;
 import org.oakwalk.core.shared.SharedRecord;
 import org.oakwalk.core.shared.SharedRecords;
 import org.oakwalk.core.store.Guard;
@@ -44,15 +44,15 @@
       Reserve reserve,
       BiConsumer<Machine, Job> keepForGang) {}
 
-  private final ProductKeeper keeper;
+  private final ProductTermsWriter keeper;
   private final Outbox outbox;
   private final Guard leader;
   private final Settings settings;
   private final Planner planner;
-  private final Headroom headroom;
+  private final HeadroomController headroom;
   private final Ground ground;
   private Optional<SharedRecords> shared = Optional.empty();
-  private Optional<Exchange> exchange = Optional.empty();
+  private Optional<ExchangeController> exchange = Optional.empty();
   private SharedRecord<PlanRow> plans;
 
   Products(
@@ -61,13 +61,13 @@
       Outbox outbox,
       Guard leader,
       Settings settings,
-      Headroom headroom,
+      HeadroomController headroom,
       Planner planner,
       Ground ground) {
     this.headroom = headroom;
     this.planner = planner;
     this.ground = ground;
-    this.keeper = new ProductKeeper(outbox, view, leader, declared);
+    this.keeper = new ProductTermsWriter(outbox, view, leader, declared);
     this.outbox = outbox;
     this.leader = leader;
     this.settings = settings;
@@ -78,7 +78,8 @@
    * promise.
    */
   boolean known() {
-    return keeper.inForce().none() || shared.filter(SharedRecords::isLoaded).isPresent();
+    return keeper.activeTerms().isUndeclared()
+        || shared.filter(SharedRecords::isLoaded).isPresent();
   }
 
   /** What is to be added to the line on the state of things; empty without terms. */
@@ -88,17 +89,17 @@
 
   /** Follows what is in force. */
   void tick(Map<String, MachineType> types, boolean recovered, Moment now, WallTime wall) {
-    if (keeper.idle()) {
+    if (keeper.isUnused()) {
       return;
     }
     keeper.tick(now);
-    ProductTerms terms = keeper.inForce();
-    if (terms.none()) {
-      headroom.off();
+    ProductTerms terms = keeper.activeTerms();
+    if (terms.isUndeclared()) {
+      headroom.disable();
       planner.off();
       return;
     }
-    if (!keeper.settled()) {
+    if (!keeper.isUpToDate()) {
       return;
     }
     if (shared.isEmpty()) {
@@ -107,22 +108,22 @@
     shared.get().tick(now);
     if (shared.get().isLoaded()) {
       headroom.tick(terms.headrooms(), recovered, now);
-      planner.tick(terms.dawns(), plans, types, recovered, now, wall);
+      planner.tick(terms.batchDeadlines(), plans, types, recovered, now, wall);
     }
     exchange.ifPresent(each -> each.tick(recovered, now, wall));
   }
 
   private void begin(ProductTerms terms) {
     SharedRecords state = new SharedRecords(outbox, leader, settings.state());
-    headroom.share(state);
+    headroom.declareRecord(state);
     plans = state.declare(Planner.RECORD, PlanRow.class);
     shared = Optional.of(state);
     if (!terms.exchanges().isEmpty()) {
       exchange =
           Optional.of(
-              new Exchange(
+              new ExchangeController(
                   terms.exchanges(),
-                  state.declare("exchange", Take.class),
+                  state.declare("exchange", CapacityTransfer.class),
                   ground.fleet(),
                   ground.jobs(),
                   ground.quota(),
--- a/src/main/java/org/oakwalk/core/exchange/Take.java
+++ b/src/main/java/org/oakwalk/core/exchange/CapacityTransfer.java
@@ -16,28 +16,28 @@
  * back. Immutable; each step gives the next one. Whoever reads it knows enough to go on: no step
  * rests on what only the leader knew that made the one before.
  *
- * @param exchange the terms under which it is taken
+ * @param exchangeName the terms under which it is taken
  * @param giver the job that it is taken from
  * @param giverTeam that job's team
- * @param tasks how many of the giver's tasks are stopped for it
+ * @param stoppedTasks how many of the giver's tasks are stopped for it
  * @param taker the job that it is taken for
- * @param room what the replica needs
+ * @param resources what the replica needs
  * @param machine where the room is
- * @param level how many replicas of the takers there were, this one included, when it was taken:
- *     need has fallen below it when there are fewer
+ * @param demandLevel how many replicas of the takers there were, this one included, when it was
+ *     taken: need has fallen below it when there are fewer
  * @param since when it was intended, or began to be given back
  */
-public record Take(
-    TakeId id,
+public record CapacityTransfer(
+    TransferId id,
     State state,
-    String exchange,
+    String exchangeName,
     JobId giver,
     String giverTeam,
-    int tasks,
+    int stoppedTasks,
     JobId taker,
-    Resources room,
+    Resources resources,
     MachineId machine,
-    int level,
+    int demandLevel,
     WallTime since)
     implements SharedRow {
 
@@ -56,82 +56,107 @@
   }
 
   /** More than the names of its fields and its numbers take where it is stored. */
-  private static final int FRAME = 420;
+  private static final int FIXED_BYTES = 420;
 
-  private static final int BYTES_OF_A_LETTER = 4;
+  private static final int MAX_BYTES_PER_CHAR = 4;
 
-  private static final Map<State, Set<State>> LEGAL = new EnumMap<>(State.class);
+  private static final Map<State, Set<State>> ALLOWED_TRANSITIONS = new EnumMap<>(State.class);
 
   static {
-    LEGAL.put(
+    ALLOWED_TRANSITIONS.put(
         State.INTENDED, EnumSet.of(State.SAVING, State.TAKEN, State.RETURNING, State.SETTLED));
-    LEGAL.put(State.SAVING, EnumSet.of(State.TAKEN, State.RETURNING, State.SETTLED));
-    LEGAL.put(State.TAKEN, EnumSet.of(State.TAKEN, State.RETURNING, State.SETTLED));
-    LEGAL.put(State.RETURNING, EnumSet.of(State.SETTLED));
-    LEGAL.put(State.SETTLED, EnumSet.noneOf(State.class));
+    ALLOWED_TRANSITIONS.put(State.SAVING, EnumSet.of(State.TAKEN, State.RETURNING, State.SETTLED));
+    ALLOWED_TRANSITIONS.put(State.TAKEN, EnumSet.of(State.TAKEN, State.RETURNING, State.SETTLED));
+    ALLOWED_TRANSITIONS.put(State.RETURNING, EnumSet.of(State.SETTLED));
+    ALLOWED_TRANSITIONS.put(State.SETTLED, EnumSet.noneOf(State.class));
   }
 
   /** Whether the giver's tasks may yet have to be stopped for it, or are being stopped. */
-  public boolean underWay() {
+  public boolean isPending() {
     return state == State.INTENDED || state == State.SAVING;
   }
 
   @Override
   public int maxJsonBytes() {
     int letters =
-        exchange.length()
+        exchangeName.length()
             + giver.value().length()
             + giverTeam.length()
             + taker.value().length()
             + machine.value().length();
-    return FRAME + BYTES_OF_A_LETTER * letters;
+    return FIXED_BYTES + MAX_BYTES_PER_CHAR * letters;
   }
 
   /** The giver's tasks are told to stop. */
-  public Take stopping() {
-    return enter(State.SAVING, since);
+  public CapacityTransfer toSaving() {
+    return transitionTo(State.SAVING, since);
   }
 
   /** A replica of this job has the room, for the first time or after another's has ended. */
-  public Take taken(JobId by) {
-    return new Take(
+  public CapacityTransfer toTaken(JobId by) {
+    return new CapacityTransfer(
         id,
-        enter(State.TAKEN, since).state,
-        exchange,
+        transitionTo(State.TAKEN, since).state,
+        exchangeName,
         giver,
         giverTeam,
-        tasks,
+        stoppedTasks,
         by,
-        room,
+        resources,
         machine,
-        level,
+        demandLevel,
         since);
   }
 
   /**
    * Need is at the level of the lower one, if the room is used in place of another that was taken.
    */
-  public Take standingFor(Optional<Take> other) {
-    int least = other.map(Take::level).filter(each -> each < level).orElse(level);
-    return new Take(
-        id, state, exchange, giver, giverTeam, tasks, taker, room, machine, least, since);
+  public CapacityTransfer withLowerDemandLevel(Optional<CapacityTransfer> other) {
+    int least =
+        other
+            .map(CapacityTransfer::demandLevel)
+            .filter(each -> each < demandLevel)
+            .orElse(demandLevel);
+    return new CapacityTransfer(
+        id,
+        state,
+        exchangeName,
+        giver,
+        giverTeam,
+        stoppedTasks,
+        taker,
+        resources,
+        machine,
+        least,
+        since);
   }
 
   /** The room goes back to the giver from now on. */
-  public Take returning(WallTime now) {
-    return enter(State.RETURNING, now);
+  public CapacityTransfer toReturning(WallTime now) {
+    return transitionTo(State.RETURNING, now);
   }
 
   /** Nothing is owed any more. */
-  public Take settled() {
-    return enter(State.SETTLED, since);
+  public CapacityTransfer toSettled() {
+    return transitionTo(State.SETTLED, since);
   }
 
   /** The one place where the state changes. */
-  private Take enter(State next, WallTime at) {
-    if (!LEGAL.get(state).contains(next)) {
+  private CapacityTransfer transitionTo(State next, WallTime at) {
+    if (!ALLOWED_TRANSITIONS.get(state).contains(next)) {
       throw new IllegalStateException("take " + id + " from " + state + " to " + next);
     }
-    return new Take(id, next, exchange, giver, giverTeam, tasks, taker, room, machine, level, at);
+    return new CapacityTransfer(
+        id,
+        next,
+        exchangeName,
+        giver,
+        giverTeam,
+        stoppedTasks,
+        taker,
+        resources,
+        machine,
+        demandLevel,
+        at);
   }
 }
--- a/src/main/java/org/oakwalk/core/exchange/Needs.java
+++ b/src/main/java/org/oakwalk/core/exchange/TakerDemand.java
@@ -10,45 +10,45 @@
 import org.oakwalk.core.product.ExchangeTerms;
 
 /** How much serving needs, and how much of what was taken is due because that has fallen. */
-final class Needs {
-  private static final Span COUNT_EVERY = Span.seconds(1);
+final class TakerDemand {
+  private static final Span COUNT_INTERVAL = Span.seconds(1);
 
-  private static final class Need {
+  private static final class ReplicaDemand {
     int replicas;
     Moment lowSince;
   }
 
   private final List<ExchangeTerms> terms;
   private final JobRegistry jobs;
-  private final Map<String, Need> needs = new HashMap<>();
+  private final Map<String, ReplicaDemand> demandByExchange = new HashMap<>();
   private Moment nextCount = new Moment(Long.MIN_VALUE / 2);
 
-  Needs(List<ExchangeTerms> terms, JobRegistry jobs) {
+  TakerDemand(List<ExchangeTerms> terms, JobRegistry jobs) {
     this.terms = terms;
     this.jobs = jobs;
-    terms.forEach(each -> needs.put(each.name(), new Need()));
+    terms.forEach(each -> demandByExchange.put(each.name(), new ReplicaDemand()));
   }
 
   /** Counts the replicas of the takers' open jobs, now and then. */
-  void count(Moment now) {
+  void update(Moment now) {
     if (nextCount.isAfter(now)) {
       return;
     }
-    nextCount = now.plus(COUNT_EVERY);
-    needs.values().forEach(need -> need.replicas = 0);
+    nextCount = now.plus(COUNT_INTERVAL);
+    demandByExchange.values().forEach(need -> need.replicas = 0);
     for (Job job : jobs.all()) {
       if (job.isOpen() && job.spec().service()) {
         terms.stream()
-            .filter(each -> each.takes(job.spec()))
+            .filter(each -> each.isTaker(job.spec()))
             .findFirst()
-            .ifPresent(each -> needs.get(each.name()).replicas += job.spec().tasks());
+            .ifPresent(each -> demandByExchange.get(each.name()).replicas += job.spec().tasks());
       }
     }
   }
 
   /** How many replicas the takers have. */
-  int replicas(ExchangeTerms each) {
-    return needs.get(each.name()).replicas;
+  int replicaCount(ExchangeTerms each) {
+    return demandByExchange.get(each.name()).replicas;
   }
 
   /**
@@ -57,16 +57,16 @@
    *
    * @param held the takes whose room serving has
    */
-  int due(ExchangeTerms each, List<Take> held, Moment now) {
-    Need need = needs.get(each.name());
-    int without = held.stream().mapToInt(take -> take.level() - 1).min().orElse(0);
+  int dueForReturn(ExchangeTerms each, List<CapacityTransfer> held, Moment now) {
+    ReplicaDemand need = demandByExchange.get(each.name());
+    int without = held.stream().mapToInt(take -> take.demandLevel() - 1).min().orElse(0);
     int due = held.size() - Math.max(0, need.replicas - without);
-    if (due <= 0 || due < each.margin() * held.size()) {
+    if (due <= 0 || due < each.returnMargin() * held.size()) {
       need.lowSince = null;
       return 0;
     }
     need.lowSince = need.lowSince == null ? now : need.lowSince;
-    if (!now.past(need.lowSince, each.dwell())) {
+    if (!now.past(need.lowSince, each.returnDelay())) {
       return 0;
     }
     need.lowSince = null;
--- a/src/main/java/org/oakwalk/core/exchange/Starts.java
+++ b/src/main/java/org/oakwalk/core/exchange/TaskStarter.java
@@ -12,14 +12,14 @@
 import org.oakwalk.core.placement.RunTimes;
 
 /** Starts of tasks in room that is kept for them, or that is free. */
-final class Starts {
+final class TaskStarter {
   private final Fleet fleet;
   private final Quota quota;
   private final Reserve reserve;
   private final RunTimes runTimes;
   private final Span suspectAfter;
 
-  Starts(Fleet fleet, Quota quota, Reserve reserve, RunTimes runTimes, Span suspectAfter) {
+  TaskStarter(Fleet fleet, Quota quota, Reserve reserve, RunTimes runTimes, Span suspectAfter) {
     this.fleet = fleet;
     this.quota = quota;
     this.reserve = reserve;
@@ -28,7 +28,7 @@
   }
 
   /** Whether this task of a job may start there now, if there is room; -1 stands for none. */
-  boolean may(Job job, int index, Machine machine, Moment now) {
+  boolean mayStart(Job job, int index, Machine machine, Moment now) {
     return index >= 0
         && machine.takesTasks(now, suspectAfter)
         && !machine.remembers(new TaskId(job.id(), index))
@@ -40,12 +40,12 @@
   }
 
   /** Starts up to so many of a job's waiting tasks there; returns how many. */
-  int fill(Job job, int tasks, Machine machine, Moment now) {
+  int startUpTo(Job job, int tasks, Machine machine, Moment now) {
     int placed = 0;
     int index = job.nextPending(0, now);
     while (placed < tasks
         && job.spec().resources().fitsInto(reserve.free(job.spec(), machine))
-        && may(job, index, machine, now)) {
+        && mayStart(job, index, machine, now)) {
       place(job, index, machine, now);
       placed++;
       index = job.nextPending(index + 1, now);
@@ -54,7 +54,7 @@
   }
 
   /** A machine with room for a task of this job, one with its image if there is one; or null. */
-  Machine roomFor(Job job, Moment now) {
+  Machine findMachine(Job job, Moment now) {
     return fleet.machines().stream()
         .filter(machine -> machine.takesTasks(now, suspectAfter))
         .filter(machine -> !machine.duty().fillsUp())
--- a/src/main/java/org/oakwalk/core/exchange/TakeId.java
+++ b/src/main/java/org/oakwalk/core/exchange/TransferId.java
@@ -6,9 +6,9 @@
  * Name of a take: the token of the leader that intended it and a number. It is never used again,
  * since no two leaders share a token.
  */
-public record TakeId(Token token, long number) implements Comparable<TakeId> {
+public record TransferId(Token token, long number) implements Comparable<TransferId> {
   @Override
-  public int compareTo(TakeId other) {
+  public int compareTo(TransferId other) {
     int byToken = token.compareTo(other.token);
     return byToken != 0 ? byToken : Long.compare(number, other.number);
   }
--- a/src/main/java/org/oakwalk/core/exchange/Toll.java
+++ b/src/main/java/org/oakwalk/core/exchange/TransferPlanner.java
@@ -22,29 +22,29 @@
 import org.oakwalk.core.product.ExchangeTerms;
 
 /** What a take would cost, and from whom it costs least for the room that it frees. */
-final class Toll {
+final class TransferPlanner {
   /** Seconds of work that one more stop counts as, whatever is lost by it. */
-  private static final double STOP = 2;
+  private static final double STOP_COST_S = 2;
 
   /** Seconds that an earlier take which is still owed counts as, so that giving goes round. */
-  private static final double OWED = 120;
+  private static final double OPEN_TRANSFER_COST_S = 120;
 
   private final Fleet fleet;
   private final Quota quota;
   private final Reserve reserve;
-  private final ToIntFunction<Job> owed;
+  private final ToIntFunction<Job> openTransfersOf;
 
   /**
    * Weighs takes.
    *
    * @param reserve room that is kept for others
-   * @param owed how many takes of a job are not given back yet
+   * @param openTransfersOf how many takes of a job are not given back yet
    */
-  Toll(Fleet fleet, Quota quota, Reserve reserve, ToIntFunction<Job> owed) {
+  TransferPlanner(Fleet fleet, Quota quota, Reserve reserve, ToIntFunction<Job> owed) {
     this.reserve = reserve;
     this.fleet = fleet;
     this.quota = quota;
-    this.owed = owed;
+    this.openTransfersOf = owed;
   }
 
   /**
@@ -53,10 +53,10 @@
    * @param giver the job that gives most of it
    * @param victims all tasks that have to stop, those of a gang on other machines too
    */
-  record Plan(Machine machine, Job giver, List<Placement> victims, double cost) {}
+  record TransferPlan(Machine machine, Job giver, List<Placement> victims, double costSeconds) {}
 
   /** Whether the protocol lets this task be stopped for that job, and no guarantee forbids it. */
-  boolean mayGive(Placement placement, Job taker) {
+  boolean mayStop(Placement placement, Job taker) {
     Job giver = placement.job();
     boolean sameTeam = giver.spec().team().equals(taker.spec().team());
     if (!sameTeam && quota.guarantees(giver)) {
@@ -68,19 +68,20 @@
   }
 
   /** The cheapest place for one replica of the taker; empty if nobody may give one. */
-  Optional<Plan> best(Job taker, ExchangeTerms terms, List<Machine> machines, Moment now) {
+  Optional<TransferPlan> cheapestPlan(
+      Job taker, ExchangeTerms terms, List<Machine> machines, Moment now) {
     Map<Job, List<Placement>> gangs = new HashMap<>();
-    Plan best = null;
+    TransferPlan best = null;
     for (Machine machine : machines) {
-      Plan plan = on(machine, taker, terms, gangs, now);
-      if (plan != null && (best == null || plan.cost() < best.cost())) {
+      TransferPlan plan = planFor(machine, taker, terms, gangs, now);
+      if (plan != null && (best == null || plan.costSeconds() < best.costSeconds())) {
         best = plan;
       }
     }
     return Optional.ofNullable(best);
   }
 
-  private Plan on(
+  private TransferPlan planFor(
       Machine machine,
       Job taker,
       ExchangeTerms terms,
@@ -92,13 +93,13 @@
     for (Placement placement : machine.placements()) {
       if (placement.halting()) {
         free = free.plus(placement.job().spec().resources());
-      } else if (terms.gives(placement.job().spec()) && mayGive(placement, taker)) {
+      } else if (terms.isGiver(placement.job().spec()) && mayStop(placement, taker)) {
         able.add(placement);
       }
     }
     Map<Placement, Double> losses = new HashMap<>();
-    able.forEach(placement -> losses.put(placement, loss(placement, gangs, now)));
-    able.sort(Comparator.comparingDouble((Placement p) -> losses.get(p)).thenComparing(TASK));
+    able.forEach(placement -> losses.put(placement, stopCostSeconds(placement, gangs, now)));
+    able.sort(Comparator.comparingDouble((Placement p) -> losses.get(p)).thenComparing(BY_TASK_ID));
     List<Placement> chosen = new ArrayList<>();
     for (Placement placement : able) {
       if (asked.fitsInto(free)) {
@@ -110,23 +111,25 @@
     if (chosen.isEmpty() || !asked.fitsInto(free)) {
       return null;
     }
-    free = spare(chosen, free, asked);
-    double cost = machine.hasImage(taker.spec().image()) ? 0 : fetch(machine, taker.spec());
+    free = dropUnneeded(chosen, free, asked);
+    double cost = machine.hasImage(taker.spec().image()) ? 0 : fetchSeconds(machine, taker.spec());
     Set<Placement> victims = new LinkedHashSet<>();
     for (Placement placement : chosen) {
       cost += losses.get(placement);
       victims.addAll(
-          placement.job().spec().gang() ? gang(placement.job(), gangs) : List.of(placement));
+          placement.job().spec().gang()
+              ? gangPlacements(placement.job(), gangs)
+              : List.of(placement));
     }
     victims.removeIf(Placement::halting);
-    return new Plan(machine, chosen.get(0).job(), List.copyOf(victims), cost);
+    return new TransferPlan(machine, chosen.get(0).job(), List.copyOf(victims), cost);
   }
 
-  private static final Comparator<Placement> TASK =
+  private static final Comparator<Placement> BY_TASK_ID =
       Comparator.comparing((Placement p) -> p.task().toString());
 
   /** Spares those that turn out not to be needed, the dearest first. */
-  private static Resources spare(List<Placement> chosen, Resources free, Resources asked) {
+  private static Resources dropUnneeded(List<Placement> chosen, Resources free, Resources asked) {
     Resources left = free;
     for (int i = chosen.size() - 1; i >= 0 && chosen.size() > 1; i--) {
       Resources without = left.minus(chosen.get(i).job().spec().resources());
@@ -138,11 +141,11 @@
     return left;
   }
 
-  private static double fetch(Machine machine, JobSpec spec) {
+  private static double fetchSeconds(Machine machine, JobSpec spec) {
     return machine.type().fetch(spec.imageGb()).asSeconds();
   }
 
-  private List<Placement> gang(Job job, Map<Job, List<Placement>> gangs) {
+  private List<Placement> gangPlacements(Job job, Map<Job, List<Placement>> gangs) {
     return gangs.computeIfAbsent(job, fleet::placementsOf);
   }
 
@@ -150,18 +153,18 @@
    * Seconds of work that stopping a task loses. What saves its progress loses the time to save;
    * what does not, all it did. Of a gang all tasks are lost with one.
    */
-  private double loss(Placement placement, Map<Job, List<Placement>> gangs, Moment now) {
+  private double stopCostSeconds(Placement placement, Map<Job, List<Placement>> gangs, Moment now) {
     Job job = placement.job();
-    double own = STOP + OWED * owed.applyAsInt(job);
+    double own = STOP_COST_S + OPEN_TRANSFER_COST_S * openTransfersOf.applyAsInt(job);
     if (!job.spec().gang()) {
-      return own + lost(placement, now);
+      return own + lostWorkSeconds(placement, now);
     }
-    List<Placement> all = gang(job, gangs);
-    double each = all.stream().mapToDouble(one -> STOP + lost(one, now)).sum();
+    List<Placement> all = gangPlacements(job, gangs);
+    double each = all.stream().mapToDouble(one -> STOP_COST_S + lostWorkSeconds(one, now)).sum();
     return own + each;
   }
 
-  private static double lost(Placement placement, Moment now) {
+  private static double lostWorkSeconds(Placement placement, Moment now) {
     JobSpec spec = placement.job().spec();
     if (spec.checkpointInterval().millis() > 0) {
       return spec.checkpointDuration().asSeconds();
--- a/src/main/java/org/oakwalk/core/headroom/Headroom.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomController.java
@@ -33,42 +33,42 @@
  * Keeps room for more replicas. The amounts by zone are stored; a higher one restrains at once, a
  * lower one only when it is stored, so that a new leader keeps at least what an older one kept.
  */
-public final class Headroom implements Reserve {
+public final class HeadroomController implements Reserve {
   /** Name of its record. */
-  public static final String RECORD = "headroom";
+  public static final String RECORD_NAME = "headroom";
 
-  private static final Logger LOG = LoggerFactory.getLogger(Headroom.class);
-  private static final Span EVERY = Span.seconds(1);
+  private static final Logger LOG = LoggerFactory.getLogger(HeadroomController.class);
+  private static final Span TICK_INTERVAL = Span.seconds(1);
 
   /** A zone without machines keeps its places for so long, which is more than most cuts last. */
-  private static final Span ZONE_PATIENCE = Span.seconds(30);
+  private static final Span ZONE_LOSS_DELAY = Span.seconds(30);
 
   /** More than all other terms of a machine's distance together. */
-  private static final double STRAIN = 4;
+  private static final double IMAGE_EVICTION_PENALTY = 4;
 
   private final Fleet fleet;
   private final JobRegistry jobs;
   private final Quota quota;
   private final Span suspectAfter;
-  private final Amounts amounts;
-  private final Rooms rooms = new Rooms();
-  private final Refill refill;
-  private final Map<String, Moment> zoneSeen = new HashMap<>();
+  private final HeadroomCalculator calculator;
+  private final HeadroomAllocator allocator = new HeadroomAllocator();
+  private final HeadroomPreemptor preemptor;
+  private final Map<String, Moment> zoneLastLive = new HashMap<>();
   private final Map<String, Double> warmShares = new HashMap<>();
-  private final Set<HeadroomRow.Key> told = new HashSet<>();
+  private final Set<HeadroomRow.HeadroomKey> reportedMissing = new HashSet<>();
   private Optional<SharedRecord<HeadroomRow>> record = Optional.empty();
-  private List<HeadroomRow> wanted = List.of();
-  private List<HeadroomRow> inForce = List.of();
+  private List<HeadroomRow> targetRows = List.of();
+  private List<HeadroomRow> activeRows = List.of();
   private Moment nextTick = new Moment(Long.MIN_VALUE / 2);
-  private JobSpec asked;
-  private HeadroomRow.Key askedKey;
+  private JobSpec cachedSpec;
+  private HeadroomRow.HeadroomKey cachedKey;
 
   /**
    * Keeps nothing until its record is known.
    *
    * @param mayStop whether budgets allow that tasks are stopped
    */
-  public Headroom(
+  public HeadroomController(
       Fleet fleet,
       JobRegistry jobs,
       Quota quota,
@@ -78,19 +78,19 @@
     this.jobs = jobs;
     this.quota = quota;
     this.suspectAfter = settings.workers().suspectAfter();
-    this.amounts = new Amounts(quota, settings.zones());
-    this.refill = new Refill(fleet, mayStop, suspectAfter);
+    this.calculator = new HeadroomCalculator(quota, settings.zones());
+    this.preemptor = new HeadroomPreemptor(fleet, mayStop, suspectAfter);
   }
 
   /** Declares its record. */
-  public void share(SharedRecords shared) {
-    record = Optional.of(shared.declare(RECORD, HeadroomRow.class));
+  public void declareRecord(SharedRecords shared) {
+    record = Optional.of(shared.declare(RECORD_NAME, HeadroomRow.class));
   }
 
   /** Nothing is declared, or what is declared can't be read. */
-  public void off() {
-    inForce = List.of();
-    wanted = List.of();
+  public void disable() {
+    activeRows = List.of();
+    targetRows = List.of();
   }
 
   /**
@@ -101,111 +101,112 @@
   public void tick(List<HeadroomTerms> terms, boolean recovered, Moment now) {
     SharedRecord<HeadroomRow> kept = record.orElseThrow();
     if (kept.isUnusable()) {
-      off();
+      disable();
       return;
     }
-    inForce = larger(kept.storedRows(), wanted);
+    activeRows = maxPerZone(kept.storedRows(), targetRows);
     warmShares.clear();
-    terms.forEach(found -> warmShares.put(found.name(), found.warm()));
+    terms.forEach(found -> warmShares.put(found.name(), found.warmShare()));
     if (nextTick.isAfter(now)) {
       return;
     }
-    nextTick = now.plus(EVERY);
-    Set<String> live = live(now);
+    nextTick = now.plus(TICK_INTERVAL);
+    Set<String> live = liveZones(now);
     if (!recovered) {
       return;
     }
     List<HeadroomRow> target =
-        amounts.target(terms, inForce, jobs.all(), live, fleet.anyUnconfirmed(), now);
-    if (!target.equals(wanted) || kept.isUpToDate() && !target.equals(kept.storedRows())) {
-      say(kept.storedRows(), target);
-      wanted = target;
+        calculator.targetRows(terms, activeRows, jobs.all(), live, fleet.anyUnconfirmed(), now);
+    if (!target.equals(targetRows) || kept.isUpToDate() && !target.equals(kept.storedRows())) {
+      logChanges(kept.storedRows(), target);
+      targetRows = target;
       kept.requestWrite(target);
-      inForce = larger(kept.storedRows(), wanted);
+      activeRows = maxPerZone(kept.storedRows(), targetRows);
     }
-    sayLacking();
-    refill.tick(inForce, rooms, now);
+    logMissingSlots();
+    preemptor.tick(activeRows, allocator, now);
   }
 
   /** What is stored and what is wanted, whichever is more in each zone. */
-  private static List<HeadroomRow> larger(List<HeadroomRow> stored, List<HeadroomRow> wanted) {
+  private static List<HeadroomRow> maxPerZone(List<HeadroomRow> stored, List<HeadroomRow> wanted) {
     if (stored.equals(wanted)) {
       return wanted;
     }
-    Map<HeadroomRow.Key, HeadroomRow> rows = new LinkedHashMap<>();
+    Map<HeadroomRow.HeadroomKey, HeadroomRow> rows = new LinkedHashMap<>();
     stored.forEach(row -> rows.put(row.key(), row));
     for (HeadroomRow row : wanted) {
       HeadroomRow other = rows.get(row.key());
-      Map<String, Integer> places = new TreeMap<>(row.places());
+      Map<String, Integer> places = new TreeMap<>(row.slotsByZone());
       if (other != null) {
-        other.places().forEach((zone, count) -> places.merge(zone, count, Math::max));
+        other.slotsByZone().forEach((zone, count) -> places.merge(zone, count, Math::max));
       }
-      rows.put(row.key(), row.with(row.peak(), places));
+      rows.put(row.key(), row.withSlots(row.peakReplicas(), places));
     }
     return List.copyOf(rows.values());
   }
 
-  private Set<String> live(Moment now) {
+  private Set<String> liveZones(Moment now) {
     for (Machine machine : fleet.machines()) {
       if (machine.takesTasks(now, suspectAfter)) {
-        zoneSeen.put(machine.zone(), now);
+        zoneLastLive.put(machine.zone(), now);
       } else {
         // For a new leader, too, patience begins with its rise.
-        zoneSeen.putIfAbsent(machine.zone(), now);
+        zoneLastLive.putIfAbsent(machine.zone(), now);
       }
     }
     Set<String> live = new HashSet<>();
-    zoneSeen.forEach(
+    zoneLastLive.forEach(
         (zone, seen) -> {
-          if (!now.past(seen, ZONE_PATIENCE)) {
+          if (!now.past(seen, ZONE_LOSS_DELAY)) {
             live.add(zone);
           }
         });
     return live;
   }
 
-  private void say(List<HeadroomRow> stored, List<HeadroomRow> target) {
-    Map<HeadroomRow.Key, HeadroomRow> before = new HashMap<>();
+  private void logChanges(List<HeadroomRow> stored, List<HeadroomRow> target) {
+    Map<HeadroomRow.HeadroomKey, HeadroomRow> before = new HashMap<>();
     stored.forEach(row -> before.put(row.key(), row));
     for (HeadroomRow row : target) {
       HeadroomRow old = before.remove(row.key());
-      if (old == null || !old.places().equals(row.places())) {
+      if (old == null || !old.slotsByZone().equals(row.slotsByZone())) {
         LOG.info(
             "headroom {}: {} places instead of {}, peak {}, {}",
             row.key(),
-            row.places(),
-            old == null ? "none" : old.places(),
-            row.peak(),
-            amounts.why(row.key()));
+            row.slotsByZone(),
+            old == null ? "none" : old.slotsByZone(),
+            row.peakReplicas(),
+            calculator.reasonFor(row.key()));
       }
     }
     before.keySet().forEach(key -> LOG.info("headroom {}: ended, no terms or no peak left", key));
   }
 
-  private void sayLacking() {
-    told.removeIf(
+  private void logMissingSlots() {
+    reportedMissing.removeIf(
         key -> {
-          boolean filled = !rooms.lacking().containsKey(key);
+          boolean filled = !allocator.missingSlots().containsKey(key);
           if (filled) {
-            LOG.info("headroom {}: is full again, {} where the image is", key, rooms.warm(key));
+            LOG.info(
+                "headroom {}: is full again, {} where the image is", key, allocator.warmSlots(key));
           }
           return filled;
         });
-    rooms
-        .lacking()
+    allocator
+        .missingSlots()
         .forEach(
             (key, zones) -> {
-              if (told.add(key)) {
+              if (reportedMissing.add(key)) {
                 LOG.info("headroom {}: places lack, {}", key, zones);
               }
             });
   }
 
   /** What machines should be held for, beside the open jobs. */
-  public List<JobSpec> kept() {
+  public List<JobSpec> reservedSpecs() {
     List<JobSpec> specs = new ArrayList<>();
-    for (HeadroomRow row : inForce) {
-      if (row.total() > 0) {
+    for (HeadroomRow row : activeRows) {
+      if (row.totalSlots() > 0) {
         specs.add(row.spec());
       }
     }
@@ -214,74 +215,76 @@
 
   @Override
   public void survey(Collection<Machine> taking, Map<Machine, Job> held) {
-    asked = null;
-    rooms.survey(inForce, taking, held, warmShares);
+    cachedSpec = null;
+    allocator.allocate(activeRows, taking, held, warmShares);
   }
 
   /** The shape that a job's replicas have, or null. */
-  private HeadroomRow.Key keyOf(JobSpec spec) {
-    if (asked != spec) {
-      asked = spec;
-      askedKey = null;
-      for (HeadroomRow row : inForce) {
+  private HeadroomRow.HeadroomKey keyOf(JobSpec spec) {
+    if (cachedSpec != spec) {
+      cachedSpec = spec;
+      cachedKey = null;
+      for (HeadroomRow row : activeRows) {
         if (row.key().covers(spec)) {
-          askedKey = row.key();
+          cachedKey = row.key();
         }
       }
     }
-    return askedKey;
+    return cachedKey;
   }
 
   @Override
   public Resources free(JobSpec spec, Machine machine) {
-    return inForce.isEmpty() ? machine.free() : rooms.free(keyOf(spec), machine);
+    return activeRows.isEmpty() ? machine.free() : allocator.freeFor(keyOf(spec), machine);
   }
 
   @Override
   public Resources beyond(Machine machine) {
-    return rooms.beyond(machine);
+    return allocator.unreserved(machine);
   }
 
   @Override
   public boolean serves(JobSpec spec, Machine machine) {
-    HeadroomRow.Key key = inForce.isEmpty() ? null : keyOf(spec);
-    return key != null && rooms.on(key, machine) > 0;
+    HeadroomRow.HeadroomKey key = activeRows.isEmpty() ? null : keyOf(spec);
+    return key != null && allocator.slotsOn(key, machine) > 0;
   }
 
   @Override
   public boolean withholds(Job job) {
-    if (rooms.lacking().isEmpty() || job.spec().service()) {
+    if (allocator.missingSlots().isEmpty() || job.spec().service()) {
       return false;
     }
     denied(job);
-    return rooms.lacking().values().stream()
+    return allocator.missingSlots().values().stream()
         .flatMap(zones -> zones.keySet().stream())
         .anyMatch(zone -> job.spec().zone().map(zone::equals).orElse(true));
   }
 
   @Override
   public double strain(JobSpec spec, Machine machine) {
-    return !inForce.isEmpty() && rooms.pushesOut(spec, machine) ? STRAIN : 0;
+    return !activeRows.isEmpty() && allocator.evictsReservedImage(spec, machine)
+        ? IMAGE_EVICTION_PENALTY
+        : 0;
   }
 
   @Override
   public void denied(Job job) {
     boolean kept =
-        inForce.stream()
-            .anyMatch(row -> row.total() > 0 && !row.key().team().equals(job.spec().team()));
+        activeRows.stream()
+            .anyMatch(row -> row.totalSlots() > 0 && !row.key().team().equals(job.spec().team()));
     if (kept && quota.guarantees(job)) {
-      amounts.claimed(job);
+      calculator.addUnplacedGuaranteed(job);
     }
   }
 
   /** One line on it, for the log. */
   public Optional<String> summary() {
-    if (inForce.isEmpty()) {
+    if (activeRows.isEmpty()) {
       return Optional.empty();
     }
-    int places = inForce.stream().mapToInt(HeadroomRow::total).sum();
+    int places = activeRows.stream().mapToInt(HeadroomRow::totalSlots).sum();
     int lacking =
-        rooms.lacking().values().stream()
+        allocator.missingSlots().values().stream()
             .flatMap(zones -> zones.values().stream())
             .mapToInt(Integer::intValue)
             .sum();
--- a/src/main/java/org/oakwalk/core/headroom/Refill.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomPreemptor.java
@@ -21,46 +21,46 @@
  * Stops tasks of lower priority for places that neither what ended nor what was rented has filled,
  * one place at a time and within budgets.
  */
-final class Refill {
-  private static final Logger LOG = LoggerFactory.getLogger(Refill.class);
+final class HeadroomPreemptor {
+  private static final Logger LOG = LoggerFactory.getLogger(HeadroomPreemptor.class);
 
   /** What ends and what boots goes first. */
-  private static final double BOOTS = 1.5;
+  private static final double BOOT_TIME_FACTOR = 1.5;
 
-  private static final Span WAIT = Span.seconds(5);
-  private static final int MOST_STOPS = 4;
+  private static final Span EXTRA_WAIT = Span.seconds(5);
+  private static final int MAX_STOPS_PER_SLOT = 4;
 
   private final Fleet fleet;
-  private final Predicate<List<Placement>> mayStop;
+  private final Predicate<List<Placement>> budgetsAllow;
   private final Span suspectAfter;
-  private final Map<HeadroomRow.Key, Moment> lackingSince = new HashMap<>();
+  private final Map<HeadroomRow.HeadroomKey, Moment> missingSince = new HashMap<>();
 
-  Refill(Fleet fleet, Predicate<List<Placement>> mayStop, Span suspectAfter) {
+  HeadroomPreemptor(Fleet fleet, Predicate<List<Placement>> mayStop, Span suspectAfter) {
     this.fleet = fleet;
-    this.mayStop = mayStop;
+    this.budgetsAllow = mayStop;
     this.suspectAfter = suspectAfter;
   }
 
-  private record Plan(Machine machine, List<Placement> stops) {}
+  private record PreemptionOption(Machine machine, List<Placement> stops) {}
 
   /** Looks what has been lacking for long, and makes one place of each shape. */
-  void tick(List<HeadroomRow> rows, Rooms rooms, Moment now) {
-    lackingSince.keySet().retainAll(rooms.lacking().keySet());
+  void tick(List<HeadroomRow> rows, HeadroomAllocator rooms, Moment now) {
+    missingSince.keySet().retainAll(rooms.missingSlots().keySet());
     for (HeadroomRow row : rows) {
-      Map<String, Integer> lacking = rooms.lacking().get(row.key());
+      Map<String, Integer> lacking = rooms.missingSlots().get(row.key());
       if (lacking == null) {
         continue;
       }
-      Moment since = lackingSince.computeIfAbsent(row.key(), key -> now);
-      lacking.forEach((zone, places) -> fill(row, zone, places, since, rooms, now));
+      Moment since = missingSince.computeIfAbsent(row.key(), key -> now);
+      lacking.forEach((zone, places) -> fillSlot(row, zone, places, since, rooms, now));
     }
   }
 
-  private void fill(
-      HeadroomRow row, String zone, int lacks, Moment since, Rooms rooms, Moment now) {
+  private void fillSlot(
+      HeadroomRow row, String zone, int lacks, Moment since, HeadroomAllocator rooms, Moment now) {
     JobSpec spec = row.spec();
     int coming = 0;
-    Plan best = null;
+    PreemptionOption best = null;
     for (Machine machine : fleet.machines()) {
       if (!machine.zone().equals(zone)
           || machine.duty() != Duty.IN_USE
@@ -69,21 +69,22 @@
         continue;
       }
       coming +=
-          soon(machine, rooms).capacityFor(spec.resources())
-              - rooms.beyond(machine).capacityFor(spec.resources());
-      Span patience = machine.type().boot().times(BOOTS).plus(WAIT);
-      Plan plan = now.past(since, patience) ? plan(machine, row, rooms, now) : null;
+          freeAfterStops(machine, rooms).capacityFor(spec.resources())
+              - rooms.unreserved(machine).capacityFor(spec.resources());
+      Span patience = machine.type().boot().times(BOOT_TIME_FACTOR).plus(EXTRA_WAIT);
+      PreemptionOption plan =
+          now.past(since, patience) ? findOption(machine, row, rooms, now) : null;
       if (plan != null && (best == null || cost(plan, row) < cost(best, row))) {
         best = plan;
       }
     }
-    if (best != null && coming < lacks && mayStop.test(best.stops())) {
+    if (best != null && coming < lacks && budgetsAllow.test(best.stops())) {
       for (Placement stop : best.stops()) {
         LOG.info(
             "headroom {}: {} of {} places lack in {}, task {} on {} gives way",
             row.key(),
             lacks,
-            row.places().get(zone),
+            row.slotsByZone().get(zone),
             zone,
             stop.task(),
             best.machine().id());
@@ -93,13 +94,13 @@
   }
 
   /** Few stops, and where the image is. */
-  private static int cost(Plan plan, HeadroomRow row) {
+  private static int cost(PreemptionOption plan, HeadroomRow row) {
     return 2 * plan.stops().size() + (plan.machine().hasImage(row.image()) ? 0 : 1);
   }
 
   /** What is free once all that is told to stop has stopped. */
-  private static Resources soon(Machine machine, Rooms rooms) {
-    Resources free = rooms.beyond(machine);
+  private static Resources freeAfterStops(Machine machine, HeadroomAllocator rooms) {
+    Resources free = rooms.unreserved(machine);
     for (Placement placement : machine.placements()) {
       if (placement.halting()) {
         free = free.plus(placement.job().spec().resources());
@@ -108,9 +109,11 @@
     return free;
   }
 
-  private static Plan plan(Machine machine, HeadroomRow row, Rooms rooms, Moment now) {
-    Resources free = soon(machine, rooms);
-    if (!row.key().room().fitsInto(machine.type().room()) || row.key().room().fitsInto(free)) {
+  private static PreemptionOption findOption(
+      Machine machine, HeadroomRow row, HeadroomAllocator rooms, Moment now) {
+    Resources free = freeAfterStops(machine, rooms);
+    if (!row.key().resources().fitsInto(machine.type().room())
+        || row.key().resources().fitsInto(free)) {
       return null;
     }
     List<Placement> candidates = new ArrayList<>();
@@ -123,15 +126,15 @@
         candidates.add(placement);
       }
     }
-    candidates.sort(Comparator.comparingDouble(placement -> loss(placement, now)));
+    candidates.sort(Comparator.comparingDouble(placement -> lostWorkSeconds(placement, now)));
     List<Placement> stops = new ArrayList<>();
     for (Placement candidate : candidates) {
       stops.add(candidate);
       free = free.plus(candidate.job().spec().resources());
-      if (row.key().room().fitsInto(free)) {
-        return new Plan(machine, stops);
+      if (row.key().resources().fitsInto(free)) {
+        return new PreemptionOption(machine, stops);
       }
-      if (stops.size() == MOST_STOPS) {
+      if (stops.size() == MAX_STOPS_PER_SLOT) {
         return null;
       }
     }
@@ -139,7 +142,7 @@
   }
 
   /** Seconds of work that a stop would lose; what saves loses none. */
-  private static double loss(Placement placement, Moment now) {
+  private static double lostWorkSeconds(Placement placement, Moment now) {
     Moment running = placement.runningSince();
     boolean saves = placement.job().spec().checkpointInterval().millis() > 0;
     return saves || running == null ? 0 : now.since(running).asSeconds();
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomRow.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomRow.java
@@ -18,20 +18,20 @@
  * @param priority of the replicas
  * @param image which they need
  * @param imageGb its size
- * @param types machine types that they may use; any if empty
- * @param spot whether they may use spot machines
- * @param peak the most replicas that were asked for, fading
- * @param places how many whole places are kept in each zone
+ * @param machineTypes machine types that they may use; any if empty
+ * @param spotAllowed whether they may use spot machines
+ * @param peakReplicas the most replicas that were asked for, fading
+ * @param slotsByZone how many whole places are kept in each zone
  */
 public record HeadroomRow(
-    Key key,
+    HeadroomKey key,
     Priority priority,
     String image,
     double imageGb,
-    Set<String> types,
-    boolean spot,
-    int peak,
-    Map<String, Integer> places)
+    Set<String> machineTypes,
+    boolean spotAllowed,
+    int peakReplicas,
+    Map<String, Integer> slotsByZone)
     implements SharedRow {
 
   /**
@@ -41,15 +41,15 @@
    * @param room a replica's
    * @param zone the only zone that the replicas may use, if there is one
    */
-  public record Key(
-      String name, String team, String jobClass, Resources room, Optional<String> zone) {
+  public record HeadroomKey(
+      String name, String team, String jobClass, Resources resources, Optional<String> zone) {
 
     /** Whether a job's replicas have this shape. */
     boolean covers(JobSpec spec) {
       return spec.service()
           && spec.team().equals(team)
           && spec.jobClass().equals(jobClass)
-          && spec.resources().equals(room)
+          && spec.resources().equals(resources)
           && spec.zone().equals(zone);
     }
 
@@ -60,12 +60,13 @@
   }
 
   /** Places in all zones. */
-  int total() {
-    return places.values().stream().mapToInt(Integer::intValue).sum();
+  int totalSlots() {
+    return slotsByZone.values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  HeadroomRow with(int otherPeak, Map<String, Integer> otherPlaces) {
-    return new HeadroomRow(key, priority, image, imageGb, types, spot, otherPeak, otherPlaces);
+  HeadroomRow withSlots(int otherPeak, Map<String, Integer> otherPlaces) {
+    return new HeadroomRow(
+        key, priority, image, imageGb, machineTypes, spotAllowed, otherPeak, otherPlaces);
   }
 
   /** What it is kept for, as if so many replicas were asked for. */
@@ -76,13 +77,13 @@
         key.team(),
         JobSpec.Shape.SERVICE,
         priority,
-        Math.max(1, total()),
-        key.room(),
-        types,
+        Math.max(1, totalSlots()),
+        key.resources(),
+        machineTypes,
         key.zone(),
         false,
         false,
-        spot,
+        spotAllowed,
         image,
         imageGb,
         Span.millis(0),
@@ -97,10 +98,10 @@
         SHORT_ROW_BYTES + SharedRow.maxJsonBytes(key.name()) + SharedRow.maxJsonBytes(key.team());
     bytes += SharedRow.maxJsonBytes(key.jobClass()) + SharedRow.maxJsonBytes(image);
     bytes += key.zone().map(SharedRow::maxJsonBytes).orElse(0);
-    for (String type : types) {
+    for (String type : machineTypes) {
       bytes += SharedRow.maxJsonBytes(type);
     }
-    for (String zone : places.keySet()) {
+    for (String zone : slotsByZone.keySet()) {
       bytes += SharedRow.maxJsonBytes(zone) + 12;
     }
     return bytes;
--- a/src/main/java/org/oakwalk/core/planner/Coming.java
+++ b/src/main/java/org/oakwalk/core/planner/Coming.java
@@ -7,7 +7,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Resources;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 
 /**
  * What work comes, by team, class and part of the time between two dawns. What was learned fades by
@@ -35,7 +35,7 @@
     }
 
     /** Closes the parts of the time that are over. */
-    void roll(DawnTerms terms, WallTime time) {
+    void roll(BatchDeadlineTerms terms, WallTime time) {
       long length = Window.sliceLength(terms).millis();
       long now = Math.floorDiv(time.millis(), length);
       if (slice < 0) {
@@ -62,7 +62,7 @@
   }
 
   /** A job that has just been accepted. */
-  void came(JobSpec spec, DawnTerms terms, WallTime now) {
+  void came(JobSpec spec, BatchDeadlineTerms terms, WallTime now) {
     Source source = new Source(spec.team(), spec.jobClass());
     if (!accounts.containsKey(source) && accounts.size() >= MOST) {
       return;
@@ -76,7 +76,7 @@
   }
 
   /** What is still to come in the parts of the time that lie ahead, this one's rest included. */
-  List<Expected> expected(DawnTerms terms, WallTime now, WallTime until) {
+  List<Expected> expected(BatchDeadlineTerms terms, WallTime now, WallTime until) {
     List<Expected> all = new ArrayList<>();
     long length = Window.sliceLength(terms).millis();
     int ahead = (int) Math.min(Window.SLICES - 1, (until.millis() - now.millis()) / length);
--- a/src/main/java/org/oakwalk/core/planner/Learned.java
+++ b/src/main/java/org/oakwalk/core/planner/Learned.java
@@ -10,7 +10,7 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.Job;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 
 /** What leaders learn for their plans and hand on: run times, what comes when, what can be had. */
 final class Learned {
@@ -18,12 +18,12 @@
   final RoomForecast room = new RoomForecast();
   private final Map<String, Coming> coming = new TreeMap<>();
   private final Set<JobId> counted = new HashSet<>();
-  private List<DawnTerms> dawns = List.of();
+  private List<BatchDeadlineTerms> dawns = List.of();
 
   /** Other terms are in force: what was learned of dawns that are no more is dropped. */
-  void follow(List<DawnTerms> terms) {
+  void follow(List<BatchDeadlineTerms> terms) {
     dawns = terms;
-    coming.keySet().retainAll(terms.stream().map(DawnTerms::name).toList());
+    coming.keySet().retainAll(terms.stream().map(BatchDeadlineTerms::name).toList());
     terms.forEach(dawn -> coming.computeIfAbsent(dawn.name(), Coming::new));
   }
 
@@ -35,7 +35,7 @@
   void touched(Job job, WallTime now) {
     boolean fresh = job.isOpen() && !job.inherited() && job.doneCount() + job.assignedCount() == 0;
     if (fresh && counted.add(job.id())) {
-      for (DawnTerms dawn : dawns) {
+      for (BatchDeadlineTerms dawn : dawns) {
         if (dawn.covers(job.spec())) {
           coming.get(dawn.name()).came(job.spec(), dawn, now);
         }
--- a/src/main/java/org/oakwalk/core/planner/NightWork.java
+++ b/src/main/java/org/oakwalk/core/planner/NightWork.java
@@ -17,7 +17,7 @@
 import org.oakwalk.core.fleet.Placement;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Resources;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 
 /** Puts together what is to be done by dawn and what room there is, and has a plan made of it. */
 final class NightWork {
@@ -39,14 +39,14 @@
   /** What a plan is made from, beside what was learned. */
   record Night(
       Groups groups,
-      List<DawnTerms> dawns,
+      List<BatchDeadlineTerms> dawns,
       Map<String, Window> open,
       Learned learned,
       PlanInForce inForce,
       Map<GroupKey, Integer> earlier) {
 
     /** The dawn by which a job is to be done: of the open ones that cover it, the next one. */
-    Optional<DawnTerms> dawnOf(JobSpec spec) {
+    Optional<BatchDeadlineTerms> dawnOf(JobSpec spec) {
       return dawns.stream()
           .filter(dawn -> open.containsKey(dawn.name()) && dawn.covers(spec))
           .min(Comparator.comparing(dawn -> open.get(dawn.name()).ends().millis()));
@@ -54,7 +54,8 @@
   }
 
   /** One group of the plan, with the dawn that counts for it. */
-  private record Part(GroupKey key, DawnTerms dawn, Groups.Group group, int seen, int promised) {
+  private record Part(
+      GroupKey key, BatchDeadlineTerms dawn, Groups.Group group, int seen, int promised) {
     double seconds() {
       return group.waiting * group.guess();
     }
@@ -84,7 +85,7 @@
       double gathers = gathers(part, longest, fleet);
       loads.add(load(part, night, sorts, gathers, wall));
     }
-    for (DawnTerms dawn : night.dawns()) {
+    for (BatchDeadlineTerms dawn : night.dawns()) {
       if (night.open().containsKey(dawn.name())) {
         loads.addAll(expected(dawn, night, sorts, seconds, wall));
       }
@@ -171,7 +172,7 @@
   private List<Part> parts(Night night) {
     List<Part> parts = new ArrayList<>();
     for (Groups.Group group : night.groups().all()) {
-      Optional<DawnTerms> dawn = night.dawnOf(group.sample);
+      Optional<BatchDeadlineTerms> dawn = night.dawnOf(group.sample);
       if (dawn.isPresent()) {
         int seen = night.earlier().getOrDefault(group.key, 0) + group.came;
         Window window = night.open().get(dawn.get().name());
@@ -216,7 +217,7 @@
 
   private double longest(Part part) {
     return part.group().longest
-        * runs.quantile(part.group().sample.jobClass(), part.dawn().quantile());
+        * runs.quantile(part.group().sample.jobClass(), part.dawn().runTimeQuantile());
   }
 
   /**
@@ -239,7 +240,7 @@
       Part part, Night night, List<RoomForecast.Outlook> sorts, double gathers, WallTime wall) {
     JobSpec sample = part.group().sample;
     double mean = runs.mean(sample.jobClass());
-    double most = runs.quantile(sample.jobClass(), part.dawn().quantile());
+    double most = runs.quantile(sample.jobClass(), part.dawn().runTimeQuantile());
     // The more jobs there are, the less their sum strays; the last of them may still take long.
     double strays = (most - mean) / Math.sqrt(Math.max(1, part.group().jobs.size()));
     double run = Math.max(0.1, part.group().guess() * (mean + strays));
@@ -287,7 +288,7 @@
 
   /** What usually comes until dawn, as far as it can be done then. */
   private List<PlanMaker.Load> expected(
-      DawnTerms dawn,
+      BatchDeadlineTerms dawn,
       Night night,
       List<RoomForecast.Outlook> sorts,
       double seconds,
@@ -300,7 +301,7 @@
         night.learned().coming(dawn.name()).expected(dawn, wall, window.ends())) {
       String jobClass = expected.source().jobClass();
       double run = Math.max(0.1, expected.run() * runs.mean(jobClass));
-      double tail = Math.max(run, expected.run() * runs.quantile(jobClass, dawn.quantile()));
+      double tail = Math.max(run, expected.run() * runs.quantile(jobClass, dawn.runTimeQuantile()));
       double[] released = new double[Schedule.SLOTS];
       expected
           .tasksBySlice()
--- a/src/main/java/org/oakwalk/core/planner/Planner.java
+++ b/src/main/java/org/oakwalk/core/planner/Planner.java
@@ -19,7 +19,7 @@
 import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.placement.Deadlines;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 import org.oakwalk.core.shared.SharedRecord;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
@@ -48,7 +48,7 @@
   private final Set<Job> moved = new LinkedHashSet<>();
   private final Map<String, WallTime> toldEnded = new HashMap<>();
   private Groups groups = new Groups();
-  private List<DawnTerms> dawns = List.of();
+  private List<BatchDeadlineTerms> dawns = List.of();
   private Map<String, Window> open = Map.of();
   private PlanInForce inForce = PlanInForce.NONE;
   private boolean restored;
@@ -77,7 +77,7 @@
 
   /** Follows the nights that are declared; nothing is planned before it is known what runs. */
   public void tick(
-      List<DawnTerms> terms,
+      List<BatchDeadlineTerms> terms,
       SharedRecord<PlanRow> record,
       Map<String, MachineType> types,
       boolean recovered,
@@ -126,18 +126,20 @@
 
   /** Takes over what counts for a group at present. */
   private void apply(Groups.Group group) {
-    Optional<DawnTerms> dawn = dawnOf(group.sample);
+    Optional<BatchDeadlineTerms> dawn = dawnOf(group.sample);
     group.entry = entry(group.sample).orElse(null);
     group.ends = dawn.map(terms -> open.get(terms.name()).ends()).orElse(null);
     String name = group.sample.jobClass();
     group.strays =
-        dawn.map(terms -> learned.runs.quantile(name, terms.quantile()) - learned.runs.mean(name))
+        dawn.map(
+                terms ->
+                    learned.runs.quantile(name, terms.runTimeQuantile()) - learned.runs.mean(name))
             .orElse(0.0);
   }
 
   private Map<String, Window> windows() {
     Map<String, Window> found = new LinkedHashMap<>();
-    for (DawnTerms dawn : dawns) {
+    for (BatchDeadlineTerms dawn : dawns) {
       Window.open(dawn, wall, settings.clockOff())
           .ifPresent(window -> found.put(dawn.name(), window));
     }
@@ -145,7 +147,7 @@
   }
 
   /** Takes up other terms: what they cover is counted anew. */
-  private void follow(List<DawnTerms> terms) {
+  private void follow(List<BatchDeadlineTerms> terms) {
     dawns = List.copyOf(terms);
     groups = new Groups();
     learned.follow(dawns);
@@ -191,7 +193,7 @@
       int counted = group == null ? 0 : Groups.acceptedBy(group, entry.night().revised());
       earlier.put(entry.group().key(), Math.max(0, entry.group().seen() - counted));
     }
-    for (DawnTerms dawn : dawns) {
+    for (BatchDeadlineTerms dawn : dawns) {
       found
           .night(dawn.name())
           .filter(night -> night.dawnAt().millis() > wall.millis())
@@ -230,7 +232,7 @@
 
   /** Says what came of nights that are over, and stores what was learned in them. */
   private void settle(SharedRecord<PlanRow> record) {
-    for (DawnTerms dawn : dawns) {
+    for (BatchDeadlineTerms dawn : dawns) {
       Optional<PlanRow.Night> night = inForce.night(dawn.name());
       if (night.isEmpty()
           || night.get().dawnAt().millis() > wall.millis()
@@ -260,7 +262,7 @@
     if (record.revision() < wanted) {
       return;
     }
-    for (DawnTerms dawn : dawns) {
+    for (BatchDeadlineTerms dawn : dawns) {
       Window window = open.get(dawn.name());
       if (window != null && inForce.night(dawn.name(), window).isEmpty()) {
         begin(dawn);
@@ -308,7 +310,7 @@
     return (since.compareTo(here) < 0 ? since : here).compareTo(wait) < 0;
   }
 
-  private void begin(DawnTerms dawn) {
+  private void begin(BatchDeadlineTerms dawn) {
     for (Groups.Group group : groups.all()) {
       if (dawnOf(group.sample).filter(dawn::equals).isPresent()
           && inForce
@@ -351,7 +353,7 @@
   /** All rows: fresh ones of some dawns, of the others what is in force, and what was learned. */
   private List<PlanRow> rows(Map<String, List<PlanRow>> fresh) {
     List<PlanRow> rows = new ArrayList<>();
-    for (DawnTerms dawn : dawns) {
+    for (BatchDeadlineTerms dawn : dawns) {
       rows.addAll(
           fresh.containsKey(dawn.name()) ? fresh.get(dawn.name()) : inForce.rows(dawn.name()));
     }
@@ -363,7 +365,7 @@
     return new NightWork.Night(groups, dawns, open, learned, inForce, earlier);
   }
 
-  private Optional<DawnTerms> dawnOf(JobSpec spec) {
+  private Optional<BatchDeadlineTerms> dawnOf(JobSpec spec) {
     return night().dawnOf(spec);
   }
 
--- a/src/main/java/org/oakwalk/core/product/DawnTerms.java
+++ b/src/main/java/org/oakwalk/core/product/BatchDeadlineTerms.java
@@ -13,29 +13,30 @@
  *
  * @param name tells it from others; letters, digits, dashes
  * @param daily when it comes each day; empty if it comes every so often
- * @param every time from one to the next; empty if it comes each day
- * @param lasts how long before each dawn its window opens; used where it comes every so often
+ * @param interval time from one to the next; empty if it comes each day
+ * @param windowLength how long before each dawn its window opens; used where it comes every so
+ *     often
  * @param classes the classes it is about; all if empty
  * @param teams the teams it is about; all if empty
- * @param margin by how much earlier than the dawn all should be done
- * @param quantile share of the run times that the plan counts on being enough, such as 0.9
+ * @param safetyMargin by how much earlier than the dawn all should be done
+ * @param runTimeQuantile share of the run times that the plan counts on being enough, such as 0.9
  */
-public record DawnTerms(
+public record BatchDeadlineTerms(
     String name,
-    Optional<Daily> daily,
-    Optional<Span> every,
-    Span lasts,
+    Optional<DailyDeadline> daily,
+    Optional<Span> interval,
+    Span windowLength,
     Set<String> classes,
     Set<String> teams,
-    Span margin,
-    double quantile) {
+    Span safetyMargin,
+    double runTimeQuantile) {
 
   /**
    * Local times of a day.
    *
    * @param opens when the window before a dawn opens, on the same day or the one before
    */
-  public record Daily(LocalTime by, LocalTime opens, ZoneId zone) {}
+  public record DailyDeadline(LocalTime dueAt, LocalTime opensAt, ZoneId zone) {}
 
   /** Whether a job is to be done by it. Services have no end. */
   public boolean covers(JobSpec spec) {
--- a/src/main/java/org/oakwalk/core/product/ProductTerms.java
+++ b/src/main/java/org/oakwalk/core/product/ProductTerms.java
@@ -10,13 +10,13 @@
  */
 public record ProductTerms(
     long version,
-    List<DawnTerms> dawns,
+    List<BatchDeadlineTerms> batchDeadlines,
     List<HeadroomTerms> headrooms,
     List<ExchangeTerms> exchanges) {
   public static final ProductTerms NONE = new ProductTerms(0, List.of(), List.of(), List.of());
 
   /** Whether nothing was ever declared, so that nothing of it is read, stored or done. */
-  public boolean none() {
+  public boolean isUndeclared() {
     return version == 0;
   }
 }
--- a/src/main/java/org/oakwalk/core/product/ProductKeeper.java
+++ b/src/main/java/org/oakwalk/core/product/ProductTermsWriter.java
@@ -19,19 +19,19 @@
  * The terms in force: those in the store. Those of this node's file are stored first if their
  * version is higher, so that no leader acts on terms that its successor may not know.
  */
-public final class ProductKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(ProductKeeper.class);
-  private static final Span RETRY = Span.seconds(2);
+public final class ProductTermsWriter {
+  private static final Logger LOG = LoggerFactory.getLogger(ProductTermsWriter.class);
+  private static final Span RETRY_INTERVAL = Span.seconds(2);
 
   private final Outbox outbox;
   private final StoreView view;
   private final Guard leader;
   private final ProductTerms declared;
   private boolean writing;
-  private boolean told;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private boolean warned;
+  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
 
-  public ProductKeeper(Outbox outbox, StoreView view, Guard leader, ProductTerms declared) {
+  public ProductTermsWriter(Outbox outbox, StoreView view, Guard leader, ProductTerms declared) {
     this.outbox = outbox;
     this.view = view;
     this.leader = leader;
@@ -39,47 +39,50 @@
   }
 
   /** What is in force; nothing as long as nothing is stored. */
-  public ProductTerms inForce() {
+  public ProductTerms activeTerms() {
     return view.productTerms().terms();
   }
 
   /** Whether there is nothing to follow, now or later. */
-  public boolean idle() {
-    return declared.none() && inForce().none() && !view.productTerms().isUnreadable();
+  public boolean isUnused() {
+    return declared.isUndeclared()
+        && activeTerms().isUndeclared()
+        && !view.productTerms().isUnreadable();
   }
 
   /** Whether what this node's file has newly is stored, so that what is in force stays so. */
-  public boolean settled() {
-    return inForce().version() >= declared.version();
+  public boolean isUpToDate() {
+    return activeTerms().version() >= declared.version();
   }
 
   /** Stores what this node's file has newly. */
   public void tick(Moment now) {
     if (view.productTerms().isUnreadable()) {
-      once("product terms: what is stored can't be read; dawns, headroom and exchanges are off");
-    } else if (declared.none() || writing || nextTry.isAfter(now)) {
+      warnOnce(
+          "product terms: what is stored can't be read; dawns, headroom and exchanges are off");
+    } else if (declared.isUndeclared() || writing || nextAttemptAt.isAfter(now)) {
       return;
-    } else if (inForce().version() < declared.version()) {
+    } else if (activeTerms().version() < declared.version()) {
       store(now);
-    } else if (!inForce().equals(declared)) {
-      once(
+    } else if (!activeTerms().equals(declared)) {
+      warnOnce(
           "product terms: version "
-              + inForce().version()
+              + activeTerms().version()
               + " is stored and counts, the file has another "
               + declared.version());
     }
   }
 
-  private void once(String line) {
-    if (!told) {
-      told = true;
+  private void warnOnce(String line) {
+    if (!warned) {
+      warned = true;
       LOG.warn("{}", line);
     }
   }
 
   private void store(Moment now) {
     writing = true;
-    nextTry = now.plus(RETRY);
+    nextAttemptAt = now.plus(RETRY_INTERVAL);
     outbox.call(
         new Request.Commit(
             List.of(leader, new Guard(StoreKeys.PRODUCT_TERMS, view.productTerms().revision())),
--- a/src/main/java/org/oakwalk/daemon/ProductFile.java
+++ b/src/main/java/org/oakwalk/daemon/ProductFile.java
@@ -12,7 +12,7 @@
 import java.util.Set;
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.product.HeadroomTerms;
 import org.oakwalk.core.product.ProductTerms;
@@ -50,7 +50,7 @@
       return ProductTerms.NONE;
     }
     ProductFile reader = new ProductFile(file, root);
-    List<DawnTerms> dawns = new ArrayList<>();
+    List<BatchDeadlineTerms> dawns = new ArrayList<>();
     for (Block block : reader.blocks("dawn", DAWN_FIELDS)) {
       dawns.add(dawn(block));
     }
@@ -97,7 +97,7 @@
     return block.name().substring(block.name().indexOf('"') + 1, block.name().length() - 1);
   }
 
-  private static DawnTerms dawn(Block block) throws BadSettings {
+  private static BatchDeadlineTerms dawn(Block block) throws BadSettings {
     boolean daily = block.has("by");
     if (daily == block.has("every_s")) {
       throw block.bad("either by or every_s says when it comes");
@@ -105,7 +105,8 @@
     if (daily && block.has("lasts_s") || !daily && (block.has("opens") || block.has("zone"))) {
       throw block.bad("by goes with opens and zone, every_s with lasts_s");
     }
-    Optional<DawnTerms.Daily> hours = daily ? Optional.of(hours(block)) : Optional.empty();
+    Optional<BatchDeadlineTerms.DailyDeadline> hours =
+        daily ? Optional.of(hours(block)) : Optional.empty();
     double every = block.number("every_s", 1, LONGEST_S, 0);
     Span lasts =
         hours
@@ -118,7 +119,7 @@
     if (margin.compareTo(lasts) >= 0) {
       throw block.bad("its margin leaves nothing of its window");
     }
-    return new DawnTerms(
+    return new BatchDeadlineTerms(
         plain(block),
         hours,
         daily ? Optional.empty() : Optional.of(Span.seconds(every)),
@@ -129,19 +130,19 @@
         block.number("quantile", 0.5, 0.999, 0.9));
   }
 
-  private static DawnTerms.Daily hours(Block block) throws BadSettings {
-    DawnTerms.Daily hours =
-        new DawnTerms.Daily(
+  private static BatchDeadlineTerms.DailyDeadline hours(Block block) throws BadSettings {
+    BatchDeadlineTerms.DailyDeadline hours =
+        new BatchDeadlineTerms.DailyDeadline(
             time(block, "by", null), time(block, "opens", "20:00"), timeZone(block));
-    if (hours.by().equals(hours.opens())) {
+    if (hours.dueAt().equals(hours.opensAt())) {
       throw block.bad("it opens when it ends");
     }
     return hours;
   }
 
   /** From when it opens until it ends on a day that has neither an hour more nor one less. */
-  private static Span window(DawnTerms.Daily hours) {
-    Duration length = Duration.between(hours.opens(), hours.by());
+  private static Span window(BatchDeadlineTerms.DailyDeadline hours) {
+    Duration length = Duration.between(hours.opensAt(), hours.dueAt());
     return Span.millis((length.isNegative() ? length.plusDays(1) : length).toMillis());
   }
 
@@ -203,17 +204,17 @@
 
   /** Looks whether what is declared fits the deployment. */
   static void check(Path file, ProductTerms terms, Settings settings) throws BadSettings {
-    for (DawnTerms dawn : terms.dawns()) {
+    for (BatchDeadlineTerms dawn : terms.batchDeadlines()) {
       teams(file, "dawn \"" + dawn.name() + "\"", dawn.teams(), settings);
     }
     for (HeadroomTerms headroom : terms.headrooms()) {
       check(file, headroom, settings);
     }
     for (ExchangeTerms exchange : terms.exchanges()) {
-      teams(file, "exchange \"" + exchange.name() + "\"", exchange.teams(), settings);
+      teams(file, "exchange \"" + exchange.name() + "\"", exchange.giverTeams(), settings);
     }
     int most = (int) (settings.state().valueKb() * 1024);
-    if (!terms.none() && ProductCodec.bytes(terms) > most) {
+    if (!terms.isUndeclared() && ProductCodec.bytes(terms) > most) {
       throw new BadSettings(
           file
               + ": dawns, headroom and exchanges take more than the "
@@ -233,7 +234,7 @@
     }
     double limit = headroom.team().map(team -> settings.teams().get(team).cpusMax()).orElse(0.0);
     // What a replica takes is known only once there is one; hardly any takes less than a CPU.
-    if (limit > 0 && headroom.replicas() > limit) {
+    if (limit > 0 && headroom.minReplicas() > limit) {
       throw new BadSettings(
           file + ": " + name + ": more replicas than the team's limit has CPUs, " + limit);
     }
--- a/src/main/java/org/oakwalk/model/CrowdedRule.java
+++ b/src/main/java/org/oakwalk/model/CrowdedRule.java
@@ -9,7 +9,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.oakwalk.core.headroom.Headroom;
+import org.oakwalk.core.headroom.HeadroomController;
 import org.oakwalk.core.headroom.HeadroomRow;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Resources;
@@ -33,7 +33,7 @@
   private static final long SAMPLES_APART = 500;
 
   /** The room of a shape in a zone. */
-  private record Spot(HeadroomRow.Key key, String zone) {}
+  private record Spot(HeadroomRow.HeadroomKey key, String zone) {}
 
   private static final class Sample {
     final long at;
@@ -97,13 +97,14 @@
             .value(StoreKeys.PRODUCT_TERMS)
             .filter(StoredValue.ProductRecord.class::isInstance)
             .isPresent();
-    Optional<StoredValue> found = world.state.value(StoreKeys.sharedHead(Headroom.RECORD));
+    Optional<StoredValue> found =
+        world.state.value(StoreKeys.sharedHead(HeadroomController.RECORD_NAME));
     if (!declared || !(found.orElse(null) instanceof StoredValue.SharedHead head)) {
       return List.of();
     }
     List<SharedRow> rows = new ArrayList<>(head.rows());
     for (int i = 0; i < head.partCount(); i++) {
-      String key = StoreKeys.sharedPart(Headroom.RECORD, head.slot(), i);
+      String key = StoreKeys.sharedPart(HeadroomController.RECORD_NAME, head.slot(), i);
       if (world.state.value(key).orElse(null) instanceof StoredValue.SharedPart part) {
         rows.addAll(part.rows());
       } else {
@@ -117,7 +118,7 @@
   void tick() {
     Set<Spot> present = new HashSet<>();
     for (HeadroomRow row : rows(world)) {
-      row.places()
+      row.slotsByZone()
           .forEach(
               (zone, amount) -> {
                 Spot spot = new Spot(row.key(), zone);
@@ -126,7 +127,7 @@
                 account.recount(world.time.now(), window());
                 for (SimWorker worker : world.workers.values()) {
                   if (takes(row, zone, worker)) {
-                    account.places(worker, free(worker).capacityFor(row.key().room()));
+                    account.places(worker, free(worker).capacityFor(row.key().resources()));
                   }
                 }
                 account.sample(world.time.now(), amount, window());
@@ -146,8 +147,8 @@
   private static boolean takes(HeadroomRow row, String zone, SimWorker worker) {
     return worker.market.zone().equals(zone)
         && worker.alive()
-        && (row.types().isEmpty() || row.types().contains(worker.type.name()))
-        && (row.spot() || !worker.market.spot());
+        && (row.machineTypes().isEmpty() || row.machineTypes().contains(worker.type.name()))
+        && (row.spotAllowed() || !worker.market.spot());
   }
 
   /** A worker has room again. */
@@ -172,10 +173,10 @@
         continue;
       }
       Resources free = free(worker);
-      int before = free.capacityFor(row.key().room());
-      int after = free.minus(taken).capacityFor(row.key().room());
+      int before = free.capacityFor(row.key().resources());
+      int after = free.minus(taken).capacityFor(row.key().resources());
       account.places(worker, before);
-      account.sample(now, row.places().getOrDefault(zone, 0), window());
+      account.sample(now, row.slotsByZone().getOrDefault(zone, 0), window());
       account.places(worker, after);
       int fewer = before - after;
       if (batch && fewer > 0) {
--- a/src/main/java/org/oakwalk/model/ExchangeRule.java
+++ b/src/main/java/org/oakwalk/model/ExchangeRule.java
@@ -10,8 +10,8 @@
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.TaskId;
-import org.oakwalk.core.exchange.Take;
-import org.oakwalk.core.exchange.TakeId;
+import org.oakwalk.core.exchange.CapacityTransfer;
+import org.oakwalk.core.exchange.TransferId;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.product.ExchangeTerms;
@@ -30,7 +30,7 @@
   private static final double SETTLES_WITHIN = 30;
 
   private final World world;
-  private final Set<TakeId> seen = new HashSet<>();
+  private final Set<TransferId> seen = new HashSet<>();
   private final Map<JobId, Double> guaranteedSince = new HashMap<>();
   private final Map<String, Double> needlessSince = new HashMap<>();
   private double calmAfter;
@@ -43,8 +43,8 @@
     calmAfter = seconds;
   }
 
-  private List<Take> takes() {
-    return world.state.rows("exchange").stream().map(Take.class::cast).toList();
+  private List<CapacityTransfer> takes() {
+    return world.state.rows("exchange").stream().map(CapacityTransfer.class::cast).toList();
   }
 
   /** Looks at what is stored now; returns the rules that are broken by it, and how. */
@@ -56,11 +56,11 @@
     }
     survey();
     Map<JobId, Integer> byTaker = new HashMap<>();
-    for (Take take : takes()) {
+    for (CapacityTransfer take : takes()) {
       if (seen.add(take.id())) {
         belowGuarantee(take).ifPresent(how -> broken.put("taken_below_guarantee", how));
       }
-      if (take.underWay() || take.state() == Take.State.TAKEN) {
+      if (take.isPending() || take.state() == CapacityTransfer.State.TAKEN) {
         int count = byTaker.merge(take.taker(), 1, Integer::sum);
         if (count > world.specs.get(take.taker()).tasks()) {
           broken.put("taken_twice", count + " takes are open for " + take.taker());
@@ -78,7 +78,7 @@
    * its job has to be written down by then.
    */
   Optional<String> stopped(TaskId task, JobSpec spec) {
-    boolean gives = world.plans.exchanges().stream().anyMatch(each -> each.gives(spec));
+    boolean gives = world.plans.exchanges().stream().anyMatch(each -> each.isGiver(spec));
     if (!gives || spec.gang() || world.plans.drains() || othersWant(spec)) {
       return Optional.empty();
     }
@@ -94,7 +94,7 @@
   private boolean othersWant(JobSpec spec) {
     return world.specs.values().stream()
         .filter(other -> other.priority().compareTo(spec.priority()) > 0)
-        .filter(other -> world.plans.exchanges().stream().noneMatch(each -> each.takes(other)))
+        .filter(other -> world.plans.exchanges().stream().noneMatch(each -> each.isTaker(other)))
         .anyMatch(other -> mayWant(other.id()));
   }
 
@@ -129,7 +129,7 @@
     within.forEach(id -> guaranteedSince.putIfAbsent(id, world.time.seconds()));
   }
 
-  private Optional<String> belowGuarantee(Take take) {
+  private Optional<String> belowGuarantee(CapacityTransfer take) {
     Double since = guaranteedSince.get(take.giver());
     String takers = world.specs.get(take.taker()).team();
     boolean own = takers.equals(take.giverTeam());
@@ -141,7 +141,7 @@
   private Optional<String> debt(ExchangeTerms each) {
     boolean needed =
         world.rules.acceptedInOrder().stream()
-            .anyMatch(id -> each.takes(world.specs.get(id)) && !world.rules.over(id));
+            .anyMatch(id -> each.isTaker(world.specs.get(id)) && !world.rules.over(id));
     if (needed) {
       needlessSince.remove(each.name());
       return Optional.empty();
@@ -149,11 +149,11 @@
     double since = needlessSince.computeIfAbsent(each.name(), name -> world.time.seconds());
     double until =
         Math.max(since, calmAfter)
-            + each.dwell().asSeconds()
-            + each.patience().asSeconds()
+            + each.returnDelay().asSeconds()
+            + each.holdTimeout().asSeconds()
             + SETTLES_WITHIN;
     return takes().stream()
-        .filter(take -> take.exchange().equals(each.name()) && world.time.seconds() > until)
+        .filter(take -> take.exchangeName().equals(each.name()) && world.time.seconds() > until)
         .findFirst()
         .map(take -> "take " + take.id() + " from " + take.giver() + " is still open");
   }
--- a/src/main/java/org/oakwalk/model/Expectations.java
+++ b/src/main/java/org/oakwalk/model/Expectations.java
@@ -85,7 +85,7 @@
         int places =
             CrowdedRule.rows(world).stream()
                 .filter(row -> row.key().name().equals(line.word(4)))
-                .flatMap(row -> row.places().entrySet().stream())
+                .flatMap(row -> row.slotsByZone().entrySet().stream())
                 .filter(entry -> line.text("zone", entry.getKey()).equals(entry.getKey()))
                 .mapToInt(Map.Entry::getValue)
                 .sum();
--- a/src/main/java/org/oakwalk/model/Nights.java
+++ b/src/main/java/org/oakwalk/model/Nights.java
@@ -17,7 +17,7 @@
 import org.oakwalk.core.planner.PlanRow;
 import org.oakwalk.core.planner.Planner;
 import org.oakwalk.core.planner.Window;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 import org.oakwalk.core.shared.SharedRow;
 import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
@@ -38,20 +38,20 @@
       double work, double kept, int revisions, double share, Map<GroupKey, Group> groups) {}
 
   private final World world;
-  private final List<DawnTerms> dawns;
+  private final List<BatchDeadlineTerms> dawns;
   private final Map<String, Map<JobId, Integer>> before = new HashMap<>();
   private final Map<String, List<Night>> nights = new TreeMap<>();
   private final Map<String, PlanRow.Group> last = new HashMap<>();
   private long revision = -1;
 
-  Nights(World world, List<DawnTerms> dawns) {
+  Nights(World world, List<BatchDeadlineTerms> dawns) {
     this.world = world;
     this.dawns = dawns;
   }
 
   /** Sets out to look at each dawn that comes before the scenario is over. */
   void begin(double end) {
-    for (DawnTerms dawn : dawns) {
+    for (BatchDeadlineTerms dawn : dawns) {
       Optional<Window> window = Window.next(dawn, world.wall(), world.settings.clockOff());
       while (window.isPresent() && seconds(window.get().dawn()) <= end) {
         Window night = window.get();
@@ -85,7 +85,7 @@
     return done;
   }
 
-  private void opens(DawnTerms dawn) {
+  private void opens(BatchDeadlineTerms dawn) {
     Map<JobId, Integer> counts = new HashMap<>();
     for (JobSpec spec : world.specs.values()) {
       if (dawn.covers(spec)) {
@@ -95,7 +95,7 @@
     before.put(dawn.name(), counts);
   }
 
-  private void ends(DawnTerms dawn, Window window) {
+  private void ends(BatchDeadlineTerms dawn, Window window) {
     Map<GroupKey, Group> groups = new TreeMap<>((a, b) -> a.toString().compareTo(b.toString()));
     Map<JobId, Integer> earlier = before.getOrDefault(dawn.name(), Map.of());
     for (JobSpec spec : world.specs.values()) {
--- a/src/main/java/org/oakwalk/model/Plans.java
+++ b/src/main/java/org/oakwalk/model/Plans.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.drain.Budget;
 import org.oakwalk.core.drain.DrainPlan;
 import org.oakwalk.core.drain.Drains;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.product.ProductTerms;
 
@@ -71,7 +71,7 @@
   }
 
   /** All dawns that some node's file declares at some time; of one name, the last. */
-  List<DawnTerms> dawns() {
+  List<BatchDeadlineTerms> dawns() {
     return new ProductLines(lines).dawns();
   }
 
--- a/src/main/java/org/oakwalk/model/ProductLines.java
+++ b/src/main/java/org/oakwalk/model/ProductLines.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.product.HeadroomTerms;
 import org.oakwalk.core.product.ProductTerms;
@@ -27,7 +27,7 @@
   ProductTerms terms(NodeId node, double seconds) {
     boolean declared = false;
     long version = 1;
-    List<DawnTerms> dawns = new ArrayList<>();
+    List<BatchDeadlineTerms> dawns = new ArrayList<>();
     List<HeadroomTerms> headrooms = new ArrayList<>();
     List<ExchangeTerms> exchanges = new ArrayList<>();
     for (Words line : lines) {
@@ -61,8 +61,8 @@
   }
 
   /** All dawns that are declared anywhere; of one name, the last. */
-  List<DawnTerms> dawns() {
-    Map<String, DawnTerms> dawns = new LinkedHashMap<>();
+  List<BatchDeadlineTerms> dawns() {
+    Map<String, BatchDeadlineTerms> dawns = new LinkedHashMap<>();
     for (Words line : lines) {
       if (line.word(0).equals("dawn")) {
         dawns.put(line.word(1), dawn(line));
@@ -71,15 +71,15 @@
     return List.copyOf(dawns.values());
   }
 
-  private static DawnTerms dawn(Words line) {
+  private static BatchDeadlineTerms dawn(Words line) {
     String by = line.text("by", "");
     double every = line.number("every", 0);
-    return new DawnTerms(
+    return new BatchDeadlineTerms(
         line.word(1),
         by.isEmpty()
             ? Optional.empty()
             : Optional.of(
-                new DawnTerms.Daily(
+                new BatchDeadlineTerms.DailyDeadline(
                     LocalTime.parse(by),
                     LocalTime.parse(line.text("opens", "20:00")),
                     ZoneId.of(line.text("tz", "UTC")))),
--- a/src/main/java/org/oakwalk/model/Scenario.java
+++ b/src/main/java/org/oakwalk/model/Scenario.java
@@ -20,8 +20,8 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.exchange.Take;
-import org.oakwalk.core.exchange.TakeId;
+import org.oakwalk.core.exchange.CapacityTransfer;
+import org.oakwalk.core.exchange.TransferId;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
@@ -422,9 +422,9 @@
     JobSpec taker = world.specs.get(new JobId(line.word(4)));
     world.state.add(
         "exchange",
-        new Take(
-            new TakeId(new Token(Long.MAX_VALUE >> 30), world.state.rows("exchange").size()),
-            Take.State.TAKEN,
+        new CapacityTransfer(
+            new TransferId(new Token(Long.MAX_VALUE >> 30), world.state.rows("exchange").size()),
+            CapacityTransfer.State.TAKEN,
             world.plans.exchanges().get(0).name(),
             giver.id(),
             giver.team(),
--- a/src/main/java/org/oakwalk/wire/HeadroomCodec.java
+++ b/src/main/java/org/oakwalk/wire/HeadroomCodec.java
@@ -25,31 +25,31 @@
 
   @Override
   public void encode(HeadroomRow row, ObjectNode map) {
-    HeadroomRow.Key key = row.key();
+    HeadroomRow.HeadroomKey key = row.key();
     map.put("name", key.name());
     map.put("team", key.team());
     map.put("class", key.jobClass());
-    map.put("cpus", key.room().cpus());
-    map.put("gpus", key.room().gpus());
-    map.put("mem", key.room().memoryGb());
+    map.put("cpus", key.resources().cpus());
+    map.put("gpus", key.resources().gpus());
+    map.put("mem", key.resources().memoryGb());
     key.zone().ifPresent(zone -> map.put("zone", zone));
     map.put("priority", row.priority().name());
     map.put("image", row.image());
     map.put("gb", row.imageGb());
-    if (!row.types().isEmpty()) {
+    if (!row.machineTypes().isEmpty()) {
       ArrayNode types = map.putArray("types");
-      row.types().forEach(types::add);
+      row.machineTypes().forEach(types::add);
     }
-    map.put("spot", row.spot());
-    map.put("peak", row.peak());
+    map.put("spot", row.spotAllowed());
+    map.put("peak", row.peakReplicas());
     ObjectNode places = map.putObject("places");
-    row.places().forEach(places::put);
+    row.slotsByZone().forEach(places::put);
   }
 
   @Override
   public HeadroomRow decode(Fields map) throws BadMessage {
-    HeadroomRow.Key key =
-        new HeadroomRow.Key(
+    HeadroomRow.HeadroomKey key =
+        new HeadroomRow.HeadroomKey(
             map.text("name"),
             map.text("team"),
             map.text("class"),
--- a/src/main/java/org/oakwalk/wire/ProductCodec.java
+++ b/src/main/java/org/oakwalk/wire/ProductCodec.java
@@ -11,7 +11,7 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.Set;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.product.HeadroomTerms;
 import org.oakwalk.core.product.ProductTerms;
@@ -33,49 +33,49 @@
     map.put("form", FORM);
     map.put("version", terms.version());
     ArrayNode dawns = map.putArray("dawns");
-    terms.dawns().forEach(dawn -> encode(dawn, dawns.addObject()));
+    terms.batchDeadlines().forEach(dawn -> encode(dawn, dawns.addObject()));
     ArrayNode headrooms = map.putArray("headrooms");
     terms.headrooms().forEach(headroom -> encode(headroom, headrooms.addObject()));
     ArrayNode exchanges = map.putArray("exchanges");
     terms.exchanges().forEach(exchange -> encode(exchange, exchanges.addObject()));
   }
 
-  private static void encode(DawnTerms dawn, ObjectNode map) {
+  private static void encode(BatchDeadlineTerms dawn, ObjectNode map) {
     map.put("name", dawn.name());
     dawn.daily()
         .ifPresent(
             daily -> {
-              map.put("by", daily.by().toString());
-              map.put("opens", daily.opens().toString());
+              map.put("by", daily.dueAt().toString());
+              map.put("opens", daily.opensAt().toString());
               map.put("tz", daily.zone().getId());
             });
-    dawn.every().ifPresent(every -> map.put("every_s", every.asSeconds()));
-    map.put("lasts_s", dawn.lasts().asSeconds());
+    dawn.interval().ifPresent(every -> map.put("every_s", every.asSeconds()));
+    map.put("lasts_s", dawn.windowLength().asSeconds());
     texts(map, "classes", dawn.classes());
     texts(map, "teams", dawn.teams());
-    map.put("margin_s", dawn.margin().asSeconds());
-    map.put("quantile", dawn.quantile());
+    map.put("margin_s", dawn.safetyMargin().asSeconds());
+    map.put("quantile", dawn.runTimeQuantile());
   }
 
   private static void encode(HeadroomTerms headroom, ObjectNode map) {
     map.put("name", headroom.name());
     headroom.jobClass().ifPresent(jobClass -> map.put("class", jobClass));
     headroom.team().ifPresent(team -> map.put("team", team));
-    map.put("replicas", headroom.replicas());
-    map.put("share", headroom.share());
+    map.put("replicas", headroom.minReplicas());
+    map.put("share", headroom.peakShare());
     texts(map, "zones", headroom.zones());
-    map.put("warm", headroom.warm());
+    map.put("warm", headroom.warmShare());
   }
 
   private static void encode(ExchangeTerms exchange, ObjectNode map) {
     map.put("name", exchange.name());
-    texts(map, "takers", exchange.takers());
-    texts(map, "givers", exchange.givers());
-    texts(map, "teams", exchange.teams());
-    map.put("most", exchange.most());
-    map.put("margin", exchange.margin());
-    map.put("dwell_s", exchange.dwell().asSeconds());
-    map.put("patience_s", exchange.patience().asSeconds());
+    texts(map, "takers", exchange.takerClasses());
+    texts(map, "givers", exchange.giverClasses());
+    texts(map, "teams", exchange.giverTeams());
+    map.put("most", exchange.maxOpenTransfers());
+    map.put("margin", exchange.returnMargin());
+    map.put("dwell_s", exchange.returnDelay().asSeconds());
+    map.put("patience_s", exchange.holdTimeout().asSeconds());
   }
 
   private static void texts(ObjectNode map, String name, Set<String> texts) {
@@ -85,7 +85,7 @@
 
   static ProductTerms decode(Fields map) throws BadMessage {
     SharedCodec.checkForm(map, FORM);
-    List<DawnTerms> dawns = new ArrayList<>();
+    List<BatchDeadlineTerms> dawns = new ArrayList<>();
     for (JsonNode item : map.list("dawns")) {
       dawns.add(dawn(Fields.of(item)));
     }
@@ -100,8 +100,8 @@
     return new ProductTerms(map.count("version", 1, Long.MAX_VALUE), dawns, headrooms, exchanges);
   }
 
-  private static DawnTerms dawn(Fields map) throws BadMessage {
-    return new DawnTerms(
+  private static BatchDeadlineTerms dawn(Fields map) throws BadMessage {
+    return new BatchDeadlineTerms(
         map.shortText("name"),
         map.has("by") ? Optional.of(daily(map)) : Optional.empty(),
         map.optionalSeconds("every_s"),
@@ -112,9 +112,9 @@
         share(map, "quantile"));
   }
 
-  private static DawnTerms.Daily daily(Fields map) throws BadMessage {
+  private static BatchDeadlineTerms.DailyDeadline daily(Fields map) throws BadMessage {
     try {
-      return new DawnTerms.Daily(
+      return new BatchDeadlineTerms.DailyDeadline(
           LocalTime.parse(map.text("by")),
           LocalTime.parse(map.text("opens")),
           ZoneId.of(map.text("tz")));
--- a/src/main/java/org/oakwalk/wire/TakeCodec.java
+++ b/src/main/java/org/oakwalk/wire/TakeCodec.java
@@ -6,44 +6,44 @@
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.exchange.Take;
-import org.oakwalk.core.exchange.TakeId;
+import org.oakwalk.core.exchange.CapacityTransfer;
+import org.oakwalk.core.exchange.TransferId;
 import org.oakwalk.core.job.Resources;
 
 /** The stored form of takes. */
-final class TakeCodec implements SharedCodec.RowCodec<Take> {
+final class TakeCodec implements SharedCodec.RowCodec<CapacityTransfer> {
   @Override
   public String sort() {
     return "take";
   }
 
   @Override
-  public Class<Take> type() {
-    return Take.class;
+  public Class<CapacityTransfer> type() {
+    return CapacityTransfer.class;
   }
 
   @Override
-  public void encode(Take take, ObjectNode map) {
+  public void encode(CapacityTransfer take, ObjectNode map) {
     map.put("token", take.id().token().value());
     map.put("number", take.id().number());
     map.put("state", take.state().name());
-    map.put("exchange", take.exchange());
+    map.put("exchange", take.exchangeName());
     map.put("giver", take.giver().value());
     map.put("team", take.giverTeam());
-    map.put("tasks", take.tasks());
+    map.put("tasks", take.stoppedTasks());
     map.put("taker", take.taker().value());
-    map.put("cpus", take.room().cpus());
-    map.put("gpus", take.room().gpus());
-    map.put("memory_gb", take.room().memoryGb());
+    map.put("cpus", take.resources().cpus());
+    map.put("gpus", take.resources().gpus());
+    map.put("memory_gb", take.resources().memoryGb());
     map.put("machine", take.machine().value());
-    map.put("level", take.level());
+    map.put("level", take.demandLevel());
     map.put("since", take.since().millis());
   }
 
   @Override
-  public Take decode(Fields map) throws BadMessage {
-    return new Take(
-        new TakeId(new Token(map.count("token")), map.count("number")),
+  public CapacityTransfer decode(Fields map) throws BadMessage {
+    return new CapacityTransfer(
+        new TransferId(new Token(map.count("token")), map.count("number")),
         state(map.text("state")),
         map.shortText("exchange"),
         new JobId(map.shortText("giver")),
@@ -56,8 +56,8 @@
         new WallTime(map.count("since")));
   }
 
-  private static Take.State state(String name) throws BadMessage {
-    return Arrays.stream(Take.State.values())
+  private static CapacityTransfer.State state(String name) throws BadMessage {
+    return Arrays.stream(CapacityTransfer.State.values())
         .filter(state -> state.name().equals(name))
         .findFirst()
         .orElseThrow(() -> new BadMessage("unknown state " + name));
--- a/src/test/java/org/oakwalk/core/headroom/RoomsTest.java
+++ b/src/test/java/org/oakwalk/core/headroom/HeadroomAllocatorTest.java
@@ -29,18 +29,18 @@
 import org.oakwalk.core.job.Resources;
 
 /** Places are kept whole, where the image is first, and never on machines that go. */
-class RoomsTest {
+class HeadroomAllocatorTest {
   private static final Moment NOW = new Moment(1_000_000);
   private static final Resources SHAPE = new Resources(4, 4, 32);
-  private static final HeadroomRow.Key KEY =
-      new HeadroomRow.Key("serving", "crew", "search", SHAPE, Optional.empty());
+  private static final HeadroomRow.HeadroomKey KEY =
+      new HeadroomRow.HeadroomKey("serving", "crew", "search", SHAPE, Optional.empty());
 
-  private final Rooms rooms = new Rooms();
+  private final HeadroomAllocator rooms = new HeadroomAllocator();
   private final List<Machine> machines = new ArrayList<>();
   private Fleet fleet;
 
   @BeforeEach
-  void machines() {
+  void addMachines() {
     Fleet.Listener nobody =
         new Fleet.Listener() {
           @Override
@@ -92,61 +92,62 @@
         Optional.empty());
   }
 
-  private void use(Machine machine, JobSpec spec) {
+  private void placeTask(Machine machine, JobSpec spec) {
     Job job = new Job(spec, new Revision(1), new WallTime(0), false, NOW);
     fleet.place(job, 0, fleet.nextAttempt(), machine, Span.seconds(10), NOW);
   }
 
-  private void survey(int places) {
-    rooms.survey(List.of(row(places)), machines, Map.of(), Map.of("serving", 0.5));
+  private void allocate(int places) {
+    rooms.allocate(List.of(row(places)), machines, Map.of(), Map.of("serving", 0.5));
   }
 
   @Test
-  void oneAcceleratorFreeOnEachOfFourIsNoPlaceOfFour() {
+  void doesNotAssembleSlotFromFragmentsOnSeveralMachines() {
     JobSpec part = spec(JobSpec.Shape.ARRAY, new Resources(3, 3, 8), "resize", 1);
-    machines.forEach(machine -> use(machine, part));
-    survey(1);
-    assertThat(rooms.lacking()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
-    assertThat(rooms.beyond(machines.get(0)).gpus()).isEqualTo(1);
+    machines.forEach(machine -> placeTask(machine, part));
+    allocate(1);
+    assertThat(rooms.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
+    assertThat(rooms.unreserved(machines.get(0)).gpus()).isEqualTo(1);
   }
 
   @Test
-  void othersSeeNothingOfItAndReplicasAll() {
-    survey(3);
+  void hidesReservedRoomFromOtherTasksOnly() {
+    allocate(3);
     Set<Machine> kept = new HashSet<>(machines);
-    kept.removeIf(machine -> rooms.on(KEY, machine) == 0);
+    kept.removeIf(machine -> rooms.slotsOn(KEY, machine) == 0);
     assertThat(kept).hasSize(3);
     for (Machine machine : machines) {
       double left = kept.contains(machine) ? 0 : 4;
-      assertThat(rooms.free(null, machine).gpus()).isEqualTo(left);
-      assertThat(rooms.free(KEY, machine).gpus()).isEqualTo(4);
+      assertThat(rooms.freeFor(null, machine).gpus()).isEqualTo(left);
+      assertThat(rooms.freeFor(KEY, machine).gpus()).isEqualTo(4);
     }
   }
 
   @Test
-  void whereTheImageIsComesFirstAndOthersImagesKeepAway() {
+  void prefersMachinesWithImageAndProtectsCachedImage() {
     JobSpec replica = spec(JobSpec.Shape.SERVICE, new Resources(1, 0, 8), "weights", 150);
-    use(machines.get(2), replica);
-    survey(2);
-    assertThat(rooms.on(KEY, machines.get(2))).isEqualTo(1);
-    assertThat(rooms.warm(KEY)).isEqualTo(1);
+    placeTask(machines.get(2), replica);
+    allocate(2);
+    assertThat(rooms.slotsOn(KEY, machines.get(2))).isEqualTo(1);
+    assertThat(rooms.warmSlots(KEY)).isEqualTo(1);
     JobSpec large = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 60);
     JobSpec small = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 50);
-    assertThat(rooms.pushesOut(large, machines.get(2))).isTrue();
-    assertThat(rooms.pushesOut(small, machines.get(2))).isFalse();
-    assertThat(rooms.pushesOut(large, machines.get(0))).isFalse();
+    assertThat(rooms.evictsReservedImage(large, machines.get(2))).isTrue();
+    assertThat(rooms.evictsReservedImage(small, machines.get(2))).isFalse();
+    assertThat(rooms.evictsReservedImage(large, machines.get(0))).isFalse();
   }
 
   @Test
-  void whatIsLeftOfMachinesThatGoIsNoPlaceButNotGivenAway() {
+  void doesNotCountRoomOfRetiringMachinesButReservesIt() {
     machines.forEach(machine -> machine.duty(Duty.RETIRING));
-    survey(2);
-    assertThat(rooms.lacking()).isEqualTo(Map.of(KEY, Map.of("a", 2)));
-    assertThat(machines.stream().filter(machine -> rooms.beyond(machine).gpus() == 0)).hasSize(2);
+    allocate(2);
+    assertThat(rooms.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 2)));
+    assertThat(machines.stream().filter(machine -> rooms.unreserved(machine).gpus() == 0))
+        .hasSize(2);
   }
 
   @Test
-  void roomThatIsMadeForAServiceIsNotKeptFromIt() {
+  void leavesRoomHeldForServiceToThatService() {
     Job holder =
         new Job(
             spec(JobSpec.Shape.SERVICE, new Resources(2, 2, 8), "x", 1),
@@ -155,8 +156,8 @@
             false,
             NOW);
     Map<Machine, Job> held = Map.of(machines.get(0), holder);
-    rooms.survey(List.of(row(4)), machines, held, Map.of());
-    assertThat(rooms.beyond(machines.get(0)).gpus()).isEqualTo(4);
-    assertThat(rooms.lacking()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
+    rooms.allocate(List.of(row(4)), machines, held, Map.of());
+    assertThat(rooms.unreserved(machines.get(0)).gpus()).isEqualTo(4);
+    assertThat(rooms.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
   }
 }
--- a/src/test/java/org/oakwalk/core/planner/LearnedTest.java
+++ b/src/test/java/org/oakwalk/core/planner/LearnedTest.java
@@ -16,12 +16,12 @@
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 
 /** What is learned for plans, and that a successor knows the same. */
 class LearnedTest {
-  private static final DawnTerms DAWN =
-      new DawnTerms(
+  private static final BatchDeadlineTerms DAWN =
+      new BatchDeadlineTerms(
           "d",
           Optional.empty(),
           Optional.of(Span.seconds(2400)),
--- a/src/test/java/org/oakwalk/core/planner/WindowTest.java
+++ b/src/test/java/org/oakwalk/core/planner/WindowTest.java
@@ -12,23 +12,23 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 
 class WindowTest {
   private static final Span EXACT = Span.millis(0);
 
-  private static DawnTerms daily(String opens, String by, double margin) {
+  private static BatchDeadlineTerms daily(String opens, String by, double margin) {
     return terms(
         Optional.of(
-            new DawnTerms.Daily(
+            new BatchDeadlineTerms.DailyDeadline(
                 LocalTime.parse(by), LocalTime.parse(opens), ZoneId.of("Europe/Ljubljana"))),
         Optional.empty(),
         margin);
   }
 
-  private static DawnTerms terms(
-      Optional<DawnTerms.Daily> daily, Optional<Span> every, double margin) {
-    return new DawnTerms(
+  private static BatchDeadlineTerms terms(
+      Optional<BatchDeadlineTerms.DailyDeadline> daily, Optional<Span> every, double margin) {
+    return new BatchDeadlineTerms(
         "morning", daily, every, Span.seconds(100), Set.of(), Set.of(), Span.seconds(margin), 0.9);
   }
 
@@ -69,7 +69,7 @@
 
   @Test
   void everySoManySeconds() {
-    DawnTerms terms = terms(Optional.empty(), Optional.of(Span.seconds(300)), 20);
+    BatchDeadlineTerms terms = terms(Optional.empty(), Optional.of(Span.seconds(300)), 20);
     Window window = Window.next(terms, new WallTime(1_000_000), EXACT).orElseThrow();
     assertThat(window)
         .isEqualTo(
--- a/src/test/java/org/oakwalk/daemon/ProductFileTest.java
+++ b/src/test/java/org/oakwalk/daemon/ProductFileTest.java
@@ -16,7 +16,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.product.BatchDeadlineTerms;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.product.HeadroomTerms;
 import org.oakwalk.core.product.ProductTerms;
@@ -42,10 +42,10 @@
             new ProductTerms(
                 1,
                 List.of(
-                    new DawnTerms(
+                    new BatchDeadlineTerms(
                         "morning",
                         Optional.of(
-                            new DawnTerms.Daily(
+                            new BatchDeadlineTerms.DailyDeadline(
                                 LocalTime.of(6, 0),
                                 LocalTime.of(20, 0),
                                 ZoneId.of("Europe/Ljubljana"))),
@@ -55,7 +55,7 @@
                         Set.of("vision"),
                         Span.seconds(900),
                         0.9),
-                    new DawnTerms(
+                    new BatchDeadlineTerms(
                         "tide",
                         Optional.empty(),
                         Optional.of(Span.seconds(21_600)),
@@ -90,14 +90,15 @@
     Path file = Path.of("deploy/product.hcl");
     PolicyFile.check(file, PolicyFile.read(file), settings());
     ProductTerms terms = PolicyFile.read(file).product();
-    assertThat(terms.dawns()).hasSize(1);
+    assertThat(terms.batchDeadlines()).hasSize(1);
     assertThat(terms.headrooms()).extracting(HeadroomTerms::team).containsExactly(Optional.empty());
     assertThat(terms.exchanges()).hasSize(1);
   }
 
   @Test
   void withoutBlocksNothingIsDeclaredAndAVersionAloneEndsIt() throws Exception {
-    assertThat(PolicyFile.read(file("score {; alpha = 0.3; }\n")).product().none()).isTrue();
+    assertThat(PolicyFile.read(file("score {; alpha = 0.3; }\n")).product().isUndeclared())
+        .isTrue();
     assertThat(PolicyFile.read(file("product {; version = 7; }\n")).product())
         .isEqualTo(new ProductTerms(7, List.of(), List.of(), List.of()));
   }
--- a/src/test/java/org/oakwalk/wire/SharedCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/SharedCodecTest.java
@@ -26,7 +26,7 @@
       places.put(name + i, Integer.MAX_VALUE);
     }
     return new HeadroomRow(
-        new HeadroomRow.Key(
+        new HeadroomRow.HeadroomKey(
             name, name, name, new Resources(1234567.123456, 0.1, 999999.000001), Optional.of(name)),
         Priority.PRODUCTION,
         name,
--- a/src/test/java/org/oakwalk/wire/TakeCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/TakeCodecTest.java
@@ -12,17 +12,17 @@
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.exchange.Take;
-import org.oakwalk.core.exchange.TakeId;
+import org.oakwalk.core.exchange.CapacityTransfer;
+import org.oakwalk.core.exchange.TransferId;
 import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.store.StoredValue;
 
 /** Takes as they are stored. */
 class TakeCodecTest {
-  private static Take example() {
-    return new Take(
-        new TakeId(new Token(Long.MAX_VALUE), Long.MAX_VALUE),
-        Take.State.RETURNING,
+  private static CapacityTransfer example() {
+    return new CapacityTransfer(
+        new TransferId(new Token(Long.MAX_VALUE), Long.MAX_VALUE),
+        CapacityTransfer.State.RETURNING,
         "e".repeat(40),
         new JobId("j-" + "1".repeat(18)),
         "\u00e9".repeat(60),
