--- a/src/main/java/org/oakwalk/core/headroom/HeadroomAllocator.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomAllocator.java
@@ -13,11 +13,12 @@
 import org.oakwalk.core.job.Resources;
 
 /**
- * On which machines the places of a round are kept. Amounts alone are promised, so this is found
- * out anew each round: where the image is first, then where they were kept before, then anywhere.
+ * Assigns the reserved slots to machines. Only slot counts are guaranteed, so the assignment is
+ * recomputed each round: first on machines that have the image, then on machines that held such
+ * slots in the previous round, then on any other.
  */
 final class HeadroomAllocator {
-  /** What is kept on one machine. */
+  /** Slots reserved on one machine. */
   private static final class MachineReservation {
     Resources resources = Resources.NONE;
     final Map<HeadroomRow.HeadroomKey, Integer> slots = new HashMap<>(2);
@@ -31,15 +32,16 @@
   private Map<String, Double> warmShareByName = Map.of();
 
   /**
-   * Keeps as many of the places as there are.
+   * Reserves as many of the required slots as the machines have room for.
    *
-   * @param held machines on which room is being made for a job
-   * @param warmShares by name, what share of the places of some terms that should be where the
-   *     image is
+   * @param acceptingMachines the machines that accept tasks
+   * @param held machines on which room is being freed for a job
+   * @param warmShares by the name of the terms, the share of slots that should be on machines with
+   *     the image
    */
   void allocate(
       Collection<HeadroomRow> rows,
-      Collection<Machine> taking,
+      Collection<Machine> acceptingMachines,
       Map<Machine, Job> held,
       Map<String, Double> warmShares) {
     previous = reservations;
@@ -51,41 +53,44 @@
       return;
     }
     Map<String, List<Machine>> byZone = new HashMap<>();
-    for (Machine machine : taking) {
+    for (Machine machine : acceptingMachines) {
       byZone.computeIfAbsent(machine.zone(), zone -> new ArrayList<>()).add(machine);
     }
     for (HeadroomRow row : rows) {
       JobSpec spec = row.spec();
       row.slotsByZone()
           .forEach(
-              (zone, places) -> {
+              (zone, slots) -> {
                 List<Machine> machines = byZone.getOrDefault(zone, List.of());
-                int left = reserveInZone(row, spec, places, machines, held);
-                if (left > 0) {
-                  missingSlots.computeIfAbsent(row.key(), key -> new HashMap<>()).put(zone, left);
+                int remaining = reserveInZone(row, spec, slots, machines, held);
+                if (remaining > 0) {
+                  missingSlots
+                      .computeIfAbsent(row.key(), key -> new HashMap<>())
+                      .put(zone, remaining);
                 }
               });
     }
   }
 
   private int reserveInZone(
-      HeadroomRow row, JobSpec spec, int places, List<Machine> machines, Map<Machine, Job> held) {
-    int left = places;
-    for (int pass = 0; pass < 3 && left > 0; pass++) {
+      HeadroomRow row, JobSpec spec, int slots, List<Machine> machines, Map<Machine, Job> held) {
+    int remaining = slots;
+    for (int pass = 0; pass < 3 && remaining > 0; pass++) {
       for (Machine machine : machines) {
-        if (left > 0 && countsAsSlot(machine) && preferencePass(machine, row) == pass) {
-          left -= reserveOn(machine, row, spec, left, held);
+        if (remaining > 0 && countsAsSlot(machine) && preferencePass(machine, row) == pass) {
+          remaining -= reserveOn(machine, row, spec, remaining, held);
         }
       }
     }
-    int lacks = left;
-    // What is left of machines that go soon is no place for replicas, and not given away either.
+    int missing = remaining;
+    // Machines that are retired soon provide no slots, but their free room is not given away
+    // either.
     for (Machine machine : machines) {
-      if (left > 0 && !countsAsSlot(machine)) {
-        left -= reserveOn(machine, row, spec, left, held);
+      if (remaining > 0 && !countsAsSlot(machine)) {
+        remaining -= reserveOn(machine, row, spec, remaining, held);
       }
     }
-    return lacks;
+    return missing;
   }
 
   private static boolean countsAsSlot(Machine machine) {
@@ -96,12 +101,12 @@
     if (machine.hasImage(row.image())) {
       return 0;
     }
-    MachineReservation old = previous.get(machine);
-    return old != null && old.slots.containsKey(row.key()) ? 1 : 2;
+    MachineReservation previousReservation = previous.get(machine);
+    return previousReservation != null && previousReservation.slots.containsKey(row.key()) ? 1 : 2;
   }
 
   private int reserveOn(
-      Machine machine, HeadroomRow row, JobSpec spec, int most, Map<Machine, Job> held) {
+      Machine machine, HeadroomRow row, JobSpec spec, int maxSlots, Map<Machine, Job> held) {
     if (!spec.allows(machine.type().name(), machine.zone(), machine.spot())) {
       return 0;
     }
@@ -110,53 +115,53 @@
     if (holder != null && holder.spec().service() && !row.key().covers(holder.spec())) {
       free = free.minus(holder.spec().resources());
     }
-    int places = Math.min(most, free.capacityFor(row.key().resources()));
-    if (places > 0) {
-      MachineReservation here =
+    int slots = Math.min(maxSlots, free.capacityFor(row.key().resources()));
+    if (slots > 0) {
+      MachineReservation reservation =
           reservations.computeIfAbsent(machine, m -> new MachineReservation());
-      here.resources = here.resources.plus(row.key().resources().times(places));
-      here.slots.merge(row.key(), places, Integer::sum);
+      reservation.resources = reservation.resources.plus(row.key().resources().times(slots));
+      reservation.slots.merge(row.key(), slots, Integer::sum);
       if (machine.hasImage(row.image())) {
-        // Beyond the stated share it is no loss if another image takes its place.
+        // Beyond the declared warm share the image may be evicted by another one.
         if (warmSlots(row.key()) < targetWarmSlots(row)) {
-          here.images.add(row.image());
+          reservation.images.add(row.image());
         }
-        warmSlots.merge(row.key(), places, Integer::sum);
+        warmSlots.merge(row.key(), slots, Integer::sum);
       }
     }
-    return places;
+    return slots;
   }
 
-  /** What is free on a machine beyond all that is kept. */
+  /** Returns the free room of a machine without all reserved slots. */
   Resources unreserved(Machine machine) {
-    MachineReservation here = reservations.get(machine);
-    return here == null ? machine.free() : machine.free().minus(here.resources);
+    MachineReservation reservation = reservations.get(machine);
+    return reservation == null ? machine.free() : machine.free().minus(reservation.resources);
   }
 
-  /** What is free on a machine for replicas of a shape, or for any other task if there is none. */
+  /** Returns the free room of a machine for replicas with this key, or for other tasks if null. */
   Resources freeFor(HeadroomRow.HeadroomKey key, Machine machine) {
-    MachineReservation here = reservations.get(machine);
-    if (here == null) {
+    MachineReservation reservation = reservations.get(machine);
+    if (reservation == null) {
       return machine.free();
     }
-    Resources free = machine.free().minus(here.resources);
-    int places = key == null ? 0 : here.slots.getOrDefault(key, 0);
-    return places == 0 ? free : free.plus(key.resources().times(places));
+    Resources free = machine.free().minus(reservation.resources);
+    int slots = key == null ? 0 : reservation.slots.getOrDefault(key, 0);
+    return slots == 0 ? free : free.plus(key.resources().times(slots));
   }
 
-  /** Places that are kept on a machine for replicas of a shape. */
+  /** Returns the number of slots reserved on a machine for replicas with this key. */
   int slotsOn(HeadroomRow.HeadroomKey key, Machine machine) {
-    MachineReservation here = reservations.get(machine);
-    return here == null ? 0 : here.slots.getOrDefault(key, 0);
+    MachineReservation reservation = reservations.get(machine);
+    return reservation == null ? 0 : reservation.slots.getOrDefault(key, 0);
   }
 
-  /** Whether an image that is kept on a machine would have to go for another one. */
+  /** Returns whether fetching the task's image would evict an image needed by reserved slots. */
   boolean evictsReservedImage(JobSpec spec, Machine machine) {
-    MachineReservation here = reservations.get(machine);
-    if (here == null || machine.hasImage(spec.image())) {
+    MachineReservation reservation = reservations.get(machine);
+    if (reservation == null || machine.hasImage(spec.image())) {
       return false;
     }
-    for (String image : here.images) {
+    for (String image : reservation.images) {
       if (machine.pushesOut(image, spec.imageGb())) {
         return true;
       }
@@ -164,7 +169,7 @@
     return false;
   }
 
-  /** For each shape, how many places there should be more in each zone. */
+  /** Returns, by headroom key and zone, how many slots could not be reserved in the last round. */
   Map<HeadroomRow.HeadroomKey, Map<String, Integer>> missingSlots() {
     return missingSlots;
   }
@@ -173,7 +178,7 @@
     return Math.ceil(warmShareByName.getOrDefault(row.key().name(), 0.0) * row.totalSlots() - 1e-9);
   }
 
-  /** Places that are kept where the image is. */
+  /** Returns the number of slots reserved on machines that have the image. */
   int warmSlots(HeadroomRow.HeadroomKey key) {
     return warmSlots.getOrDefault(key, 0);
   }
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomCalculator.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomCalculator.java
@@ -19,23 +19,27 @@
 import org.oakwalk.core.placement.Quota;
 import org.oakwalk.core.product.HeadroomTerms;
 
-/** How many places should be kept: by the terms, by what was learned, and by who goes before. */
+/**
+ * Calculates how many replica slots to reserve in each zone, from the declared terms, the recent
+ * peak of replicas, the team's limit and the guarantees of other teams. A slot is room for one
+ * whole replica on one machine.
+ */
 final class HeadroomCalculator {
-  /** After this time half of a peak is forgotten: a day's peak still counts in the evening. */
+  /** Half-life of a peak; long enough for a daytime peak to still count in the evening. */
   private static final double PEAK_HALF_LIFE_S = 7200;
 
-  /** What is left of a peak when its shape is forgotten. */
+  /** A row without current demand is dropped when its peak has decayed to this many replicas. */
   private static final double MIN_PEAK = 0.05;
 
-  /** Changes of a peak below this share are not worth a write. */
+  /** Relative change of a peak below which the stored peak is not rewritten. */
   private static final double MIN_STORED_CHANGE = 0.1;
 
-  /** An amount is lowered only if that has been right for so long. */
+  /** Time for which a lower slot count must have been sufficient before it takes effect. */
   private static final Span LOWERING_DELAY = Span.seconds(10);
 
   private static final int MAX_ROWS = 64;
 
-  /** Replicas of one shape that are asked for at present. */
+  /** Replicas that open services with the same headroom key currently request. */
   private static final class ServiceDemand {
     int replicas;
     Job largestJob;
@@ -54,7 +58,10 @@
     this.zones = zones;
   }
 
-  /** A job within its team's guarantee found no room; what is kept for other teams gives way. */
+  /**
+   * Records a job within its team's guarantee that found no room. Slots reserved for other teams
+   * yield to it.
+   */
   void addUnplacedGuaranteed(Job job) {
     if (unplacedGuaranteed.size() < MAX_ROWS) {
       unplacedGuaranteed.add(job);
@@ -62,59 +69,61 @@
   }
 
   /**
-   * What should be stored now.
+   * Returns the rows that should be stored now.
    *
-   * @param rows what is in force
-   * @param live zones in which any machine takes tasks
-   * @param doubt whether it is not known yet what teams use, so that nothing is lowered
+   * @param rows the rows that are in effect
+   * @param liveZones zones in which a machine recently accepted tasks
+   * @param usageUncertain whether the usage of teams is not fully known yet; slot counts are not
+   *     lowered then
    */
   List<HeadroomRow> targetRows(
       List<HeadroomTerms> terms,
       Collection<HeadroomRow> rows,
       Collection<Job> jobs,
-      Set<String> live,
-      boolean doubt,
+      Set<String> liveZones,
+      boolean usageUncertain,
       Moment now) {
     unplacedGuaranteed.removeIf(
         job -> !job.isOpen() || job.pendingCount() <= 0 || !quota.guarantees(job));
-    Map<HeadroomRow.HeadroomKey, ServiceDemand> asked = currentDemand(terms, jobs);
-    decayPeaks(rows, asked, now);
+    Map<HeadroomRow.HeadroomKey, ServiceDemand> demand = currentDemand(terms, jobs);
+    decayPeaks(rows, demand, now);
     Map<HeadroomRow.HeadroomKey, HeadroomRow> target = new LinkedHashMap<>();
     for (HeadroomRow row : rows) {
       termsOf(terms, row.key())
-          .filter(found -> asked.containsKey(row.key()) || peaks.get(row.key()) > MIN_PEAK)
-          .ifPresent(found -> target.put(row.key(), row));
+          .filter(candidate -> demand.containsKey(row.key()) || peaks.get(row.key()) > MIN_PEAK)
+          .ifPresent(candidate -> target.put(row.key(), row));
     }
-    asked.forEach(
-        (key, found) -> {
+    demand.forEach(
+        (key, service) -> {
           if (target.containsKey(key) || target.size() < MAX_ROWS) {
-            target.put(key, rowFor(key, found.largestJob.spec(), target.get(key)));
+            target.put(key, rowFor(key, service.largestJob.spec(), target.get(key)));
           }
         });
-    Map<HeadroomRow.HeadroomKey, Integer> yields = yieldedSlots(target.values());
+    Map<HeadroomRow.HeadroomKey, Integer> yieldedByKey = yieldedSlots(target.values());
     target.replaceAll(
         (key, row) -> {
-          HeadroomTerms by = termsOf(terms, key).orElseThrow();
-          int declared = requiredSlots(by, peaks.get(key));
-          int amount = Math.min(declared, quota.placesLeft(key.team(), key.resources()));
-          int yielded = Math.min(amount, yields.getOrDefault(key, 0));
+          HeadroomTerms declaredTerms = termsOf(terms, key).orElseThrow();
+          int declared = requiredSlots(declaredTerms, peaks.get(key));
+          int slots = Math.min(declared, quota.placesLeft(key.team(), key.resources()));
+          int yielded = Math.min(slots, yieldedByKey.getOrDefault(key, 0));
           reasons.put(
               key,
               yielded > 0
-                  ? "others are guaranteed room of " + yielded
-                  : amount < declared ? "the team's limit leaves no more" : "as declared");
-          if (amount < row.totalSlots() && (doubt || !loweringDelayPassed(key, now))) {
-            amount = row.totalSlots();
-          } else if (amount >= row.totalSlots()) {
+                  ? "slots yielded to guarantees of other teams: " + yielded
+                  : slots < declared ? "bounded by the team's limit" : "as declared");
+          if (slots < row.totalSlots() && (usageUncertain || !loweringDelayPassed(key, now))) {
+            slots = row.totalSlots();
+          } else if (slots >= row.totalSlots()) {
             lowerTargetSince.remove(key);
           }
           return row.withSlots(
-              storedPeak(row), spreadEvenly(amount - yielded, eligibleZones(by, key, live)));
+              storedPeak(row),
+              spreadEvenly(slots - yielded, eligibleZones(declaredTerms, key, liveZones)));
         });
     return List.copyOf(target.values());
   }
 
-  /** What an amount was last bounded by, for the log. */
+  /** Returns what last determined the slot count of a row, for the log. */
   String reasonFor(HeadroomRow.HeadroomKey key) {
     return reasons.getOrDefault(key, "as declared");
   }
@@ -125,49 +134,56 @@
 
   private static Map<HeadroomRow.HeadroomKey, ServiceDemand> currentDemand(
       List<HeadroomTerms> terms, Collection<Job> jobs) {
-    Map<HeadroomRow.HeadroomKey, ServiceDemand> asked = new LinkedHashMap<>();
+    Map<HeadroomRow.HeadroomKey, ServiceDemand> demand = new LinkedHashMap<>();
     for (Job job : jobs) {
       if (!job.spec().service() || !job.isOpen() || job.isSuspect()) {
         continue;
       }
       JobSpec spec = job.spec();
       terms.stream()
-          .filter(found -> found.covers(spec))
+          .filter(candidate -> candidate.covers(spec))
           .findFirst()
           .ifPresent(
-              found -> {
+              candidate -> {
                 HeadroomRow.HeadroomKey key =
                     new HeadroomRow.HeadroomKey(
-                        found.name(), spec.team(), spec.jobClass(), spec.resources(), spec.zone());
-                ServiceDemand of = asked.computeIfAbsent(key, k -> new ServiceDemand());
-                of.replicas += spec.tasks();
-                if (of.largestJob == null || of.largestJob.spec().tasks() < spec.tasks()) {
-                  of.largestJob = job;
+                        candidate.name(),
+                        spec.team(),
+                        spec.jobClass(),
+                        spec.resources(),
+                        spec.zone());
+                ServiceDemand service = demand.computeIfAbsent(key, k -> new ServiceDemand());
+                service.replicas += spec.tasks();
+                if (service.largestJob == null
+                    || service.largestJob.spec().tasks() < spec.tasks()) {
+                  service.largestJob = job;
                 }
               });
     }
-    return asked;
+    return demand;
   }
 
   private void decayPeaks(
-      Collection<HeadroomRow> rows, Map<HeadroomRow.HeadroomKey, ServiceDemand> asked, Moment now) {
-    double keep =
+      Collection<HeadroomRow> rows,
+      Map<HeadroomRow.HeadroomKey, ServiceDemand> demand,
+      Moment now) {
+    double decay =
         lastDecay == null ? 1 : Math.pow(0.5, now.since(lastDecay).asSeconds() / PEAK_HALF_LIFE_S);
     lastDecay = now;
-    peaks.replaceAll((key, peak) -> peak * keep);
+    peaks.replaceAll((key, peak) -> peak * decay);
     rows.forEach(row -> peaks.putIfAbsent(row.key(), (double) row.peakReplicas()));
-    asked.forEach((key, found) -> peaks.merge(key, (double) found.replicas, Math::max));
+    demand.forEach((key, service) -> peaks.merge(key, (double) service.replicas, Math::max));
     peaks.values().removeIf(peak -> peak < MIN_PEAK / 2);
     rows.forEach(row -> peaks.putIfAbsent(row.key(), 0.0));
   }
 
-  /** The terms by which a shape is kept, if there still are any. */
+  /** Returns the terms that a headroom key comes from, if they are still declared. */
   private static Optional<HeadroomTerms> termsOf(
       List<HeadroomTerms> terms, HeadroomRow.HeadroomKey key) {
     return terms.stream()
-        .filter(found -> found.name().equals(key.name()))
-        .filter(found -> found.team().map(key.team()::equals).orElse(true))
-        .filter(found -> found.jobClass().map(key.jobClass()::equals).orElse(true))
+        .filter(candidate -> candidate.name().equals(key.name()))
+        .filter(candidate -> candidate.team().map(key.team()::equals).orElse(true))
+        .filter(candidate -> candidate.jobClass().map(key.jobClass()::equals).orElse(true))
         .findFirst();
   }
 
@@ -189,49 +205,49 @@
 
   private int storedPeak(HeadroomRow row) {
     int peak = (int) Math.ceil(peaks.get(row.key()));
-    boolean worth =
+    boolean worthStoring =
         Math.abs(peak - row.peakReplicas()) >= Math.max(1, MIN_STORED_CHANGE * row.peakReplicas());
-    return worth ? peak : row.peakReplicas();
+    return worthStoring ? peak : row.peakReplicas();
   }
 
   private List<String> eligibleZones(
-      HeadroomTerms terms, HeadroomRow.HeadroomKey key, Set<String> live) {
+      HeadroomTerms terms, HeadroomRow.HeadroomKey key, Set<String> liveZones) {
     List<String> all = new ArrayList<>(terms.zones().isEmpty() ? zones : terms.zones());
     all.removeIf(zone -> key.zone().filter(only -> !only.equals(zone)).isPresent());
     all.sort(Comparator.naturalOrder());
-    List<String> up = all.stream().filter(live::contains).toList();
-    return up.isEmpty() ? all : up;
+    List<String> available = all.stream().filter(liveZones::contains).toList();
+    return available.isEmpty() ? all : available;
   }
 
-  private static Map<String, Integer> spreadEvenly(int amount, List<String> zones) {
-    Map<String, Integer> places = new TreeMap<>();
+  private static Map<String, Integer> spreadEvenly(int slotCount, List<String> zones) {
+    Map<String, Integer> slotsByZone = new TreeMap<>();
     for (int i = 0; i < zones.size(); i++) {
-      int share = amount / zones.size() + (i < amount % zones.size() ? 1 : 0);
+      int share = slotCount / zones.size() + (i < slotCount % zones.size() ? 1 : 0);
       if (share > 0) {
-        places.put(zones.get(i), share);
+        slotsByZone.put(zones.get(i), share);
       }
     }
-    return places;
+    return slotsByZone;
   }
 
-  /** Places of each shape that give way to what other teams are guaranteed. */
+  /** Returns how many slots of each row yield to unplaced guaranteed jobs of other teams. */
   private Map<HeadroomRow.HeadroomKey, Integer> yieldedSlots(Collection<HeadroomRow> rows) {
-    Map<HeadroomRow.HeadroomKey, Integer> yields = new HashMap<>();
+    Map<HeadroomRow.HeadroomKey, Integer> yieldedByKey = new HashMap<>();
     for (Job job : unplacedGuaranteed) {
       Resources needed = job.spec().resources().times(job.pendingCount());
       for (HeadroomRow row : rows) {
         if (!row.key().team().equals(job.spec().team())) {
-          yields.merge(
+          yieldedByKey.merge(
               row.key(),
               (int) Math.ceil(slotsCovering(needed, row.key().resources())),
               Integer::sum);
         }
       }
     }
-    return yields;
+    return yieldedByKey;
   }
 
-  /** So many places of a shape hold this room. */
+  /** Returns how many slots of the given shape cover the needed resources. */
   private static double slotsCovering(Resources needed, Resources shape) {
     return Math.max(
         Math.max(ratio(needed.cpus(), shape.cpus()), ratio(needed.gpus(), shape.gpus())),
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomController.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomController.java
@@ -30,20 +30,24 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Keeps room for more replicas. The amounts by zone are stored; a higher one restrains at once, a
- * lower one only when it is stored, so that a new leader keeps at least what an older one kept.
+ * Reserves room for additional replicas of services (headroom). The slot counts by zone are stored.
+ * A higher count takes effect at once, a lower one only after it has been stored, so that a new
+ * leader reserves at least as much as its predecessor did.
  */
 public final class HeadroomController implements Reserve {
-  /** Name of its record. */
+  /** Name of the shared record that holds the headroom rows. */
   public static final String RECORD_NAME = "headroom";
 
   private static final Logger LOG = LoggerFactory.getLogger(HeadroomController.class);
   private static final Span TICK_INTERVAL = Span.seconds(1);
 
-  /** A zone without machines keeps its places for so long, which is more than most cuts last. */
+  /**
+   * Time after which the slots of a zone without usable machines move to other zones; longer than
+   * most network partitions last.
+   */
   private static final Span ZONE_LOSS_DELAY = Span.seconds(30);
 
-  /** More than all other terms of a machine's distance together. */
+  /** Larger than all other terms of the distance between a task and a machine together. */
   private static final double IMAGE_EVICTION_PENALTY = 4;
 
   private final Fleet fleet;
@@ -64,9 +68,9 @@
   private HeadroomRow.HeadroomKey cachedKey;
 
   /**
-   * Keeps nothing until its record is known.
+   * Creates a controller that reserves nothing until its record has been loaded.
    *
-   * @param mayStop whether budgets allow that tasks are stopped
+   * @param mayStop tells whether the disruption budgets allow stopping the given tasks
    */
   public HeadroomController(
       Fleet fleet,
@@ -82,65 +86,67 @@
     this.preemptor = new HeadroomPreemptor(fleet, mayStop, suspectAfter);
   }
 
-  /** Declares its record. */
+  /** Declares the shared record of the headroom rows. */
   public void declareRecord(SharedRecords shared) {
     record = Optional.of(shared.declare(RECORD_NAME, HeadroomRow.class));
   }
 
-  /** Nothing is declared, or what is declared can't be read. */
+  /** Drops all reservations, because no terms are declared or the stored rows are unreadable. */
   public void disable() {
     activeRows = List.of();
     targetRows = List.of();
   }
 
   /**
-   * Follows the terms; to be called once the record is known.
+   * Applies the declared terms. Must be called only after the record has been loaded.
    *
-   * @param recovered whether it is known what older leaders left
+   * @param recovered whether recovery of the state that earlier leaders left is complete
    */
   public void tick(List<HeadroomTerms> terms, boolean recovered, Moment now) {
-    SharedRecord<HeadroomRow> kept = record.orElseThrow();
-    if (kept.isUnusable()) {
+    SharedRecord<HeadroomRow> sharedRecord = record.orElseThrow();
+    if (sharedRecord.isUnusable()) {
       disable();
       return;
     }
-    activeRows = maxPerZone(kept.storedRows(), targetRows);
+    activeRows = maxPerZone(sharedRecord.storedRows(), targetRows);
     warmShares.clear();
-    terms.forEach(found -> warmShares.put(found.name(), found.warmShare()));
+    terms.forEach(each -> warmShares.put(each.name(), each.warmShare()));
     if (nextTick.isAfter(now)) {
       return;
     }
     nextTick = now.plus(TICK_INTERVAL);
-    Set<String> live = liveZones(now);
+    Set<String> liveZones = liveZones(now);
     if (!recovered) {
       return;
     }
     List<HeadroomRow> target =
-        calculator.targetRows(terms, activeRows, jobs.all(), live, fleet.anyUnconfirmed(), now);
-    if (!target.equals(targetRows) || kept.isUpToDate() && !target.equals(kept.storedRows())) {
-      logChanges(kept.storedRows(), target);
+        calculator.targetRows(
+            terms, activeRows, jobs.all(), liveZones, fleet.anyUnconfirmed(), now);
+    if (!target.equals(targetRows)
+        || sharedRecord.isUpToDate() && !target.equals(sharedRecord.storedRows())) {
+      logChanges(sharedRecord.storedRows(), target);
       targetRows = target;
-      kept.requestWrite(target);
-      activeRows = maxPerZone(kept.storedRows(), targetRows);
+      sharedRecord.requestWrite(target);
+      activeRows = maxPerZone(sharedRecord.storedRows(), targetRows);
     }
     logMissingSlots();
     preemptor.tick(activeRows, allocator, now);
   }
 
-  /** What is stored and what is wanted, whichever is more in each zone. */
-  private static List<HeadroomRow> maxPerZone(List<HeadroomRow> stored, List<HeadroomRow> wanted) {
-    if (stored.equals(wanted)) {
-      return wanted;
+  /** Merges the stored and the target rows, with the higher slot count for each zone. */
+  private static List<HeadroomRow> maxPerZone(List<HeadroomRow> stored, List<HeadroomRow> target) {
+    if (stored.equals(target)) {
+      return target;
     }
     Map<HeadroomRow.HeadroomKey, HeadroomRow> rows = new LinkedHashMap<>();
     stored.forEach(row -> rows.put(row.key(), row));
-    for (HeadroomRow row : wanted) {
-      HeadroomRow other = rows.get(row.key());
-      Map<String, Integer> places = new TreeMap<>(row.slotsByZone());
-      if (other != null) {
-        other.slotsByZone().forEach((zone, count) -> places.merge(zone, count, Math::max));
+    for (HeadroomRow row : target) {
+      HeadroomRow storedRow = rows.get(row.key());
+      Map<String, Integer> slots = new TreeMap<>(row.slotsByZone());
+      if (storedRow != null) {
+        storedRow.slotsByZone().forEach((zone, count) -> slots.merge(zone, count, Math::max));
       }
-      rows.put(row.key(), row.withSlots(row.peakReplicas(), places));
+      rows.put(row.key(), row.withSlots(row.peakReplicas(), slots));
     }
     return List.copyOf(rows.values());
   }
@@ -150,36 +156,38 @@
       if (machine.takesTasks(now, suspectAfter)) {
         zoneLastLive.put(machine.zone(), now);
       } else {
-        // For a new leader, too, patience begins with its rise.
+        // For a new leader the delay starts with its term.
         zoneLastLive.putIfAbsent(machine.zone(), now);
       }
     }
-    Set<String> live = new HashSet<>();
+    Set<String> liveZones = new HashSet<>();
     zoneLastLive.forEach(
         (zone, seen) -> {
           if (!now.past(seen, ZONE_LOSS_DELAY)) {
-            live.add(zone);
+            liveZones.add(zone);
           }
         });
-    return live;
+    return liveZones;
   }
 
   private void logChanges(List<HeadroomRow> stored, List<HeadroomRow> target) {
-    Map<HeadroomRow.HeadroomKey, HeadroomRow> before = new HashMap<>();
-    stored.forEach(row -> before.put(row.key(), row));
+    Map<HeadroomRow.HeadroomKey, HeadroomRow> previous = new HashMap<>();
+    stored.forEach(row -> previous.put(row.key(), row));
     for (HeadroomRow row : target) {
-      HeadroomRow old = before.remove(row.key());
-      if (old == null || !old.slotsByZone().equals(row.slotsByZone())) {
+      HeadroomRow previousRow = previous.remove(row.key());
+      if (previousRow == null || !previousRow.slotsByZone().equals(row.slotsByZone())) {
         LOG.info(
-            "headroom {}: {} places instead of {}, peak {}, {}",
+            "headroom {}: slots by zone {} instead of {}, peak {} replicas, {}",
             row.key(),
             row.slotsByZone(),
-            old == null ? "none" : old.slotsByZone(),
+            previousRow == null ? "none" : previousRow.slotsByZone(),
             row.peakReplicas(),
             calculator.reasonFor(row.key()));
       }
     }
-    before.keySet().forEach(key -> LOG.info("headroom {}: ended, no terms or no peak left", key));
+    previous
+        .keySet()
+        .forEach(key -> LOG.info("headroom {}: removed, no terms or no recent demand left", key));
   }
 
   private void logMissingSlots() {
@@ -188,7 +196,9 @@
           boolean filled = !allocator.missingSlots().containsKey(key);
           if (filled) {
             LOG.info(
-                "headroom {}: is full again, {} where the image is", key, allocator.warmSlots(key));
+                "headroom {}: all slots reserved again, {} on machines with the image",
+                key,
+                allocator.warmSlots(key));
           }
           return filled;
         });
@@ -197,12 +207,14 @@
         .forEach(
             (key, zones) -> {
               if (reportedMissing.add(key)) {
-                LOG.info("headroom {}: places lack, {}", key, zones);
+                LOG.info("headroom {}: missing slots by zone {}", key, zones);
               }
             });
   }
 
-  /** What machines should be held for, beside the open jobs. */
+  /**
+   * Returns the reserved slots as job specs, for which machines are needed beside the open jobs.
+   */
   public List<JobSpec> reservedSpecs() {
     List<JobSpec> specs = new ArrayList<>();
     for (HeadroomRow row : activeRows) {
@@ -219,7 +231,7 @@
     allocator.allocate(activeRows, taking, held, warmShares);
   }
 
-  /** The shape that a job's replicas have, or null. */
+  /** Returns the headroom key that covers a job's replicas, or null. */
   private HeadroomRow.HeadroomKey keyOf(JobSpec spec) {
     if (cachedSpec != spec) {
       cachedSpec = spec;
@@ -269,25 +281,25 @@
 
   @Override
   public void denied(Job job) {
-    boolean kept =
+    boolean reservedForOthers =
         activeRows.stream()
             .anyMatch(row -> row.totalSlots() > 0 && !row.key().team().equals(job.spec().team()));
-    if (kept && quota.guarantees(job)) {
+    if (reservedForOthers && quota.guarantees(job)) {
       calculator.addUnplacedGuaranteed(job);
     }
   }
 
-  /** One line on it, for the log. */
+  /** Returns a short summary for the status log line; empty if no headroom is reserved. */
   public Optional<String> summary() {
     if (activeRows.isEmpty()) {
       return Optional.empty();
     }
-    int places = activeRows.stream().mapToInt(HeadroomRow::totalSlots).sum();
-    int lacking =
+    int slots = activeRows.stream().mapToInt(HeadroomRow::totalSlots).sum();
+    int missing =
         allocator.missingSlots().values().stream()
             .flatMap(zones -> zones.values().stream())
             .mapToInt(Integer::intValue)
             .sum();
-    return Optional.of("headroom " + places + ", lacking " + lacking);
+    return Optional.of("headroom " + slots + ", missing " + missing);
   }
 }
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomPreemptor.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomPreemptor.java
@@ -18,16 +18,21 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Stops tasks of lower priority for places that neither what ended nor what was rented has filled,
- * one place at a time and within budgets.
+ * Preempts tasks of lower priority for headroom slots that neither ended tasks nor newly rented
+ * machines have provided, one slot per zone and row at a time and within the disruption budgets.
  */
 final class HeadroomPreemptor {
   private static final Logger LOG = LoggerFactory.getLogger(HeadroomPreemptor.class);
 
-  /** What ends and what boots goes first. */
+  /**
+   * Multiple of a machine's boot time to wait before preempting, so that ending tasks and booting
+   * machines can provide the slot first.
+   */
   private static final double BOOT_TIME_FACTOR = 1.5;
 
+  /** Added to the wait for booting machines. */
   private static final Span EXTRA_WAIT = Span.seconds(5);
+
   private static final int MAX_STOPS_PER_SLOT = 4;
 
   private final Fleet fleet;
@@ -35,31 +40,37 @@
   private final Span suspectAfter;
   private final Map<HeadroomRow.HeadroomKey, Moment> missingSince = new HashMap<>();
 
-  HeadroomPreemptor(Fleet fleet, Predicate<List<Placement>> mayStop, Span suspectAfter) {
+  HeadroomPreemptor(Fleet fleet, Predicate<List<Placement>> budgetsAllow, Span suspectAfter) {
     this.fleet = fleet;
-    this.budgetsAllow = mayStop;
+    this.budgetsAllow = budgetsAllow;
     this.suspectAfter = suspectAfter;
   }
 
+  /** Tasks to stop on one machine to free one slot. */
   private record PreemptionOption(Machine machine, List<Placement> stops) {}
 
-  /** Looks what has been lacking for long, and makes one place of each shape. */
-  void tick(List<HeadroomRow> rows, HeadroomAllocator rooms, Moment now) {
-    missingSince.keySet().retainAll(rooms.missingSlots().keySet());
+  /** Frees one slot for each row and zone that has lacked slots for long enough. */
+  void tick(List<HeadroomRow> rows, HeadroomAllocator allocator, Moment now) {
+    missingSince.keySet().retainAll(allocator.missingSlots().keySet());
     for (HeadroomRow row : rows) {
-      Map<String, Integer> lacking = rooms.missingSlots().get(row.key());
-      if (lacking == null) {
+      Map<String, Integer> missingByZone = allocator.missingSlots().get(row.key());
+      if (missingByZone == null) {
         continue;
       }
       Moment since = missingSince.computeIfAbsent(row.key(), key -> now);
-      lacking.forEach((zone, places) -> fillSlot(row, zone, places, since, rooms, now));
+      missingByZone.forEach((zone, missing) -> fillSlot(row, zone, missing, since, allocator, now));
     }
   }
 
   private void fillSlot(
-      HeadroomRow row, String zone, int lacks, Moment since, HeadroomAllocator rooms, Moment now) {
+      HeadroomRow row,
+      String zone,
+      int missing,
+      Moment since,
+      HeadroomAllocator allocator,
+      Moment now) {
     JobSpec spec = row.spec();
-    int coming = 0;
+    int beingFreed = 0;
     PreemptionOption best = null;
     for (Machine machine : fleet.machines()) {
       if (!machine.zone().equals(zone)
@@ -68,22 +79,22 @@
           || !spec.allows(machine.type().name(), zone, machine.spot())) {
         continue;
       }
-      coming +=
-          freeAfterStops(machine, rooms).capacityFor(spec.resources())
-              - rooms.unreserved(machine).capacityFor(spec.resources());
-      Span patience = machine.type().boot().times(BOOT_TIME_FACTOR).plus(EXTRA_WAIT);
-      PreemptionOption plan =
-          now.past(since, patience) ? findOption(machine, row, rooms, now) : null;
-      if (plan != null && (best == null || cost(plan, row) < cost(best, row))) {
-        best = plan;
+      beingFreed +=
+          freeAfterStops(machine, allocator).capacityFor(spec.resources())
+              - allocator.unreserved(machine).capacityFor(spec.resources());
+      Span waitTime = machine.type().boot().times(BOOT_TIME_FACTOR).plus(EXTRA_WAIT);
+      PreemptionOption option =
+          now.past(since, waitTime) ? findOption(machine, row, allocator, now) : null;
+      if (option != null && (best == null || cost(option, row) < cost(best, row))) {
+        best = option;
       }
     }
-    if (best != null && coming < lacks && budgetsAllow.test(best.stops())) {
+    if (best != null && beingFreed < missing && budgetsAllow.test(best.stops())) {
       for (Placement stop : best.stops()) {
         LOG.info(
-            "headroom {}: {} of {} places lack in {}, task {} on {} gives way",
+            "headroom {}: {} of {} slots missing in zone {}, preempting task {} on machine {}",
             row.key(),
-            lacks,
+            missing,
             row.slotsByZone().get(zone),
             zone,
             stop.task(),
@@ -93,14 +104,14 @@
     }
   }
 
-  /** Few stops, and where the image is. */
-  private static int cost(PreemptionOption plan, HeadroomRow row) {
-    return 2 * plan.stops().size() + (plan.machine().hasImage(row.image()) ? 0 : 1);
+  /** Ranks options: fewer stops first, then machines that have the image. */
+  private static int cost(PreemptionOption option, HeadroomRow row) {
+    return 2 * option.stops().size() + (option.machine().hasImage(row.image()) ? 0 : 1);
   }
 
-  /** What is free once all that is told to stop has stopped. */
-  private static Resources freeAfterStops(Machine machine, HeadroomAllocator rooms) {
-    Resources free = rooms.unreserved(machine);
+  /** Returns the unreserved room of a machine after all requested stops. */
+  private static Resources freeAfterStops(Machine machine, HeadroomAllocator allocator) {
+    Resources free = allocator.unreserved(machine);
     for (Placement placement : machine.placements()) {
       if (placement.halting()) {
         free = free.plus(placement.job().spec().resources());
@@ -110,8 +121,8 @@
   }
 
   private static PreemptionOption findOption(
-      Machine machine, HeadroomRow row, HeadroomAllocator rooms, Moment now) {
-    Resources free = freeAfterStops(machine, rooms);
+      Machine machine, HeadroomRow row, HeadroomAllocator allocator, Moment now) {
+    Resources free = freeAfterStops(machine, allocator);
     if (!row.key().resources().fitsInto(machine.type().room())
         || row.key().resources().fitsInto(free)) {
       return null;
@@ -141,10 +152,10 @@
     return null;
   }
 
-  /** Seconds of work that a stop would lose; what saves loses none. */
+  /** Returns the seconds of work lost by a stop; none if the job checkpoints. */
   private static double lostWorkSeconds(Placement placement, Moment now) {
     Moment running = placement.runningSince();
-    boolean saves = placement.job().spec().checkpointInterval().millis() > 0;
-    return saves || running == null ? 0 : now.since(running).asSeconds();
+    boolean checkpoints = placement.job().spec().checkpointInterval().millis() > 0;
+    return checkpoints || running == null ? 0 : now.since(running).asSeconds();
   }
 }
