--- a/src/main/java/org/oakwalk/core/exchange/CapacityTransfer.java
+++ b/src/main/java/org/oakwalk/core/exchange/CapacityTransfer.java
@@ -12,20 +12,21 @@
 import org.oakwalk.core.shared.SharedRow;
 
 /**
- * Room of one machine that one replica takes from other work, from the intent until it is given
- * back. Immutable; each step gives the next one. Whoever reads it knows enough to go on: no step
- * rests on what only the leader knew that made the one before.
+ * Transfer of room on one machine from a batch job (the giver) to one replica of a service (the
+ * taker), from the stored intent until the room is given back. Immutable; each state change returns
+ * a new instance. A stored transfer is sufficient to continue with it: no step depends on state
+ * that only the previous leader had in memory. Its stored form is called {@code take}.
  *
- * @param exchangeName the terms under which it is taken
- * @param giver the job that it is taken from
- * @param giverTeam that job's team
- * @param stoppedTasks how many of the giver's tasks are stopped for it
- * @param taker the job that it is taken for
- * @param resources what the replica needs
- * @param machine where the room is
- * @param demandLevel how many replicas of the takers there were, this one included, when it was
- *     taken: need has fallen below it when there are fewer
- * @param since when it was intended, or began to be given back
+ * @param exchangeName the name of the exchange terms that apply
+ * @param giver the job that the room is taken from
+ * @param giverTeam the team of the giver
+ * @param stoppedTasks the number of the giver's tasks that are stopped
+ * @param taker the job that the room is taken for
+ * @param resources the resources that the replica needs
+ * @param machine the machine that has the room
+ * @param demandLevel the number of the takers' replicas, this one included, when the room was
+ *     taken; demand has fallen below this level when there are fewer
+ * @param since when the transfer was intended, or when its return began
  */
 public record CapacityTransfer(
     TransferId id,
@@ -41,21 +42,21 @@
     WallTime since)
     implements SharedRow {
 
-  /** How far a take is. */
+  /** State of a transfer. */
   public enum State {
-    /** Written down, or being so; no stop has been ordered by this leader. */
+    /** The intent is stored or being stored; this leader has not ordered any stop. */
     INTENDED,
-    /** The giver's tasks are told to stop, and save. */
+    /** The giver's tasks have been ordered to stop and are writing checkpoints. */
     SAVING,
-    /** A replica of the taker has the room. */
+    /** The room belongs to the taker. */
     TAKEN,
-    /** The room is kept for the giver. */
+    /** The room is reserved for the giver. */
     RETURNING,
-    /** Nothing is owed any more; it leaves the record. */
+    /** The transfer is over and is removed from the record. */
     SETTLED
   }
 
-  /** More than the names of its fields and its numbers take where it is stored. */
+  /** Upper bound on the stored bytes of the field names and numbers. */
   private static final int FIXED_BYTES = 420;
 
   private static final int MAX_BYTES_PER_CHAR = 4;
@@ -71,29 +72,29 @@
     ALLOWED_TRANSITIONS.put(State.SETTLED, EnumSet.noneOf(State.class));
   }
 
-  /** Whether the giver's tasks may yet have to be stopped for it, or are being stopped. */
+  /** Returns whether the giver's tasks are still to be stopped or are being stopped. */
   public boolean isPending() {
     return state == State.INTENDED || state == State.SAVING;
   }
 
   @Override
   public int maxJsonBytes() {
-    int letters =
+    int characters =
         exchangeName.length()
             + giver.value().length()
             + giverTeam.length()
             + taker.value().length()
             + machine.value().length();
-    return FIXED_BYTES + MAX_BYTES_PER_CHAR * letters;
+    return FIXED_BYTES + MAX_BYTES_PER_CHAR * characters;
   }
 
-  /** The giver's tasks are told to stop. */
+  /** Returns this transfer after the giver's tasks have been ordered to stop. */
   public CapacityTransfer toSaving() {
     return transitionTo(State.SAVING, since);
   }
 
-  /** A replica of this job has the room, for the first time or after another's has ended. */
-  public CapacityTransfer toTaken(JobId by) {
+  /** Returns this transfer with its room held by the given job, at first or after another taker. */
+  public CapacityTransfer toTaken(JobId newTaker) {
     return new CapacityTransfer(
         id,
         transitionTo(State.TAKEN, since).state,
@@ -101,7 +102,7 @@
         giver,
         giverTeam,
         stoppedTasks,
-        by,
+        newTaker,
         resources,
         machine,
         demandLevel,
@@ -109,10 +110,11 @@
   }
 
   /**
-   * Need is at the level of the lower one, if the room is used in place of another that was taken.
+   * Returns this transfer with the lower of the two demand levels, for room that is used in place
+   * of another transfer's room.
    */
   public CapacityTransfer withLowerDemandLevel(Optional<CapacityTransfer> other) {
-    int least =
+    int lowest =
         other
             .map(CapacityTransfer::demandLevel)
             .filter(each -> each < demandLevel)
@@ -127,24 +129,25 @@
         taker,
         resources,
         machine,
-        least,
+        lowest,
         since);
   }
 
-  /** The room goes back to the giver from now on. */
+  /** Returns this transfer with its room being given back to the giver. */
   public CapacityTransfer toReturning(WallTime now) {
     return transitionTo(State.RETURNING, now);
   }
 
-  /** Nothing is owed any more. */
+  /** Returns this transfer as settled. */
   public CapacityTransfer toSettled() {
     return transitionTo(State.SETTLED, since);
   }
 
-  /** The one place where the state changes. */
-  private CapacityTransfer transitionTo(State next, WallTime at) {
+  /** Changes the state; all other methods change it through this one. */
+  private CapacityTransfer transitionTo(State next, WallTime newSince) {
     if (!ALLOWED_TRANSITIONS.get(state).contains(next)) {
-      throw new IllegalStateException("take " + id + " from " + state + " to " + next);
+      throw new IllegalStateException(
+          "illegal transition of transfer " + id + " from " + state + " to " + next);
     }
     return new CapacityTransfer(
         id,
@@ -157,6 +160,6 @@
         resources,
         machine,
         demandLevel,
-        at);
+        newSince);
   }
 }
--- a/src/main/java/org/oakwalk/core/exchange/ExchangeController.java
+++ b/src/main/java/org/oakwalk/core/exchange/ExchangeController.java
@@ -26,12 +26,13 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Takes room from batch work for serving and gives it back. Each take is stored as an intent before
- * its first stop, its room is kept for the taker alone until that starts or the intent ends, and it
- * is owed until the giver runs again, its job is over, or the room is no more.
+ * Transfers room from batch jobs (givers) to service replicas (takers) and gives it back. Each
+ * transfer is stored as an intent before its first stop. Its room is reserved for the taker alone
+ * until the replica starts or the transfer ends, and the transfer stays open until the giver runs
+ * again, the giver's job has ended, or the machine is gone.
  *
- * <p>A new leader goes on from the record alone: what it finds under way it goes on with, on the
- * same machine and for the same need, so that no need is met twice.
+ * <p>A new leader continues from the stored record alone: it continues each open transfer on the
+ * same machine and for the same demand, so that no demand is met twice.
  */
 public final class ExchangeController implements Takes {
   private static final Logger LOG = LoggerFactory.getLogger(ExchangeController.class);
@@ -52,9 +53,9 @@
   private long lastNumber;
 
   /**
-   * Exchanges under one token.
+   * Creates a controller for one leader term.
    *
-   * @param reserveForGang keeps a machine for a gang that has to start whole
+   * @param reserveForGang reserves a machine for a gang, whose tasks have to start together
    */
   public ExchangeController(
       List<ExchangeTerms> terms,
@@ -62,37 +63,41 @@
       Fleet fleet,
       JobRegistry jobs,
       Quota quota,
-      Gate gate,
+      Gate disruptionLimiter,
       RunTimes runTimes,
       Span suspectAfter,
       Reserve reserve,
-      BiConsumer<Machine, Job> keepForGang) {
+      BiConsumer<Machine, Job> reserveForGang) {
     this.terms = terms;
     this.openTransfers = new OpenTransfers(record, fleet);
     this.fleet = fleet;
     this.jobs = jobs;
     this.quota = quota;
-    this.disruptionLimiter = gate;
+    this.disruptionLimiter = disruptionLimiter;
     this.token = fleet.token();
     this.suspectAfter = suspectAfter;
     this.starter = new TaskStarter(fleet, quota, reserve, runTimes, suspectAfter);
     this.planner = new TransferPlanner(fleet, quota, reserve, openTransfers::countFromGiver);
-    this.reserveForGang = keepForGang;
+    this.reserveForGang = reserveForGang;
     this.demand = new TakerDemand(terms, jobs);
   }
 
   private Optional<ExchangeTerms> termsFor(Job taker) {
-    return terms.stream().filter(each -> each.isTaker(taker.spec())).findFirst();
+    return terms.stream().filter(exchange -> exchange.isTaker(taker.spec())).findFirst();
   }
 
-  private Optional<ExchangeTerms> termsOf(CapacityTransfer take) {
-    return terms.stream().filter(each -> each.name().equals(take.exchangeName())).findFirst();
+  private Optional<ExchangeTerms> termsOf(CapacityTransfer transfer) {
+    return terms.stream()
+        .filter(exchange -> exchange.name().equals(transfer.exchangeName()))
+        .findFirst();
   }
 
   @Override
   public boolean spares(Job asking, Placement placement) {
     return openTransfers.isUsable()
-        && termsFor(asking).filter(each -> each.isGiver(placement.job().spec())).isPresent();
+        && termsFor(asking)
+            .filter(exchange -> exchange.isGiver(placement.job().spec()))
+            .isPresent();
   }
 
   @Override
@@ -101,87 +106,91 @@
     if (found.isEmpty()) {
       return false;
     }
-    ExchangeTerms each = found.get();
-    int underWay = openTransfers.pendingCountFor(job);
-    for (int i = 0; i < MAX_TRANSFERS_PER_CALL && underWay < job.pendingCount(); i++) {
-      long held = openTransfers.countUnder(each);
+    ExchangeTerms exchange = found.get();
+    int pendingTransfers = openTransfers.pendingCountFor(job);
+    for (int i = 0; i < MAX_TRANSFERS_PER_CALL && pendingTransfers < job.pendingCount(); i++) {
+      long held = openTransfers.countUnder(exchange);
       Optional<TransferPlanner.TransferPlan> plan =
-          held < each.maxOpenTransfers() && quota.allows(job, underWay + 1)
-              ? planner.cheapestPlan(job, each, machines, now)
+          held < exchange.maxOpenTransfers() && quota.allows(job, pendingTransfers + 1)
+              ? planner.cheapestPlan(job, exchange, machines, now)
               : Optional.empty();
       if (plan.isEmpty() || !disruptionLimiter.allows(plan.get().victims())) {
         break;
       }
-      Optional<CapacityTransfer> instead = returnUnusedTransfer(job, now, wall);
+      Optional<CapacityTransfer> replaced = returnUnusedTransfer(job, now, wall);
       addIntent(
-          each,
+          exchange,
           job,
           plan.get(),
-          instead.map(CapacityTransfer::demandLevel).orElse(demandLevel(each)),
+          replaced.map(CapacityTransfer::demandLevel).orElse(demandLevel(exchange)),
           now,
           wall);
-      underWay++;
+      pendingTransfers++;
     }
-    return underWay > 0;
+    return pendingTransfers > 0;
   }
 
   /**
-   * Before a job takes once more: it never holds more takes than it has replicas. One that it holds
-   * and makes no use of, since the replica there was lost with its machine's lease, say, goes back
-   * in the same revision of the record. There is one: of its replicas some wait for which nothing
-   * is under way, so fewer are placed than it holds takes.
+   * Ensures that a job never holds more transfers than it has replicas, before it starts another
+   * one. If it holds that many, it gives back one that no replica uses, for example because the
+   * replica was lost when its machine's lease expired. The return is written in the same revision
+   * of the record. Such a transfer exists: some of the job's replicas are pending without a pending
+   * transfer, so fewer replicas are placed than the job holds transfers.
    *
-   * @return what goes back; the other stands for the same replica, so need is at the same level
+   * @return the transfer that is given back; the new one replaces it, at the same demand level
    */
   private Optional<CapacityTransfer> returnUnusedTransfer(Job job, Moment now, WallTime wall) {
     List<TrackedTransfer> held = openTransfers.activeFor(job);
     if (held.size() < job.spec().tasks()) {
       return Optional.empty();
     }
-    Optional<TrackedTransfer> given =
+    Optional<TrackedTransfer> unused =
         held.stream()
             .filter(
-                live ->
-                    live.transfer.state() == CapacityTransfer.State.TAKEN
-                        && openTransfers.isUnused(live))
-            .min(Comparator.comparing(live -> machineAcceptsTasks(live, now)));
-    given.ifPresent(live -> beginReturn(live, job.id() + " has room elsewhere instead", now, wall));
-    return given.map(live -> live.transfer);
+                tracked ->
+                    tracked.transfer.state() == CapacityTransfer.State.TAKEN
+                        && openTransfers.isUnused(tracked))
+            .min(Comparator.comparing(tracked -> machineAcceptsTasks(tracked, now)));
+    unused.ifPresent(
+        tracked -> beginReturn(tracked, job.id() + " uses another transfer instead", now, wall));
+    return unused.map(tracked -> tracked.transfer);
   }
 
-  /** Whether room that was taken may have a replica at once, rather than be out of reach. */
-  private boolean machineAcceptsTasks(TrackedTransfer live, Moment now) {
+  /** Returns whether the transfer's machine accepts tasks now, rather than being unreachable. */
+  private boolean machineAcceptsTasks(TrackedTransfer tracked, Moment now) {
     return fleet
-        .find(live.transfer.machine())
+        .find(tracked.transfer.machine())
         .filter(machine -> machine.takesTasks(now, suspectAfter))
         .isPresent();
   }
 
-  /** How many replicas of the takers there are, with one more. */
-  private int demandLevel(ExchangeTerms each) {
+  /** Returns the takers' replica count, including pending transfers and one more replica. */
+  private int demandLevel(ExchangeTerms exchange) {
     int level = 1;
     for (Job other : jobs.all()) {
-      level += other.isOpen() && each.isTaker(other.spec()) ? other.assignedCount() : 0;
+      level += other.isOpen() && exchange.isTaker(other.spec()) ? other.assignedCount() : 0;
     }
-    for (TrackedTransfer live : openTransfers.all()) {
+    for (TrackedTransfer tracked : openTransfers.all()) {
       level +=
-          live.transfer.isPending() && live.transfer.exchangeName().equals(each.name()) ? 1 : 0;
+          tracked.transfer.isPending() && tracked.transfer.exchangeName().equals(exchange.name())
+              ? 1
+              : 0;
     }
     return level;
   }
 
   private void addIntent(
-      ExchangeTerms each,
+      ExchangeTerms exchange,
       Job job,
       TransferPlanner.TransferPlan plan,
       int level,
       Moment now,
       WallTime wall) {
-    CapacityTransfer take =
+    CapacityTransfer transfer =
         new CapacityTransfer(
             new TransferId(token, ++lastNumber),
             CapacityTransfer.State.INTENDED,
-            each.name(),
+            exchange.name(),
             plan.giver().id(),
             plan.giver().spec().team(),
             plan.victims().size(),
@@ -190,118 +199,122 @@
             plan.machine().id(),
             level,
             wall);
-    TrackedTransfer live = new TrackedTransfer(take, now);
-    live.victims = plan.victims();
-    live.reserveOn(plan.machine());
-    openTransfers.add(live);
+    TrackedTransfer tracked = new TrackedTransfer(transfer, now);
+    tracked.victims = plan.victims();
+    tracked.reserveOn(plan.machine());
+    openTransfers.add(tracked);
     LOG.info(
-        "take {}: {} takes {} tasks of {} on {}, at a cost of {} s",
-        take.id(),
+        "transfer {}: {} takes the room of {} tasks of {} on {}, cost {} s",
+        transfer.id(),
         job.id(),
-        take.stoppedTasks(),
-        take.giver(),
-        take.machine(),
+        transfer.stoppedTasks(),
+        transfer.giver(),
+        transfer.machine(),
         Math.round(plan.costSeconds()));
   }
 
-  /** Goes on with what is open; orders nothing before it is known what runs. */
+  /** Advances the open transfers; orders no stop or start before recovery is complete. */
   public void tick(boolean recovered, Moment now, WallTime wall) {
     if (!openTransfers.restoreWhenLoaded(now)) {
       return;
     }
     if (recovered) {
       demand.update(now);
-      for (TrackedTransfer live : openTransfers.all()) {
-        step(live, now, wall);
+      for (TrackedTransfer tracked : openTransfers.all()) {
+        step(tracked, now, wall);
       }
       returnExcess(now, wall);
     }
     openTransfers.writeChanges();
   }
 
-  private void step(TrackedTransfer live, Moment now, WallTime wall) {
-    switch (live.transfer.state()) {
-      case INTENDED, SAVING -> proceed(live, now, wall);
-      case TAKEN -> checkTaken(live, now, wall);
-      case RETURNING -> resumeGiver(live, now);
+  private void step(TrackedTransfer tracked, Moment now, WallTime wall) {
+    switch (tracked.transfer.state()) {
+      case INTENDED, SAVING -> proceed(tracked, now, wall);
+      case TAKEN -> checkTaken(tracked, now, wall);
+      case RETURNING -> resumeGiver(tracked, now);
       case SETTLED -> {}
     }
   }
 
-  private boolean withinHoldTimeout(TrackedTransfer live, Moment now) {
-    Span patience = termsOf(live.transfer).map(ExchangeTerms::holdTimeout).orElse(Span.seconds(0));
-    return !now.past(live.stateSince, patience);
+  private boolean withinHoldTimeout(TrackedTransfer tracked, Moment now) {
+    Span holdTimeout =
+        termsOf(tracked.transfer).map(ExchangeTerms::holdTimeout).orElse(Span.seconds(0));
+    return !now.past(tracked.stateSince, holdTimeout);
   }
 
-  /** Stops the giver's tasks once that is stored, and starts the taker when they are gone. */
-  private void proceed(TrackedTransfer live, Moment now, WallTime wall) {
-    Machine machine = live.reservedMachine;
-    Optional<Job> taker = findTaker(live);
+  /** Stops the giver's tasks once the intent is stored, and starts the taker when they are gone. */
+  private void proceed(TrackedTransfer tracked, Moment now, WallTime wall) {
+    Machine machine = tracked.reservedMachine;
+    Optional<Job> taker = findTaker(tracked);
     if (machine == null
-        || !machine.takesTasks(now, suspectAfter) && !withinHoldTimeout(live, now)) {
-      beginReturn(live, "its machine is gone", now, wall);
+        || !machine.takesTasks(now, suspectAfter) && !withinHoldTimeout(tracked, now)) {
+      beginReturn(tracked, "machine lost or not accepting tasks", now, wall);
     } else if (taker.isEmpty()) {
-      proceedWithoutTaker(live, now, wall);
-    } else if (!withinHoldTimeout(live, now)) {
-      beginReturn(live, "it took too long", now, wall);
-    } else if (live.isRoomFree()) {
-      startTaker(live, taker.get(), now, wall);
-    } else if (live.transfer.state() == CapacityTransfer.State.INTENDED
-        && openTransfers.isStored(live)) {
-      orderStops(live, taker.get(), now);
+      proceedWithoutTaker(tracked, now, wall);
+    } else if (!withinHoldTimeout(tracked, now)) {
+      beginReturn(tracked, "hold timeout exceeded", now, wall);
+    } else if (tracked.isRoomFree()) {
+      startTaker(tracked, taker.get(), now, wall);
+    } else if (tracked.transfer.state() == CapacityTransfer.State.INTENDED
+        && openTransfers.isStored(tracked)) {
+      orderStops(tracked, taker.get(), now);
     }
   }
 
   /**
-   * Nobody needs it any more. If the giver was told to stop, its room is kept as if it had been
-   * used, so that need which swings does not stop the giver each time it comes back.
+   * Continues a transfer whose room no job waits for any more. If the giver has been ordered to
+   * stop, the room is kept as if it had been used, so that fluctuating demand does not stop the
+   * giver each time it returns.
    */
-  private void proceedWithoutTaker(TrackedTransfer live, Moment now, WallTime wall) {
-    if (live.transfer.state() == CapacityTransfer.State.INTENDED) {
-      beginReturn(live, "nobody needs it any more", now, wall);
-    } else if (live.isRoomFree()) {
-      openTransfers.advance(live, live.transfer.toTaken(live.transfer.taker()), now);
-    } else if (!withinHoldTimeout(live, now)) {
-      beginReturn(live, "it took too long", now, wall);
+  private void proceedWithoutTaker(TrackedTransfer tracked, Moment now, WallTime wall) {
+    if (tracked.transfer.state() == CapacityTransfer.State.INTENDED) {
+      beginReturn(tracked, "no job waits for the room", now, wall);
+    } else if (tracked.isRoomFree()) {
+      openTransfers.advance(tracked, tracked.transfer.toTaken(tracked.transfer.taker()), now);
+    } else if (!withinHoldTimeout(tracked, now)) {
+      beginReturn(tracked, "hold timeout exceeded", now, wall);
     }
   }
 
-  /** The job that the room is for: the one that asked, or another that waits for such room. */
-  private Optional<Job> findTaker(TrackedTransfer live) {
-    Optional<Job> first = jobs.find(live.transfer.taker()).filter(job -> waitsForRoom(job, live));
-    if (first.isPresent() || termsOf(live.transfer).isEmpty()) {
-      return first;
+  /** Returns the job to use the room: the recorded taker, or else another that waits for room. */
+  private Optional<Job> findTaker(TrackedTransfer tracked) {
+    Optional<Job> recordedTaker =
+        jobs.find(tracked.transfer.taker()).filter(job -> waitsForRoom(job, tracked));
+    if (recordedTaker.isPresent() || termsOf(tracked.transfer).isEmpty()) {
+      return recordedTaker;
     }
-    ExchangeTerms each = termsOf(live.transfer).get();
+    ExchangeTerms exchange = termsOf(tracked.transfer).get();
     return jobs.all().stream()
-        .filter(job -> each.isTaker(job.spec()) && waitsForRoom(job, live))
+        .filter(job -> exchange.isTaker(job.spec()) && waitsForRoom(job, tracked))
         .filter(job -> openTransfers.pendingCountFor(job) < job.pendingCount())
         .min(Comparator.comparing(Job::waitingSince));
   }
 
-  private boolean waitsForRoom(Job job, TrackedTransfer live) {
+  private boolean waitsForRoom(Job job, TrackedTransfer tracked) {
     return job.isOpen()
         && job.pendingCount() > 0
-        && job.spec().resources().fitsInto(live.transfer.resources());
+        && job.spec().resources().fitsInto(tracked.transfer.resources());
   }
 
-  private void orderStops(TrackedTransfer live, Job taker, Moment now) {
+  private void orderStops(TrackedTransfer tracked, Job taker, Moment now) {
     List<Placement> victims = new ArrayList<>();
-    if (live.victims.isEmpty()) {
-      // An older leader intended it: the giver's tasks that are still there.
-      Resources free = live.reservedMachine.free().plus(live.transfer.resources());
-      for (Placement placement : live.reservedMachine.placements()) {
-        boolean gives =
-            placement.job().id().equals(live.transfer.giver()) && planner.mayStop(placement, taker);
+    if (tracked.victims.isEmpty()) {
+      // An earlier leader planned the transfer: select among the giver's remaining tasks.
+      Resources free = tracked.reservedMachine.free().plus(tracked.transfer.resources());
+      for (Placement placement : tracked.reservedMachine.placements()) {
+        boolean eligible =
+            placement.job().id().equals(tracked.transfer.giver())
+                && planner.mayStop(placement, taker);
         if (placement.halting()) {
           free = free.plus(placement.job().spec().resources());
-        } else if (gives && !live.transfer.resources().fitsInto(free)) {
+        } else if (eligible && !tracked.transfer.resources().fitsInto(free)) {
           victims.add(placement);
           free = free.plus(placement.job().spec().resources());
         }
       }
     } else {
-      live.victims.stream()
+      tracked.victims.stream()
           .filter(victim -> victim.state() != Placement.State.OVER && !victim.halting())
           .filter(victim -> planner.mayStop(victim, taker))
           .forEach(victims::add);
@@ -311,106 +324,120 @@
     }
     victims.forEach(
         victim -> fleet.halt(victim, victim.job().spec().checkpointDuration(), Fleet.Why.TAKEN));
-    openTransfers.advance(live, live.transfer.toSaving(), now);
+    openTransfers.advance(tracked, tracked.transfer.toSaving(), now);
   }
 
-  private void startTaker(TrackedTransfer live, Job taker, Moment now, WallTime wall) {
-    Machine machine = live.reservedMachine;
+  private void startTaker(TrackedTransfer tracked, Job taker, Moment now, WallTime wall) {
+    Machine machine = tracked.reservedMachine;
     int index = taker.nextPending(0, now);
     if (taker.spec().allows(machine.type().name(), machine.zone(), machine.spot())
         && starter.mayStart(taker, index, machine, now)) {
-      Optional<CapacityTransfer> instead =
-          taker.id().equals(live.transfer.taker())
+      Optional<CapacityTransfer> replaced =
+          taker.id().equals(tracked.transfer.taker())
               ? Optional.empty()
               : returnUnusedTransfer(taker, now, wall);
-      live.releaseReservation();
+      tracked.releaseReservation();
       starter.place(taker, index, machine, now);
       openTransfers.advance(
-          live, live.transfer.toTaken(taker.id()).withLowerDemandLevel(instead), now);
+          tracked, tracked.transfer.toTaken(taker.id()).withLowerDemandLevel(replaced), now);
     }
   }
 
-  private void beginReturn(TrackedTransfer live, String why, Moment now, WallTime wall) {
-    LOG.info("take {} ends: {}", live.transfer.id(), why);
-    openTransfers.advance(live, live.transfer.toReturning(wall), now);
+  private void beginReturn(TrackedTransfer tracked, String reason, Moment now, WallTime wall) {
+    LOG.info("transfer {}: returning the room, {}", tracked.transfer.id(), reason);
+    openTransfers.advance(tracked, tracked.transfer.toReturning(wall), now);
   }
 
-  /** The taker's replica may have ended: others that wait get its room, or it is kept a while. */
-  private void checkTaken(TrackedTransfer live, Moment now, WallTime wall) {
-    Optional<Machine> machine = fleet.find(live.transfer.machine());
+  /** Reuses or reserves the room when the taker's replica has ended. */
+  private void checkTaken(TrackedTransfer tracked, Moment now, WallTime wall) {
+    Optional<Machine> machine = fleet.find(tracked.transfer.machine());
     if (machine.isEmpty()) {
-      LOG.info("take {}: its room is gone with {}", live.transfer.id(), live.transfer.machine());
-      openTransfers.advance(live, live.transfer.toSettled(), now);
+      LOG.info(
+          "transfer {}: settled, machine {} is gone",
+          tracked.transfer.id(),
+          tracked.transfer.machine());
+      openTransfers.advance(tracked, tracked.transfer.toSettled(), now);
       return;
     }
-    if (live.reservedMachine == null) {
-      if (!openTransfers.isUnused(live)) {
+    if (tracked.reservedMachine == null) {
+      if (!openTransfers.isUnused(tracked)) {
         return;
       }
-      live.reserveOn(machine.get());
+      tracked.reserveOn(machine.get());
     }
-    if (live.isRoomFree()) {
-      findTaker(live).ifPresent(taker -> startTaker(live, taker, now, wall));
+    if (tracked.isRoomFree()) {
+      findTaker(tracked).ifPresent(taker -> startTaker(tracked, taker, now, wall));
     }
   }
 
-  /** Gives back what need has fallen below for long enough, the oldest debts first. */
+  /** Begins the return of room that the takers no longer need, the oldest transfers first. */
   private void returnExcess(Moment now, WallTime wall) {
-    for (ExchangeTerms each : terms) {
+    for (ExchangeTerms exchange : terms) {
       List<TrackedTransfer> held =
           openTransfers.all().stream()
-              .filter(l -> l.transfer.exchangeName().equals(each.name()))
-              .filter(l -> l.transfer.state() == CapacityTransfer.State.TAKEN)
+              .filter(tracked -> tracked.transfer.exchangeName().equals(exchange.name()))
+              .filter(tracked -> tracked.transfer.state() == CapacityTransfer.State.TAKEN)
               .toList();
-      int due = demand.dueForReturn(each, held.stream().map(live -> live.transfer).toList(), now);
+      int due =
+          demand.dueForReturn(
+              exchange, held.stream().map(tracked -> tracked.transfer).toList(), now);
       held.stream()
           .limit(due)
           .forEach(
-              live ->
-                  beginReturn(live, "need has fallen to " + demand.replicaCount(each), now, wall));
+              tracked ->
+                  beginReturn(
+                      tracked,
+                      "replica demand fell to " + demand.replicaCount(exchange),
+                      now,
+                      wall));
     }
-    for (TrackedTransfer live : openTransfers.all()) {
-      if (live.transfer.state() == CapacityTransfer.State.TAKEN
-          && termsOf(live.transfer).isEmpty()) {
-        beginReturn(live, "its exchange is declared no more", now, wall);
+    for (TrackedTransfer tracked : openTransfers.all()) {
+      if (tracked.transfer.state() == CapacityTransfer.State.TAKEN
+          && termsOf(tracked.transfer).isEmpty()) {
+        beginReturn(tracked, "its exchange is no longer declared", now, wall);
       }
     }
   }
 
-  /** The giver goes on in the room that is kept for it, or wherever there is room. */
-  private void resumeGiver(TrackedTransfer live, Moment now) {
-    Optional<Job> giver = jobs.find(live.transfer.giver()).filter(Job::isOpen);
-    if (giver.isEmpty() || giver.get().pendingCount() <= 0 || !withinHoldTimeout(live, now)) {
+  /** Resumes the giver in the room reserved for it, or on any machine with room. */
+  private void resumeGiver(TrackedTransfer tracked, Moment now) {
+    Optional<Job> giver = jobs.find(tracked.transfer.giver()).filter(Job::isOpen);
+    if (giver.isEmpty() || giver.get().pendingCount() <= 0 || !withinHoldTimeout(tracked, now)) {
       LOG.info(
-          "take {}: {} {}",
-          live.transfer.id(),
-          live.transfer.giver(),
-          giver.isEmpty() ? "is over" : giver.get().pendingCount() <= 0 ? "runs" : "can't go on");
-      openTransfers.advance(live, live.transfer.toSettled(), now);
+          "transfer {}: settled, giver {} {}",
+          tracked.transfer.id(),
+          tracked.transfer.giver(),
+          giver.isEmpty()
+              ? "has ended"
+              : giver.get().pendingCount() <= 0
+                  ? "has no pending tasks"
+                  : "did not resume within the hold timeout");
+      openTransfers.advance(tracked, tracked.transfer.toSettled(), now);
       return;
     }
-    if (!openTransfers.isStored(live)) {
+    if (!openTransfers.isStored(tracked)) {
       return;
     }
     Job job = giver.get();
     if (job.spec().gang()) {
-      if (live.reservedMachine != null) {
-        Machine machine = live.reservedMachine;
-        live.releaseReservation();
+      if (tracked.reservedMachine != null) {
+        Machine machine = tracked.reservedMachine;
+        tracked.releaseReservation();
         reserveForGang.accept(machine, job);
       }
       return;
     }
     Machine machine =
-        live.reservedMachine != null ? live.reservedMachine : starter.findMachine(job, now);
+        tracked.reservedMachine != null ? tracked.reservedMachine : starter.findMachine(job, now);
     if (machine == null) {
       return;
     }
-    live.releaseReservation();
-    int placed = starter.startUpTo(job, live.transfer.stoppedTasks(), machine, now);
+    tracked.releaseReservation();
+    int placed = starter.startUpTo(job, tracked.transfer.stoppedTasks(), machine, now);
     if (placed > 0) {
-      LOG.info("take {}: {} tasks of {} go on", live.transfer.id(), placed, job.id());
-      openTransfers.advance(live, live.transfer.toSettled(), now);
+      LOG.info(
+          "transfer {}: resumed {} tasks of giver {}", tracked.transfer.id(), placed, job.id());
+      openTransfers.advance(tracked, tracked.transfer.toSettled(), now);
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/exchange/OpenTransfers.java
+++ b/src/main/java/org/oakwalk/core/exchange/OpenTransfers.java
@@ -13,7 +13,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The takes that are not settled, oldest first, and the record that holds them for successors. */
+/** The transfers that are not settled, oldest first, and the shared record that stores them. */
 final class OpenTransfers {
   private static final Logger LOG = LoggerFactory.getLogger(OpenTransfers.class);
 
@@ -28,12 +28,16 @@
     this.fleet = fleet;
   }
 
-  /** Whether they are known, and can be kept. */
+  /** Returns whether the stored transfers have been restored and the record is usable. */
   boolean isUsable() {
     return restored && !record.isUnusable();
   }
 
-  /** The same, once what an earlier leader left has been taken over. */
+  /**
+   * Restores the transfers of earlier leaders once the record is loaded.
+   *
+   * @return whether the transfers are usable
+   */
   boolean restoreWhenLoaded(Moment now) {
     if (!restored && record.isLoaded() && !record.isUnusable()) {
       restore(now);
@@ -43,109 +47,122 @@
 
   private void restore(Moment now) {
     restored = true;
-    for (CapacityTransfer take : record.storedRows()) {
-      TrackedTransfer live = new TrackedTransfer(take, now);
-      transfers.put(take.id(), live);
-      Optional<Machine> machine = fleet.find(take.machine());
-      if (machine.isPresent() && take.state() != CapacityTransfer.State.TAKEN) {
-        live.reserveOn(machine.get());
+    for (CapacityTransfer transfer : record.storedRows()) {
+      TrackedTransfer tracked = new TrackedTransfer(transfer, now);
+      transfers.put(transfer.id(), tracked);
+      Optional<Machine> machine = fleet.find(transfer.machine());
+      if (machine.isPresent() && transfer.state() != CapacityTransfer.State.TAKEN) {
+        tracked.reserveOn(machine.get());
       }
     }
     if (!transfers.isEmpty()) {
-      LOG.info("{} takes are open, token {}", transfers.size(), fleet.token());
+      LOG.info("restored {} open transfers, token {}", transfers.size(), fleet.token());
     }
   }
 
-  /** All of them as they are now. */
+  /** Returns a copy of the list of open transfers. */
   List<TrackedTransfer> all() {
     return List.copyOf(transfers.values());
   }
 
-  void add(TrackedTransfer live) {
-    transfers.put(live.transfer.id(), live);
+  void add(TrackedTransfer tracked) {
+    transfers.put(tracked.transfer.id(), tracked);
     changed = true;
   }
 
-  /** The one place where a take changes. */
-  void advance(TrackedTransfer live, CapacityTransfer next, Moment now) {
-    LOG.info("take {}: {} to {}", next.id(), live.transfer.state(), next.state());
-    live.transfer = next;
-    live.writeRevision = 0;
-    live.stateSince = now;
+  /** Moves a transfer to its next state; every state change goes through this method. */
+  void advance(TrackedTransfer tracked, CapacityTransfer next, Moment now) {
+    LOG.info("transfer {}: {} to {}", next.id(), tracked.transfer.state(), next.state());
+    tracked.transfer = next;
+    tracked.writeRevision = 0;
+    tracked.stateSince = now;
     changed = true;
     if (next.state() == CapacityTransfer.State.SETTLED) {
-      live.releaseReservation();
+      tracked.releaseReservation();
       transfers.remove(next.id());
     }
   }
 
-  /** Wants what has changed to be stored, in one revision. */
+  /** Requests a write of all changes, in one revision of the record. */
   void writeChanges() {
     if (!changed) {
       return;
     }
     changed = false;
-    List<CapacityTransfer> rows = transfers.values().stream().map(live -> live.transfer).toList();
-    long ticket = record.requestWrite(rows);
+    List<CapacityTransfer> rows =
+        transfers.values().stream().map(tracked -> tracked.transfer).toList();
+    long revision = record.requestWrite(rows);
     transfers
         .values()
         .forEach(
-            live -> live.writeRevision = live.writeRevision == 0 ? ticket : live.writeRevision);
+            tracked ->
+                tracked.writeRevision =
+                    tracked.writeRevision == 0 ? revision : tracked.writeRevision);
   }
 
-  /** Whether a take is stored as it is. */
-  boolean isStored(TrackedTransfer live) {
-    boolean inherited = live.writeRevision == 0 && !changed && record.isUpToDate();
-    return inherited || live.writeRevision > 0 && record.revision() >= live.writeRevision;
+  /** Returns whether a transfer is stored in its current state. */
+  boolean isStored(TrackedTransfer tracked) {
+    boolean inherited = tracked.writeRevision == 0 && !changed && record.isUpToDate();
+    return inherited || tracked.writeRevision > 0 && record.revision() >= tracked.writeRevision;
   }
 
-  /** How many takes of a job are not given back. */
+  /** Returns the number of open transfers from a job. */
   int countFromGiver(Job giver) {
     return (int)
-        transfers.values().stream().filter(l -> l.transfer.giver().equals(giver.id())).count();
+        transfers.values().stream()
+            .filter(tracked -> tracked.transfer.giver().equals(giver.id()))
+            .count();
   }
 
+  /** Returns the number of pending transfers to a job. */
   int pendingCountFor(Job job) {
     int count = 0;
-    for (TrackedTransfer live : transfers.values()) {
-      count += live.transfer.isPending() && live.transfer.taker().equals(job.id()) ? 1 : 0;
+    for (TrackedTransfer tracked : transfers.values()) {
+      count += tracked.transfer.isPending() && tracked.transfer.taker().equals(job.id()) ? 1 : 0;
     }
     return count;
   }
 
-  long countUnder(ExchangeTerms each) {
+  /** Returns the number of open transfers of an exchange. */
+  long countUnder(ExchangeTerms exchange) {
     return transfers.values().stream()
-        .filter(l -> l.transfer.exchangeName().equals(each.name()))
+        .filter(tracked -> tracked.transfer.exchangeName().equals(exchange.name()))
         .count();
   }
 
-  /** What a job has taken, or is about to, and has not begun to give back. */
+  /** Returns the transfers to a job that are pending or taken, but not being given back. */
   List<TrackedTransfer> activeFor(Job job) {
     return transfers.values().stream()
-        .filter(l -> l.transfer.taker().equals(job.id()))
-        .filter(l -> l.transfer.isPending() || l.transfer.state() == CapacityTransfer.State.TAKEN)
+        .filter(tracked -> tracked.transfer.taker().equals(job.id()))
+        .filter(
+            tracked ->
+                tracked.transfer.isPending()
+                    || tracked.transfer.state() == CapacityTransfer.State.TAKEN)
         .toList();
   }
 
-  /** Whether no replica of the taker stands for this take: fewer are there than took room there. */
-  boolean isUnused(TrackedTransfer live) {
-    if (live.reservedMachine != null) {
+  /**
+   * Returns whether no replica of the taker uses the transfer: the machine runs fewer replicas of
+   * the taker than the taker has transfers there.
+   */
+  boolean isUnused(TrackedTransfer tracked) {
+    if (tracked.reservedMachine != null) {
       return true;
     }
-    long here =
+    long replicasHere =
         fleet
-            .find(live.transfer.machine())
-            .map(machine -> machine.countOf(live.transfer.taker()))
+            .find(tracked.transfer.machine())
+            .map(machine -> machine.countOf(tracked.transfer.taker()))
             .orElse(0L);
-    long takes =
+    long transfersHere =
         transfers.values().stream()
             .filter(
                 other ->
                     other.transfer.state() == CapacityTransfer.State.TAKEN
                         && other.reservedMachine == null)
-            .filter(other -> other.transfer.taker().equals(live.transfer.taker()))
-            .filter(other -> other.transfer.machine().equals(live.transfer.machine()))
+            .filter(other -> other.transfer.taker().equals(tracked.transfer.taker()))
+            .filter(other -> other.transfer.machine().equals(tracked.transfer.machine()))
             .count();
-    return here < takes;
+    return replicasHere < transfersHere;
   }
 }
--- a/src/main/java/org/oakwalk/core/exchange/TakerDemand.java
+++ b/src/main/java/org/oakwalk/core/exchange/TakerDemand.java
@@ -9,12 +9,17 @@
 import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.product.ExchangeTerms;
 
-/** How much serving needs, and how much of what was taken is due because that has fallen. */
+/**
+ * Tracks the replica demand of takers, and how many transfers are due for return after it falls.
+ */
 final class TakerDemand {
   private static final Span COUNT_INTERVAL = Span.seconds(1);
 
+  /** Demand of the takers of one exchange. */
   private static final class ReplicaDemand {
     int replicas;
+
+    /** Since when more room is held than needed; null if it is not. */
     Moment lowSince;
   }
 
@@ -26,50 +31,52 @@
   TakerDemand(List<ExchangeTerms> terms, JobRegistry jobs) {
     this.terms = terms;
     this.jobs = jobs;
-    terms.forEach(each -> demandByExchange.put(each.name(), new ReplicaDemand()));
+    terms.forEach(exchange -> demandByExchange.put(exchange.name(), new ReplicaDemand()));
   }
 
-  /** Counts the replicas of the takers' open jobs, now and then. */
+  /** Recounts the replicas that the takers' open jobs request, at most once per interval. */
   void update(Moment now) {
     if (nextCount.isAfter(now)) {
       return;
     }
     nextCount = now.plus(COUNT_INTERVAL);
-    demandByExchange.values().forEach(need -> need.replicas = 0);
+    demandByExchange.values().forEach(demand -> demand.replicas = 0);
     for (Job job : jobs.all()) {
       if (job.isOpen() && job.spec().service()) {
         terms.stream()
-            .filter(each -> each.isTaker(job.spec()))
+            .filter(exchange -> exchange.isTaker(job.spec()))
             .findFirst()
-            .ifPresent(each -> demandByExchange.get(each.name()).replicas += job.spec().tasks());
+            .ifPresent(
+                exchange -> demandByExchange.get(exchange.name()).replicas += job.spec().tasks());
       }
     }
   }
 
-  /** How many replicas the takers have. */
-  int replicaCount(ExchangeTerms each) {
-    return demandByExchange.get(each.name()).replicas;
+  /** Returns the number of replicas that the takers of an exchange request. */
+  int replicaCount(ExchangeTerms exchange) {
+    return demandByExchange.get(exchange.name()).replicas;
   }
 
   /**
-   * How many takes are to be given back now: what is held beyond the need, once that has been so
-   * for the dwell time and is more than the margin.
+   * Returns the number of transfers to give back now: the room held beyond the demand, once it has
+   * exceeded the return margin for the return delay.
    *
-   * @param held the takes whose room serving has
+   * @param held the transfers whose room the takers hold
    */
-  int dueForReturn(ExchangeTerms each, List<CapacityTransfer> held, Moment now) {
-    ReplicaDemand need = demandByExchange.get(each.name());
-    int without = held.stream().mapToInt(take -> take.demandLevel() - 1).min().orElse(0);
-    int due = held.size() - Math.max(0, need.replicas - without);
-    if (due <= 0 || due < each.returnMargin() * held.size()) {
-      need.lowSince = null;
+  int dueForReturn(ExchangeTerms exchange, List<CapacityTransfer> held, Moment now) {
+    ReplicaDemand demand = demandByExchange.get(exchange.name());
+    int replicasBefore =
+        held.stream().mapToInt(transfer -> transfer.demandLevel() - 1).min().orElse(0);
+    int due = held.size() - Math.max(0, demand.replicas - replicasBefore);
+    if (due <= 0 || due < exchange.returnMargin() * held.size()) {
+      demand.lowSince = null;
       return 0;
     }
-    need.lowSince = need.lowSince == null ? now : need.lowSince;
-    if (!now.past(need.lowSince, each.returnDelay())) {
+    demand.lowSince = demand.lowSince == null ? now : demand.lowSince;
+    if (!now.past(demand.lowSince, exchange.returnDelay())) {
       return 0;
     }
-    need.lowSince = null;
+    demand.lowSince = null;
     return due;
   }
 }
--- a/src/main/java/org/oakwalk/core/exchange/TaskStarter.java
+++ b/src/main/java/org/oakwalk/core/exchange/TaskStarter.java
@@ -11,7 +11,7 @@
 import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.placement.RunTimes;
 
-/** Starts of tasks in room that is kept for them, or that is free. */
+/** Starts tasks in room that is reserved for them, or that is free. */
 final class TaskStarter {
   private final Fleet fleet;
   private final Quota quota;
@@ -27,7 +27,9 @@
     this.suspectAfter = suspectAfter;
   }
 
-  /** Whether this task of a job may start there now, if there is room; -1 stands for none. */
+  /**
+   * Returns whether a task may start on a machine now, given room; an index of -1 means no task.
+   */
   boolean mayStart(Job job, int index, Machine machine, Moment now) {
     return index >= 0
         && machine.takesTasks(now, suspectAfter)
@@ -39,11 +41,11 @@
     fleet.place(job, index, fleet.nextAttempt(), machine, runTimes.expected(job.spec()), now);
   }
 
-  /** Starts up to so many of a job's waiting tasks there; returns how many. */
-  int startUpTo(Job job, int tasks, Machine machine, Moment now) {
+  /** Starts up to the given number of a job's pending tasks; returns the number started. */
+  int startUpTo(Job job, int maxTasks, Machine machine, Moment now) {
     int placed = 0;
     int index = job.nextPending(0, now);
-    while (placed < tasks
+    while (placed < maxTasks
         && job.spec().resources().fitsInto(reserve.free(job.spec(), machine))
         && mayStart(job, index, machine, now)) {
       place(job, index, machine, now);
@@ -53,7 +55,9 @@
     return placed;
   }
 
-  /** A machine with room for a task of this job, one with its image if there is one; or null. */
+  /**
+   * Returns a machine with room for a task, preferably one with its image; null if there is none.
+   */
   Machine findMachine(Job job, Moment now) {
     return fleet.machines().stream()
         .filter(machine -> machine.takesTasks(now, suspectAfter))
--- a/src/main/java/org/oakwalk/core/exchange/TrackedTransfer.java
+++ b/src/main/java/org/oakwalk/core/exchange/TrackedTransfer.java
@@ -5,34 +5,38 @@
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
 
-/** A take that is not settled, and what only this leader knows of it. */
+/** A transfer that is not settled, with the state that only this leader holds. */
 final class TrackedTransfer {
   CapacityTransfer transfer;
 
   /**
-   * The revision of the record that holds it as it is; zero if none does that this leader wrote.
+   * Revision of the record that holds the transfer in its current state; zero if this leader has
+   * not requested such a write.
    */
   long writeRevision;
 
-  /** Where room is kept for it; null if none is. */
+  /** The machine on which the transfer's room is reserved; null if none is. */
   Machine reservedMachine;
 
+  /** The tasks to stop; empty if an earlier leader planned the transfer. */
   List<Placement> victims = List.of();
+
+  /** When this leader put the transfer into its current state, or restored it. */
   Moment stateSince;
 
-  TrackedTransfer(CapacityTransfer take, Moment since) {
-    this.transfer = take;
-    this.stateSince = since;
+  TrackedTransfer(CapacityTransfer transfer, Moment stateSince) {
+    this.transfer = transfer;
+    this.stateSince = stateSince;
   }
 
-  /** Keeps its room on this machine, and nowhere else. */
+  /** Reserves the transfer's room on this machine, and releases any earlier reservation. */
   void reserveOn(Machine machine) {
     releaseReservation();
     machine.promise(transfer.resources());
     reservedMachine = machine;
   }
 
-  /** Keeps no room any more. */
+  /** Releases the reservation, if there is one. */
   void releaseReservation() {
     if (reservedMachine != null) {
       reservedMachine.promiseEnds(transfer.resources());
@@ -40,7 +44,7 @@
     }
   }
 
-  /** Whether its room is free, apart from what is kept for itself. */
+  /** Returns whether the room is free on the reserved machine, its own reservation aside. */
   boolean isRoomFree() {
     return transfer.resources().fitsInto(reservedMachine.free().plus(transfer.resources()));
   }
--- a/src/main/java/org/oakwalk/core/exchange/TransferId.java
+++ b/src/main/java/org/oakwalk/core/exchange/TransferId.java
@@ -3,8 +3,8 @@
 import org.oakwalk.core.Token;
 
 /**
- * Name of a take: the token of the leader that intended it and a number. It is never used again,
- * since no two leaders share a token.
+ * Identifies a transfer by the fencing token of the leader that intended it and a sequence number.
+ * Ids are never reused, since no two leaders share a token.
  */
 public record TransferId(Token token, long number) implements Comparable<TransferId> {
   @Override
--- a/src/main/java/org/oakwalk/core/exchange/TransferPlanner.java
+++ b/src/main/java/org/oakwalk/core/exchange/TransferPlanner.java
@@ -21,12 +21,12 @@
 import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.product.ExchangeTerms;
 
-/** What a take would cost, and from whom it costs least for the room that it frees. */
+/** Finds the cheapest set of tasks to stop for a transfer, by the work lost and the image fetch. */
 final class TransferPlanner {
-  /** Seconds of work that one more stop counts as, whatever is lost by it. */
+  /** Fixed cost of each stopped task, in seconds of work. */
   private static final double STOP_COST_S = 2;
 
-  /** Seconds that an earlier take which is still owed counts as, so that giving goes round. */
+  /** Cost of each open transfer from the same giver, in seconds, so that givers take turns. */
   private static final double OPEN_TRANSFER_COST_S = 120;
 
   private final Fleet fleet;
@@ -35,50 +35,52 @@
   private final ToIntFunction<Job> openTransfersOf;
 
   /**
-   * Weighs takes.
+   * Creates a planner.
    *
-   * @param reserve room that is kept for others
-   * @param openTransfersOf how many takes of a job are not given back yet
+   * @param reserve the room that is reserved for other tasks
+   * @param openTransfersOf returns the number of open transfers from a job
    */
-  TransferPlanner(Fleet fleet, Quota quota, Reserve reserve, ToIntFunction<Job> owed) {
+  TransferPlanner(Fleet fleet, Quota quota, Reserve reserve, ToIntFunction<Job> openTransfersOf) {
     this.reserve = reserve;
     this.fleet = fleet;
     this.quota = quota;
-    this.openTransfersOf = owed;
+    this.openTransfersOf = openTransfersOf;
   }
 
   /**
-   * Room on one machine for one replica.
+   * Room on one machine for one replica, and the tasks to stop for it.
    *
-   * @param giver the job that gives most of it
-   * @param victims all tasks that have to stop, those of a gang on other machines too
+   * @param giver the job of the first chosen task, which the room is given back to
+   * @param victims all tasks to stop, including tasks of the same gang on other machines
+   * @param costSeconds the cost in seconds of lost work
    */
   record TransferPlan(Machine machine, Job giver, List<Placement> victims, double costSeconds) {}
 
-  /** Whether the protocol lets this task be stopped for that job, and no guarantee forbids it. */
+  /** Returns whether priorities, guarantees and quotas allow stopping this task for the taker. */
   boolean mayStop(Placement placement, Job taker) {
     Job giver = placement.job();
     boolean sameTeam = giver.spec().team().equals(taker.spec().team());
     if (!sameTeam && quota.guarantees(giver)) {
       return false;
     }
-    boolean lower = giver.spec().priority().compareTo(taker.spec().priority()) < 0;
-    boolean claims = quota.guarantees(taker) && !sameTeam && quota.borrows(giver.spec().team());
-    return lower || claims;
+    boolean lowerPriority = giver.spec().priority().compareTo(taker.spec().priority()) < 0;
+    boolean claimsGuarantee =
+        quota.guarantees(taker) && !sameTeam && quota.borrows(giver.spec().team());
+    return lowerPriority || claimsGuarantee;
   }
 
-  /** The cheapest place for one replica of the taker; empty if nobody may give one. */
+  /** Returns the cheapest plan for one replica of the taker; empty if no giver is eligible. */
   Optional<TransferPlan> cheapestPlan(
       Job taker, ExchangeTerms terms, List<Machine> machines, Moment now) {
     Map<Job, List<Placement>> gangs = new HashMap<>();
-    TransferPlan best = null;
+    TransferPlan cheapest = null;
     for (Machine machine : machines) {
       TransferPlan plan = planFor(machine, taker, terms, gangs, now);
-      if (plan != null && (best == null || plan.costSeconds() < best.costSeconds())) {
-        best = plan;
+      if (plan != null && (cheapest == null || plan.costSeconds() < cheapest.costSeconds())) {
+        cheapest = plan;
       }
     }
-    return Optional.ofNullable(best);
+    return Optional.ofNullable(cheapest);
   }
 
   private TransferPlan planFor(
@@ -87,35 +89,36 @@
       ExchangeTerms terms,
       Map<Job, List<Placement>> gangs,
       Moment now) {
-    Resources asked = taker.spec().resources();
+    Resources required = taker.spec().resources();
     Resources free = reserve.free(taker.spec(), machine);
-    List<Placement> able = new ArrayList<>();
+    List<Placement> candidates = new ArrayList<>();
     for (Placement placement : machine.placements()) {
       if (placement.halting()) {
         free = free.plus(placement.job().spec().resources());
       } else if (terms.isGiver(placement.job().spec()) && mayStop(placement, taker)) {
-        able.add(placement);
+        candidates.add(placement);
       }
     }
-    Map<Placement, Double> losses = new HashMap<>();
-    able.forEach(placement -> losses.put(placement, stopCostSeconds(placement, gangs, now)));
-    able.sort(Comparator.comparingDouble((Placement p) -> losses.get(p)).thenComparing(BY_TASK_ID));
+    Map<Placement, Double> costs = new HashMap<>();
+    candidates.forEach(placement -> costs.put(placement, stopCostSeconds(placement, gangs, now)));
+    candidates.sort(
+        Comparator.comparingDouble((Placement p) -> costs.get(p)).thenComparing(BY_TASK_ID));
     List<Placement> chosen = new ArrayList<>();
-    for (Placement placement : able) {
-      if (asked.fitsInto(free)) {
+    for (Placement placement : candidates) {
+      if (required.fitsInto(free)) {
         break;
       }
       chosen.add(placement);
       free = free.plus(placement.job().spec().resources());
     }
-    if (chosen.isEmpty() || !asked.fitsInto(free)) {
+    if (chosen.isEmpty() || !required.fitsInto(free)) {
       return null;
     }
-    free = dropUnneeded(chosen, free, asked);
+    free = dropUnneeded(chosen, free, required);
     double cost = machine.hasImage(taker.spec().image()) ? 0 : fetchSeconds(machine, taker.spec());
     Set<Placement> victims = new LinkedHashSet<>();
     for (Placement placement : chosen) {
-      cost += losses.get(placement);
+      cost += costs.get(placement);
       victims.addAll(
           placement.job().spec().gang()
               ? gangPlacements(placement.job(), gangs)
@@ -128,17 +131,18 @@
   private static final Comparator<Placement> BY_TASK_ID =
       Comparator.comparing((Placement p) -> p.task().toString());
 
-  /** Spares those that turn out not to be needed, the dearest first. */
-  private static Resources dropUnneeded(List<Placement> chosen, Resources free, Resources asked) {
-    Resources left = free;
+  /** Drops chosen tasks that are not needed after all, the most expensive first. */
+  private static Resources dropUnneeded(
+      List<Placement> chosen, Resources free, Resources required) {
+    Resources remaining = free;
     for (int i = chosen.size() - 1; i >= 0 && chosen.size() > 1; i--) {
-      Resources without = left.minus(chosen.get(i).job().spec().resources());
-      if (asked.fitsInto(without)) {
+      Resources without = remaining.minus(chosen.get(i).job().spec().resources());
+      if (required.fitsInto(without)) {
         chosen.remove(i);
-        left = without;
+        remaining = without;
       }
     }
-    return left;
+    return remaining;
   }
 
   private static double fetchSeconds(Machine machine, JobSpec spec) {
@@ -150,8 +154,8 @@
   }
 
   /**
-   * Seconds of work that stopping a task loses. What saves its progress loses the time to save;
-   * what does not, all it did. Of a gang all tasks are lost with one.
+   * Returns the cost of stopping a task, in seconds. A job that checkpoints loses the time to write
+   * the checkpoint, any other job all its work. Stopping one task of a gang stops all of them.
    */
   private double stopCostSeconds(Placement placement, Map<Job, List<Placement>> gangs, Moment now) {
     Job job = placement.job();
@@ -160,8 +164,9 @@
       return own + lostWorkSeconds(placement, now);
     }
     List<Placement> all = gangPlacements(job, gangs);
-    double each = all.stream().mapToDouble(one -> STOP_COST_S + lostWorkSeconds(one, now)).sum();
-    return own + each;
+    double gangCost =
+        all.stream().mapToDouble(member -> STOP_COST_S + lostWorkSeconds(member, now)).sum();
+    return own + gangCost;
   }
 
   private static double lostWorkSeconds(Placement placement, Moment now) {
@@ -170,7 +175,7 @@
       return spec.checkpointDuration().asSeconds();
     }
     Moment since = placement.runningSince();
-    Span ran = since == null ? Span.millis(0) : now.since(since);
-    return ran.asSeconds();
+    Span runTime = since == null ? Span.millis(0) : now.since(since);
+    return runTime.asSeconds();
   }
 }
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomAllocator.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomAllocator.java
@@ -97,6 +97,7 @@
     return machine.duty() == Duty.IN_USE;
   }
 
+  /** Returns the pass in which a machine is considered for a row's slots. */
   private int preferencePass(Machine machine, HeadroomRow row) {
     if (machine.hasImage(row.image())) {
       return 0;
@@ -132,7 +133,7 @@
     return slots;
   }
 
-  /** Returns the free room of a machine without all reserved slots. */
+  /** Returns the free room of a machine beyond all reserved slots. */
   Resources unreserved(Machine machine) {
     MachineReservation reservation = reservations.get(machine);
     return reservation == null ? machine.free() : machine.free().minus(reservation.resources);
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomController.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomController.java
@@ -91,7 +91,7 @@
     record = Optional.of(shared.declare(RECORD_NAME, HeadroomRow.class));
   }
 
-  /** Drops all reservations, because no terms are declared or the stored rows are unreadable. */
+  /** Stops reserving; called when no terms are declared or the stored data is unusable. */
   public void disable() {
     activeRows = List.of();
     targetRows = List.of();
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomRow.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomRow.java
@@ -11,17 +11,18 @@
 import org.oakwalk.core.shared.SharedRow;
 
 /**
- * Room that is kept for more replicas of one shape, as it is stored. It holds all that a leader
- * needs to keep it without any job of that shape at hand.
+ * Stored row of headroom: slots reserved for additional replicas of services with the same key. The
+ * row holds all that a leader needs to reserve the slots even if no such job is open.
  *
- * @param key whom it is for
- * @param priority of the replicas
- * @param image which they need
- * @param imageGb its size
- * @param machineTypes machine types that they may use; any if empty
- * @param spotAllowed whether they may use spot machines
- * @param peakReplicas the most replicas that were asked for, fading
- * @param slotsByZone how many whole places are kept in each zone
+ * @param key the services that the slots are for
+ * @param priority the priority of the replicas
+ * @param image the image that the replicas need
+ * @param imageGb the size of the image in GB
+ * @param machineTypes the machine types that the replicas may use; any if empty
+ * @param spotAllowed whether the replicas may use spot machines
+ * @param peakReplicas the decaying peak of requested replicas
+ * @param slotsByZone the number of slots to reserve in each zone; a slot is room for one whole
+ *     replica on one machine
  */
 public record HeadroomRow(
     HeadroomKey key,
@@ -35,16 +36,16 @@
     implements SharedRow {
 
   /**
-   * Whom it is for.
+   * Identifies the services that a headroom row is for.
    *
-   * @param name of the terms by which it is kept
-   * @param room a replica's
-   * @param zone the only zone that the replicas may use, if there is one
+   * @param name the name of the headroom terms
+   * @param resources the resources of one replica
+   * @param zone the only zone that the replicas may use, if they are bound to one
    */
   public record HeadroomKey(
       String name, String team, String jobClass, Resources resources, Optional<String> zone) {
 
-    /** Whether a job's replicas have this shape. */
+    /** Returns whether the replicas of a job may use the slots. */
     boolean covers(JobSpec spec) {
       return spec.service()
           && spec.team().equals(team)
@@ -59,17 +60,17 @@
     }
   }
 
-  /** Places in all zones. */
+  /** Returns the number of slots in all zones. */
   int totalSlots() {
     return slotsByZone.values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  HeadroomRow withSlots(int otherPeak, Map<String, Integer> otherPlaces) {
+  HeadroomRow withSlots(int newPeak, Map<String, Integer> newSlotsByZone) {
     return new HeadroomRow(
-        key, priority, image, imageGb, machineTypes, spotAllowed, otherPeak, otherPlaces);
+        key, priority, image, imageGb, machineTypes, spotAllowed, newPeak, newSlotsByZone);
   }
 
-  /** What it is kept for, as if so many replicas were asked for. */
+  /** Returns a job spec that requests one replica per slot, and at least one. */
   JobSpec spec() {
     return new JobSpec(
         new JobId("headroom"),
--- a/src/main/java/org/oakwalk/core/product/BatchDeadlineTerms.java
+++ b/src/main/java/org/oakwalk/core/product/BatchDeadlineTerms.java
@@ -8,18 +8,19 @@
 import org.oakwalk.core.job.JobSpec;
 
 /**
- * A time by which the batch work of some classes or teams should be done, again and again. Either
- * it comes each day at a local time, or every so many seconds, counted from the epoch.
+ * Recurring deadline by which the batch work of some classes or teams should be done, declared as a
+ * {@code dawn}. It recurs either daily at a local time, or at a fixed interval counted from the
+ * epoch.
  *
- * @param name tells it from others; letters, digits, dashes
- * @param daily when it comes each day; empty if it comes every so often
- * @param interval time from one to the next; empty if it comes each day
- * @param windowLength how long before each dawn its window opens; used where it comes every so
- *     often
- * @param classes the classes it is about; all if empty
- * @param teams the teams it is about; all if empty
- * @param safetyMargin by how much earlier than the dawn all should be done
- * @param runTimeQuantile share of the run times that the plan counts on being enough, such as 0.9
+ * @param name unique name; letters, digits, dashes
+ * @param daily the daily local time; empty if the deadline recurs at an interval
+ * @param interval the time between two deadlines; empty if the deadline is daily
+ * @param windowLength the time before each deadline at which its window opens; used with an
+ *     interval
+ * @param classes the job classes that the deadline applies to; all if empty
+ * @param teams the teams that the deadline applies to; all if empty
+ * @param safetyMargin the time before the deadline by which all work should be done
+ * @param runTimeQuantile the quantile of the run times that the plan relies on, such as 0.9
  */
 public record BatchDeadlineTerms(
     String name,
@@ -32,13 +33,16 @@
     double runTimeQuantile) {
 
   /**
-   * Local times of a day.
+   * Local times of a daily deadline.
    *
-   * @param opens when the window before a dawn opens, on the same day or the one before
+   * @param dueAt when the work should be done
+   * @param opensAt when the window before the deadline opens, on the same day or the day before
    */
   public record DailyDeadline(LocalTime dueAt, LocalTime opensAt, ZoneId zone) {}
 
-  /** Whether a job is to be done by it. Services have no end. */
+  /**
+   * Returns whether the deadline applies to a job. Services have no end, so none applies to them.
+   */
   public boolean covers(JobSpec spec) {
     return !spec.service()
         && (classes.isEmpty() || classes.contains(spec.jobClass()))
--- a/src/main/java/org/oakwalk/core/product/ExchangeTerms.java
+++ b/src/main/java/org/oakwalk/core/product/ExchangeTerms.java
@@ -5,17 +5,18 @@
 import org.oakwalk.core.job.JobSpec;
 
 /**
- * Room that serving classes may take from batch work and fine-tuning while they need it.
+ * Terms under which services (takers) may take room from batch jobs (givers) while they need it.
  *
- * @param name tells it from others; letters, digits, dashes
- * @param takerClasses classes of services that may take; all services if empty
- * @param giverClasses classes of arrays and gangs that give, none of the takers; all if empty
- * @param giverTeams teams whose work gives; all if empty
- * @param maxOpenTransfers tasks that may be taken at once and not yet given back
- * @param returnMargin share of what is held by which need must have fallen before room is given
- *     back
- * @param returnDelay how long need must have been below that
- * @param holdTimeout how long room is held for a taker that does not start
+ * @param name unique name; letters, digits, dashes
+ * @param takerClasses classes of services that may take room; all services if empty
+ * @param giverClasses classes of arrays and gangs that give room, none of them a taker class; all
+ *     if empty
+ * @param giverTeams teams whose jobs give room; all if empty
+ * @param maxOpenTransfers the maximum number of transfers that are not yet given back
+ * @param returnMargin the share of the held room by which demand must have fallen before room is
+ *     given back
+ * @param returnDelay how long demand must have been that low
+ * @param holdTimeout how long room is reserved for a taker or giver that does not start
  */
 public record ExchangeTerms(
     String name,
@@ -27,12 +28,12 @@
     Span returnDelay,
     Span holdTimeout) {
 
-  /** Whether a job's replicas may take. */
+  /** Returns whether replicas of a job may take room. */
   public boolean isTaker(JobSpec spec) {
     return spec.service() && (takerClasses.isEmpty() || takerClasses.contains(spec.jobClass()));
   }
 
-  /** Whether a job's tasks may be taken from. */
+  /** Returns whether room may be taken from tasks of a job. */
   public boolean isGiver(JobSpec spec) {
     return !spec.service()
         && (giverClasses.isEmpty() || giverClasses.contains(spec.jobClass()))
--- a/src/main/java/org/oakwalk/core/product/HeadroomTerms.java
+++ b/src/main/java/org/oakwalk/core/product/HeadroomTerms.java
@@ -5,15 +5,16 @@
 import org.oakwalk.core.job.JobSpec;
 
 /**
- * Room that is kept for more replicas of live services.
+ * Terms for reserving room for additional replicas of services.
  *
- * @param name tells it from others; letters, digits, dashes
- * @param jobClass the class it is for; each class of services by itself if empty
- * @param team the team it is for; each team by itself if empty
- * @param minReplicas so many replicas at least
- * @param peakShare of the learned peak of replicas, at least; 0 if the number alone counts
- * @param zones over which it is spread evenly; all if empty
- * @param warmShare share of it that should be where the image already is, 0 to 1
+ * @param name unique name; letters, digits, dashes
+ * @param jobClass the class of services; if empty, each class is handled separately
+ * @param team the team; if empty, each team is handled separately
+ * @param minReplicas the minimum number of replicas to reserve room for
+ * @param peakShare the share of the observed replica peak to reserve at least; 0 if only the
+ *     minimum number applies
+ * @param zones the zones to spread the room over evenly; all if empty
+ * @param warmShare the share of the room that should be on machines that have the image, 0 to 1
  */
 public record HeadroomTerms(
     String name,
@@ -24,7 +25,7 @@
     Set<String> zones,
     double warmShare) {
 
-  /** Whether a job's replicas may use it. */
+  /** Returns whether replicas of a job may use the reserved room. */
   public boolean covers(JobSpec spec) {
     return spec.service()
         && jobClass.map(spec.jobClass()::equals).orElse(true)
--- a/src/main/java/org/oakwalk/core/product/ProductTerms.java
+++ b/src/main/java/org/oakwalk/core/product/ProductTerms.java
@@ -3,10 +3,11 @@
 import java.util.List;
 
 /**
- * What operators declare of dawns, headroom and exchanges. All of it has one version; of two files
- * that differ, such as in the middle of a roll, the higher version counts on every node.
+ * Batch deadlines, headroom and exchanges as declared by operators, with one version for all of
+ * them. If nodes have different files, for example during a rolling update, the highest version
+ * applies on every node.
  *
- * @param version zero only if nothing is declared
+ * @param version the version of the terms; zero only if nothing is declared
  */
 public record ProductTerms(
     long version,
@@ -15,7 +16,7 @@
     List<ExchangeTerms> exchanges) {
   public static final ProductTerms NONE = new ProductTerms(0, List.of(), List.of(), List.of());
 
-  /** Whether nothing was ever declared, so that nothing of it is read, stored or done. */
+  /** Returns whether terms were never declared, so that none are read, stored or applied. */
   public boolean isUndeclared() {
     return version == 0;
   }
--- a/src/main/java/org/oakwalk/core/product/ProductTermsWriter.java
+++ b/src/main/java/org/oakwalk/core/product/ProductTermsWriter.java
@@ -16,8 +16,9 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The terms in force: those in the store. Those of this node's file are stored first if their
- * version is higher, so that no leader acts on terms that its successor may not know.
+ * Stores the product terms and provides those that are active, which are always the stored ones.
+ * Terms from this node's file are stored first if their version is higher, so that no leader acts
+ * on terms that its successor may not know.
  */
 public final class ProductTermsWriter {
   private static final Logger LOG = LoggerFactory.getLogger(ProductTermsWriter.class);
@@ -31,6 +32,12 @@
   private boolean warned;
   private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
 
+  /**
+   * Creates a writer.
+   *
+   * @param leader guard that lets a write succeed only while this node is the leader
+   * @param declared the terms from this node's file
+   */
   public ProductTermsWriter(Outbox outbox, StoreView view, Guard leader, ProductTerms declared) {
     this.outbox = outbox;
     this.view = view;
@@ -38,28 +45,35 @@
     this.declared = declared;
   }
 
-  /** What is in force; nothing as long as nothing is stored. */
+  /** Returns the stored terms; none until terms have been stored. */
   public ProductTerms activeTerms() {
     return view.productTerms().terms();
   }
 
-  /** Whether there is nothing to follow, now or later. */
+  /**
+   * Returns whether no terms are declared in the file or stored, so that there is nothing to do.
+   * Stored terms that are unreadable count as stored.
+   */
   public boolean isUnused() {
     return declared.isUndeclared()
         && activeTerms().isUndeclared()
         && !view.productTerms().isUnreadable();
   }
 
-  /** Whether what this node's file has newly is stored, so that what is in force stays so. */
+  /**
+   * Returns whether the stored terms are at least as new as those in this node's file, so that this
+   * node will not replace the active terms.
+   */
   public boolean isUpToDate() {
     return activeTerms().version() >= declared.version();
   }
 
-  /** Stores what this node's file has newly. */
+  /** Stores the terms from this node's file if their version is higher than the stored one. */
   public void tick(Moment now) {
     if (view.productTerms().isUnreadable()) {
       warnOnce(
-          "product terms: what is stored can't be read; dawns, headroom and exchanges are off");
+          "product terms: stored terms are unreadable; "
+              + "batch deadlines, headroom and exchanges are disabled");
     } else if (declared.isUndeclared() || writing || nextAttemptAt.isAfter(now)) {
       return;
     } else if (activeTerms().version() < declared.version()) {
@@ -68,15 +82,15 @@
       warnOnce(
           "product terms: version "
               + activeTerms().version()
-              + " is stored and counts, the file has another "
+              + " is stored and active, the file has different terms with version "
               + declared.version());
     }
   }
 
-  private void warnOnce(String line) {
+  private void warnOnce(String message) {
     if (!warned) {
       warned = true;
-      LOG.warn("{}", line);
+      LOG.warn("{}", message);
     }
   }
 
@@ -95,7 +109,7 @@
         answer -> {
           writing = false;
           if (answer instanceof Answer.Committed) {
-            LOG.info("product terms version {} are stored", declared.version());
+            LOG.info("product terms version {} stored", declared.version());
           }
         });
   }
--- a/src/test/java/org/oakwalk/core/exchange/CapacityTransferTest.java
+++ b/src/test/java/org/oakwalk/core/exchange/CapacityTransferTest.java
@@ -17,7 +17,9 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.Resources;
 
-/** What a take may become. */
+/**
+ * Guards against illegal state transitions of transfers and against wrong ids and demand levels.
+ */
 class CapacityTransferTest {
   private static final WallTime INTENDED_AT = new WallTime(1000);
   private static final WallTime RETURNED_AT = new WallTime(2000);
@@ -27,9 +29,9 @@
           CapacityTransfer.State.SAVING,
           CapacityTransfer::toSaving,
           CapacityTransfer.State.TAKEN,
-          take -> take.toTaken(new JobId("j-3")),
+          transfer -> transfer.toTaken(new JobId("j-3")),
           CapacityTransfer.State.RETURNING,
-          take -> take.toReturning(RETURNED_AT),
+          transfer -> transfer.toReturning(RETURNED_AT),
           CapacityTransfer.State.SETTLED,
           CapacityTransfer::toSettled);
 
@@ -74,11 +76,11 @@
   @EnumSource(CapacityTransfer.State.class)
   void allowsOnlyListedTransitions(CapacityTransfer.State from) {
     TRANSITIONS.forEach(
-        (to, step) -> {
+        (to, transition) -> {
           if (ALLOWED_TRANSITIONS.get(from).contains(to)) {
-            assertThat(step.apply(inState(from)).state()).isEqualTo(to);
+            assertThat(transition.apply(inState(from)).state()).isEqualTo(to);
           } else {
-            assertThatThrownBy(() -> step.apply(inState(from)))
+            assertThatThrownBy(() -> transition.apply(inState(from)))
                 .isInstanceOf(IllegalStateException.class)
                 .hasMessageContaining("7-3 from " + from + " to " + to);
           }
@@ -96,30 +98,30 @@
 
   @Test
   void keepsLowerDemandLevelOfReplacedTransfer() {
-    CapacityTransfer take = inState(CapacityTransfer.State.TAKEN);
-    assertThat(take.withLowerDemandLevel(Optional.empty())).isEqualTo(take);
-    CapacityTransfer first =
+    CapacityTransfer transfer = inState(CapacityTransfer.State.TAKEN);
+    assertThat(transfer.withLowerDemandLevel(Optional.empty())).isEqualTo(transfer);
+    CapacityTransfer replaced =
         new CapacityTransfer(
             new TransferId(new Token(7), 1),
             CapacityTransfer.State.RETURNING,
-            take.exchangeName(),
-            take.giver(),
-            take.giverTeam(),
-            take.stoppedTasks(),
-            take.taker(),
-            take.resources(),
-            take.machine(),
+            transfer.exchangeName(),
+            transfer.giver(),
+            transfer.giverTeam(),
+            transfer.stoppedTasks(),
+            transfer.taker(),
+            transfer.resources(),
+            transfer.machine(),
             2,
             INTENDED_AT);
-    assertThat(take.withLowerDemandLevel(Optional.of(first)).demandLevel()).isEqualTo(2);
-    assertThat(take.withLowerDemandLevel(Optional.of(first)).id()).isEqualTo(take.id());
-    assertThat(first.withLowerDemandLevel(Optional.of(take)).demandLevel()).isEqualTo(2);
+    assertThat(transfer.withLowerDemandLevel(Optional.of(replaced)).demandLevel()).isEqualTo(2);
+    assertThat(transfer.withLowerDemandLevel(Optional.of(replaced)).id()).isEqualTo(transfer.id());
+    assertThat(replaced.withLowerDemandLevel(Optional.of(transfer)).demandLevel()).isEqualTo(2);
   }
 
   @Test
   void ordersIdsByTokenThenNumber() {
-    TransferId first = new TransferId(new Token(7), 3);
-    assertThat(first).isLessThan(new TransferId(new Token(7), 4));
-    assertThat(first).isLessThan(new TransferId(new Token(8), 1));
+    TransferId id = new TransferId(new Token(7), 3);
+    assertThat(id).isLessThan(new TransferId(new Token(7), 4));
+    assertThat(id).isLessThan(new TransferId(new Token(8), 1));
   }
 }
--- a/src/test/java/org/oakwalk/core/headroom/HeadroomAllocatorTest.java
+++ b/src/test/java/org/oakwalk/core/headroom/HeadroomAllocatorTest.java
@@ -28,20 +28,24 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
 
-/** Places are kept whole, where the image is first, and never on machines that go. */
+/**
+ * Guards against headroom slots that no replica can use: slots assembled from free room on several
+ * machines, slots on machines that are being retired, and reserved room that is given to other
+ * tasks or loses its cached image.
+ */
 class HeadroomAllocatorTest {
   private static final Moment NOW = new Moment(1_000_000);
   private static final Resources SHAPE = new Resources(4, 4, 32);
   private static final HeadroomRow.HeadroomKey KEY =
       new HeadroomRow.HeadroomKey("serving", "crew", "search", SHAPE, Optional.empty());
 
-  private final HeadroomAllocator rooms = new HeadroomAllocator();
+  private final HeadroomAllocator allocator = new HeadroomAllocator();
   private final List<Machine> machines = new ArrayList<>();
   private Fleet fleet;
 
   @BeforeEach
   void addMachines() {
-    Fleet.Listener nobody =
+    Fleet.Listener noListener =
         new Fleet.Listener() {
           @Override
           public void completed(Placement placement, Span ran) {}
@@ -54,10 +58,12 @@
         };
     Settings.Workers timing =
         new Settings.Workers(Span.seconds(2), Span.seconds(10), Span.seconds(40));
-    fleet = new Fleet(new Token(1), null, null, null, timing, nobody);
-    Resources whole = new Resources(16, 4, 128);
+    fleet = new Fleet(new Token(1), null, null, null, timing, noListener);
+    Resources machineResources = new Resources(16, 4, 128);
     fleet.types(
-        Map.of("g", new MachineType("g", whole, 200, 1, 1, 1, Span.seconds(30), List.of("a"))));
+        Map.of(
+            "g",
+            new MachineType("g", machineResources, 200, 1, 1, 1, Span.seconds(30), List.of("a"))));
     for (int i = 0; i < 4; i++) {
       fleet
           .add(new MachineId("m-" + i), "", "g", "a", false, Machine.State.UP, NOW)
@@ -65,9 +71,9 @@
     }
   }
 
-  private static HeadroomRow row(int places) {
+  private static HeadroomRow headroomRow(int slots) {
     return new HeadroomRow(
-        KEY, Priority.HIGH, "weights", 150, Set.of(), false, 4, Map.of("a", places));
+        KEY, Priority.HIGH, "weights", 150, Set.of(), false, 4, Map.of("a", slots));
   }
 
   private static JobSpec spec(JobSpec.Shape shape, Resources room, String image, double gb) {
@@ -97,29 +103,29 @@
     fleet.place(job, 0, fleet.nextAttempt(), machine, Span.seconds(10), NOW);
   }
 
-  private void allocate(int places) {
-    rooms.allocate(List.of(row(places)), machines, Map.of(), Map.of("serving", 0.5));
+  private void allocate(int slots) {
+    allocator.allocate(List.of(headroomRow(slots)), machines, Map.of(), Map.of("serving", 0.5));
   }
 
   @Test
   void doesNotAssembleSlotFromFragmentsOnSeveralMachines() {
-    JobSpec part = spec(JobSpec.Shape.ARRAY, new Resources(3, 3, 8), "resize", 1);
-    machines.forEach(machine -> placeTask(machine, part));
+    JobSpec fragment = spec(JobSpec.Shape.ARRAY, new Resources(3, 3, 8), "resize", 1);
+    machines.forEach(machine -> placeTask(machine, fragment));
     allocate(1);
-    assertThat(rooms.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
-    assertThat(rooms.unreserved(machines.get(0)).gpus()).isEqualTo(1);
+    assertThat(allocator.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
+    assertThat(allocator.unreserved(machines.get(0)).gpus()).isEqualTo(1);
   }
 
   @Test
   void hidesReservedRoomFromOtherTasksOnly() {
     allocate(3);
-    Set<Machine> kept = new HashSet<>(machines);
-    kept.removeIf(machine -> rooms.slotsOn(KEY, machine) == 0);
-    assertThat(kept).hasSize(3);
+    Set<Machine> reserved = new HashSet<>(machines);
+    reserved.removeIf(machine -> allocator.slotsOn(KEY, machine) == 0);
+    assertThat(reserved).hasSize(3);
     for (Machine machine : machines) {
-      double left = kept.contains(machine) ? 0 : 4;
-      assertThat(rooms.freeFor(null, machine).gpus()).isEqualTo(left);
-      assertThat(rooms.freeFor(KEY, machine).gpus()).isEqualTo(4);
+      double unreservedGpus = reserved.contains(machine) ? 0 : 4;
+      assertThat(allocator.freeFor(null, machine).gpus()).isEqualTo(unreservedGpus);
+      assertThat(allocator.freeFor(KEY, machine).gpus()).isEqualTo(4);
     }
   }
 
@@ -128,21 +134,21 @@
     JobSpec replica = spec(JobSpec.Shape.SERVICE, new Resources(1, 0, 8), "weights", 150);
     placeTask(machines.get(2), replica);
     allocate(2);
-    assertThat(rooms.slotsOn(KEY, machines.get(2))).isEqualTo(1);
-    assertThat(rooms.warmSlots(KEY)).isEqualTo(1);
-    JobSpec large = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 60);
-    JobSpec small = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 50);
-    assertThat(rooms.evictsReservedImage(large, machines.get(2))).isTrue();
-    assertThat(rooms.evictsReservedImage(small, machines.get(2))).isFalse();
-    assertThat(rooms.evictsReservedImage(large, machines.get(0))).isFalse();
+    assertThat(allocator.slotsOn(KEY, machines.get(2))).isEqualTo(1);
+    assertThat(allocator.warmSlots(KEY)).isEqualTo(1);
+    JobSpec evicting = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 60);
+    JobSpec fitting = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 50);
+    assertThat(allocator.evictsReservedImage(evicting, machines.get(2))).isTrue();
+    assertThat(allocator.evictsReservedImage(fitting, machines.get(2))).isFalse();
+    assertThat(allocator.evictsReservedImage(evicting, machines.get(0))).isFalse();
   }
 
   @Test
   void doesNotCountRoomOfRetiringMachinesButReservesIt() {
     machines.forEach(machine -> machine.duty(Duty.RETIRING));
     allocate(2);
-    assertThat(rooms.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 2)));
-    assertThat(machines.stream().filter(machine -> rooms.unreserved(machine).gpus() == 0))
+    assertThat(allocator.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 2)));
+    assertThat(machines.stream().filter(machine -> allocator.unreserved(machine).gpus() == 0))
         .hasSize(2);
   }
 
@@ -156,8 +162,8 @@
             false,
             NOW);
     Map<Machine, Job> held = Map.of(machines.get(0), holder);
-    rooms.allocate(List.of(row(4)), machines, held, Map.of());
-    assertThat(rooms.unreserved(machines.get(0)).gpus()).isEqualTo(4);
-    assertThat(rooms.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
+    allocator.allocate(List.of(headroomRow(4)), machines, held, Map.of());
+    assertThat(allocator.unreserved(machines.get(0)).gpus()).isEqualTo(4);
+    assertThat(allocator.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
   }
 }
