--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -23,7 +23,7 @@
 import org.oakwalk.core.fleet.MachineRegistry;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
-import org.oakwalk.core.headroom.Headroom;
+import org.oakwalk.core.headroom.HeadroomController;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.ResultWriter;
@@ -140,9 +140,10 @@
             jobs,
             suspectAfter);
     Quota quota = new Quota(settings.teams(), fleet);
-    Headroom headroom = new Headroom(fleet, jobs, quota, settings, gate::allows);
+    HeadroomController headroom =
+        new HeadroomController(fleet, jobs, quota, settings, gate::allows);
     this.planner =
-        new Planner(fleet, jobs, settings, policy.scoring().minTimeLeft(), headroom::kept);
+        new Planner(fleet, jobs, settings, policy.scoring().minTimeLeft(), headroom::reservedSpecs);
     this.mover = new Mover(fleet, quota, gate, outbox, suspectAfter, headroom);
     this.products =
         new CapacityProducts(
@@ -181,7 +182,7 @@
             suspectAfter,
             sort -> isExcludedByDrain(view, sort),
             spec -> quota.placesLeft(spec.team(), spec.resources()));
-    capacity.keeps(headroom::kept);
+    capacity.keeps(headroom::reservedSpecs);
     this.drainer =
         new Drainer(
             fleet,
--- a/src/main/java/org/oakwalk/core/exchange/Starts.java
+++ b/src/main/java/org/oakwalk/core/exchange/TaskStarter.java
@@ -11,15 +11,15 @@
 import org.oakwalk.core.placement.Quota;
 import org.oakwalk.core.placement.RunTimeEstimates;
 
-/** Starts of tasks in room that is kept for them, or that is free. */
-final class Starts {
+/** Starts tasks in room that is reserved for them, or that is free. */
+final class TaskStarter {
   private final Fleet fleet;
   private final Quota quota;
   private final CapacityReserve reserve;
   private final RunTimeEstimates runTimes;
   private final Span suspectAfter;
 
-  Starts(
+  TaskStarter(
       Fleet fleet,
       Quota quota,
       CapacityReserve reserve,
@@ -32,8 +32,10 @@
     this.suspectAfter = suspectAfter;
   }
 
-  /** Whether this task of a job may start there now, if there is room; -1 stands for none. */
-  boolean may(Job job, int index, Machine machine, Moment now) {
+  /**
+   * Returns whether a task may start on a machine now, given room; an index of -1 means no task.
+   */
+  boolean mayStart(Job job, int index, Machine machine, Moment now) {
     return index >= 0
         && machine.acceptsTasks(now, suspectAfter)
         && !machine.refusesNewAttempt(new TaskId(job.id(), index))
@@ -44,13 +46,13 @@
     fleet.place(job, index, fleet.nextAttempt(), machine, runTimes.expected(job.spec()), now);
   }
 
-  /** Starts up to so many of a job's waiting tasks there; returns how many. */
-  int fill(Job job, int tasks, Machine machine, Moment now) {
+  /** Starts up to the given number of a job's pending tasks; returns the number started. */
+  int startUpTo(Job job, int maxTasks, Machine machine, Moment now) {
     int placed = 0;
     int index = job.nextPending(0, now);
-    while (placed < tasks
+    while (placed < maxTasks
         && job.spec().resources().fitsInto(reserve.freeFor(job.spec(), machine))
-        && may(job, index, machine, now)) {
+        && mayStart(job, index, machine, now)) {
       place(job, index, machine, now);
       placed++;
       index = job.nextPending(index + 1, now);
@@ -58,8 +60,10 @@
     return placed;
   }
 
-  /** A machine with room for a task of this job, one with its image if there is one; or null. */
-  Machine roomFor(Job job, Moment now) {
+  /**
+   * Returns a machine with room for a task, preferably one with its image; null if there is none.
+   */
+  Machine findMachine(Job job, Moment now) {
     return fleet.machines().stream()
         .filter(machine -> machine.acceptsTasks(now, suspectAfter))
         .filter(machine -> !machine.schedulingMode().backfillOnly())
--- a/src/test/java/org/oakwalk/core/headroom/RoomsTest.java
+++ b/src/test/java/org/oakwalk/core/headroom/HeadroomAllocatorTest.java
@@ -28,20 +28,24 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
 
-/** Places are kept whole, where the image is first, and never on machines that go. */
-class RoomsTest {
+/**
+ * Guards against headroom slots that no replica can use: slots assembled from free room on several
+ * machines, slots on machines that are being retired, and reserved room that is given to other
+ * tasks or loses its cached image.
+ */
+class HeadroomAllocatorTest {
   private static final Moment NOW = new Moment(1_000_000);
   private static final Resources SHAPE = new Resources(4, 4, 32);
-  private static final HeadroomRow.Key KEY =
-      new HeadroomRow.Key("serving", "crew", "search", SHAPE, Optional.empty());
+  private static final HeadroomRow.HeadroomKey KEY =
+      new HeadroomRow.HeadroomKey("serving", "crew", "search", SHAPE, Optional.empty());
 
-  private final Rooms rooms = new Rooms();
+  private final HeadroomAllocator allocator = new HeadroomAllocator();
   private final List<Machine> machines = new ArrayList<>();
   private Fleet fleet;
 
   @BeforeEach
-  void machines() {
-    Fleet.Listener nobody =
+  void addMachines() {
+    Fleet.Listener noListener =
         new Fleet.Listener() {
           @Override
           public void completed(Placement placement, Span ran) {}
@@ -54,10 +58,12 @@
         };
     Settings.WorkerTiming timing =
         new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(40));
-    fleet = new Fleet(new Token(1), null, null, null, timing, nobody);
-    Resources whole = new Resources(16, 4, 128);
+    fleet = new Fleet(new Token(1), null, null, null, timing, noListener);
+    Resources machineResources = new Resources(16, 4, 128);
     fleet.types(
-        Map.of("g", new MachineType("g", whole, 200, 1, 1, 1, Span.seconds(30), List.of("a"))));
+        Map.of(
+            "g",
+            new MachineType("g", machineResources, 200, 1, 1, 1, Span.seconds(30), List.of("a"))));
     for (int i = 0; i < 4; i++) {
       fleet
           .add(new MachineId("m-" + i), "", "g", "a", false, Machine.State.UP, NOW)
@@ -65,9 +71,9 @@
     }
   }
 
-  private static HeadroomRow row(int places) {
+  private static HeadroomRow headroomRow(int slots) {
     return new HeadroomRow(
-        KEY, Priority.HIGH, "weights", 150, Set.of(), false, 4, Map.of("a", places));
+        KEY, Priority.HIGH, "weights", 150, Set.of(), false, 4, Map.of("a", slots));
   }
 
   private static JobSpec spec(JobSpec.Shape shape, Resources room, String image, double gb) {
@@ -92,61 +98,62 @@
         Optional.empty());
   }
 
-  private void use(Machine machine, JobSpec spec) {
+  private void placeTask(Machine machine, JobSpec spec) {
     Job job = new Job(spec, new Revision(1), new WallTime(0), false, NOW);
     fleet.place(job, 0, fleet.nextAttempt(), machine, Span.seconds(10), NOW);
   }
 
-  private void survey(int places) {
-    rooms.survey(List.of(row(places)), machines, Map.of(), Map.of("serving", 0.5));
+  private void allocate(int slots) {
+    allocator.allocate(List.of(headroomRow(slots)), machines, Map.of(), Map.of("serving", 0.5));
   }
 
   @Test
-  void oneAcceleratorFreeOnEachOfFourIsNoPlaceOfFour() {
-    JobSpec part = spec(JobSpec.Shape.ARRAY, new Resources(3, 3, 8), "resize", 1);
-    machines.forEach(machine -> use(machine, part));
-    survey(1);
-    assertThat(rooms.lacking()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
-    assertThat(rooms.beyond(machines.get(0)).gpus()).isEqualTo(1);
+  void doesNotAssembleSlotFromFragmentsOnSeveralMachines() {
+    JobSpec fragment = spec(JobSpec.Shape.ARRAY, new Resources(3, 3, 8), "resize", 1);
+    machines.forEach(machine -> placeTask(machine, fragment));
+    allocate(1);
+    assertThat(allocator.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
+    assertThat(allocator.unreserved(machines.get(0)).gpus()).isEqualTo(1);
   }
 
   @Test
-  void othersSeeNothingOfItAndReplicasAll() {
-    survey(3);
-    Set<Machine> kept = new HashSet<>(machines);
-    kept.removeIf(machine -> rooms.on(KEY, machine) == 0);
-    assertThat(kept).hasSize(3);
+  void hidesReservedRoomFromOtherTasksOnly() {
+    allocate(3);
+    Set<Machine> reserved = new HashSet<>(machines);
+    reserved.removeIf(machine -> allocator.slotsOn(KEY, machine) == 0);
+    assertThat(reserved).hasSize(3);
     for (Machine machine : machines) {
-      double left = kept.contains(machine) ? 0 : 4;
-      assertThat(rooms.free(null, machine).gpus()).isEqualTo(left);
-      assertThat(rooms.free(KEY, machine).gpus()).isEqualTo(4);
+      double unreservedGpus = reserved.contains(machine) ? 0 : 4;
+      assertThat(allocator.freeFor(null, machine).gpus()).isEqualTo(unreservedGpus);
+      assertThat(allocator.freeFor(KEY, machine).gpus()).isEqualTo(4);
     }
   }
 
   @Test
-  void whereTheImageIsComesFirstAndOthersImagesKeepAway() {
+  void prefersMachinesWithImageAndProtectsCachedImage() {
     JobSpec replica = spec(JobSpec.Shape.SERVICE, new Resources(1, 0, 8), "weights", 150);
-    use(machines.get(2), replica);
-    survey(2);
-    assertThat(rooms.on(KEY, machines.get(2))).isEqualTo(1);
-    assertThat(rooms.warm(KEY)).isEqualTo(1);
-    JobSpec large = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 60);
-    JobSpec small = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 50);
-    assertThat(rooms.pushesOut(large, machines.get(2))).isTrue();
-    assertThat(rooms.pushesOut(small, machines.get(2))).isFalse();
-    assertThat(rooms.pushesOut(large, machines.get(0))).isFalse();
+    placeTask(machines.get(2), replica);
+    allocate(2);
+    assertThat(allocator.slotsOn(KEY, machines.get(2))).isEqualTo(1);
+    assertThat(allocator.warmSlots(KEY)).isEqualTo(1);
+    JobSpec evicting = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 60);
+    JobSpec fitting = spec(JobSpec.Shape.ARRAY, new Resources(1, 0, 1), "other", 50);
+    assertThat(allocator.evictsReservedImage(evicting, machines.get(2))).isTrue();
+    assertThat(allocator.evictsReservedImage(fitting, machines.get(2))).isFalse();
+    assertThat(allocator.evictsReservedImage(evicting, machines.get(0))).isFalse();
   }
 
   @Test
-  void whatIsLeftOfMachinesThatGoIsNoPlaceButNotGivenAway() {
+  void doesNotCountRoomOfRetiringMachinesButReservesIt() {
     machines.forEach(machine -> machine.schedulingMode(SchedulingMode.RETIRING));
-    survey(2);
-    assertThat(rooms.lacking()).isEqualTo(Map.of(KEY, Map.of("a", 2)));
-    assertThat(machines.stream().filter(machine -> rooms.beyond(machine).gpus() == 0)).hasSize(2);
+    allocate(2);
+    assertThat(allocator.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 2)));
+    assertThat(machines.stream().filter(machine -> allocator.unreserved(machine).gpus() == 0))
+        .hasSize(2);
   }
 
   @Test
-  void roomThatIsMadeForAServiceIsNotKeptFromIt() {
+  void leavesRoomHeldForServiceToThatService() {
     Job holder =
         new Job(
             spec(JobSpec.Shape.SERVICE, new Resources(2, 2, 8), "x", 1),
@@ -155,8 +162,8 @@
             false,
             NOW);
     Map<Machine, Job> held = Map.of(machines.get(0), holder);
-    rooms.survey(List.of(row(4)), machines, held, Map.of());
-    assertThat(rooms.beyond(machines.get(0)).gpus()).isEqualTo(4);
-    assertThat(rooms.lacking()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
+    allocator.allocate(List.of(headroomRow(4)), machines, held, Map.of());
+    assertThat(allocator.unreserved(machines.get(0)).gpus()).isEqualTo(4);
+    assertThat(allocator.missingSlots()).isEqualTo(Map.of(KEY, Map.of("a", 1)));
   }
 }
