--- a/src/main/java/org/oakwalk/adapter/ConnectionLimiter.java
+++ b/src/main/java/org/oakwalk/adapter/ConnectionLimiter.java
@@ -20,44 +20,45 @@
  */
 final class ConnectionLimiter implements Connection.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(ConnectionLimiter.class);
-  private static final long LOG_EVERY_NANOS = 10_000_000_000L;
+  private static final long LOG_INTERVAL_NANOS = 10_000_000_000L;
 
   /** Whose connection it is, as its last request tells; in the order in which they give way. */
-  enum Guest {
+  enum ClientKind {
     UNKNOWN,
     USER,
     WORKER
   }
 
   /** A connection that has asked for nothing for so long is not about to. */
-  private static final Span ASKS_WITHIN = Span.seconds(2);
+  private static final Span FIRST_REQUEST_TIMEOUT = Span.seconds(2);
 
-  private static final class Visit {
-    Guest guest = Guest.UNKNOWN;
+  private static final class TrackedConnection {
+    ClientKind kind = ClientKind.UNKNOWN;
     long idleSince;
 
     /** Whether it was asked to report elsewhere and has not been answered otherwise. */
-    boolean leaving;
+    boolean redirected;
 
-    Visit(long idleSince) {
+    TrackedConnection(long idleSince) {
       this.idleSince = idleSince;
     }
   }
 
-  private final Sockets sockets;
-  private final Map<Connection, Visit> open = new HashMap<>();
+  private final SocketBudget sockets;
+  private final Map<Connection, TrackedConnection> tracked = new HashMap<>();
 
   /** Of each kind those that wait for no answer, the longest idle first. */
-  private final Map<Guest, Map<Connection, Visit>> idle = new EnumMap<>(Guest.class);
+  private final Map<ClientKind, Map<Connection, TrackedConnection>> idle =
+      new EnumMap<>(ClientKind.class);
 
-  private int users;
-  private int leaving;
-  private long shed;
+  private int userCount;
+  private int redirectedCount;
+  private long closedCount;
   private long nextLog = System.nanoTime();
 
-  ConnectionLimiter(Sockets sockets) {
+  ConnectionLimiter(SocketBudget sockets) {
     this.sockets = sockets;
-    for (Guest guest : Guest.values()) {
+    for (ClientKind guest : ClientKind.values()) {
       idle.put(guest, new LinkedHashMap<>());
     }
   }
@@ -66,25 +67,28 @@
   public void onOpened(Connection connection) {
     Optional<Connection> leaves;
     synchronized (this) {
-      Visit visit = new Visit(System.nanoTime());
-      open.put(connection, visit);
+      TrackedConnection visit = new TrackedConnection(System.nanoTime());
+      tracked.put(connection, visit);
       leaves =
-          open.size() > sockets.front() ? Optional.of(firstToLeave(connection)) : Optional.empty();
-      idle.get(Guest.UNKNOWN).put(connection, visit);
-      leaves.ifPresent(this::forget);
+          tracked.size() > sockets.maxClientConnections()
+              ? Optional.of(connectionToClose(connection))
+              : Optional.empty();
+      idle.get(ClientKind.UNKNOWN).put(connection, visit);
+      leaves.ifPresent(this::untrack);
     }
     leaves.ifPresent(Connection::close);
   }
 
   /** Who gives way to the one that came last; that one itself if all others wait for answers. */
-  private Connection firstToLeave(Connection last) {
-    shed++;
-    for (Guest guest : Guest.values()) {
-      Iterator<Map.Entry<Connection, Visit>> longest = idle.get(guest).entrySet().iterator();
+  private Connection connectionToClose(Connection last) {
+    closedCount++;
+    for (ClientKind guest : ClientKind.values()) {
+      Iterator<Map.Entry<Connection, TrackedConnection>> longest =
+          idle.get(guest).entrySet().iterator();
       if (longest.hasNext()) {
-        Map.Entry<Connection, Visit> first = longest.next();
+        Map.Entry<Connection, TrackedConnection> first = longest.next();
         long rested = System.nanoTime() - first.getValue().idleSince;
-        if (guest != Guest.UNKNOWN || rested / 1_000_000 > ASKS_WITHIN.millis()) {
+        if (guest != ClientKind.UNKNOWN || rested / 1_000_000 > FIRST_REQUEST_TIMEOUT.millis()) {
           return first.getKey();
         }
       }
@@ -94,82 +98,85 @@
 
   @Override
   public synchronized void onClosed(Connection connection) {
-    forget(connection);
+    untrack(connection);
   }
 
-  private void forget(Connection connection) {
-    Visit visit = open.remove(connection);
+  private void untrack(Connection connection) {
+    TrackedConnection visit = tracked.remove(connection);
     if (visit != null) {
-      idle.get(visit.guest).remove(connection);
-      users -= visit.guest == Guest.USER ? 1 : 0;
-      leaving -= visit.leaving ? 1 : 0;
+      idle.get(visit.kind).remove(connection);
+      userCount -= visit.kind == ClientKind.USER ? 1 : 0;
+      redirectedCount -= visit.redirected ? 1 : 0;
     }
   }
 
   /** A request came; its connection stays until the answer is sent. */
-  synchronized void asks(Connection connection, Guest guest) {
-    Visit visit = open.get(connection);
+  synchronized void requestReceived(Connection connection, ClientKind guest) {
+    TrackedConnection visit = tracked.get(connection);
     if (visit == null) {
       return;
     }
-    idle.get(visit.guest).remove(connection);
-    if (visit.guest != guest) {
-      users += (guest == Guest.USER ? 1 : 0) - (visit.guest == Guest.USER ? 1 : 0);
-      visit.guest = guest;
+    idle.get(visit.kind).remove(connection);
+    if (visit.kind != guest) {
+      userCount += (guest == ClientKind.USER ? 1 : 0) - (visit.kind == ClientKind.USER ? 1 : 0);
+      visit.kind = guest;
     }
   }
 
   /** The answer is sent. */
-  synchronized void answered(Connection connection) {
-    Visit visit = open.get(connection);
+  synchronized void responseSent(Connection connection) {
+    TrackedConnection visit = tracked.get(connection);
     if (visit != null) {
       visit.idleSince = System.nanoTime();
-      idle.get(visit.guest).put(connection, visit);
+      idle.get(visit.kind).put(connection, visit);
     }
   }
 
   /** Whether users should come anew for each request. */
-  synchronized boolean closesAfterUsers() {
-    return crowded() && users > sockets.users();
+  synchronized boolean closesUserConnections() {
+    return isNearCapacity() && userCount > sockets.userConnectionLimit();
   }
 
   /**
    * Whether the worker that reported over this connection should go elsewhere. Those that were
    * asked already count as gone, or all that report at the same moment would leave together.
    */
-  synchronized boolean asksToLeave(Connection connection) {
-    Visit visit = open.get(connection);
-    if (visit == null || visit.leaving || !crowded() || users > sockets.users()) {
+  synchronized boolean tryRedirect(Connection connection) {
+    TrackedConnection visit = tracked.get(connection);
+    if (visit == null
+        || visit.redirected
+        || !isNearCapacity()
+        || userCount > sockets.userConnectionLimit()) {
       return false;
     }
-    visit.leaving = true;
-    leaving++;
+    visit.redirected = true;
+    redirectedCount++;
     return true;
   }
 
   /** The worker was answered as ever and stays. */
-  synchronized void stays(Connection connection) {
-    Visit visit = open.get(connection);
-    if (visit != null && visit.leaving) {
-      visit.leaving = false;
-      leaving--;
+  synchronized void cancelRedirect(Connection connection) {
+    TrackedConnection visit = tracked.get(connection);
+    if (visit != null && visit.redirected) {
+      visit.redirected = false;
+      redirectedCount--;
     }
   }
 
-  private boolean crowded() {
-    if (open.size() - leaving <= sockets.crowded()) {
+  private boolean isNearCapacity() {
+    if (tracked.size() - redirectedCount <= sockets.redirectThreshold()) {
       return false;
     }
     long now = System.nanoTime();
     if (now - nextLog >= 0) {
-      nextLog = now + LOG_EVERY_NANOS;
+      nextLog = now + LOG_INTERVAL_NANOS;
       LOG.info(
           "front door: {} of {}, users {}, leaving {}, closed {}",
-          open.size(),
-          sockets.front(),
-          users,
-          leaving,
-          shed);
+          tracked.size(),
+          sockets.maxClientConnections(),
+          userCount,
+          redirectedCount,
+          closedCount);
     }
     return true;
   }
--- a/src/main/java/org/oakwalk/adapter/HttpCaller.java
+++ b/src/main/java/org/oakwalk/adapter/HttpCaller.java
@@ -24,22 +24,22 @@
 import org.eclipse.jetty.util.thread.Scheduler;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
-import org.oakwalk.wire.BadMessage;
-import org.oakwalk.wire.HttpMessage;
-import org.oakwalk.wire.Outgoing;
+import org.oakwalk.wire.MalformedMessageException;
+import org.oakwalk.wire.OutgoingRequest;
+import org.oakwalk.wire.RequestCodec;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
 /** Sends a request of the core to an address and turns what comes back into an answer. */
 public final class HttpCaller implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(HttpCaller.class);
-  private static final int LARGEST_ANSWER = 8 << 20;
-  private static final long IDLE_MILLIS = 30_000;
+  private static final int MAX_RESPONSE_BYTES = 8 << 20;
+  private static final long IDLE_TIMEOUT_MILLIS = 30_000;
 
   private final HttpClient client;
-  private final Set<String> complained = ConcurrentHashMap.newKeySet();
+  private final Set<String> loggedErrors = ConcurrentHashMap.newKeySet();
   private final ConnectionStatistics connections = new ConnectionStatistics();
-  private final Sockets sockets;
+  private final SocketBudget sockets;
 
   /**
    * A caller without connections as yet.
@@ -50,7 +50,7 @@
       Executor executor,
       Scheduler scheduler,
       ByteBufferPool buffers,
-      Sockets sockets,
+      SocketBudget sockets,
       Collection<String> peers)
       throws Exception {
     this.sockets = sockets;
@@ -69,8 +69,8 @@
             new DuplexConnectionPool(
                 place,
                 few.contains(place.getOrigin().getAddress().asString())
-                    ? sockets.links()
-                    : sockets.elsewhere()));
+                    ? sockets.connectionsPerPeer()
+                    : sockets.connectionsPerDestination()));
     client = new HttpClient(transport);
     client.setExecutor(executor);
     client.setScheduler(scheduler);
@@ -80,15 +80,15 @@
     client.setFollowRedirects(false);
     client.setUserAgentField(null);
     client.setMaxRequestsQueuedPerDestination(256);
-    client.setIdleTimeout(IDLE_MILLIS);
-    client.setDestinationIdleTimeout(2 * IDLE_MILLIS);
+    client.setIdleTimeout(IDLE_TIMEOUT_MILLIS);
+    client.setDestinationIdleTimeout(2 * IDLE_TIMEOUT_MILLIS);
     client.addBean(connections);
     client.start();
   }
 
   /** Sends; the answer comes on any thread, exactly once. */
   void send(String address, Request request, long timeoutMillis, Consumer<Answer> then) {
-    HttpMessage message = Outgoing.encode(request);
+    OutgoingRequest message = RequestCodec.encode(request);
     org.eclipse.jetty.client.Request http =
         client
             .newRequest("http://" + address + message.path())
@@ -97,32 +97,33 @@
     if (message.body() != null) {
       http.body(new BytesRequestContent("application/msgpack", message.body()));
     }
-    if (request instanceof Request.Command && connections.getConnections() >= sockets.kept()) {
+    if (request instanceof Request.Command
+        && connections.getConnections() >= sockets.keepAliveLimit()) {
       // One connection kept for each worker, beside the one by which it reports, would use up all
       // sockets of a node that leads a large fleet, and then workers could not report any more.
       http.headers(headers -> headers.put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE));
     }
     http.send(
-        new BufferingResponseListener(LARGEST_ANSWER) {
+        new BufferingResponseListener(MAX_RESPONSE_BYTES) {
           @Override
           public void onComplete(Result result) {
-            then.accept(answer(address, request, result, getContent()));
+            then.accept(toAnswer(address, request, result, getContent()));
           }
         });
   }
 
-  private Answer answer(String address, Request request, Result result, byte[] content) {
+  private Answer toAnswer(String address, Request request, Result result, byte[] content) {
     if (result.isFailed()) {
-      return failure(result);
+      return failureAnswer(result);
     }
     int status = result.getResponse().getStatus();
     if (status >= 500 && status != 503) {
       return new Answer.Nothing("status " + status);
     }
     try {
-      return Outgoing.decode(request, status, content == null ? new byte[0] : content);
-    } catch (BadMessage e) {
-      if (complained.add(request.getClass().getSimpleName() + e.getMessage())) {
+      return RequestCodec.decode(request, status, content == null ? new byte[0] : content);
+    } catch (MalformedMessageException e) {
+      if (loggedErrors.add(request.getClass().getSimpleName() + e.getMessage())) {
         LOG.error("bad answer from {} to {}: {}", address, request, e.getMessage());
       }
       return new Answer.Nothing("bad answer");
@@ -130,7 +131,7 @@
   }
 
   /** A connection that never came about carried no request; after that, anything is possible. */
-  private static Answer failure(Result result) {
+  private static Answer failureAnswer(Result result) {
     Throwable cause = result.getFailure();
     String reason = cause.getClass().getSimpleName();
     boolean neverSent =
--- a/src/main/java/org/oakwalk/adapter/Listener.java
+++ b/src/main/java/org/oakwalk/adapter/HttpListener.java
@@ -26,48 +26,49 @@
 import org.oakwalk.wire.WorkerCodec;
 
 /** The node's two doors: one for users and workers, one for the other controllers. */
-public final class Listener implements AutoCloseable {
-  private static final int MOST_OPEN = 2000;
-  private static final String PEERS = "peers";
+public final class HttpListener implements AutoCloseable {
+  private static final int MAX_OPEN_REQUESTS = 2000;
+  private static final String PEER_CONNECTOR = "peers";
 
   /** Takes events to the core; false if there are too many. */
-  public interface Sink {
+  public interface EventSink {
     boolean offer(Event event);
   }
 
   private final Server server;
-  private final ServerConnector front;
-  private final ServerConnector back;
+  private final ServerConnector clientConnector;
+  private final ServerConnector peerConnector;
   private final ConnectionLimiter limiter;
-  private final Sink sink;
-  private final Map<ExchangeId, Inbound.Reply> open = new HashMap<>();
-  private final AtomicInteger openCount = new AtomicInteger();
-  private long exchanges;
+  private final EventSink sink;
+  private final Map<ExchangeId, InboundRequestHandler.PendingReply> openReplies = new HashMap<>();
+  private final AtomicInteger openRequests = new AtomicInteger();
+  private long lastRequestNumber;
 
-  public Listener(
+  public HttpListener(
       ThreadPool threads,
       Scheduler scheduler,
       ByteBufferPool buffers,
       Address serve,
       Address peers,
-      Sockets sockets,
-      Sink sink) {
+      SocketBudget sockets,
+      EventSink sink) {
     this.sink = sink;
     server = new Server(threads, scheduler, buffers);
     server.setStopTimeout(0);
-    front = connector(serve, "front");
-    back = connector(peers, PEERS);
+    clientConnector = connector(serve, "front");
+    peerConnector = connector(peers, PEER_CONNECTOR);
     limiter = new ConnectionLimiter(sockets);
-    front.addBean(limiter);
-    server.addConnector(front);
-    server.addConnector(back);
-    Inbound inFront = new Inbound(this::offer, Optional.of(limiter));
-    Inbound inBack = new Inbound(this::offer, Optional.empty());
+    clientConnector.addBean(limiter);
+    server.addConnector(clientConnector);
+    server.addConnector(peerConnector);
+    InboundRequestHandler inFront = new InboundRequestHandler(this::offer, Optional.of(limiter));
+    InboundRequestHandler inBack = new InboundRequestHandler(this::offer, Optional.empty());
     server.setHandler(
         new Handler.Abstract.NonBlocking() {
           @Override
           public boolean handle(Request request, Response response, Callback callback) {
-            boolean peer = PEERS.equals(request.getConnectionMetaData().getConnector().getName());
+            boolean peer =
+                PEER_CONNECTOR.equals(request.getConnectionMetaData().getConnector().getName());
             return (peer ? inBack : inFront).handle(request, response, callback);
           }
         });
@@ -100,37 +101,38 @@
   }
 
   /** The port of the door for users and workers, which differs from the settings if that was 0. */
-  public int frontPort() {
-    return front.getLocalPort();
+  public int clientPort() {
+    return clientConnector.getLocalPort();
   }
 
   /** The port of the door for the other controllers. */
   public int peerPort() {
-    return back.getLocalPort();
+    return peerConnector.getLocalPort();
   }
 
-  private boolean offer(Inbound.Reply reply, Function<ExchangeId, Event> event) {
-    if (openCount.incrementAndGet() > MOST_OPEN) {
-      openCount.decrementAndGet();
+  private boolean offer(
+      InboundRequestHandler.PendingReply reply, Function<ExchangeId, Event> event) {
+    if (openRequests.incrementAndGet() > MAX_OPEN_REQUESTS) {
+      openRequests.decrementAndGet();
       return false;
     }
     ExchangeId id;
-    synchronized (open) {
-      id = new ExchangeId(++exchanges);
-      open.put(id, reply);
+    synchronized (openReplies) {
+      id = new ExchangeId(++lastRequestNumber);
+      openReplies.put(id, reply);
     }
     if (!sink.offer(event.apply(id))) {
-      take(id);
+      removeReply(id);
       return false;
     }
     return true;
   }
 
-  private Inbound.Reply take(ExchangeId id) {
-    synchronized (open) {
-      Inbound.Reply reply = open.remove(id);
+  private InboundRequestHandler.PendingReply removeReply(ExchangeId id) {
+    synchronized (openReplies) {
+      InboundRequestHandler.PendingReply reply = openReplies.remove(id);
       if (reply != null) {
-        openCount.decrementAndGet();
+        openRequests.decrementAndGet();
       }
       return reply;
     }
@@ -138,18 +140,18 @@
 
   /** Answers an exchange. */
   public void respond(ExchangeId exchange, org.oakwalk.core.port.Response response) {
-    Inbound.Reply reply = take(exchange);
+    InboundRequestHandler.PendingReply reply = removeReply(exchange);
     if (reply == null) {
       return;
     }
     if (response instanceof org.oakwalk.core.port.Response.JobStatus status) {
-      reply.send(status.created() ? 201 : 200, UserCodec.status(status));
+      reply.send(status.created() ? 201 : 200, UserCodec.encodeStatus(status));
     } else if (response instanceof org.oakwalk.core.port.Response.Problem problem) {
       reply.error(problem.status(), problem.reason(), problem.retryAfter());
     } else if (response instanceof org.oakwalk.core.port.Response.Orders orders) {
       reply.send(200, WorkerCodec.orders(orders.token(), orders.orders()));
     } else if (response instanceof org.oakwalk.core.port.Response.Elsewhere elsewhere) {
-      reply.send(421, WorkerCodec.elsewhere(elsewhere.leader()));
+      reply.send(421, WorkerCodec.redirect(elsewhere.leader()));
     } else if (response instanceof org.oakwalk.core.port.Response.ToPeer toPeer) {
       reply.send(200, PeerCodec.encode(toPeer.message()));
     } else {
--- a/src/main/java/org/oakwalk/adapter/Inbound.java
+++ b/src/main/java/org/oakwalk/adapter/InboundRequestHandler.java
@@ -19,7 +19,7 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.port.Event;
 import org.oakwalk.core.port.UserRequest;
-import org.oakwalk.wire.BadMessage;
+import org.oakwalk.wire.MalformedMessageException;
 import org.oakwalk.wire.PeerCodec;
 import org.oakwalk.wire.UserCodec;
 import org.oakwalk.wire.WorkerCodec;
@@ -27,20 +27,20 @@
 import org.slf4j.LoggerFactory;
 
 /** Turns HTTP requests into events; answers that need no core are given here. */
-final class Inbound extends Handler.Abstract.NonBlocking {
-  private static final Logger LOG = LoggerFactory.getLogger(Inbound.class);
-  private static final int LARGEST_BODY = 64 * 1024;
-  private static final int LARGEST_PEER_BODY = 4 << 20;
-  private static final int MISDIRECTED = 421;
+final class InboundRequestHandler extends Handler.Abstract.NonBlocking {
+  private static final Logger LOG = LoggerFactory.getLogger(InboundRequestHandler.class);
+  private static final int MAX_BODY_BYTES = 64 * 1024;
+  private static final int MAX_PEER_BODY_BYTES = 4 << 20;
+  private static final int MISDIRECTED_REQUEST = 421;
 
-  private final Desk desk;
+  private final RequestSink sink;
   private final Optional<ConnectionLimiter> limiter;
-  private volatile boolean complained;
+  private volatile boolean loggedMalformed;
 
   /** Takes events, each with the place where its answer goes. */
-  interface Desk {
+  interface RequestSink {
     /** Whether the event was taken; if not, there is too much to do. */
-    boolean offer(Reply reply, Function<ExchangeId, Event> event);
+    boolean offer(PendingReply reply, Function<ExchangeId, Event> event);
   }
 
   /**
@@ -48,8 +48,8 @@
    *
    * @param limiter that of the front door; empty for what comes from the other controllers
    */
-  Inbound(Desk desk, Optional<ConnectionLimiter> limiter) {
-    this.desk = desk;
+  InboundRequestHandler(RequestSink desk, Optional<ConnectionLimiter> limiter) {
+    this.sink = desk;
     this.limiter = limiter;
   }
 
@@ -57,39 +57,41 @@
   public boolean handle(Request request, Response response, Callback callback) {
     String path = Request.getPathInContext(request);
     String method = request.getMethod();
-    ConnectionLimiter.Guest guest =
+    ConnectionLimiter.ClientKind guest =
         path.equals(WorkerCodec.REPORT_PATH)
-            ? ConnectionLimiter.Guest.WORKER
-            : ConnectionLimiter.Guest.USER;
-    Optional<Stay> stay =
-        limiter.map(d -> new Stay(d, request.getConnectionMetaData().getConnection(), guest));
-    stay.ifPresent(Stay::begin);
-    Reply reply = new Reply(response, callback, stay);
+            ? ConnectionLimiter.ClientKind.WORKER
+            : ConnectionLimiter.ClientKind.USER;
+    Optional<ActiveRequest> stay =
+        limiter.map(
+            d -> new ActiveRequest(d, request.getConnectionMetaData().getConnection(), guest));
+    stay.ifPresent(ActiveRequest::received);
+    PendingReply reply = new PendingReply(response, callback, stay);
     if (limiter.isEmpty()) {
-      if (expect(path.equals(PeerCodec.PATH), "POST", method, reply)) {
-        read(request, reply, LARGEST_PEER_BODY, body -> peer(body, reply));
+      if (checkMethod(path.equals(PeerCodec.PEER_PATH), "POST", method, reply)) {
+        readBody(request, reply, MAX_PEER_BODY_BYTES, body -> handlePeerMessage(body, reply));
       }
     } else if (path.equals(WorkerCodec.REPORT_PATH)) {
-      if (expect(true, "POST", method, reply)) {
-        read(request, reply, LARGEST_BODY, body -> report(body, reply));
+      if (checkMethod(true, "POST", method, reply)) {
+        readBody(request, reply, MAX_BODY_BYTES, body -> handleReport(body, reply));
       }
     } else if (path.equals(UserCodec.READY_PATH)) {
-      if (expect(true, "GET", method, reply)) {
+      if (checkMethod(true, "GET", method, reply)) {
         offer(reply, Event.HealthAsked::new);
       }
     } else if (path.equals(UserCodec.JOBS_PATH)) {
-      if (expect(true, "POST", method, reply)) {
-        read(request, reply, LARGEST_BODY, body -> submit(body, reply));
+      if (checkMethod(true, "POST", method, reply)) {
+        readBody(request, reply, MAX_BODY_BYTES, body -> handleSubmission(body, reply));
       }
     } else if (path.startsWith(UserCodec.JOBS_PATH + "/")) {
-      job(path.substring(UserCodec.JOBS_PATH.length() + 1), method, reply);
+      handleJob(path.substring(UserCodec.JOBS_PATH.length() + 1), method, reply);
     } else {
       reply.error(404, "no such path", Optional.empty());
     }
     return true;
   }
 
-  private static boolean expect(boolean found, String wanted, String method, Reply reply) {
+  private static boolean checkMethod(
+      boolean found, String wanted, String method, PendingReply reply) {
     if (!found) {
       reply.error(404, "no such path", Optional.empty());
       return false;
@@ -101,11 +103,11 @@
     return true;
   }
 
-  private void job(String rest, String method, Reply reply) {
+  private void handleJob(String rest, String method, PendingReply reply) {
     int slash = rest.indexOf('/');
     String id = slash < 0 ? rest : rest.substring(0, slash);
     boolean withdraw = slash >= 0 && rest.substring(slash + 1).equals(UserCodec.WITHDRAW);
-    if (expect(slash < 0 || withdraw, withdraw ? "POST" : "GET", method, reply)) {
+    if (checkMethod(slash < 0 || withdraw, withdraw ? "POST" : "GET", method, reply)) {
       if (!JobId.wellFormed(id)) {
         // Such a job can't have been accepted.
         reply.error(404, "no such job", Optional.empty());
@@ -117,79 +119,79 @@
     }
   }
 
-  private void submit(byte[] body, Reply reply) {
+  private void handleSubmission(byte[] body, PendingReply reply) {
     try {
-      UserRequest.Submit submission = UserCodec.submission(body);
+      UserRequest.Submit submission = UserCodec.decodeSubmission(body);
       offer(reply, exchange -> new Event.UserAsks(exchange, submission));
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       reply.error(400, e.getMessage(), Optional.empty());
     }
   }
 
-  private void report(byte[] body, Reply reply) {
+  private void handleReport(byte[] body, PendingReply reply) {
     try {
       var report = WorkerCodec.report(body);
-      boolean crowded = reply.asksToLeave();
+      boolean crowded = reply.tryRedirect();
       offer(reply, exchange -> new Event.WorkerReports(exchange, report, crowded));
-    } catch (BadMessage e) {
-      complain("report", e, reply);
+    } catch (MalformedMessageException e) {
+      rejectMalformed("report", e, reply);
     }
   }
 
-  private void peer(byte[] body, Reply reply) {
+  private void handlePeerMessage(byte[] body, PendingReply reply) {
     try {
       var message = PeerCodec.decode(body);
       offer(reply, exchange -> new Event.PeerSays(exchange, message));
-    } catch (BadMessage e) {
-      complain("message of a peer", e, reply);
+    } catch (MalformedMessageException e) {
+      rejectMalformed("message of a peer", e, reply);
     }
   }
 
-  private void complain(String what, BadMessage e, Reply reply) {
-    if (!complained) {
-      complained = true;
+  private void rejectMalformed(String what, MalformedMessageException e, PendingReply reply) {
+    if (!loggedMalformed) {
+      loggedMalformed = true;
       LOG.error("malformed {}: {}", what, e.getMessage());
     }
     reply.error(400, e.getMessage(), Optional.empty());
   }
 
-  private void offer(Reply reply, Function<ExchangeId, Event> event) {
-    if (!desk.offer(reply, event)) {
+  private void offer(PendingReply reply, Function<ExchangeId, Event> event) {
+    if (!sink.offer(reply, event)) {
       reply.error(503, "overloaded", Optional.of(Span.seconds(1)));
     }
   }
 
-  private interface Then {
+  private interface BodyConsumer {
     void accept(byte[] body);
   }
 
   /** Reads a body up to a limit; what is larger is refused without being read. */
-  private static void read(Request request, Reply reply, int limit, Then then) {
+  private static void readBody(Request request, PendingReply reply, int limit, BodyConsumer then) {
     if (request.getLength() > limit) {
-      tooLarge(reply);
+      rejectTooLarge(reply);
       return;
     }
     new BodyReader(request, reply, limit, then).run();
   }
 
-  private static void tooLarge(Reply reply) {
-    reply.closeAfter();
+  private static void rejectTooLarge(PendingReply reply) {
+    reply.closeConnection();
     reply.error(400, "body too large", Optional.empty());
   }
 
   private static final class BodyReader implements Runnable {
     private final Request request;
-    private final Reply reply;
+    private final PendingReply reply;
     private final int limit;
-    private final Then then;
+    private final BodyConsumer consumer;
     private byte[] body;
     private int size;
 
-    BodyReader(Request request, Reply reply, int limit, Then then) {
+    BodyReader(Request request, PendingReply reply, int limit, BodyConsumer then) {
       this.request = request;
       this.reply = reply;
       this.limit = limit;
-      this.then = then;
+      this.consumer = then;
       this.body = new byte[(int) Math.max(256, Math.min(limit, request.getLength()))];
     }
 
@@ -209,11 +211,11 @@
         boolean last = chunk.isLast();
         chunk.release();
         if (!fits) {
-          tooLarge(reply);
+          rejectTooLarge(reply);
           return;
         }
         if (last) {
-          then.accept(size == body.length ? body : Arrays.copyOf(body, size));
+          consumer.accept(size == body.length ? body : Arrays.copyOf(body, size));
           return;
         }
       }
@@ -235,60 +237,61 @@
   }
 
   /** A request at the front door, from its coming until its answer is sent. */
-  private record Stay(
-      ConnectionLimiter limiter, Connection connection, ConnectionLimiter.Guest guest) {
-    void begin() {
-      limiter.asks(connection, guest);
+  private record ActiveRequest(
+      ConnectionLimiter limiter, Connection connection, ConnectionLimiter.ClientKind clientKind) {
+    void received() {
+      limiter.requestReceived(connection, clientKind);
     }
 
-    void end() {
-      limiter.answered(connection);
+    void responseSent() {
+      limiter.responseSent(connection);
     }
 
-    boolean asksToLeave() {
-      return limiter.asksToLeave(connection);
+    boolean tryRedirect() {
+      return limiter.tryRedirect(connection);
     }
 
     /** Whether the connection is closed after an answer with this status. */
-    boolean closes(int status) {
-      if (guest == ConnectionLimiter.Guest.WORKER && status != MISDIRECTED) {
-        limiter.stays(connection);
+    boolean closesAfter(int status) {
+      if (clientKind == ConnectionLimiter.ClientKind.WORKER && status != MISDIRECTED_REQUEST) {
+        limiter.cancelRedirect(connection);
       }
-      return guest == ConnectionLimiter.Guest.USER && limiter.closesAfterUsers();
+      return clientKind == ConnectionLimiter.ClientKind.USER && limiter.closesUserConnections();
     }
   }
 
   /** The place where an answer goes; only the first one counts. */
-  static final class Reply {
-    private static final HttpField PACKED =
+  static final class PendingReply {
+    private static final HttpField MESSAGE_PACK_TYPE =
         new HttpField(HttpHeader.CONTENT_TYPE, "application/msgpack");
     private final Response response;
     private final Callback callback;
-    private final Optional<Stay> stay;
-    private final AtomicBoolean given = new AtomicBoolean();
+    private final Optional<ActiveRequest> activeRequest;
+    private final AtomicBoolean sent = new AtomicBoolean();
 
-    Reply(Response response, Callback callback, Optional<Stay> stay) {
+    PendingReply(Response response, Callback callback, Optional<ActiveRequest> stay) {
       this.response = response;
-      this.callback = stay.<Callback>map(s -> Callback.from(s::end, callback)).orElse(callback);
-      this.stay = stay;
+      this.callback =
+          stay.<Callback>map(s -> Callback.from(s::responseSent, callback)).orElse(callback);
+      this.activeRequest = stay;
     }
 
     /** Whether the worker that reported had better go elsewhere. */
-    boolean asksToLeave() {
-      return stay.filter(Stay::asksToLeave).isPresent();
+    boolean tryRedirect() {
+      return activeRequest.filter(ActiveRequest::tryRedirect).isPresent();
     }
 
-    void closeAfter() {
+    void closeConnection() {
       response.getHeaders().put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE);
     }
 
     void send(int status, byte[] body) {
-      if (given.compareAndSet(false, true)) {
-        if (stay.filter(s -> s.closes(status)).isPresent()) {
-          closeAfter();
+      if (sent.compareAndSet(false, true)) {
+        if (activeRequest.filter(s -> s.closesAfter(status)).isPresent()) {
+          closeConnection();
         }
         response.setStatus(status);
-        response.getHeaders().put(PACKED);
+        response.getHeaders().put(MESSAGE_PACK_TYPE);
         response.getHeaders().put(HttpHeader.CONTENT_LENGTH, body.length);
         response.write(true, ByteBuffer.wrap(body), callback);
       }
@@ -302,11 +305,11 @@
                   .put(
                       HttpHeader.RETRY_AFTER,
                       Long.toString(Math.max(1, Math.round(span.asSeconds())))));
-      send(status, UserCodec.error(reason));
+      send(status, UserCodec.encodeError(reason));
     }
 
     void fail(Throwable cause) {
-      if (given.compareAndSet(false, true)) {
+      if (sent.compareAndSet(false, true)) {
         callback.failed(cause);
       }
     }
--- a/src/main/java/org/oakwalk/adapter/RateBudget.java
+++ b/src/main/java/org/oakwalk/adapter/TokenBucket.java
@@ -1,23 +1,23 @@
 package org.oakwalk.adapter;
 
 /** Tokens that come in at a steady rate, up to a burst, and are spent by requests. */
-final class RateBudget {
-  private final double perMilli;
+final class TokenBucket {
+  private final double tokensPerMilli;
   private final double burst;
   private double tokens;
-  private long filledAt;
+  private long refilledAt;
   private long pausedUntil = Long.MIN_VALUE;
 
-  RateBudget(double perSecond, double burst, long now) {
-    this.perMilli = perSecond / 1000;
+  TokenBucket(double perSecond, double burst, long now) {
+    this.tokensPerMilli = perSecond / 1000;
     this.burst = burst;
     this.tokens = burst;
-    this.filledAt = now;
+    this.refilledAt = now;
   }
 
-  boolean has(double amount, long now) {
-    tokens = Math.min(burst, tokens + (now - filledAt) * perMilli);
-    filledAt = now;
+  boolean hasTokens(double amount, long now) {
+    tokens = Math.min(burst, tokens + (now - refilledAt) * tokensPerMilli);
+    refilledAt = now;
     return now >= pausedUntil && tokens >= Math.min(amount, burst);
   }
 
@@ -26,7 +26,7 @@
   }
 
   /** The other side says that it is too much: nothing goes out for a while. */
-  void pause(long until) {
+  void pauseUntil(long until) {
     pausedUntil = Math.max(pausedUntil, until);
     tokens = Math.min(tokens, 1);
   }
--- a/src/main/java/org/oakwalk/daemon/Daemon.java
+++ b/src/main/java/org/oakwalk/daemon/Daemon.java
@@ -6,8 +6,8 @@
 import org.eclipse.jetty.util.thread.QueuedThreadPool;
 import org.eclipse.jetty.util.thread.ScheduledExecutorScheduler;
 import org.oakwalk.adapter.HttpCaller;
-import org.oakwalk.adapter.Listener;
-import org.oakwalk.adapter.Outside;
+import org.oakwalk.adapter.HttpListener;
+import org.oakwalk.adapter.OutboundRequests;
 import org.oakwalk.core.Controller;
 import org.oakwalk.core.Policy;
 import org.slf4j.Logger;
@@ -23,7 +23,7 @@
   private final EventLoop loop;
   private final Thread thread;
   private final HttpCaller caller;
-  private final Listener listener;
+  private final HttpListener listener;
 
   /** Starts a node. */
   public Daemon(PlatformSettings settings, Policy policy) throws Exception {
@@ -44,16 +44,17 @@
     loop = new EventLoop(new Controller(settings.core(), policy, incarnation));
     caller =
         new HttpCaller(threads, scheduler, buffers, settings.sockets(), settings.peers().values());
-    Outside outside =
-        new Outside(
+    OutboundRequests outside =
+        new OutboundRequests(
             caller,
-            new Outside.Addresses(settings.state(), settings.cloud(), settings.peers()),
+            new OutboundRequests.ServiceAddresses(
+                settings.state(), settings.cloud(), settings.peers()),
             settings.core(),
             settings.sockets(),
             loop::later,
             EventLoop.steadyMillis());
     listener =
-        new Listener(
+        new HttpListener(
             threads,
             scheduler,
             buffers,
@@ -70,7 +71,7 @@
 
   /** The port for users and workers. */
   public int frontPort() {
-    return listener.frontPort();
+    return listener.clientPort();
   }
 
   /** Waits until the node is stopped. */
--- a/src/main/java/org/oakwalk/daemon/EventLoop.java
+++ b/src/main/java/org/oakwalk/daemon/EventLoop.java
@@ -6,8 +6,8 @@
 import java.util.concurrent.BlockingQueue;
 import java.util.concurrent.ConcurrentLinkedQueue;
 import java.util.concurrent.TimeUnit;
-import org.oakwalk.adapter.Listener;
-import org.oakwalk.adapter.Outside;
+import org.oakwalk.adapter.HttpListener;
+import org.oakwalk.adapter.OutboundRequests;
 import org.oakwalk.core.Controller;
 import org.oakwalk.core.ExchangeId;
 import org.oakwalk.core.Moment;
@@ -31,8 +31,8 @@
   private final Controller controller;
   private final Histograms histograms = new Histograms(steadyMillis());
   private final Map<ExchangeId, Long> submissions = new HashMap<>();
-  private Outside outside;
-  private Listener listener;
+  private OutboundRequests outside;
+  private HttpListener listener;
   private volatile boolean stopped;
 
   EventLoop(Controller controller) {
@@ -40,7 +40,7 @@
   }
 
   /** Connects the loop with the outside; to be called once, before it runs. */
-  void connect(Outside calls, Listener doors) {
+  void connect(OutboundRequests calls, HttpListener doors) {
     outside = calls;
     listener = doors;
   }
@@ -78,7 +78,7 @@
         }
         Object next = queue.poll(Math.max(1, nextTick - now), TimeUnit.MILLISECONDS);
         now = steadyMillis();
-        outside.clock(now);
+        outside.setTime(now);
         for (Runnable answer = answers.poll(); answer != null; answer = answers.poll()) {
           answer.run();
         }
@@ -89,7 +89,7 @@
           }
           handle(event);
         }
-        outside.pump(steadyMillis());
+        outside.sendDue(steadyMillis());
       } catch (InterruptedException e) {
         return;
       } catch (RuntimeException e) {
@@ -124,7 +124,7 @@
       } else if (effect instanceof Effect.Measured measured) {
         histograms.record(kind(measured.measure()), measured.span());
       } else if (effect instanceof Effect.Recall recall) {
-        outside.recall(recall.address());
+        outside.cancelCommands(recall.address());
       } else if (effect instanceof Effect.Call call) {
         outside.call(
             call.request(), now, answer -> handle(new Event.Answered(call.call(), answer)));
--- a/src/main/java/org/oakwalk/daemon/PlatformSettings.java
+++ b/src/main/java/org/oakwalk/daemon/PlatformSettings.java
@@ -12,7 +12,7 @@
 import java.util.List;
 import java.util.Map;
 import org.oakwalk.adapter.Address;
-import org.oakwalk.adapter.Sockets;
+import org.oakwalk.adapter.SocketBudget;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.Span;
@@ -25,7 +25,7 @@
     Map<NodeId, String> peers,
     String cloud,
     String state,
-    Sockets sockets) {
+    SocketBudget sockets) {
   private static final double DEFAULT_SOCKETS = 1024;
 
   /** A job's record and a part of its results may take nearly as much. */
@@ -85,12 +85,12 @@
           facts.sockets(peers.size()));
     }
 
-    private Sockets sockets(int peers) throws BadSettings {
+    private SocketBudget sockets(int peers) throws BadSettings {
       int total = (int) DEFAULT_SOCKETS;
       if (node.has("quota")) {
         total = (int) table("quota").number("fd_limit", 64, 1e6, DEFAULT_SOCKETS);
       }
-      return new Sockets(total, peers);
+      return new SocketBudget(total, peers);
     }
 
     private Map<String, Settings.Team> teams() throws BadSettings {
--- a/src/main/java/org/oakwalk/daemon/ProductFile.java
+++ b/src/main/java/org/oakwalk/daemon/ProductFile.java
@@ -213,7 +213,7 @@
       teams(file, "exchange \"" + exchange.name() + "\"", exchange.teams(), settings);
     }
     int most = (int) (settings.state().valueKb() * 1024);
-    if (!terms.none() && ProductCodec.bytes(terms) > most) {
+    if (!terms.none() && ProductCodec.storedBytes(terms) > most) {
       throw new BadSettings(
           file
               + ": dawns, headroom and exchanges take more than the "
--- a/src/main/java/org/oakwalk/wire/Pack.java
+++ b/src/main/java/org/oakwalk/wire/BinaryEncoding.java
@@ -14,22 +14,22 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /** Trees to bytes and back, in the two encodings that go over the network. */
-final class Pack {
+final class BinaryEncoding {
   private static final ObjectMapper MESSAGE_PACK = new ObjectMapper(new MessagePackFactory());
   private static final ObjectMapper CBOR = new CBORMapper();
 
-  private Pack() {}
+  private BinaryEncoding() {}
 
-  static ObjectNode map() {
+  static ObjectNode newMap() {
     return JsonNodeFactory.instance.objectNode();
   }
 
-  static byte[] messagePack(JsonNode tree) {
+  static byte[] encodeMessagePack(JsonNode tree) {
     return write(MESSAGE_PACK, tree);
   }
 
-  static ObjectNode messagePackMap(byte[] bytes) throws BadMessage {
-    refuseBinary(bytes);
+  static ObjectNode decodeMessagePackMap(byte[] bytes) throws MalformedMessageException {
+    rejectBinaryValues(bytes);
     return readMap(MESSAGE_PACK, bytes, "MessagePack");
   }
 
@@ -37,26 +37,26 @@
    * The protocol has nothing binary, and the parser reserves as much memory for it as its header
    * claims: twenty bytes from anybody would end the process.
    */
-  private static void refuseBinary(byte[] bytes) throws BadMessage {
+  private static void rejectBinaryValues(byte[] bytes) throws MalformedMessageException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
       while (unpacker.hasNext()) {
         switch (unpacker.getNextFormat().getValueType()) {
-          case BINARY, EXTENSION -> throw new BadMessage("binary value");
+          case BINARY, EXTENSION -> throw new MalformedMessageException("binary value");
           case ARRAY -> unpacker.unpackArrayHeader();
           case MAP -> unpacker.unpackMapHeader();
           default -> unpacker.skipValue();
         }
       }
     } catch (IOException | RuntimeException e) {
-      throw new BadMessage("not MessagePack");
+      throw new MalformedMessageException("not MessagePack");
     }
   }
 
-  static byte[] cbor(JsonNode tree) {
+  static byte[] encodeCbor(JsonNode tree) {
     return write(CBOR, tree);
   }
 
-  static ObjectNode cborMap(byte[] bytes) throws BadMessage {
+  static ObjectNode decodeCborMap(byte[] bytes) throws MalformedMessageException {
     return readMap(CBOR, bytes, "CBOR");
   }
 
@@ -69,21 +69,21 @@
   }
 
   private static ObjectNode readMap(ObjectMapper mapper, byte[] bytes, String encoding)
-      throws BadMessage {
+      throws MalformedMessageException {
     JsonNode tree;
     try (JsonParser parser = mapper.createParser(bytes)) {
       tree = mapper.readTree(parser);
       if (!atEnd(parser)) {
-        throw new BadMessage("bytes after the end");
+        throw new MalformedMessageException("bytes after the end");
       }
     } catch (IOException | RuntimeException e) {
       // The decoders also throw unchecked exceptions on bytes that are cut short or senseless.
-      throw new BadMessage("not " + encoding);
+      throw new MalformedMessageException("not " + encoding);
     }
     if (tree instanceof ObjectNode map) {
       return map;
     }
-    throw new BadMessage("not a map");
+    throw new MalformedMessageException("not a map");
   }
 
   /** The MessagePack parser reports the regular end as an error of its own, CBOR's as no token. */
--- a/src/main/java/org/oakwalk/wire/CloudCodec.java
+++ b/src/main/java/org/oakwalk/wire/CloudCodec.java
@@ -16,75 +16,76 @@
 
 /** Requests to the cloud and its answers. */
 public final class CloudCodec {
-  private static final int PAGE = 500;
+  private static final int RENTALS_PER_PAGE = 500;
 
   private CloudCodec() {}
 
-  public static HttpMessage encode(Request.Cloud request) {
+  public static OutgoingRequest encode(Request.Cloud request) {
     if (request instanceof Request.FetchCatalog) {
-      return new HttpMessage("GET", "/catalog", null);
+      return new OutgoingRequest("GET", "/catalog", null);
     }
     if (request instanceof Request.ListRentals list) {
       String after = list.after().map(id -> "from=" + id.value() + "&").orElse("");
-      return new HttpMessage("GET", "/rentals?" + after + "limit=" + PAGE, null);
+      return new OutgoingRequest("GET", "/rentals?" + after + "limit=" + RENTALS_PER_PAGE, null);
     }
-    ObjectNode map = Pack.map();
+    ObjectNode map = BinaryEncoding.newMap();
     if (request instanceof Request.Rent rent) {
       map.put("ask", rent.ask().value());
       map.put("flavor", rent.type());
       map.put("region", rent.zone());
       map.put("leftovers", rent.spot());
       map.put("number", rent.count());
-      return new HttpMessage("POST", "/rentals", Pack.messagePack(map));
+      return new OutgoingRequest("POST", "/rentals", BinaryEncoding.encodeMessagePack(map));
     }
     ArrayNode hosts = map.putArray("hosts");
     ((Request.Release) request).machines().forEach(id -> hosts.add(id.value()));
-    return new HttpMessage("POST", "/rentals/release", Pack.messagePack(map));
+    return new OutgoingRequest("POST", "/rentals/release", BinaryEncoding.encodeMessagePack(map));
   }
 
-  public static Answer decode(Request.Cloud request, int status, byte[] body) throws BadMessage {
+  public static Answer decode(Request.Cloud request, int status, byte[] body)
+      throws MalformedMessageException {
     if (status != 200) {
       return new Answer.Refused(status, "");
     }
     if (request instanceof Request.Release) {
       return new Answer.Ok();
     }
-    Fields fields = new Fields(Pack.messagePackMap(body));
+    FieldReader fields = new FieldReader(BinaryEncoding.decodeMessagePackMap(body));
     if (request instanceof Request.FetchCatalog) {
       return catalog(fields);
     }
     if (request instanceof Request.Rent) {
-      return new Answer.Rented(fields.texts("hosts").stream().map(MachineId::new).toList());
+      return new Answer.Rented(fields.textList("hosts").stream().map(MachineId::new).toList());
     }
     List<Rental> rentals = new ArrayList<>();
     for (JsonNode item : fields.list("hosts")) {
-      rentals.add(rental(Fields.of(item)));
+      rentals.add(rental(FieldReader.of(item)));
     }
-    return new Answer.Rentals(rentals, fields.has("more") && fields.flag("more"));
+    return new Answer.Rentals(rentals, fields.has("more") && fields.bool("more"));
   }
 
-  private static Rental rental(Fields fields) throws BadMessage {
+  private static Rental rental(FieldReader fields) throws MalformedMessageException {
     Rental.Status status =
         switch (fields.text("status")) {
           case "booting" -> Rental.Status.BOOTING;
           case "running" -> Rental.Status.RUNNING;
           case "failed" -> Rental.Status.FAILED;
-          default -> throw new BadMessage("field status has an unknown value");
+          default -> throw new MalformedMessageException("field status has an unknown value");
         };
     return new Rental(
         new MachineId(fields.text("ref")),
         fields.has("addr") ? fields.text("addr") : "",
         fields.text("flavor"),
         fields.text("region"),
-        fields.flag("leftovers"),
+        fields.bool("leftovers"),
         status,
         fields.seconds("held_s"));
   }
 
-  private static Answer catalog(Fields fields) throws BadMessage {
+  private static Answer catalog(FieldReader fields) throws MalformedMessageException {
     Map<String, MachineType> types = new LinkedHashMap<>();
     for (JsonNode item : fields.list("flavors")) {
-      Fields type = Fields.of(item);
+      FieldReader type = FieldReader.of(item);
       String name = type.text("sku");
       types.put(
           name,
@@ -97,7 +98,7 @@
               type.amount("rate"),
               type.amount("low_price"),
               type.seconds("startup_s"),
-              type.texts("regions")));
+              type.textList("regions")));
     }
     return new Answer.Catalog(types);
   }
--- a/src/main/java/org/oakwalk/wire/DrainCodec.java
+++ b/src/main/java/org/oakwalk/wire/DrainCodec.java
@@ -41,17 +41,17 @@
     texts.forEach(list::add);
   }
 
-  static StoredValue.DrainRecord drain(Fields map) throws BadMessage {
+  static StoredValue.DrainRecord decodeDrain(FieldReader map) throws MalformedMessageException {
     DrainPlan plan =
         new DrainPlan(
             map.shortText("name"),
             map.count("version"),
-            named(DrainPlan.Status.values(), map.text("status")),
-            new LinkedHashSet<>(map.texts("zones")),
-            new LinkedHashSet<>(map.texts("types")),
-            map.has("spot") ? Optional.of(map.flag("spot")) : Optional.empty(),
-            new LinkedHashSet<>(map.texts("machines")),
-            named(DrainPlan.Then.values(), map.text("then")),
+            enumValue(DrainPlan.Status.values(), map.text("status")),
+            new LinkedHashSet<>(map.textList("zones")),
+            new LinkedHashSet<>(map.textList("types")),
+            map.has("spot") ? Optional.of(map.bool("spot")) : Optional.empty(),
+            new LinkedHashSet<>(map.textList("machines")),
+            enumValue(DrainPlan.Then.values(), map.text("then")),
             map.amount("step"),
             (int) map.count("surge", 0, Integer.MAX_VALUE),
             map.seconds("pause_s"),
@@ -62,11 +62,12 @@
         plan, new MachineId(map.text("newest")), (int) map.count("selected", 0, Integer.MAX_VALUE));
   }
 
-  private static <E extends Enum<E>> E named(E[] values, String name) throws BadMessage {
+  private static <E extends Enum<E>> E enumValue(E[] values, String name)
+      throws MalformedMessageException {
     return Arrays.stream(values)
         .filter(value -> value.name().equals(name))
         .findFirst()
-        .orElseThrow(() -> new BadMessage("unknown word " + name));
+        .orElseThrow(() -> new MalformedMessageException("unknown word " + name));
   }
 
   static void encode(StoredValue.StopsRecord record, ObjectNode map) {
@@ -84,19 +85,19 @@
             });
   }
 
-  static StoredValue.StopsRecord stops(Fields map) throws BadMessage {
+  static StoredValue.StopsRecord decodeStops(FieldReader map) throws MalformedMessageException {
     Map<String, StoredValue.StopCounts> byBudget = new TreeMap<>();
     for (Map.Entry<String, JsonNode> entry : map.get("budgets").properties()) {
-      Fields item = Fields.of(entry.getValue());
+      FieldReader item = FieldReader.of(entry.getValue());
       Map<Long, Integer> times = new TreeMap<>();
-      Fields byTime = item.map("times");
+      FieldReader byTime = item.map("times");
       for (Map.Entry<String, JsonNode> time : item.get("times").properties()) {
         try {
           times.put(
               Long.parseLong(time.getKey()),
               (int) byTime.count(time.getKey(), 0, Integer.MAX_VALUE));
         } catch (NumberFormatException e) {
-          throw new BadMessage("field times holds something other than numbers");
+          throw new MalformedMessageException("field times holds something other than numbers");
         }
       }
       byBudget.put(
--- a/src/main/java/org/oakwalk/wire/HeadroomCodec.java
+++ b/src/main/java/org/oakwalk/wire/HeadroomCodec.java
@@ -12,14 +12,14 @@
 import org.oakwalk.core.job.Resources;
 
 /** The stored form of room that is kept for replicas. */
-final class HeadroomCodec implements SharedCodec.RowCodec<HeadroomRow> {
+final class HeadroomCodec implements SharedRecordCodec.RowCodec<HeadroomRow> {
   @Override
-  public String sort() {
+  public String typeTag() {
     return "room";
   }
 
   @Override
-  public Class<HeadroomRow> type() {
+  public Class<HeadroomRow> rowClass() {
     return HeadroomRow.class;
   }
 
@@ -47,7 +47,7 @@
   }
 
   @Override
-  public HeadroomRow decode(Fields map) throws BadMessage {
+  public HeadroomRow decode(FieldReader map) throws MalformedMessageException {
     HeadroomRow.Key key =
         new HeadroomRow.Key(
             map.text("name"),
@@ -56,7 +56,7 @@
             new Resources(map.amount("cpus"), map.amount("gpus"), map.amount("mem")),
             map.has("zone") ? Optional.of(map.text("zone")) : Optional.empty());
     Map<String, Integer> places = new TreeMap<>();
-    Fields byZone = map.map("places");
+    FieldReader byZone = map.map("places");
     for (Map.Entry<String, JsonNode> entry : map.get("places").properties()) {
       places.put(entry.getKey(), (int) byZone.count(entry.getKey(), 0, Integer.MAX_VALUE));
     }
@@ -65,18 +65,18 @@
         priority(map.text("priority")),
         map.text("image"),
         map.amount("gb"),
-        new TreeSet<>(map.has("types") ? map.texts("types") : java.util.List.of()),
-        map.flag("spot"),
+        new TreeSet<>(map.has("types") ? map.textList("types") : java.util.List.of()),
+        map.bool("spot"),
         (int) map.count("peak", 0, Integer.MAX_VALUE),
         places);
   }
 
-  private static Priority priority(String name) throws BadMessage {
+  private static Priority priority(String name) throws MalformedMessageException {
     for (Priority priority : Priority.values()) {
       if (priority.name().equals(name)) {
         return priority;
       }
     }
-    throw new BadMessage("unknown priority " + name);
+    throw new MalformedMessageException("unknown priority " + name);
   }
 }
--- a/src/main/java/org/oakwalk/wire/JobCodec.java
+++ b/src/main/java/org/oakwalk/wire/JobCodec.java
@@ -14,8 +14,8 @@
 
 /** A job's description, as users send it and as it is stored. */
 final class JobCodec {
-  static final String ID = "ref";
-  private static final int MOST_TYPES_TEXT = 1500;
+  static final String ID_FIELD = "ref";
+  private static final int MAX_TYPES_CHARS = 1500;
   private static final Map<String, JobSpec.Shape> SHAPES =
       Map.of(
           "sweep", JobSpec.Shape.ARRAY,
@@ -30,15 +30,15 @@
 
   private JobCodec() {}
 
-  static JobId id(Fields fields) throws BadMessage {
-    String id = fields.text(ID);
+  static JobId id(FieldReader fields) throws MalformedMessageException {
+    String id = fields.text(ID_FIELD);
     if (!JobId.wellFormed(id)) {
-      throw new BadMessage("field " + ID + " is malformed");
+      throw new MalformedMessageException("field " + ID_FIELD + " is malformed");
     }
     return new JobId(id);
   }
 
-  static JobSpec decode(Fields fields) throws BadMessage {
+  static JobSpec decode(FieldReader fields) throws MalformedMessageException {
     return new JobSpec(
         id(fields),
         fields.shortText("jobclass"),
@@ -50,9 +50,9 @@
             fields.amount("vcpus"), fields.amount("accelerators"), fields.amount("memory_gb")),
         types(fields),
         fields.optionalText("region"),
-        fields.flag("same_place"),
-        fields.flag("spread"),
-        fields.flag("leftovers"),
+        fields.bool("same_place"),
+        fields.bool("spread"),
+        fields.bool("leftovers"),
         fields.shortText("bundle"),
         fields.amount("size_gb"),
         fields.seconds("guess_s"),
@@ -61,32 +61,32 @@
         due(fields));
   }
 
-  private static Optional<Span> due(Fields fields) throws BadMessage {
+  private static Optional<Span> due(FieldReader fields) throws MalformedMessageException {
     return fields.optionalSeconds("due_s");
   }
 
-  private static Set<String> types(Fields fields) throws BadMessage {
+  private static Set<String> types(FieldReader fields) throws MalformedMessageException {
     if (!fields.has("flavors")) {
       return Set.of();
     }
-    Set<String> types = new TreeSet<>(fields.texts("flavors"));
-    if (types.isEmpty() || types.stream().mapToInt(String::length).sum() > MOST_TYPES_TEXT) {
-      throw new BadMessage("field flavors is empty or too long");
+    Set<String> types = new TreeSet<>(fields.textList("flavors"));
+    if (types.isEmpty() || types.stream().mapToInt(String::length).sum() > MAX_TYPES_CHARS) {
+      throw new MalformedMessageException("field flavors is empty or too long");
     }
     return types;
   }
 
-  private static <T> T choice(Fields fields, String name, Map<String, T> choices)
-      throws BadMessage {
+  private static <T> T choice(FieldReader fields, String name, Map<String, T> choices)
+      throws MalformedMessageException {
     T value = choices.get(fields.text(name));
     if (value == null) {
-      throw new BadMessage("field " + name + " has an unknown value");
+      throw new MalformedMessageException("field " + name + " has an unknown value");
     }
     return value;
   }
 
   static void encode(JobSpec spec, ObjectNode into) {
-    into.put(ID, spec.id().value());
+    into.put(ID_FIELD, spec.id().value());
     into.put("jobclass", spec.jobClass());
     into.put("crew", spec.team());
     into.put("shape", name(SHAPES, spec.shape()));
--- a/src/main/java/org/oakwalk/wire/BadMessage.java
+++ b/src/main/java/org/oakwalk/wire/MalformedMessageException.java
@@ -1,10 +1,10 @@
 package org.oakwalk.wire;
 
 /** A message that does not have the form it should have. */
-public final class BadMessage extends Exception {
+public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
-  public BadMessage(String reason) {
+  public MalformedMessageException(String reason) {
     super(reason);
   }
 }
--- a/src/main/java/org/oakwalk/wire/HttpMessage.java
+++ b/src/main/java/org/oakwalk/wire/OutgoingRequest.java
@@ -1,4 +1,4 @@
 package org.oakwalk.wire;
 
 /** A request as it goes out; the body is null if there is none. */
-public record HttpMessage(String method, String path, byte[] body) {}
+public record OutgoingRequest(String method, String path, byte[] body) {}
--- a/src/main/java/org/oakwalk/wire/PeerCodec.java
+++ b/src/main/java/org/oakwalk/wire/PeerCodec.java
@@ -19,12 +19,12 @@
 
 /** What controllers say to each other, as CBOR. */
 public final class PeerCodec {
-  public static final String PATH = "/peer";
+  public static final String PEER_PATH = "/peer";
 
   private PeerCodec() {}
 
   public static byte[] encode(PeerMessage message) {
-    ObjectNode map = Pack.map();
+    ObjectNode map = BinaryEncoding.newMap();
     if (message instanceof PeerMessage.Digest digest) {
       map.put("sort", "digest");
       map.put("from", digest.from().value());
@@ -46,11 +46,11 @@
       map.put("from", probe.from().value());
     } else if (message instanceof PeerMessage.Carry carry) {
       map.put("sort", "carry");
-      WorkerCodec.put(map, carry.report());
+      WorkerCodec.write(map, carry.report());
     } else if (message instanceof PeerMessage.Carried carried) {
       map.put("sort", "carried");
       carried.token().ifPresent(token -> map.put("token", token.value()));
-      WorkerCodec.put(map, carried.orders());
+      WorkerCodec.write(map, carried.orders());
     } else if (message instanceof PeerMessage.Forward forward) {
       map.put("sort", "forward");
       request(forward.request(), map);
@@ -58,23 +58,23 @@
       map.put("sort", "forwarded");
       response(forwarded.response(), map);
     }
-    return Pack.cbor(map);
+    return BinaryEncoding.encodeCbor(map);
   }
 
-  public static PeerMessage decode(byte[] body) throws BadMessage {
-    ObjectNode map = Pack.cborMap(body);
-    Fields fields = new Fields(map);
+  public static PeerMessage decode(byte[] body) throws MalformedMessageException {
+    ObjectNode map = BinaryEncoding.decodeCborMap(body);
+    FieldReader fields = new FieldReader(map);
     String sort = fields.text("sort");
     return switch (sort) {
       case "digest" ->
           new PeerMessage.Digest(
               new NodeId(fields.text("from")),
               new Token(fields.count("token")),
-              fields.flag("serves"),
+              fields.bool("serves"),
               counts(fields.get("counts")),
               suspects(fields));
       case "acknowledged" ->
-          new PeerMessage.Acknowledged(new NodeId(fields.text("from")), fields.flag("settled"));
+          new PeerMessage.Acknowledged(new NodeId(fields.text("from")), fields.bool("settled"));
       case "probe" -> new PeerMessage.Probe(new NodeId(fields.text("from")));
       case "carry" -> new PeerMessage.Carry(WorkerCodec.report(fields));
       case "carried" ->
@@ -85,19 +85,20 @@
               WorkerCodec.orders(fields));
       case "forward" -> new PeerMessage.Forward(request(fields));
       case "forwarded" -> new PeerMessage.Forwarded(response(fields));
-      default -> throw new BadMessage("message of unknown sort " + sort);
+      default -> throw new MalformedMessageException("message of unknown sort " + sort);
     };
   }
 
-  static Answer answer(int status, byte[] body) throws BadMessage {
+  static Answer answer(int status, byte[] body) throws MalformedMessageException {
     return status == 200
         ? new Answer.Told(decode(body))
         : new Answer.Refused(status, "peer refused");
   }
 
-  private static Map<JobId, PeerMessage.Counts> counts(JsonNode node) throws BadMessage {
+  private static Map<JobId, PeerMessage.Counts> counts(JsonNode node)
+      throws MalformedMessageException {
     if (!node.isObject()) {
-      throw new BadMessage("counts are malformed");
+      throw new MalformedMessageException("counts are malformed");
     }
     Map<JobId, PeerMessage.Counts> counts = new HashMap<>();
     for (Map.Entry<String, JsonNode> field : node.properties()) {
@@ -105,9 +106,9 @@
       if (!JobId.wellFormed(field.getKey())
           || !pair.isArray()
           || pair.size() != 2
-          || !count(pair.get(0))
-          || !count(pair.get(1))) {
-        throw new BadMessage("counts are malformed");
+          || !isCount(pair.get(0))
+          || !isCount(pair.get(1))) {
+        throw new MalformedMessageException("counts are malformed");
       }
       counts.put(
           new JobId(field.getKey()),
@@ -116,11 +117,11 @@
     return counts;
   }
 
-  private static boolean count(JsonNode node) {
+  private static boolean isCount(JsonNode node) {
     return node.isIntegralNumber() && node.canConvertToInt() && node.intValue() >= 0;
   }
 
-  private static Set<JobId> suspects(Fields fields) throws BadMessage {
+  private static Set<JobId> suspects(FieldReader fields) throws MalformedMessageException {
     Set<JobId> suspects = new HashSet<>();
     if (fields.has("suspects")) {
       for (JsonNode id : fields.list("suspects")) {
@@ -143,9 +144,9 @@
     }
   }
 
-  private static UserRequest request(Fields fields) throws BadMessage {
+  private static UserRequest request(FieldReader fields) throws MalformedMessageException {
     if (!JobId.wellFormed(fields.text("job"))) {
-      throw new BadMessage("field job is malformed");
+      throw new MalformedMessageException("field job is malformed");
     }
     JobId job = new JobId(fields.text("job"));
     String ask = fields.text("ask");
@@ -159,7 +160,7 @@
                   ? Optional.of(JobCodec.decode(fields.map("spec")))
                   : Optional.empty(),
               fields.text("problem"));
-      default -> throw new BadMessage("unknown request " + ask);
+      default -> throw new MalformedMessageException("unknown request " + ask);
     };
   }
 
@@ -179,7 +180,7 @@
     }
   }
 
-  private static Response response(Fields fields) throws BadMessage {
+  private static Response response(FieldReader fields) throws MalformedMessageException {
     if (fields.has("status")) {
       return new Response.Problem(
           (int) fields.count("status", 400, 599),
@@ -191,13 +192,13 @@
     for (Response.JobState state : Response.JobState.values()) {
       if (state.name().equals(fields.text("state"))) {
         return new Response.JobStatus(
-            fields.flag("created"),
+            fields.bool("created"),
             new JobId(fields.text("job")),
             state,
             (int) fields.count("done", 0, Integer.MAX_VALUE),
             (int) fields.count("running", 0, Integer.MAX_VALUE));
       }
     }
-    throw new BadMessage("unknown state");
+    throw new MalformedMessageException("unknown state");
   }
 }
--- a/src/main/java/org/oakwalk/wire/PlanCodec.java
+++ b/src/main/java/org/oakwalk/wire/PlanRowCodec.java
@@ -11,16 +11,16 @@
 import org.oakwalk.core.planner.PlanRow;
 
 /** The stored form of plans for dawns and of what they rest on. */
-final class PlanCodec implements SharedCodec.RowCodec<PlanRow> {
-  private static final int MOST = Integer.MAX_VALUE;
+final class PlanRowCodec implements SharedRecordCodec.RowCodec<PlanRow> {
+  private static final int MAX_COUNT = Integer.MAX_VALUE;
 
   @Override
-  public String sort() {
+  public String typeTag() {
     return "plan";
   }
 
   @Override
-  public Class<PlanRow> type() {
+  public Class<PlanRow> rowClass() {
     return PlanRow.class;
   }
 
@@ -82,7 +82,7 @@
   }
 
   @Override
-  public PlanRow decode(Fields map) throws BadMessage {
+  public PlanRow decode(FieldReader map) throws MalformedMessageException {
     String kind = map.text("k");
     return switch (kind) {
       case "night" ->
@@ -91,10 +91,10 @@
               time(map, "opens"),
               time(map, "at"),
               time(map, "revised"),
-              (int) map.count("revisions", 0, MOST),
+              (int) map.count("revisions", 0, MAX_COUNT),
               map.amount("share"),
               map.amount("missing"),
-              (int) map.count("machines", 0, MOST),
+              (int) map.count("machines", 0, MAX_COUNT),
               map.count("for_s"));
       case "group" ->
           new PlanRow.Group(
@@ -102,10 +102,10 @@
               new GroupKey(
                   map.text("team"),
                   map.text("class"),
-                  (int) map.count("length", -1, MOST),
-                  (int) map.count("size", -1, MOST)),
-              (int) map.count("seen", 0, MOST),
-              (int) map.count("promised", 0, MOST),
+                  (int) map.count("length", -1, MAX_COUNT),
+                  (int) map.count("size", -1, MAX_COUNT)),
+              (int) map.count("seen", 0, MAX_COUNT),
+              (int) map.count("promised", 0, MAX_COUNT),
               time(map, "start"),
               time(map, "end"),
               time(map, "last"),
@@ -125,23 +125,24 @@
           new PlanRow.Reach(
               map.text("type"),
               map.text("zone"),
-              map.flag("spot"),
+              map.bool("spot"),
               map.amount("most"),
               map.amount("hours"),
               map.amount("losses"));
-      default -> throw new BadMessage("row of a plan of unknown kind " + kind);
+      default -> throw new MalformedMessageException("row of a plan of unknown kind " + kind);
     };
   }
 
-  private static WallTime time(Fields map, String name) throws BadMessage {
+  private static WallTime time(FieldReader map, String name) throws MalformedMessageException {
     return new WallTime(map.count(name, Long.MIN_VALUE, Long.MAX_VALUE));
   }
 
-  private static List<Long> numbers(Fields map, String name) throws BadMessage {
+  private static List<Long> numbers(FieldReader map, String name) throws MalformedMessageException {
     List<Long> numbers = new ArrayList<>();
     for (JsonNode item : map.list(name)) {
       if (!item.isIntegralNumber() || !item.canConvertToLong()) {
-        throw new BadMessage("field " + name + " holds something other than integers");
+        throw new MalformedMessageException(
+            "field " + name + " holds something other than integers");
       }
       numbers.add(item.longValue());
     }
--- a/src/main/java/org/oakwalk/wire/ProductCodec.java
+++ b/src/main/java/org/oakwalk/wire/ProductCodec.java
@@ -20,17 +20,17 @@
 /** The stored form of what operators declare of dawns, headroom and exchanges. */
 public final class ProductCodec {
   /** Another form is not guessed at: what it means can't be known. */
-  private static final int FORM = 1;
+  private static final int FORMAT_VERSION = 1;
 
   private ProductCodec() {}
 
   /** How long the record of these terms is, counted as the state service counts values. */
-  public static int bytes(ProductTerms terms) {
-    return StateCodec.value(new StoredValue.ProductRecord(terms)).toString().length();
+  public static int storedBytes(ProductTerms terms) {
+    return StateServiceCodec.value(new StoredValue.ProductRecord(terms)).toString().length();
   }
 
   static void encode(ProductTerms terms, ObjectNode map) {
-    map.put("form", FORM);
+    map.put("form", FORMAT_VERSION);
     map.put("version", terms.version());
     ArrayNode dawns = map.putArray("dawns");
     terms.dawns().forEach(dawn -> encode(dawn, dawns.addObject()));
@@ -83,24 +83,24 @@
     texts.forEach(list::add);
   }
 
-  static ProductTerms decode(Fields map) throws BadMessage {
-    SharedCodec.checkForm(map, FORM);
+  static ProductTerms decode(FieldReader map) throws MalformedMessageException {
+    SharedRecordCodec.checkFormat(map, FORMAT_VERSION);
     List<DawnTerms> dawns = new ArrayList<>();
     for (JsonNode item : map.list("dawns")) {
-      dawns.add(dawn(Fields.of(item)));
+      dawns.add(dawn(FieldReader.of(item)));
     }
     List<HeadroomTerms> headrooms = new ArrayList<>();
     for (JsonNode item : map.list("headrooms")) {
-      headrooms.add(headroom(Fields.of(item)));
+      headrooms.add(headroom(FieldReader.of(item)));
     }
     List<ExchangeTerms> exchanges = new ArrayList<>();
     for (JsonNode item : map.list("exchanges")) {
-      exchanges.add(exchange(Fields.of(item)));
+      exchanges.add(exchange(FieldReader.of(item)));
     }
     return new ProductTerms(map.count("version", 1, Long.MAX_VALUE), dawns, headrooms, exchanges);
   }
 
-  private static DawnTerms dawn(Fields map) throws BadMessage {
+  private static DawnTerms dawn(FieldReader map) throws MalformedMessageException {
     return new DawnTerms(
         map.shortText("name"),
         map.has("by") ? Optional.of(daily(map)) : Optional.empty(),
@@ -112,18 +112,18 @@
         share(map, "quantile"));
   }
 
-  private static DawnTerms.Daily daily(Fields map) throws BadMessage {
+  private static DawnTerms.Daily daily(FieldReader map) throws MalformedMessageException {
     try {
       return new DawnTerms.Daily(
           LocalTime.parse(map.text("by")),
           LocalTime.parse(map.text("opens")),
           ZoneId.of(map.text("tz")));
     } catch (DateTimeException e) {
-      throw new BadMessage("a dawn's hours or time zone can't be read");
+      throw new MalformedMessageException("a dawn's hours or time zone can't be read");
     }
   }
 
-  private static HeadroomTerms headroom(Fields map) throws BadMessage {
+  private static HeadroomTerms headroom(FieldReader map) throws MalformedMessageException {
     return new HeadroomTerms(
         map.shortText("name"),
         map.optionalText("class"),
@@ -134,7 +134,7 @@
         share(map, "warm"));
   }
 
-  private static ExchangeTerms exchange(Fields map) throws BadMessage {
+  private static ExchangeTerms exchange(FieldReader map) throws MalformedMessageException {
     return new ExchangeTerms(
         map.shortText("name"),
         texts(map, "takers"),
@@ -146,14 +146,14 @@
         map.seconds("patience_s"));
   }
 
-  private static Set<String> texts(Fields map, String name) throws BadMessage {
-    return new LinkedHashSet<>(map.texts(name));
+  private static Set<String> texts(FieldReader map, String name) throws MalformedMessageException {
+    return new LinkedHashSet<>(map.textList(name));
   }
 
-  private static double share(Fields map, String name) throws BadMessage {
+  private static double share(FieldReader map, String name) throws MalformedMessageException {
     double share = map.amount(name);
     if (share > 1) {
-      throw new BadMessage("field " + name + " is out of range");
+      throw new MalformedMessageException("field " + name + " is out of range");
     }
     return share;
   }
--- a/src/main/java/org/oakwalk/wire/Outgoing.java
+++ b/src/main/java/org/oakwalk/wire/RequestCodec.java
@@ -4,12 +4,12 @@
 import org.oakwalk.core.port.Request;
 
 /** Requests of the core as HTTP messages, and HTTP answers as answers to the core. */
-public final class Outgoing {
-  private Outgoing() {}
+public final class RequestCodec {
+  private RequestCodec() {}
 
-  public static HttpMessage encode(Request request) {
+  public static OutgoingRequest encode(Request request) {
     if (request instanceof Request.State state) {
-      return StateCodec.encode(state);
+      return StateServiceCodec.encode(state);
     }
     if (request instanceof Request.Cloud cloud) {
       return CloudCodec.encode(cloud);
@@ -17,19 +17,20 @@
     if (request instanceof Request.Command command) {
       return WorkerCodec.command(command);
     }
-    return new HttpMessage(
-        "POST", PeerCodec.PATH, PeerCodec.encode(((Request.Tell) request).message()));
+    return new OutgoingRequest(
+        "POST", PeerCodec.PEER_PATH, PeerCodec.encode(((Request.Tell) request).message()));
   }
 
-  public static Answer decode(Request request, int status, byte[] body) throws BadMessage {
+  public static Answer decode(Request request, int status, byte[] body)
+      throws MalformedMessageException {
     if (request instanceof Request.State state) {
-      return StateCodec.decode(state, status, body);
+      return StateServiceCodec.decode(state, status, body);
     }
     if (request instanceof Request.Cloud cloud) {
       return CloudCodec.decode(cloud, status, body);
     }
     if (request instanceof Request.Command) {
-      return WorkerCodec.commanded(status, body);
+      return WorkerCodec.commandResult(status, body);
     }
     return PeerCodec.answer(status, body);
   }
--- a/src/main/java/org/oakwalk/wire/SharedCodec.java
+++ b/src/main/java/org/oakwalk/wire/SharedRecordCodec.java
@@ -13,17 +13,17 @@
  * of its frame, and each row its sort; a row whose form changes gets a new sort. What this version
  * does not know is refused rather than half read, so that one feature stops and not all.
  */
-final class SharedCodec {
-  private static final int FORM = 1;
-  private static final int MOST_PARTS = 10_000;
+final class SharedRecordCodec {
+  private static final int FORMAT_VERSION = 1;
+  private static final int MAX_PARTS = 10_000;
 
   /** The rows of one feature, in a codec of its own. */
   interface RowCodec<R extends SharedRow> {
     /** What its rows are called where they are stored; short, since it stands in each row. */
-    String sort();
+    String typeTag();
 
     /** The class of its rows. */
-    Class<R> type();
+    Class<R> rowClass();
 
     /**
      * Puts a row's fields into a map; all of them in at most {@link SharedRow#maxJsonBytes} bytes.
@@ -31,17 +31,17 @@
     void encode(R row, ObjectNode map);
 
     /** Reads what {@link #encode} has put there. */
-    R decode(Fields map) throws BadMessage;
+    R decode(FieldReader map) throws MalformedMessageException;
   }
 
   /** Every feature adds its own here. */
   private static final List<RowCodec<?>> CODECS =
-      List.of(new HeadroomCodec(), new PlanCodec(), new TakeCodec());
+      List.of(new HeadroomCodec(), new PlanRowCodec(), new TakeCodec());
 
-  private SharedCodec() {}
+  private SharedRecordCodec() {}
 
   static void encode(StoredValue.SharedHead head, ObjectNode map) {
-    map.put("form", FORM);
+    map.put("form", FORMAT_VERSION);
     map.put("revision", head.revision());
     map.put("slot", head.slot());
     map.put("parts", head.partCount());
@@ -49,7 +49,7 @@
   }
 
   static void encode(StoredValue.SharedPart part, ObjectNode map) {
-    map.put("form", FORM);
+    map.put("form", FORMAT_VERSION);
     map.put("revision", part.revision());
     rows(part.rows(), map);
   }
@@ -64,7 +64,7 @@
   /** One row as it is stored. */
   static ObjectNode row(SharedRow row) {
     for (RowCodec<?> codec : CODECS) {
-      if (codec.type().isInstance(row)) {
+      if (codec.rowClass().isInstance(row)) {
         return row(codec, row);
       }
     }
@@ -72,48 +72,48 @@
   }
 
   private static <R extends SharedRow> ObjectNode row(RowCodec<R> codec, SharedRow row) {
-    ObjectNode item = Pack.map();
-    item.put("t", codec.sort());
-    codec.encode(codec.type().cast(row), item);
+    ObjectNode item = BinaryEncoding.newMap();
+    item.put("t", codec.typeTag());
+    codec.encode(codec.rowClass().cast(row), item);
     return item;
   }
 
-  static StoredValue.SharedHead head(Fields map) throws BadMessage {
-    checkForm(map, FORM);
+  static StoredValue.SharedHead head(FieldReader map) throws MalformedMessageException {
+    checkFormat(map, FORMAT_VERSION);
     return new StoredValue.SharedHead(
         map.count("revision"),
         (int) map.count("slot", 0, 1),
-        (int) map.count("parts", 0, MOST_PARTS),
+        (int) map.count("parts", 0, MAX_PARTS),
         rows(map));
   }
 
-  static StoredValue.SharedPart part(Fields map) throws BadMessage {
-    checkForm(map, FORM);
+  static StoredValue.SharedPart part(FieldReader map) throws MalformedMessageException {
+    checkFormat(map, FORMAT_VERSION);
     return new StoredValue.SharedPart(map.count("revision"), rows(map));
   }
 
-  private static List<SharedRow> rows(Fields map) throws BadMessage {
+  private static List<SharedRow> rows(FieldReader map) throws MalformedMessageException {
     List<SharedRow> rows = new ArrayList<>();
     for (JsonNode item : map.list("rows")) {
-      rows.add(row(Fields.of(item)));
+      rows.add(row(FieldReader.of(item)));
     }
     return rows;
   }
 
   /** A row out of its stored form. */
-  static SharedRow row(Fields map) throws BadMessage {
+  static SharedRow row(FieldReader map) throws MalformedMessageException {
     String sort = map.text("t");
     for (RowCodec<?> codec : CODECS) {
-      if (codec.sort().equals(sort)) {
+      if (codec.typeTag().equals(sort)) {
         return codec.decode(map);
       }
     }
-    throw new BadMessage("row of unknown sort " + sort);
+    throw new MalformedMessageException("row of unknown sort " + sort);
   }
 
-  static void checkForm(Fields map, int known) throws BadMessage {
+  static void checkFormat(FieldReader map, int known) throws MalformedMessageException {
     if (map.count("form") != known) {
-      throw new BadMessage(
+      throw new MalformedMessageException(
           "written in form " + map.count("form") + ", this version knows " + known);
     }
   }
--- a/src/main/java/org/oakwalk/wire/StateCodec.java
+++ b/src/main/java/org/oakwalk/wire/StateServiceCodec.java
@@ -28,16 +28,16 @@
 import org.oakwalk.core.store.StoredValue;
 
 /** Requests to the state service, its answers, and the form of the stored values. */
-public final class StateCodec {
+public final class StateServiceCodec {
   /** So many keys of a few kilobytes stay below the service's limit for one answer. */
-  private static final int PAGE = 250;
+  private static final int ENTRIES_PER_PAGE = 250;
 
-  private StateCodec() {}
+  private StateServiceCodec() {}
 
-  public static HttpMessage encode(Request.State request) {
+  public static OutgoingRequest encode(Request.State request) {
     if (request instanceof Request.ReadPage read) {
       String after = read.after().map(key -> "&from=" + escape(key)).orElse("");
-      return get("/store?starts=" + escape(read.prefix()) + after + "&limit=" + PAGE);
+      return get("/store?starts=" + escape(read.prefix()) + after + "&limit=" + ENTRIES_PER_PAGE);
     }
     if (request instanceof Request.Watch watch) {
       return get(
@@ -49,23 +49,23 @@
               + watch.hold().millis());
     }
     if (request instanceof Request.Grant grant) {
-      return post("/leases", Pack.map().put("ttl_ms", grant.ttl().millis()));
+      return post("/leases", BinaryEncoding.newMap().put("ttl_ms", grant.ttl().millis()));
     }
     if (request instanceof Request.Renew renew) {
-      return post("/leases/" + renew.hold().value() + "/renew", Pack.map());
+      return post("/leases/" + renew.hold().value() + "/renew", BinaryEncoding.newMap());
     }
     if (request instanceof Request.Drop drop) {
-      return new HttpMessage("DELETE", "/leases/" + drop.hold().value(), null);
+      return new OutgoingRequest("DELETE", "/leases/" + drop.hold().value(), null);
     }
     return post("/commit", commit((Request.Commit) request));
   }
 
-  private static HttpMessage get(String path) {
-    return new HttpMessage("GET", path, null);
+  private static OutgoingRequest get(String path) {
+    return new OutgoingRequest("GET", path, null);
   }
 
-  private static HttpMessage post(String path, ObjectNode body) {
-    return new HttpMessage("POST", path, Pack.messagePack(body));
+  private static OutgoingRequest post(String path, ObjectNode body) {
+    return new OutgoingRequest("POST", path, BinaryEncoding.encodeMessagePack(body));
   }
 
   private static String escape(String key) {
@@ -73,7 +73,7 @@
   }
 
   private static ObjectNode commit(Request.Commit request) {
-    ObjectNode map = Pack.map();
+    ObjectNode map = BinaryEncoding.newMap();
     ArrayNode guards = map.putArray("guards");
     for (Guard guard : request.guards()) {
       guards.addObject().put("k", guard.key()).put("stamp", guard.revision().value());
@@ -92,9 +92,11 @@
     return map;
   }
 
-  public static Answer decode(Request.State request, int status, byte[] body) throws BadMessage {
+  public static Answer decode(Request.State request, int status, byte[] body)
+      throws MalformedMessageException {
     if (status == 409 && request instanceof Request.Commit) {
-      return new Answer.Conflict(new Fields(Pack.messagePackMap(body)).texts("failed"));
+      return new Answer.Conflict(
+          new FieldReader(BinaryEncoding.decodeMessagePackMap(body)).textList("failed"));
     }
     if (status != 200 && status != 201 && status != 204) {
       return new Answer.Refused(status, "");
@@ -102,15 +104,16 @@
     if (request instanceof Request.Renew || request instanceof Request.Drop) {
       return new Answer.Ok();
     }
-    Fields fields = new Fields(Pack.messagePackMap(body));
+    FieldReader fields = new FieldReader(BinaryEncoding.decodeMessagePackMap(body));
     if (request instanceof Request.ReadPage) {
       List<Entry> entries = new ArrayList<>();
       for (JsonNode item : fields.list("entries")) {
-        Fields entry = Fields.of(item);
+        FieldReader entry = FieldReader.of(item);
         entries.add(
-            new Entry(entry.text("k"), readable(entry), new Revision(entry.count("stamp"))));
+            new Entry(
+                entry.text("k"), valueOrUnreadable(entry), new Revision(entry.count("stamp"))));
       }
-      return new Answer.Page(entries, fields.flag("more"), new Revision(fields.count("epoch")));
+      return new Answer.Page(entries, fields.bool("more"), new Revision(fields.count("epoch")));
     }
     if (request instanceof Request.Watch) {
       return changes(fields);
@@ -121,14 +124,14 @@
     return new Answer.Committed(new Revision(fields.count("epoch")));
   }
 
-  private static Answer changes(Fields fields) throws BadMessage {
+  private static Answer changes(FieldReader fields) throws MalformedMessageException {
     List<KeyChange> news = new ArrayList<>();
     if (fields.has("news")) {
       for (JsonNode node : fields.list("news")) {
-        Fields item = Fields.of(node);
+        FieldReader item = FieldReader.of(node);
         Revision stamp = new Revision(item.count("stamp"));
         if (item.has("set")) {
-          news.add(new KeyChange(item.text("set"), Optional.of(readable(item)), stamp));
+          news.add(new KeyChange(item.text("set"), Optional.of(valueOrUnreadable(item)), stamp));
         } else {
           news.add(new KeyChange(item.text("delete"), Optional.empty(), stamp));
         }
@@ -138,7 +141,7 @@
   }
 
   static ObjectNode value(StoredValue value) {
-    ObjectNode map = Pack.map();
+    ObjectNode map = BinaryEncoding.newMap();
     if (value instanceof JobRecord job) {
       map.put("sort", "job");
       map.put("phase", job.phase().name());
@@ -167,10 +170,10 @@
       ProductCodec.encode(record.terms(), map);
     } else if (value instanceof StoredValue.SharedHead head) {
       map.put("sort", "head");
-      SharedCodec.encode(head, map);
+      SharedRecordCodec.encode(head, map);
     } else if (value instanceof StoredValue.SharedPart part) {
       map.put("sort", "part");
-      SharedCodec.encode(part, map);
+      SharedRecordCodec.encode(part, map);
     } else if (value instanceof StoredValue.DoneChunk chunk) {
       map.put("sort", "done");
       map.put("bits", chunk.bits());
@@ -200,10 +203,10 @@
   }
 
   /** One value that is damaged, or of a later version, must not hold up all the others. */
-  private static StoredValue readable(Fields item) {
+  private static StoredValue valueOrUnreadable(FieldReader item) {
     try {
       return value(item.map("value"));
-    } catch (BadMessage | RuntimeException e) {
+    } catch (MalformedMessageException | RuntimeException e) {
       // A record's own checks throw what they like.
       return new StoredValue.Unreadable(String.valueOf(e.getMessage()));
     }
@@ -227,10 +230,10 @@
     }
   }
 
-  private static StoredValue types(Fields map) throws BadMessage {
+  private static StoredValue types(FieldReader map) throws MalformedMessageException {
     Map<String, MachineType> types = new LinkedHashMap<>();
     for (JsonNode node : map.list("types")) {
-      Fields type = Fields.of(node);
+      FieldReader type = FieldReader.of(node);
       types.put(
           type.text("name"),
           new MachineType(
@@ -241,12 +244,12 @@
               type.amount("price"),
               type.amount("spot_price"),
               type.seconds("boot_s"),
-              type.texts("zones")));
+              type.textList("zones")));
     }
     return new StoredValue.MachineTypesRecord(types);
   }
 
-  static StoredValue value(Fields map) throws BadMessage {
+  static StoredValue value(FieldReader map) throws MalformedMessageException {
     String sort = map.text("sort");
     return switch (sort) {
       case "job" ->
@@ -259,11 +262,11 @@
               new NodeId(map.text("node")), map.text("zone"), map.text("incarnation"));
       case "relay" -> new StoredValue.RelayRecord(map.text("zone"), new Token(map.count("token")));
       case "types" -> types(map);
-      case "drain" -> DrainCodec.drain(map);
-      case "stops" -> DrainCodec.stops(map);
+      case "drain" -> DrainCodec.decodeDrain(map);
+      case "stops" -> DrainCodec.decodeStops(map);
       case "product" -> new StoredValue.ProductRecord(ProductCodec.decode(map));
-      case "head" -> SharedCodec.head(map);
-      case "part" -> SharedCodec.part(map);
+      case "head" -> SharedRecordCodec.head(map);
+      case "part" -> SharedRecordCodec.part(map);
       case "done" -> new StoredValue.DoneChunk(map.text("bits"));
       case "machine" ->
           new StoredValue.MachineRecord(
@@ -271,13 +274,13 @@
               map.text("address"),
               map.text("type"),
               map.text("zone"),
-              map.flag("spot"));
+              map.bool("spot"));
       case "machines" -> machines(map);
-      default -> throw new BadMessage("stored value of unknown sort " + sort);
+      default -> throw new MalformedMessageException("stored value of unknown sort " + sort);
     };
   }
 
-  private static StoredValue machines(Fields map) throws BadMessage {
+  private static StoredValue machines(FieldReader map) throws MalformedMessageException {
     List<StoredValue.MachineRecord> machines = new ArrayList<>();
     for (JsonNode node : map.list("machines")) {
       boolean texts =
@@ -286,7 +289,7 @@
               && node.path(2).isTextual()
               && node.path(3).isTextual();
       if (!texts || !node.path(4).isBoolean()) {
-        throw new BadMessage("machine in a list is malformed");
+        throw new MalformedMessageException("machine in a list is malformed");
       }
       machines.add(
           new StoredValue.MachineRecord(
@@ -299,12 +302,12 @@
     return new StoredValue.MachineListRecord(machines);
   }
 
-  private static JobRecord.Phase phase(String name) throws BadMessage {
+  private static JobRecord.Phase phase(String name) throws MalformedMessageException {
     for (JobRecord.Phase phase : JobRecord.Phase.values()) {
       if (phase.name().equals(name)) {
         return phase;
       }
     }
-    throw new BadMessage("unknown phase " + name);
+    throw new MalformedMessageException("unknown phase " + name);
   }
 }
--- a/src/main/java/org/oakwalk/wire/TakeCodec.java
+++ b/src/main/java/org/oakwalk/wire/TakeCodec.java
@@ -11,14 +11,14 @@
 import org.oakwalk.core.job.Resources;
 
 /** The stored form of takes. */
-final class TakeCodec implements SharedCodec.RowCodec<Take> {
+final class TakeCodec implements SharedRecordCodec.RowCodec<Take> {
   @Override
-  public String sort() {
+  public String typeTag() {
     return "take";
   }
 
   @Override
-  public Class<Take> type() {
+  public Class<Take> rowClass() {
     return Take.class;
   }
 
@@ -41,7 +41,7 @@
   }
 
   @Override
-  public Take decode(Fields map) throws BadMessage {
+  public Take decode(FieldReader map) throws MalformedMessageException {
     return new Take(
         new TakeId(new Token(map.count("token")), map.count("number")),
         state(map.text("state")),
@@ -56,10 +56,10 @@
         new WallTime(map.count("since")));
   }
 
-  private static Take.State state(String name) throws BadMessage {
+  private static Take.State state(String name) throws MalformedMessageException {
     return Arrays.stream(Take.State.values())
         .filter(state -> state.name().equals(name))
         .findFirst()
-        .orElseThrow(() -> new BadMessage("unknown state " + name));
+        .orElseThrow(() -> new MalformedMessageException("unknown state " + name));
   }
 }
--- a/src/main/java/org/oakwalk/wire/UserCodec.java
+++ b/src/main/java/org/oakwalk/wire/UserCodec.java
@@ -26,28 +26,28 @@
    * Reads a submission. One that is malformed but names its job still becomes a request, since the
    * job may be known already.
    */
-  public static UserRequest.Submit submission(byte[] body) throws BadMessage {
-    Fields fields = new Fields(Pack.messagePackMap(body));
+  public static UserRequest.Submit decodeSubmission(byte[] body) throws MalformedMessageException {
+    FieldReader fields = new FieldReader(BinaryEncoding.decodeMessagePackMap(body));
     JobId id = JobCodec.id(fields);
     try {
       return new UserRequest.Submit(id, Optional.of(JobCodec.decode(fields)), "");
-    } catch (BadMessage e) {
+    } catch (MalformedMessageException e) {
       return new UserRequest.Submit(id, Optional.empty(), e.getMessage());
     }
   }
 
   /** A job's state, as users read it. */
-  public static byte[] status(Response.JobStatus status) {
-    ObjectNode map = Pack.map();
-    map.put(JobCodec.ID, status.job().value());
+  public static byte[] encodeStatus(Response.JobStatus status) {
+    ObjectNode map = BinaryEncoding.newMap();
+    map.put(JobCodec.ID_FIELD, status.job().value());
     map.put("status", STATES.get(status.state()));
     map.put("done", status.done());
     map.put("running", status.running());
-    return Pack.messagePack(map);
+    return BinaryEncoding.encodeMessagePack(map);
   }
 
   /** The reason of a refusal. */
-  public static byte[] error(String reason) {
-    return Pack.messagePack(Pack.map().put("error", reason));
+  public static byte[] encodeError(String reason) {
+    return BinaryEncoding.encodeMessagePack(BinaryEncoding.newMap().put("error", reason));
   }
 }
--- a/src/main/java/org/oakwalk/wire/WorkerCodec.java
+++ b/src/main/java/org/oakwalk/wire/WorkerCodec.java
@@ -43,15 +43,15 @@
 
   private WorkerCodec() {}
 
-  public static Report report(byte[] body) throws BadMessage {
-    return report(new Fields(Pack.messagePackMap(body)));
+  public static Report report(byte[] body) throws MalformedMessageException {
+    return report(new FieldReader(BinaryEncoding.decodeMessagePackMap(body)));
   }
 
-  static Report report(Fields fields) throws BadMessage {
+  static Report report(FieldReader fields) throws MalformedMessageException {
     List<Report.Piece> pieces = new ArrayList<>();
     if (fields.has("pieces")) {
       for (JsonNode item : fields.list("pieces")) {
-        pieces.add(piece(Fields.of(item)));
+        pieces.add(piece(FieldReader.of(item)));
       }
     }
     return new Report(
@@ -59,7 +59,7 @@
         fields.shortText("addr"),
         fields.shortText("flavor"),
         fields.shortText("region"),
-        fields.flag("leftovers"),
+        fields.bool("leftovers"),
         new SessionId(fields.count("shift")),
         fields.count("tick"),
         new Token(fields.has("baton") ? fields.count("baton") : 0),
@@ -67,11 +67,11 @@
         pieces);
   }
 
-  private static Report.Piece piece(Fields fields) throws BadMessage {
+  private static Report.Piece piece(FieldReader fields) throws MalformedMessageException {
     TaskId task = task(fields);
     Report.PieceState state = STATES.get(fields.text("status"));
     if (state == null) {
-      throw new BadMessage("field status has an unknown value");
+      throw new MalformedMessageException("field status has an unknown value");
     }
     Report.Cause cause =
         state != Report.PieceState.ENDED
@@ -83,28 +83,28 @@
 
   /** The answer to a report. */
   public static byte[] orders(Token token, List<Order> orders) {
-    ObjectNode map = Pack.map();
+    ObjectNode map = BinaryEncoding.newMap();
     map.put("baton", token.value());
-    put(map, orders);
-    return Pack.messagePack(map);
+    write(map, orders);
+    return BinaryEncoding.encodeMessagePack(map);
   }
 
   /** The answer of a node that does not lead. */
-  public static byte[] elsewhere(Optional<NodeId> leader) {
-    ObjectNode map = Pack.map();
+  public static byte[] redirect(Optional<NodeId> leader) {
+    ObjectNode map = BinaryEncoding.newMap();
     leader.ifPresent(node -> map.put("boss", node.value()));
-    return Pack.messagePack(map);
+    return BinaryEncoding.encodeMessagePack(map);
   }
 
-  static HttpMessage command(Request.Command command) {
-    ObjectNode map = Pack.map();
+  static OutgoingRequest command(Request.Command command) {
+    ObjectNode map = BinaryEncoding.newMap();
     map.put("baton", command.token().value());
     map.put("shift", command.session().value());
-    put(map, command.orders());
-    return new HttpMessage("POST", COMMAND_PATH, Pack.messagePack(map));
+    write(map, command.orders());
+    return new OutgoingRequest("POST", COMMAND_PATH, BinaryEncoding.encodeMessagePack(map));
   }
 
-  static Answer commanded(int status, byte[] body) throws BadMessage {
+  static Answer commandResult(int status, byte[] body) throws MalformedMessageException {
     return switch (status) {
       case 200 -> new Answer.Commanded(true, report(body));
       case 409 -> new Answer.Commanded(false, report(body));
@@ -115,7 +115,7 @@
   }
 
   /** A report as its worker sent it, to be carried on. */
-  static void put(ObjectNode map, Report report) {
+  static void write(ObjectNode map, Report report) {
     map.put("host", report.machine().value());
     map.put("addr", report.address());
     map.put("flavor", report.type());
@@ -138,10 +138,10 @@
   }
 
   /** Orders that a leader gives by way of another controller. */
-  static List<Order> orders(Fields fields) throws BadMessage {
+  static List<Order> orders(FieldReader fields) throws MalformedMessageException {
     List<Order> orders = new ArrayList<>();
     for (JsonNode node : fields.list("orders")) {
-      Fields item = Fields.of(node);
+      FieldReader item = FieldReader.of(node);
       TaskId task = task(item);
       Attempt attempt = new Attempt(item.count("try"));
       String verb = item.text("verb");
@@ -152,18 +152,18 @@
                 new Order.Halt(
                     task, attempt, item.optionalSeconds("wind_down_s").orElse(Span.millis(0)));
             case "clear" -> new Order.Clear(task, attempt);
-            default -> throw new BadMessage("unknown order " + verb);
+            default -> throw new MalformedMessageException("unknown order " + verb);
           });
     }
     return orders;
   }
 
-  private static TaskId task(Fields fields) throws BadMessage {
+  private static TaskId task(FieldReader fields) throws MalformedMessageException {
     return TaskId.parse(fields.text("piece"))
-        .orElseThrow(() -> new BadMessage("field piece is malformed"));
+        .orElseThrow(() -> new MalformedMessageException("field piece is malformed"));
   }
 
-  static void put(ObjectNode map, List<Order> orders) {
+  static void write(ObjectNode map, List<Order> orders) {
     ArrayNode list = map.putArray("orders");
     for (Order order : orders) {
       ObjectNode item = list.addObject();
--- a/src/test/java/org/oakwalk/adapter/ConnectionLimiterTest.java
+++ b/src/test/java/org/oakwalk/adapter/ConnectionLimiterTest.java
@@ -28,14 +28,14 @@
  * that sends crowded workers to another node, or keeps them if there is none.
  */
 class ConnectionLimiterTest {
-  private static final Sockets SOCKETS = new Sockets(200, 2);
+  private static final SocketBudget SOCKET_BUDGET = new SocketBudget(200, 2);
 
   private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
   private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
   private final List<Client> clients = new ArrayList<>();
-  private Listener listener;
-  private boolean alone;
-  private byte[] report;
+  private HttpListener listener;
+  private boolean noOtherNode;
+  private byte[] reportBody;
 
   /** One connection, which may be closed from there. */
   private static final class Client {
@@ -47,7 +47,7 @@
     }
 
     /** Status and headers of the answer; empty if the connection is over. */
-    String ask(String method, String path, byte[] body) {
+    String send(String method, String path, byte[] body) {
       try {
         String head =
             method
@@ -58,13 +58,13 @@
                 + "\r\n\r\n";
         socket.getOutputStream().write(head.getBytes(StandardCharsets.UTF_8));
         socket.getOutputStream().write(body);
-        return answer();
+        return readResponse();
       } catch (IOException e) {
         return "";
       }
     }
 
-    private String answer() throws IOException {
+    private String readResponse() throws IOException {
       InputStream in = socket.getInputStream();
       StringBuilder head = new StringBuilder();
       while (head.indexOf("\r\n\r\n") < 0) {
@@ -87,16 +87,16 @@
     scheduler.start();
     Address anywhere = new Address("127.0.0.1", 0);
     listener =
-        new Listener(
+        new HttpListener(
             threads,
             scheduler,
             new ArrayByteBufferPool(),
             anywhere,
             anywhere,
-            SOCKETS,
-            this::serve);
+            SOCKET_BUDGET,
+            this::respond);
     listener.start();
-    report =
+    reportBody =
         new ObjectMapper(new MessagePackFactory())
             .writeValueAsBytes(
                 new ObjectMapper()
@@ -115,11 +115,11 @@
     threads.stop();
   }
 
-  private boolean serve(Event event) {
+  private boolean respond(Event event) {
     if (event instanceof Event.WorkerReports reports) {
       listener.respond(
           reports.exchange(),
-          reports.crowded() && !alone
+          reports.crowded() && !noOtherNode
               ? new Response.Elsewhere(Optional.of(new NodeId("other")))
               : new Response.Orders(new Token(1), List.of()));
     } else if (event instanceof Event.UserAsks asks) {
@@ -132,97 +132,99 @@
     return true;
   }
 
-  private Client come() throws IOException {
-    Client client = new Client(listener.frontPort());
+  private Client connect() throws IOException {
+    Client client = new Client(listener.clientPort());
     clients.add(client);
     return client;
   }
 
-  private String report(Client client) {
-    return client.ask("POST", "/hello", report);
+  private String sendReport(Client client) {
+    return client.send("POST", "/hello", reportBody);
   }
 
-  private static String poll(Client client) {
-    return client.ask("GET", "/v2/runs/j-000001", new byte[0]);
+  private static String queryJob(Client client) {
+    return client.send("GET", "/v2/runs/j-000001", new byte[0]);
   }
 
-  private static String probe(Client client) {
-    return client.ask("GET", "/ready", new byte[0]);
+  private static String checkHealth(Client client) {
+    return client.send("GET", "/ready", new byte[0]);
   }
 
-  private static boolean served(String answer) {
+  private static boolean isOk(String answer) {
     return answer.startsWith("HTTP/1.1 200");
   }
 
   @Test
-  void sendsWorkersElsewhereBeforeItIsFull() throws Exception {
+  void workersAreRedirectedBeforeListenerIsFull() throws Exception {
     int staying = 0;
-    for (int i = 0; i < SOCKETS.front() + 50; i++) {
-      Client worker = come();
-      String answer = report(worker);
-      if (served(answer)) {
+    for (int i = 0; i < SOCKET_BUDGET.maxClientConnections() + 50; i++) {
+      Client worker = connect();
+      String answer = sendReport(worker);
+      if (isOk(answer)) {
         staying++;
       } else {
         assertThat(answer).startsWith("HTTP/1.1 421");
         worker.socket.close();
       }
     }
-    assertThat(staying).isEqualTo(SOCKETS.crowded());
-    assertThat(poll(come())).startsWith("HTTP/1.1 200").doesNotContain("close");
-    assertThat(probe(come())).startsWith("HTTP/1.1 200");
+    assertThat(staying).isEqualTo(SOCKET_BUDGET.redirectThreshold());
+    assertThat(queryJob(connect())).startsWith("HTTP/1.1 200").doesNotContain("close");
+    assertThat(checkHealth(connect())).startsWith("HTTP/1.1 200");
   }
 
   @Test
-  void letsUsersAndProbesInWhereWorkersHaveNowhereElseToGo() throws Exception {
-    alone = true;
+  void usersAndHealthChecksAreAcceptedWhenWorkersCannotBeRedirected() throws Exception {
+    noOtherNode = true;
     List<Client> workers = new ArrayList<>();
-    for (int i = 0; i < SOCKETS.front() + 50; i++) {
-      Client worker = come();
+    for (int i = 0; i < SOCKET_BUDGET.maxClientConnections() + 50; i++) {
+      Client worker = connect();
       workers.add(worker);
-      assertThat(report(worker)).startsWith("HTTP/1.1 200");
+      assertThat(sendReport(worker)).startsWith("HTTP/1.1 200");
       if (i % 10 == 0) {
-        assertThat(poll(come())).startsWith("HTTP/1.1 200");
-        assertThat(probe(come())).startsWith("HTTP/1.1 200");
+        assertThat(queryJob(connect())).startsWith("HTTP/1.1 200");
+        assertThat(checkHealth(connect())).startsWith("HTTP/1.1 200");
       }
     }
     // Who was closed finds the door open again.
     int closed = 0;
     for (Client worker : workers) {
-      if (!served(report(worker))) {
+      if (!isOk(sendReport(worker))) {
         closed++;
-        assertThat(report(come())).startsWith("HTTP/1.1 200");
+        assertThat(sendReport(connect())).startsWith("HTTP/1.1 200");
       }
     }
     assertThat(closed).isPositive();
   }
 
   @Test
-  void closesUsersBeforeWorkers() throws Exception {
-    alone = true;
+  void userConnectionsAreClosedBeforeWorkerConnections() throws Exception {
+    noOtherNode = true;
     List<Client> workers = new ArrayList<>();
-    Client user = come();
-    assertThat(poll(user)).startsWith("HTTP/1.1 200");
-    for (int i = 0; i < SOCKETS.front(); i++) {
-      Client worker = come();
+    Client user = connect();
+    assertThat(queryJob(user)).startsWith("HTTP/1.1 200");
+    for (int i = 0; i < SOCKET_BUDGET.maxClientConnections(); i++) {
+      Client worker = connect();
       workers.add(worker);
-      assertThat(report(worker)).startsWith("HTTP/1.1 200");
+      assertThat(sendReport(worker)).startsWith("HTTP/1.1 200");
     }
-    assertThat(poll(user)).isEmpty();
-    assertThat(workers).allMatch(worker -> served(report(worker)));
+    assertThat(queryJob(user)).isEmpty();
+    assertThat(workers).allMatch(worker -> isOk(sendReport(worker)));
   }
 
   @Test
-  void asksUsersBeyondTheirPartToComeAnew() throws Exception {
+  void userConnectionsAboveLimitAreClosedAfterResponse() throws Exception {
     List<Client> workers = new ArrayList<>();
-    for (int i = 0; i < SOCKETS.crowded() - SOCKETS.users(); i++) {
-      Client worker = come();
+    for (int i = 0;
+        i < SOCKET_BUDGET.redirectThreshold() - SOCKET_BUDGET.userConnectionLimit();
+        i++) {
+      Client worker = connect();
       workers.add(worker);
-      assertThat(report(worker)).startsWith("HTTP/1.1 200");
+      assertThat(sendReport(worker)).startsWith("HTTP/1.1 200");
     }
-    for (int i = 0; i < 3 * SOCKETS.front(); i++) {
-      assertThat(poll(come())).startsWith("HTTP/1.1 200");
+    for (int i = 0; i < 3 * SOCKET_BUDGET.maxClientConnections(); i++) {
+      assertThat(queryJob(connect())).startsWith("HTTP/1.1 200");
     }
-    assertThat(poll(come())).contains("Connection: close");
-    assertThat(workers).allMatch(worker -> served(report(worker)));
+    assertThat(queryJob(connect())).contains("Connection: close");
+    assertThat(workers).allMatch(worker -> isOk(sendReport(worker)));
   }
 }
--- a/src/test/java/org/oakwalk/adapter/OutsideTest.java
+++ b/src/test/java/org/oakwalk/adapter/OutboundRequestsTest.java
@@ -35,28 +35,29 @@
 import org.oakwalk.core.port.Request;
 
 /** Each outside system over loopback, played by a stand-in that answers as its page says. */
-class OutsideTest {
+class OutboundRequestsTest {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final ObjectMapper PACK = new ObjectMapper(new MessagePackFactory());
   private static final NodeId PEER = new NodeId("peer");
 
   private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
   private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
-  private final Sockets sockets = new Sockets(64, 1);
-  private HttpServer standIn;
+  private final SocketBudget socketBudget = new SocketBudget(64, 1);
+  private HttpServer server;
   private String address;
   private HttpCaller caller;
-  private Outside outside;
+  private OutboundRequests outbound;
 
   @BeforeEach
   void start() throws Exception {
-    standIn = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
-    standIn.start();
-    address = "127.0.0.1:" + standIn.getAddress().getPort();
+    server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
+    server.start();
+    address = "127.0.0.1:" + server.getAddress().getPort();
     threads.start();
     scheduler.start();
     caller =
-        new HttpCaller(threads, scheduler, new ArrayByteBufferPool(), sockets, List.of(address));
+        new HttpCaller(
+            threads, scheduler, new ArrayByteBufferPool(), socketBudget, List.of(address));
     Settings settings =
         new Settings(
             new NodeId("n"),
@@ -69,12 +70,12 @@
             new Settings.StateLimits(100, 100, 4, 8),
             new Settings.CloudLimits(10, Span.seconds(1)),
             Span.millis(0));
-    outside =
-        new Outside(
+    outbound =
+        new OutboundRequests(
             caller,
-            new Outside.Addresses(address, address, Map.of(PEER, address)),
+            new OutboundRequests.ServiceAddresses(address, address, Map.of(PEER, address)),
             settings,
-            sockets,
+            socketBudget,
             Runnable::run,
             0);
   }
@@ -84,11 +85,11 @@
     caller.close();
     scheduler.stop();
     threads.stop();
-    standIn.stop(0);
+    server.stop(0);
   }
 
-  private void answers(String path, int status, byte[] body) {
-    standIn.createContext(
+  private void stubResponse(String path, int status, byte[] body) {
+    server.createContext(
         path,
         exchange -> {
           exchange.getRequestBody().readAllBytes();
@@ -102,59 +103,59 @@
     return PACK.writeValueAsBytes(JSON.readTree(json));
   }
 
-  private Answer ask(Request request) throws Exception {
+  private Answer call(Request request) throws Exception {
     CompletableFuture<Answer> answer = new CompletableFuture<>();
-    outside.call(request, 0, answer::complete);
+    outbound.call(request, 0, answer::complete);
     return answer.get();
   }
 
   @Test
-  void asksTheStateService() throws Exception {
-    answers("/watch", 200, packed("{\"epoch\":7,\"news\":[]}"));
-    answers("/leases", 200, packed("{\"hold\":3}"));
-    answers("/commit", 409, packed("{\"failed\":[\"k\"],\"epoch\":7}"));
+  void stateServiceResponsesAreReturned() throws Exception {
+    stubResponse("/watch", 200, packed("{\"epoch\":7,\"news\":[]}"));
+    stubResponse("/leases", 200, packed("{\"hold\":3}"));
+    stubResponse("/commit", 409, packed("{\"failed\":[\"k\"],\"epoch\":7}"));
     Request.Watch watch =
         new Request.Watch("c/", new Revision(1), Span.millis(0), Request.Urgency.REST);
-    assertThat(ask(watch)).isEqualTo(new Answer.Changes(new Revision(7), List.of()));
-    assertThat(ask(new Request.Grant(Span.seconds(1)))).isInstanceOf(Answer.Granted.class);
-    assertThat(ask(new Request.Commit(List.of(), List.of(), Request.Urgency.REST)))
+    assertThat(call(watch)).isEqualTo(new Answer.Changes(new Revision(7), List.of()));
+    assertThat(call(new Request.Grant(Span.seconds(1)))).isInstanceOf(Answer.Granted.class);
+    assertThat(call(new Request.Commit(List.of(), List.of(), Request.Urgency.REST)))
         .isEqualTo(new Answer.Conflict(List.of("k")));
   }
 
   @Test
-  void takesAnAnswerThatIsCutShortForNone() throws Exception {
+  void truncatedResponseLeavesOutcomeUnknown() throws Exception {
     byte[] whole = packed("{\"epoch\":7,\"entries\":[],\"more\":false}");
-    answers("/store", 200, Arrays.copyOf(whole, whole.length - 3));
-    assertThat(ask(new Request.ReadPage("c/", Optional.empty(), Request.Urgency.REST)))
+    stubResponse("/store", 200, Arrays.copyOf(whole, whole.length - 3));
+    assertThat(call(new Request.ReadPage("c/", Optional.empty(), Request.Urgency.REST)))
         .isInstanceOf(Answer.Nothing.class);
   }
 
   @Test
-  void asksTheCloud() throws Exception {
-    answers("/rentals", 503, packed("{\"error\":\"no capacity\"}"));
-    answers("/catalog", 500, packed("{}"));
+  void cloudErrorsAreClassified() throws Exception {
+    stubResponse("/rentals", 503, packed("{\"error\":\"no capacity\"}"));
+    stubResponse("/catalog", 500, packed("{}"));
     Request.ListRentals list = new Request.ListRentals(Optional.empty());
-    assertThat(ask(list)).isEqualTo(new Answer.Refused(503, ""));
-    assertThat(ask(new Request.FetchCatalog())).isInstanceOf(Answer.Nothing.class);
+    assertThat(call(list)).isEqualTo(new Answer.Refused(503, ""));
+    assertThat(call(new Request.FetchCatalog())).isInstanceOf(Answer.Nothing.class);
   }
 
   @Test
-  void commandsAWorker() throws Exception {
-    answers(
+  void rejectedCommandReturnsReport() throws Exception {
+    stubResponse(
         "/do",
         409,
         packed(
             "{\"host\":\"host-1\",\"addr\":\"x:1\",\"flavor\":\"g\",\"region\":\"a\","
                 + "\"leftovers\":false,\"shift\":2,\"tick\":5,\"baton\":9,\"pieces\":[]}"));
-    Answer answer = ask(new Request.Command(address, new Token(4), SessionId.FIRST, List.of()));
+    Answer answer = call(new Request.Command(address, new Token(4), SessionId.FIRST, List.of()));
     assertThat(answer).isInstanceOf(Answer.Commanded.class);
     assertThat(((Answer.Commanded) answer).executed()).isFalse();
     assertThat(((Answer.Commanded) answer).report().token()).isEqualTo(new Token(9));
   }
 
   @Test
-  void tellsAPeer() throws Exception {
-    answers(
+  void peerReplyIsReturned() throws Exception {
+    stubResponse(
         "/peer",
         200,
         new CBORMapper()
@@ -162,14 +163,14 @@
                 JSON.readTree("{\"sort\":\"acknowledged\",\"from\":\"peer\",\"settled\":true}")));
     PeerMessage digest =
         new PeerMessage.Digest(new NodeId("n"), new Token(1), true, Map.of(), Set.of());
-    assertThat(ask(new Request.Tell(PEER, digest)))
+    assertThat(call(new Request.Tell(PEER, digest)))
         .isEqualTo(new Answer.Told(new PeerMessage.Acknowledged(PEER, true)));
   }
 
   @Test
-  void givesUpACommandThatFindsNoSocketForLong() throws Exception {
+  void commandIsRefusedIfNoSocketBecomesFree() throws Exception {
     CountDownLatch blocked = new CountDownLatch(1);
-    standIn.createContext(
+    server.createContext(
         "/do",
         exchange -> {
           try {
@@ -180,14 +181,14 @@
           exchange.close();
         });
     Request command = new Request.Command(address, new Token(4), SessionId.FIRST, List.of());
-    for (int i = 0; i < sockets.commands(); i++) {
-      outside.call(command, 0, answer -> {});
+    for (int i = 0; i < socketBudget.maxConcurrentCommands(); i++) {
+      outbound.call(command, 0, answer -> {});
     }
     CompletableFuture<Answer> last = new CompletableFuture<>();
-    outside.call(command, 0, last::complete);
-    outside.pump(900);
+    outbound.call(command, 0, last::complete);
+    outbound.sendDue(900);
     assertThat(last).isNotDone();
-    outside.pump(1100);
+    outbound.sendDue(1100);
     assertThat(last.get()).isInstanceOf(Answer.Refused.class);
     blocked.countDown();
   }
@@ -198,10 +199,10 @@
    * controllers have sockets for all commands.
    */
   @Test
-  void aRecalledCommandThatWaitsForASocketNeverLeaves() throws Exception {
+  void cancelledCommandIsNeverSent() throws Exception {
     CountDownLatch blocked = new CountDownLatch(1);
     AtomicInteger received = new AtomicInteger();
-    standIn.createContext(
+    server.createContext(
         "/do",
         exchange -> {
           received.incrementAndGet();
@@ -210,24 +211,24 @@
           exchange.close();
         });
     Request other = new Request.Command(address, new Token(4), SessionId.FIRST, List.of());
-    for (int i = 0; i < sockets.commands(); i++) {
-      outside.call(other, 0, answer -> {});
+    for (int i = 0; i < socketBudget.maxConcurrentCommands(); i++) {
+      outbound.call(other, 0, answer -> {});
     }
     String elsewhere = "localhost" + address.substring(address.indexOf(':'));
     Request start = new Request.Command(elsewhere, new Token(4), SessionId.FIRST, List.of());
     CompletableFuture<Answer> recalled = new CompletableFuture<>();
     CompletableFuture<Answer> kept = new CompletableFuture<>();
-    outside.call(start, 0, recalled::complete);
-    outside.call(other, 0, kept::complete);
-    outside.recall(elsewhere);
+    outbound.call(start, 0, recalled::complete);
+    outbound.call(other, 0, kept::complete);
+    outbound.cancelCommands(elsewhere);
     assertThat(recalled.getNow(null)).isEqualTo(new Answer.Refused(0, "recalled"));
     blocked.countDown();
     for (int i = 0; i < 100 && !kept.isDone(); i++) {
       Thread.sleep(20);
-      outside.pump(500);
+      outbound.sendDue(500);
     }
     assertThat(kept).isDone();
-    assertThat(received).hasValue(sockets.commands() + 1);
+    assertThat(received).hasValue(socketBudget.maxConcurrentCommands() + 1);
   }
 
   private static void awaitQuietly(CountDownLatch latch) {
@@ -239,9 +240,9 @@
   }
 
   @Test
-  void keepsNoConnectionAfterACommandWhereSocketsAreFew() throws Exception {
+  void commandConnectionIsClosedWhenSocketsAreScarce() throws Exception {
     AtomicReference<String> header = new AtomicReference<>("");
-    standIn.createContext(
+    server.createContext(
         "/do",
         exchange -> {
           header.set(exchange.getRequestHeaders().getFirst("Connection"));
@@ -249,13 +250,13 @@
           exchange.close();
         });
     Request command = new Request.Command(address, new Token(4), SessionId.FIRST, List.of());
-    Sockets few = new Sockets(8, 0);
+    SocketBudget few = new SocketBudget(8, 0);
     try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
         HttpCaller frugal =
             new HttpCaller(threads, scheduler, new ArrayByteBufferPool(), few, List.of())) {
       // Everything that may be kept is taken.
       for (String name : List.of("127.0.0.1:", "localhost:")) {
-        for (int i = 0; i < few.elsewhere(); i++) {
+        for (int i = 0; i < few.connectionsPerDestination(); i++) {
           frugal.send(
               name + silent.getLocalPort(), new Request.FetchCatalog(), 60_000, answer -> {});
           silent.accept();
@@ -271,8 +272,8 @@
   }
 
   @Test
-  void aRefusedConnectionCarriedNothing() throws Exception {
-    standIn.stop(0);
-    assertThat(ask(new Request.FetchCatalog())).isInstanceOf(Answer.Refused.class);
+  void refusedConnectionMeansRequestNotSent() throws Exception {
+    server.stop(0);
+    assertThat(call(new Request.FetchCatalog())).isInstanceOf(Answer.Refused.class);
   }
 }
--- a/src/test/java/org/oakwalk/daemon/QuestionsLoadTest.java
+++ b/src/test/java/org/oakwalk/daemon/QuestionsLoadTest.java
@@ -33,7 +33,7 @@
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.JobRecord;
 import org.oakwalk.core.store.StoreKeys;
-import org.oakwalk.wire.StateCodec;
+import org.oakwalk.wire.StateServiceCodec;
 
 /**
  * Questions about ten thousand open jobs, each every 5 s, to nodes on loopback that have all just
@@ -108,7 +108,7 @@
         JobRecord record = new JobRecord(job(i), JobRecord.Phase.OPEN, new WallTime(0));
         Change put = new Change.Put(StoreKeys.job(record.spec().id()), record, Optional.empty());
         store.commit(
-            StateCodec.encode(
+            StateServiceCodec.encode(
                     new Request.Commit(List.of(), List.of(put), Request.Urgency.ACCEPTANCE))
                 .body());
       }
--- a/src/test/java/org/oakwalk/wire/DrainCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/DrainCodecTest.java
@@ -21,7 +21,7 @@
 
 /** The stored form of plans and granted stops. */
 class DrainCodecTest {
-  private static final int SMALLEST_VALUE = 4096;
+  private static final int MIN_VALUE_LIMIT_BYTES = 4096;
 
   private static StoredValue.DrainRecord record(Set<String> machines) {
     DrainPlan plan =
@@ -44,40 +44,45 @@
   }
 
   @Test
-  void comesBackAsItWas() throws Exception {
+  void roundTripPreservesRecords() throws Exception {
     StoredValue.DrainRecord plan = record(Set.of("host-000001"));
-    assertThat(StateCodec.value(new Fields(StateCodec.value(plan)))).isEqualTo(plan);
+    assertThat(StateServiceCodec.value(new FieldReader(StateServiceCodec.value(plan))))
+        .isEqualTo(plan);
     StoredValue.StopsRecord stops =
         new StoredValue.StopsRecord(
             Map.of(
                 "crew.search",
                 new StoredValue.StopCounts(3, Map.of(5_900_000L, 12, 5_900_001L, 1))));
-    assertThat(StateCodec.value(new Fields(StateCodec.value(stops)))).isEqualTo(stops);
+    assertThat(StateServiceCodec.value(new FieldReader(StateServiceCodec.value(stops))))
+        .isEqualTo(stops);
   }
 
   /** The smallest values that a state service may have hold 4 KiB, counted as JSON. */
   @Test
-  void theLargestFitIntoAValue() {
+  void largestRecordsFitIntoValueLimit() {
     Set<String> machines = new LinkedHashSet<>();
     IntStream.range(0, 100).forEach(i -> machines.add("host-" + (1_000_000 + i)));
-    assertThat(StateCodec.value(record(machines)).toString().length()).isLessThan(SMALLEST_VALUE);
+    assertThat(StateServiceCodec.value(record(machines)).toString().length())
+        .isLessThan(MIN_VALUE_LIMIT_BYTES);
     Map<String, StoredValue.StopCounts> budgets = new TreeMap<>();
     for (int i = 0; i < 16; i++) {
       Map<Long, Integer> times = new TreeMap<>();
       IntStream.range(0, 13).forEach(t -> times.put(5_900_000L + t, 9999));
       budgets.put("team-number-" + i, new StoredValue.StopCounts(9999, times));
     }
-    assertThat(StateCodec.value(new StoredValue.StopsRecord(budgets)).toString().length())
-        .isLessThan(SMALLEST_VALUE);
+    assertThat(StateServiceCodec.value(new StoredValue.StopsRecord(budgets)).toString().length())
+        .isLessThan(MIN_VALUE_LIMIT_BYTES);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"name", "version", "status", "then", "step", "newest", "zones"})
-  void damagedOnesAreRefused(String field) {
-    ObjectNode map = StateCodec.value(record(Collections.emptySet()));
+  void damagedRecordsAreRejected(String field) {
+    ObjectNode map = StateServiceCodec.value(record(Collections.emptySet()));
     map.putArray(field).add(-1);
-    assertThatThrownBy(() -> StateCodec.value(new Fields(map))).isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> StateServiceCodec.value(new FieldReader(map)))
+        .isInstanceOf(MalformedMessageException.class);
     map.remove(field);
-    assertThatThrownBy(() -> StateCodec.value(new Fields(map))).isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> StateServiceCodec.value(new FieldReader(map)))
+        .isInstanceOf(MalformedMessageException.class);
   }
 }
--- a/src/test/java/org/oakwalk/wire/WireTest.java
+++ b/src/test/java/org/oakwalk/wire/MessageFormatTest.java
@@ -48,7 +48,7 @@
 import org.oakwalk.core.store.StoredValue;
 
 /** Messages against literal bytes and the protocol's own examples. */
-class WireTest {
+class MessageFormatTest {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final TaskId TASK = new TaskId(new JobId("j-000412"), 4);
 
@@ -61,19 +61,19 @@
       """;
 
   private static byte[] packed(String json) throws Exception {
-    return Pack.messagePack(JSON.readTree(json));
+    return BinaryEncoding.encodeMessagePack(JSON.readTree(json));
   }
 
   private static String json(byte[] bytes) throws Exception {
-    return Pack.messagePackMap(bytes).toString();
+    return BinaryEncoding.decodeMessagePackMap(bytes).toString();
   }
 
   private static JobSpec spec() throws Exception {
-    return UserCodec.submission(packed(JOB)).spec().orElseThrow();
+    return UserCodec.decodeSubmission(packed(JOB)).spec().orElseThrow();
   }
 
   @Test
-  void ordersHaveTheseBytes() {
+  void ordersMatchReferenceBytes() {
     byte[] bytes =
         WorkerCodec.orders(
             new Token(41), List.of(new Order.Halt(TASK, new Attempt(2), Span.seconds(10))));
@@ -90,7 +90,7 @@
   }
 
   @Test
-  void readsTheProtocolsReport() throws Exception {
+  void workerReportIsDecoded() throws Exception {
     Report report =
         WorkerCodec.report(
             packed(
@@ -110,12 +110,13 @@
   }
 
   @Test
-  void readsTheProtocolsJobAndStoresAllOfIt() throws Exception {
+  void submittedJobSurvivesStorageRoundTrip() throws Exception {
     JobSpec spec = spec();
     assertThat(spec.zone()).isEmpty();
     assertThat(spec.deadline()).contains(Span.seconds(900));
     JobRecord record = new JobRecord(spec, JobRecord.Phase.OPEN, new WallTime(5));
-    assertThat(StateCodec.value(new Fields(StateCodec.value(record)))).isEqualTo(record);
+    assertThat(StateServiceCodec.value(new FieldReader(StateServiceCodec.value(record))))
+        .isEqualTo(record);
   }
 
   @ParameterizedTest
@@ -140,23 +141,23 @@
         "due_s | \"soon\"",
         "crew | null"
       })
-  void namesTheFieldThatIsWrong(String field, String value) throws Exception {
+  void invalidFieldIsNamedInProblem(String field, String value) throws Exception {
     ObjectNode job = (ObjectNode) JSON.readTree(JOB);
     job.set(field, JSON.readTree(value));
-    UserRequest.Submit request = UserCodec.submission(Pack.messagePack(job));
+    UserRequest.Submit request = UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(job));
     assertThat(request.spec()).isEmpty();
     assertThat(request.problem()).contains(field);
   }
 
   @Test
-  void refusesNotANumber() throws Exception {
+  void nanIsRejected() throws Exception {
     ObjectNode job = (ObjectNode) JSON.readTree(JOB);
     job.put("vcpus", Double.NaN);
-    assertThat(UserCodec.submission(Pack.messagePack(job)).spec()).isEmpty();
+    assertThat(UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(job)).spec()).isEmpty();
   }
 
   @Test
-  void refusesWhatIsNoMap() {
+  void malformedMessagePackIsRejected() {
     for (String hex :
         List.of(
             "",
@@ -170,16 +171,16 @@
             "81a161c6ffffffff",
             "81a161c67fffffff",
             "81a161c97fffffff01")) {
-      assertThatThrownBy(() -> UserCodec.submission(HexFormat.of().parseHex(hex)))
+      assertThatThrownBy(() -> UserCodec.decodeSubmission(HexFormat.of().parseHex(hex)))
           .as(hex)
-          .isInstanceOf(BadMessage.class);
+          .isInstanceOf(MalformedMessageException.class);
     }
-    assertThatThrownBy(() -> UserCodec.submission(packed("{\"ref\":\"job-1\"}")))
+    assertThatThrownBy(() -> UserCodec.decodeSubmission(packed("{\"ref\":\"job-1\"}")))
         .hasMessageContaining("ref");
   }
 
   @Test
-  void mutatedBytesGiveAnAnswerOrBadMessageOnly() throws Exception {
+  void corruptedBytesOnlyCauseMalformedMessageException() throws Exception {
     UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(7L);
     byte[] good = packed(JOB);
     byte[] peer = PeerCodec.encode(digest());
@@ -190,12 +191,12 @@
       }
       try {
         if (i % 2 == 0) {
-          UserCodec.submission(bad);
+          UserCodec.decodeSubmission(bad);
           WorkerCodec.report(bad);
         } else {
           PeerCodec.decode(bad);
         }
-      } catch (BadMessage expected) {
+      } catch (MalformedMessageException expected) {
         assertThat(expected.getMessage()).isNotBlank();
       }
     }
@@ -232,7 +233,7 @@
   }
 
   @Test
-  void peersUnderstandEachOther() throws Exception {
+  void peerMessagesSurviveRoundTrip() throws Exception {
     List<PeerMessage> messages =
         List.of(
             digest(),
@@ -259,7 +260,7 @@
   }
 
   @Test
-  void oneDamagedRecordLeavesTheOthersReadable() throws Exception {
+  void unreadableRecordDoesNotHideOthers() throws Exception {
     StoredValue.MachineTypesRecord types =
         new StoredValue.MachineTypesRecord(
             Map.of(
@@ -273,18 +274,18 @@
                     4.5,
                     Span.seconds(45),
                     List.of("a", "b"))));
-    ObjectNode page = Pack.map();
+    ObjectNode page = BinaryEncoding.newMap();
     ArrayNode entries = page.putArray("entries");
     entries.addObject().put("k", "x").put("stamp", 4).putObject("value").put("sort", "of later");
     entries.addObject().put("k", "y").put("stamp", 5).putObject("value").put("sort", "job");
-    entries.addObject().put("k", "z").put("stamp", 6).set("value", StateCodec.value(types));
+    entries.addObject().put("k", "z").put("stamp", 6).set("value", StateServiceCodec.value(types));
     page.put("more", false).put("epoch", 9);
     Answer.Page read =
         (Answer.Page)
-            StateCodec.decode(
+            StateServiceCodec.decode(
                 new Request.ReadPage("", Optional.empty(), Request.Urgency.REST),
                 200,
-                Pack.messagePack(page));
+                BinaryEncoding.encodeMessagePack(page));
     assertThat(read.entries()).hasSize(3);
     assertThat(read.entries().get(0).value()).isInstanceOf(StoredValue.Unreadable.class);
     assertThat(read.entries().get(1).value()).isInstanceOf(StoredValue.Unreadable.class);
@@ -314,7 +315,7 @@
         "host | \"\"",
         "leftovers | 1"
       })
-  void refusesReportsThatCantBe(String field, String value) throws Exception {
+  void invalidWorkerReportIsRejected(String field, String value) throws Exception {
     ObjectNode report =
         (ObjectNode)
             JSON.readTree(
@@ -322,29 +323,31 @@
                 {"host":"host-1","addr":"10.1.0.232:9000","flavor":"g8","region":"a",
                  "leftovers":true,"shift":1,"tick":88,"baton":41,"pieces":[]}
                 """);
-    assertThat(WorkerCodec.report(Pack.messagePack(report)).sequence()).isEqualTo(88);
+    assertThat(WorkerCodec.report(BinaryEncoding.encodeMessagePack(report)).sequence())
+        .isEqualTo(88);
     report.set(field, JSON.readTree(value));
-    assertThatThrownBy(() -> WorkerCodec.report(Pack.messagePack(report)))
-        .isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> WorkerCodec.report(BinaryEncoding.encodeMessagePack(report)))
+        .isInstanceOf(MalformedMessageException.class);
   }
 
   @Test
-  void refusesCountsOfPeersThatCantBe() throws Exception {
+  void invalidPeerCountsAreRejected() throws Exception {
     for (String counts : List.of("[-1,2]", "[1,-2]", "[1,4294967298]", "[\"1\",2]", "[1]", "3")) {
-      ObjectNode map = Pack.cborMap(PeerCodec.encode(digest()));
+      ObjectNode map = BinaryEncoding.decodeCborMap(PeerCodec.encode(digest()));
       map.putObject("counts").set("j-1", JSON.readTree(counts));
-      assertThatThrownBy(() -> PeerCodec.decode(Pack.cbor(map)))
+      assertThatThrownBy(() -> PeerCodec.decode(BinaryEncoding.encodeCbor(map)))
           .as(counts)
-          .isInstanceOf(BadMessage.class);
+          .isInstanceOf(MalformedMessageException.class);
     }
-    ObjectNode map = Pack.cborMap(PeerCodec.encode(digest()));
+    ObjectNode map = BinaryEncoding.decodeCborMap(PeerCodec.encode(digest()));
     map.put("counts", 3);
-    assertThatThrownBy(() -> PeerCodec.decode(Pack.cbor(map))).isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> PeerCodec.decode(BinaryEncoding.encodeCbor(map)))
+        .isInstanceOf(MalformedMessageException.class);
   }
 
   /** Whatever is in a value, the answer that holds it is read. */
   @Test
-  void valuesThatCantBeAreSetAsideOneByOne() throws Exception {
+  void invalidStoredValueDoesNotFailPage() throws Exception {
     JobRecord record = new JobRecord(spec(), JobRecord.Phase.OPEN, new WallTime(5));
     List<StoredValue> good =
         List.of(
@@ -358,24 +361,28 @@
     List<String> strange =
         List.of("null", "-1", "18446744073709551615", "1e300", "\"\"", "[]", "[null]", "{}");
     for (StoredValue value : good) {
-      ObjectNode map = StateCodec.value(value);
+      ObjectNode map = StateServiceCodec.value(value);
       List<String> names = new java.util.ArrayList<>();
       map.fieldNames().forEachRemaining(names::add);
       for (String name : names) {
         for (String other : strange) {
           ObjectNode bad = map.deepCopy();
           bad.set(name, JSON.readTree(other));
-          ObjectNode page = Pack.map();
+          ObjectNode page = BinaryEncoding.newMap();
           ArrayNode entries = page.putArray("entries");
           entries.addObject().put("k", "x").put("stamp", 4).set("value", bad);
-          entries.addObject().put("k", "y").put("stamp", 5).set("value", StateCodec.value(record));
+          entries
+              .addObject()
+              .put("k", "y")
+              .put("stamp", 5)
+              .set("value", StateServiceCodec.value(record));
           page.put("more", false).put("epoch", 9);
           Answer.Page read =
               (Answer.Page)
-                  StateCodec.decode(
+                  StateServiceCodec.decode(
                       new Request.ReadPage("", Optional.empty(), Request.Urgency.REST),
                       200,
-                      Pack.messagePack(page));
+                      BinaryEncoding.encodeMessagePack(page));
           assertThat(read.entries().get(1).value()).as(bad.toString()).isEqualTo(record);
         }
       }
@@ -383,7 +390,7 @@
   }
 
   @Test
-  void machinesAreReadInBothForms() throws Exception {
+  void machinesAreDecodedFromBothFormats() throws Exception {
     StoredValue.MachineRecord machine =
         new StoredValue.MachineRecord(new MachineId("host-1"), "10.1.0.1:9000", "g8", "a", true);
     String single =
@@ -392,18 +399,20 @@
     String list =
         "{\"sort\":\"machines\",\"machines\":[[\"host-1\",\"10.1.0.1:9000\",\"g8\",\"a\",true]]}";
     StoredValue.MachineListRecord record = new StoredValue.MachineListRecord(List.of(machine));
-    assertThat(StateCodec.value(Fields.of(JSON.readTree(single)))).isEqualTo(machine);
-    assertThat(StateCodec.value(Fields.of(JSON.readTree(list)))).isEqualTo(record);
-    assertThat(StateCodec.value(record).toString()).isEqualTo(list);
+    assertThat(StateServiceCodec.value(FieldReader.of(JSON.readTree(single)))).isEqualTo(machine);
+    assertThat(StateServiceCodec.value(FieldReader.of(JSON.readTree(list)))).isEqualTo(record);
+    assertThat(StateServiceCodec.value(record).toString()).isEqualTo(list);
     assertThatThrownBy(
-            () -> StateCodec.value(Fields.of(JSON.readTree(list.replace("true", "\"yes\"")))))
-        .isInstanceOf(BadMessage.class);
+            () ->
+                StateServiceCodec.value(
+                    FieldReader.of(JSON.readTree(list.replace("true", "\"yes\"")))))
+        .isInstanceOf(MalformedMessageException.class);
   }
 
   @Test
-  void asksTheStateServiceAsThePageSays() throws Exception {
-    HttpMessage commit =
-        StateCodec.encode(
+  void stateServiceRequestsMatchProtocol() throws Exception {
+    OutgoingRequest commit =
+        StateServiceCodec.encode(
             new Request.Commit(
                 List.of(new Guard("a/b", new Revision(0))),
                 List.of(
@@ -421,29 +430,31 @@
                 + "{\"delete\":\"c/d\"}]}");
     Request.Watch watch =
         new Request.Watch("c/", new Revision(431), Span.seconds(10), Request.Urgency.REST);
-    assertThat(StateCodec.encode(watch).path())
+    assertThat(StateServiceCodec.encode(watch).path())
         .isEqualTo("/watch?starts=c%2F&from=431&hold_ms=10000");
   }
 
   @Test
-  void readsTheStateServicesAnswers() throws Exception {
+  void stateServiceResponsesAreDecoded() throws Exception {
     Request.Watch watch =
         new Request.Watch("c/", new Revision(1), Span.millis(0), Request.Urgency.REST);
     Answer answer =
-        StateCodec.decode(
+        StateServiceCodec.decode(
             watch,
             200,
             packed(
                 "{\"epoch\":433,\"news\":[{\"set\":\"c/9\",\"value\":{\"sort\":\"done\","
                     + "\"bits\":\"ff\"},\"stamp\":433},{\"delete\":\"c/d\",\"stamp\":432}]}"));
     assertThat(((Answer.Changes) answer).news()).hasSize(2);
-    assertThat(StateCodec.decode(watch, 410, new byte[0])).isEqualTo(new Answer.Refused(410, ""));
-    assertThatThrownBy(() -> StateCodec.decode(watch, 200, "no".getBytes(StandardCharsets.UTF_8)))
-        .isInstanceOf(BadMessage.class);
+    assertThat(StateServiceCodec.decode(watch, 410, new byte[0]))
+        .isEqualTo(new Answer.Refused(410, ""));
+    assertThatThrownBy(
+            () -> StateServiceCodec.decode(watch, 200, "no".getBytes(StandardCharsets.UTF_8)))
+        .isInstanceOf(MalformedMessageException.class);
   }
 
   @Test
-  void speaksToTheCloudAsThePageSays() throws Exception {
+  void cloudMessagesMatchProtocol() throws Exception {
     Request.Rent rent = new Request.Rent(new AskId("r-17"), "g8", "a", true, 12);
     assertThat(json(CloudCodec.encode(rent).body()))
         .isEqualTo(
@@ -473,9 +484,9 @@
   }
 
   @Test
-  void tellsUsersTheStateInTheirWords() throws Exception {
+  void jobStatusUsesPublicStateNames() throws Exception {
     byte[] bytes =
-        UserCodec.status(
+        UserCodec.encodeStatus(
             new Response.JobStatus(
                 false, new JobId("j-000412"), Response.JobState.CANCELLED, 3, 13));
     assertThat(json(bytes))
@@ -483,7 +494,7 @@
   }
 
   @Test
-  void theExamplesOfTheUsersPageAreTrue() throws Exception {
+  void apiDocumentationExamplesAreValid() throws Exception {
     List<String> examples =
         Pattern.compile("```json\n(.*?)```", Pattern.DOTALL)
             .matcher(Files.readString(Path.of("docs/api.md")))
@@ -491,11 +502,11 @@
             .map(match -> match.group(1))
             .toList();
     assertThat(examples).hasSize(2);
-    UserRequest.Submit submission = UserCodec.submission(packed(examples.get(0)));
+    UserRequest.Submit submission = UserCodec.decodeSubmission(packed(examples.get(0)));
     assertThat(submission.problem()).isEmpty();
     assertThat(submission.spec()).isPresent();
     byte[] status =
-        UserCodec.status(
+        UserCodec.encodeStatus(
             new Response.JobStatus(false, submission.job(), Response.JobState.RUNNING, 3, 13));
     assertThat(JSON.readTree(examples.get(1))).isEqualTo(JSON.readTree(json(status)));
   }
--- a/src/test/java/org/oakwalk/wire/ProductCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/ProductCodecTest.java
@@ -20,26 +20,30 @@
   }
 
   @Test
-  void comesBackAsItWas() throws Exception {
-    byte[] stored = Pack.messagePack(StateCodec.value(example()));
-    assertThat(StateCodec.value(new Fields(Pack.messagePackMap(stored)))).isEqualTo(example());
+  void roundTripPreservesTerms() throws Exception {
+    byte[] stored = BinaryEncoding.encodeMessagePack(StateServiceCodec.value(example()));
+    assertThat(
+            StateServiceCodec.value(new FieldReader(BinaryEncoding.decodeMessagePackMap(stored))))
+        .isEqualTo(example());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"form", "version", "dawns", "headrooms", "exchanges"})
-  void damagedOnesAreRefused(String field) throws Exception {
-    ObjectNode map = StateCodec.value(example());
+  void damagedRecordsAreRejected(String field) throws Exception {
+    ObjectNode map = StateServiceCodec.value(example());
     map.putArray(field).add(-1);
-    assertThatThrownBy(() -> StateCodec.value(new Fields(map))).isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> StateServiceCodec.value(new FieldReader(map)))
+        .isInstanceOf(MalformedMessageException.class);
     map.remove(field);
-    assertThatThrownBy(() -> StateCodec.value(new Fields(map))).isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> StateServiceCodec.value(new FieldReader(map)))
+        .isInstanceOf(MalformedMessageException.class);
   }
 
   @Test
-  void aLaterFormIsRefusedRatherThanHalfRead() throws Exception {
-    ObjectNode map = StateCodec.value(example());
+  void newerFormatVersionIsRejected() throws Exception {
+    ObjectNode map = StateServiceCodec.value(example());
     map.put("form", 2);
-    assertThatThrownBy(() -> StateCodec.value(new Fields(map)))
+    assertThatThrownBy(() -> StateServiceCodec.value(new FieldReader(map)))
         .hasMessage("written in form 2, this version knows 1");
   }
 }
--- a/src/test/java/org/oakwalk/wire/SharedCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/SharedRecordCodecTest.java
@@ -19,7 +19,7 @@
 import org.oakwalk.core.store.StoredValue;
 
 /** The stored form of records that leaders keep, and that rows take no more than they say. */
-class SharedCodecTest {
+class SharedRecordCodecTest {
   private static HeadroomRow row(String name) {
     Map<String, Integer> places = new TreeMap<>();
     for (int i = 0; i < 9; i++) {
@@ -38,42 +38,50 @@
   }
 
   @Test
-  void comesBackAsItWas() throws Exception {
+  void roundTripPreservesRecords() throws Exception {
     List<SharedRow> rows = List.of(row("a"), row("zone b \" \n č"));
     for (StoredValue value :
         List.of(
             new StoredValue.SharedHead(7, 1, 0, rows),
             new StoredValue.SharedHead(8, 0, 3, List.of()),
             new StoredValue.SharedPart(8, rows))) {
-      byte[] stored = Pack.messagePack(StateCodec.value(value));
-      assertThat(StateCodec.value(new Fields(Pack.messagePackMap(stored)))).isEqualTo(value);
+      byte[] stored = BinaryEncoding.encodeMessagePack(StateServiceCodec.value(value));
+      assertThat(
+              StateServiceCodec.value(new FieldReader(BinaryEncoding.decodeMessagePackMap(stored))))
+          .isEqualTo(value);
     }
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"", "a", "a-name-of-some-length", "\"\\\n", "čšž"})
-  void rowsTakeNoMoreThanTheySay(String name) {
+  void rowsFitDeclaredSize(String name) {
     HeadroomRow row = row(name);
     int bytes =
-        SharedCodec.row(row).toString().getBytes(java.nio.charset.StandardCharsets.UTF_8).length;
+        SharedRecordCodec.row(row)
+            .toString()
+            .getBytes(java.nio.charset.StandardCharsets.UTF_8)
+            .length;
     assertThat(row.maxJsonBytes()).isGreaterThanOrEqualTo(bytes);
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"form", "revision", "slot", "parts", "rows"})
-  void damagedHeadsAreRefused(String field) {
-    ObjectNode map = StateCodec.value(new StoredValue.SharedHead(7, 1, 0, List.of(row("a"))));
+  void damagedHeadsAreRejected(String field) {
+    ObjectNode map =
+        StateServiceCodec.value(new StoredValue.SharedHead(7, 1, 0, List.of(row("a"))));
     map.putArray(field).add(-1);
-    assertThatThrownBy(() -> StateCodec.value(new Fields(map))).isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> StateServiceCodec.value(new FieldReader(map)))
+        .isInstanceOf(MalformedMessageException.class);
     map.remove(field);
-    assertThatThrownBy(() -> StateCodec.value(new Fields(map))).isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> StateServiceCodec.value(new FieldReader(map)))
+        .isInstanceOf(MalformedMessageException.class);
   }
 
   @Test
-  void rowsOfALaterVersionAreRefusedWithAllTheOthers() {
-    ObjectNode map = StateCodec.value(new StoredValue.SharedPart(7, List.of(row("a"))));
+  void unknownRowTypeRejectsWholePart() {
+    ObjectNode map = StateServiceCodec.value(new StoredValue.SharedPart(7, List.of(row("a"))));
     ((ObjectNode) map.get("rows").get(0)).put("t", "room2");
-    assertThatThrownBy(() -> StateCodec.value(new Fields(map)))
+    assertThatThrownBy(() -> StateServiceCodec.value(new FieldReader(map)))
         .hasMessage("row of unknown sort room2");
   }
 }
--- a/src/test/java/org/oakwalk/wire/SubmissionTest.java
+++ b/src/test/java/org/oakwalk/wire/SubmissionTest.java
@@ -47,10 +47,12 @@
         "snapshot_every_s | 0 | [-1, \"1\", true, []]",
         "snapshot_s | 0 | [-1, \"1\", true, []]"
       })
-  void everyFieldIsNeeded(String field, String good, String bad) throws Exception {
+  void missingOrInvalidRequiredFieldIsNamed(String field, String good, String bad)
+      throws Exception {
     ObjectNode job = (ObjectNode) JSON.readTree(JOB);
     job.set(field, JSON.readTree(good));
-    assertThat(UserCodec.submission(Pack.messagePack(job)).spec()).isPresent();
+    assertThat(UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(job)).spec())
+        .isPresent();
     List<ObjectNode> malformed = new ArrayList<>();
     malformed.add(job.deepCopy().without(field));
     malformed.add(job.deepCopy().putNull(field));
@@ -58,7 +60,8 @@
       malformed.add(job.deepCopy().set(field, value));
     }
     for (ObjectNode each : malformed) {
-      UserRequest.Submit request = UserCodec.submission(Pack.messagePack(each));
+      UserRequest.Submit request =
+          UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(each));
       assertThat(request.spec()).as(each.toString()).isEmpty();
       assertThat(request.problem()).contains(field);
     }
@@ -74,18 +77,20 @@
         "region | \"a\" | [7, true, \"\", [], {}]",
         "due_s | 0 | [-1, \"1\", true, [], {}]"
       })
-  void whatMayBeNullMayBeLeftOut(String field, String good, String bad) throws Exception {
+  void optionalFieldMayBeNullOrMissing(String field, String good, String bad) throws Exception {
     ObjectNode job = (ObjectNode) JSON.readTree(JOB);
     for (ObjectNode each :
         List.<ObjectNode>of(
             job.deepCopy().without(field),
             job.deepCopy().putNull(field),
             job.deepCopy().set(field, JSON.readTree(good)))) {
-      assertThat(UserCodec.submission(Pack.messagePack(each)).spec()).isPresent();
+      assertThat(UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(each)).spec())
+          .isPresent();
     }
     for (JsonNode value : JSON.readTree(bad)) {
       job.set(field, value);
-      UserRequest.Submit request = UserCodec.submission(Pack.messagePack(job));
+      UserRequest.Submit request =
+          UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(job));
       assertThat(request.spec()).as(job.toString()).isEmpty();
       assertThat(request.problem()).contains(field);
     }
@@ -97,14 +102,14 @@
       delimiter = '|',
       quoteCharacter = '`',
       value = {"null", "7", "true", "\"\"", "\"j-\"", "\"J-1\"", "\"j-1/0\"", "\"j-1 \"", "[]"})
-  void refusesAnIdOfAnotherForm(String id) throws Exception {
+  void submissionWithInvalidIdIsMalformed(String id) throws Exception {
     ObjectNode job = (ObjectNode) JSON.readTree(JOB);
     job.set("ref", JSON.readTree(id));
-    assertThatThrownBy(() -> UserCodec.submission(Pack.messagePack(job)))
-        .isInstanceOf(BadMessage.class)
+    assertThatThrownBy(() -> UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(job)))
+        .isInstanceOf(MalformedMessageException.class)
         .hasMessageContaining("ref");
     job.remove("ref");
-    assertThatThrownBy(() -> UserCodec.submission(Pack.messagePack(job)))
-        .isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(job)))
+        .isInstanceOf(MalformedMessageException.class);
   }
 }
--- a/src/test/java/org/oakwalk/wire/TakeCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/TakeCodecTest.java
@@ -35,27 +35,33 @@
   }
 
   @Test
-  void comesBackAsItWas() throws Exception {
+  void roundTripPreservesRow() throws Exception {
     StoredValue head = new StoredValue.SharedHead(5, 1, 0, List.of(example()));
-    byte[] stored = Pack.messagePack(StateCodec.value(head));
-    assertThat(StateCodec.value(new Fields(Pack.messagePackMap(stored)))).isEqualTo(head);
+    byte[] stored = BinaryEncoding.encodeMessagePack(StateServiceCodec.value(head));
+    assertThat(
+            StateServiceCodec.value(new FieldReader(BinaryEncoding.decodeMessagePackMap(stored))))
+        .isEqualTo(head);
   }
 
   @Test
-  void takesNoMoreThanItSays() {
+  void rowFitsDeclaredSize() {
     assertThat(
-            SharedCodec.row(example()).toString().getBytes(java.nio.charset.StandardCharsets.UTF_8))
+            SharedRecordCodec.row(example())
+                .toString()
+                .getBytes(java.nio.charset.StandardCharsets.UTF_8))
         .hasSizeLessThanOrEqualTo(example().maxJsonBytes());
   }
 
   @ParameterizedTest
   @ValueSource(strings = {"token", "number", "state", "giver", "room", "machine", "level"})
-  void damagedOnesAreRefused(String field) {
-    ObjectNode map = SharedCodec.row(example());
+  void damagedRowsAreRejected(String field) {
+    ObjectNode map = SharedRecordCodec.row(example());
     String name = field.equals("room") ? "gpus" : field;
     map.putArray(name).add(-1);
-    assertThatThrownBy(() -> SharedCodec.row(new Fields(map))).isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> SharedRecordCodec.row(new FieldReader(map)))
+        .isInstanceOf(MalformedMessageException.class);
     map.remove(name);
-    assertThatThrownBy(() -> SharedCodec.row(new Fields(map))).isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> SharedRecordCodec.row(new FieldReader(map)))
+        .isInstanceOf(MalformedMessageException.class);
   }
 }
