--- a/src/main/java/org/oakwalk/adapter/Address.java
+++ b/src/main/java/org/oakwalk/adapter/Address.java
@@ -3,7 +3,11 @@
 /** An IP address or host name with a port. */
 public record Address(String host, int port) {
 
-  /** Reads {@code host:port}; throws IllegalArgumentException if it is not that. */
+  /**
+   * Parses {@code host:port}.
+   *
+   * @throws IllegalArgumentException if the text has another form or the port is out of range
+   */
   public static Address parse(String text) {
     int colon = text.lastIndexOf(':');
     if (colon <= 0) {
--- a/src/main/java/org/oakwalk/adapter/ConnectionLimiter.java
+++ b/src/main/java/org/oakwalk/adapter/ConnectionLimiter.java
@@ -12,31 +12,35 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Who is at the front door, and who gives way when it is full. Everybody is let in, since the load
- * balancer gives up a node that accepts nobody, and somebody idle goes instead: whoever never asked
- * for anything, then users, then workers, each the longest idle first. Before it comes to that,
- * users beyond their part are asked to come anew for each request, and workers are sent to other
- * nodes, which carry their reports.
+ * Limits the connections of users, workers and health checks. New connections are always accepted,
+ * since the load balancer stops using a node that accepts none. At the limit, an idle connection is
+ * closed for each new one: first those that never sent a request, then those of users, then those
+ * of workers, each starting with the longest idle. Before the limit is reached, connections of
+ * users above their own limit are closed after each response, and workers are redirected to other
+ * nodes, which forward their reports.
  */
 final class ConnectionLimiter implements Connection.Listener {
   private static final Logger LOG = LoggerFactory.getLogger(ConnectionLimiter.class);
   private static final long LOG_INTERVAL_NANOS = 10_000_000_000L;
 
-  /** Whose connection it is, as its last request tells; in the order in which they give way. */
+  /** The kind of client, derived from its last request; constants are in closing order. */
   enum ClientKind {
     UNKNOWN,
     USER,
     WORKER
   }
 
-  /** A connection that has asked for nothing for so long is not about to. */
+  /**
+   * Time after which a connection without any request counts as idle; a younger one may be about to
+   * send its first request.
+   */
   private static final Span FIRST_REQUEST_TIMEOUT = Span.seconds(2);
 
   private static final class TrackedConnection {
     ClientKind kind = ClientKind.UNKNOWN;
     long idleSince;
 
-    /** Whether it was asked to report elsewhere and has not been answered otherwise. */
+    /** True from a redirect until the worker gets another response than a redirect. */
     boolean redirected;
 
     TrackedConnection(long idleSince) {
@@ -47,7 +51,7 @@
   private final SocketBudget sockets;
   private final Map<Connection, TrackedConnection> tracked = new HashMap<>();
 
-  /** Of each kind those that wait for no answer, the longest idle first. */
+  /** Connections without a request in progress, by kind of client, the longest idle first. */
   private final Map<ClientKind, Map<Connection, TrackedConnection>> idle =
       new EnumMap<>(ClientKind.class);
 
@@ -58,42 +62,42 @@
 
   ConnectionLimiter(SocketBudget sockets) {
     this.sockets = sockets;
-    for (ClientKind guest : ClientKind.values()) {
-      idle.put(guest, new LinkedHashMap<>());
+    for (ClientKind kind : ClientKind.values()) {
+      idle.put(kind, new LinkedHashMap<>());
     }
   }
 
   @Override
   public void onOpened(Connection connection) {
-    Optional<Connection> leaves;
+    Optional<Connection> closing;
     synchronized (this) {
-      TrackedConnection visit = new TrackedConnection(System.nanoTime());
-      tracked.put(connection, visit);
-      leaves =
+      TrackedConnection state = new TrackedConnection(System.nanoTime());
+      tracked.put(connection, state);
+      closing =
           tracked.size() > sockets.maxClientConnections()
               ? Optional.of(connectionToClose(connection))
               : Optional.empty();
-      idle.get(ClientKind.UNKNOWN).put(connection, visit);
-      leaves.ifPresent(this::untrack);
+      idle.get(ClientKind.UNKNOWN).put(connection, state);
+      closing.ifPresent(this::untrack);
     }
-    leaves.ifPresent(Connection::close);
+    closing.ifPresent(Connection::close);
   }
 
-  /** Who gives way to the one that came last; that one itself if all others wait for answers. */
-  private Connection connectionToClose(Connection last) {
+  /** Returns the connection to close; the newest itself if all others have requests in progress. */
+  private Connection connectionToClose(Connection newest) {
     closedCount++;
-    for (ClientKind guest : ClientKind.values()) {
-      Iterator<Map.Entry<Connection, TrackedConnection>> longest =
-          idle.get(guest).entrySet().iterator();
-      if (longest.hasNext()) {
-        Map.Entry<Connection, TrackedConnection> first = longest.next();
-        long rested = System.nanoTime() - first.getValue().idleSince;
-        if (guest != ClientKind.UNKNOWN || rested / 1_000_000 > FIRST_REQUEST_TIMEOUT.millis()) {
-          return first.getKey();
+    for (ClientKind kind : ClientKind.values()) {
+      Iterator<Map.Entry<Connection, TrackedConnection>> byIdleTime =
+          idle.get(kind).entrySet().iterator();
+      if (byIdleTime.hasNext()) {
+        Map.Entry<Connection, TrackedConnection> longestIdle = byIdleTime.next();
+        long idleNanos = System.nanoTime() - longestIdle.getValue().idleSince;
+        if (kind != ClientKind.UNKNOWN || idleNanos / 1_000_000 > FIRST_REQUEST_TIMEOUT.millis()) {
+          return longestIdle.getKey();
         }
       }
     }
-    return last;
+    return newest;
   }
 
   @Override
@@ -102,63 +106,64 @@
   }
 
   private void untrack(Connection connection) {
-    TrackedConnection visit = tracked.remove(connection);
-    if (visit != null) {
-      idle.get(visit.kind).remove(connection);
-      userCount -= visit.kind == ClientKind.USER ? 1 : 0;
-      redirectedCount -= visit.redirected ? 1 : 0;
+    TrackedConnection state = tracked.remove(connection);
+    if (state != null) {
+      idle.get(state.kind).remove(connection);
+      userCount -= state.kind == ClientKind.USER ? 1 : 0;
+      redirectedCount -= state.redirected ? 1 : 0;
     }
   }
 
-  /** A request came; its connection stays until the answer is sent. */
-  synchronized void requestReceived(Connection connection, ClientKind guest) {
-    TrackedConnection visit = tracked.get(connection);
-    if (visit == null) {
+  /** Records the start of a request; the connection is not closed until its response is sent. */
+  synchronized void requestReceived(Connection connection, ClientKind kind) {
+    TrackedConnection state = tracked.get(connection);
+    if (state == null) {
       return;
     }
-    idle.get(visit.kind).remove(connection);
-    if (visit.kind != guest) {
-      userCount += (guest == ClientKind.USER ? 1 : 0) - (visit.kind == ClientKind.USER ? 1 : 0);
-      visit.kind = guest;
+    idle.get(state.kind).remove(connection);
+    if (state.kind != kind) {
+      userCount += (kind == ClientKind.USER ? 1 : 0) - (state.kind == ClientKind.USER ? 1 : 0);
+      state.kind = kind;
     }
   }
 
-  /** The answer is sent. */
+  /** Records that the response was sent; the connection is idle again. */
   synchronized void responseSent(Connection connection) {
-    TrackedConnection visit = tracked.get(connection);
-    if (visit != null) {
-      visit.idleSince = System.nanoTime();
-      idle.get(visit.kind).put(connection, visit);
+    TrackedConnection state = tracked.get(connection);
+    if (state != null) {
+      state.idleSince = System.nanoTime();
+      idle.get(state.kind).put(connection, state);
     }
   }
 
-  /** Whether users should come anew for each request. */
+  /** Returns true if connections of users are to be closed after each response. */
   synchronized boolean closesUserConnections() {
     return isNearCapacity() && userCount > sockets.userConnectionLimit();
   }
 
   /**
-   * Whether the worker that reported over this connection should go elsewhere. Those that were
-   * asked already count as gone, or all that report at the same moment would leave together.
+   * Marks the connection of a worker as redirected if the worker should report to another node;
+   * returns true if it was marked. Redirected connections already count as closed, since otherwise
+   * all workers that report at the same moment would be redirected together.
    */
   synchronized boolean tryRedirect(Connection connection) {
-    TrackedConnection visit = tracked.get(connection);
-    if (visit == null
-        || visit.redirected
+    TrackedConnection state = tracked.get(connection);
+    if (state == null
+        || state.redirected
         || !isNearCapacity()
         || userCount > sockets.userConnectionLimit()) {
       return false;
     }
-    visit.redirected = true;
+    state.redirected = true;
     redirectedCount++;
     return true;
   }
 
-  /** The worker was answered as ever and stays. */
+  /** Records that the worker got an ordinary response and keeps its connection. */
   synchronized void cancelRedirect(Connection connection) {
-    TrackedConnection visit = tracked.get(connection);
-    if (visit != null && visit.redirected) {
-      visit.redirected = false;
+    TrackedConnection state = tracked.get(connection);
+    if (state != null && state.redirected) {
+      state.redirected = false;
       redirectedCount--;
     }
   }
@@ -171,7 +176,7 @@
     if (now - nextLog >= 0) {
       nextLog = now + LOG_INTERVAL_NANOS;
       LOG.info(
-          "front door: {} of {}, users {}, leaving {}, closed {}",
+          "client connections: {} of {}, users {}, redirected {}, closed {}",
           tracked.size(),
           sockets.maxClientConnections(),
           userCount,
--- a/src/main/java/org/oakwalk/adapter/HttpCaller.java
+++ b/src/main/java/org/oakwalk/adapter/HttpCaller.java
@@ -30,7 +30,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Sends a request of the core to an address and turns what comes back into an answer. */
+/** Sends requests of the core over HTTP and converts the responses to answers. */
 public final class HttpCaller implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(HttpCaller.class);
   private static final int MAX_RESPONSE_BYTES = 8 << 20;
@@ -42,7 +42,7 @@
   private final SocketBudget sockets;
 
   /**
-   * A caller without connections as yet.
+   * Creates a caller without open connections.
    *
    * @param peers addresses of the other controllers
    */
@@ -61,14 +61,14 @@
     connector.setByteBufferPool(buffers);
     connector.setConnectTimeout(Duration.ofMillis(1500));
     HttpClientTransportOverHTTP transport = new HttpClientTransportOverHTTP(connector);
-    // As at the front door: 100 KB a connection for a few header fields would be too much.
+    // The header cache takes 100 KB per connection, too much for a few header fields.
     transport.setHeaderCacheSize(0);
-    Set<String> few = Set.copyOf(peers);
+    Set<String> peerAddresses = Set.copyOf(peers);
     transport.setConnectionPoolFactory(
-        place ->
+        destination ->
             new DuplexConnectionPool(
-                place,
-                few.contains(place.getOrigin().getAddress().asString())
+                destination,
+                peerAddresses.contains(destination.getOrigin().getAddress().asString())
                     ? sockets.connectionsPerPeer()
                     : sockets.connectionsPerDestination()));
     client = new HttpClient(transport);
@@ -86,28 +86,28 @@
     client.start();
   }
 
-  /** Sends; the answer comes on any thread, exactly once. */
-  void send(String address, Request request, long timeoutMillis, Consumer<Answer> then) {
+  /** Sends a request and calls back exactly once, on any thread, with the answer. */
+  void send(String address, Request request, long timeoutMillis, Consumer<Answer> callback) {
     OutgoingRequest message = RequestCodec.encode(request);
-    org.eclipse.jetty.client.Request http =
+    org.eclipse.jetty.client.Request httpRequest =
         client
             .newRequest("http://" + address + message.path())
             .method(message.method())
             .timeout(timeoutMillis, TimeUnit.MILLISECONDS);
     if (message.body() != null) {
-      http.body(new BytesRequestContent("application/msgpack", message.body()));
+      httpRequest.body(new BytesRequestContent("application/msgpack", message.body()));
     }
     if (request instanceof Request.Command
         && connections.getConnections() >= sockets.keepAliveLimit()) {
-      // One connection kept for each worker, beside the one by which it reports, would use up all
-      // sockets of a node that leads a large fleet, and then workers could not report any more.
-      http.headers(headers -> headers.put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE));
+      // One open connection per worker, in addition to the one for its reports, would use up all
+      // sockets of a node that leads a large fleet; workers could then no longer report.
+      httpRequest.headers(headers -> headers.put(HttpHeader.CONNECTION, HttpHeaderValue.CLOSE));
     }
-    http.send(
+    httpRequest.send(
         new BufferingResponseListener(MAX_RESPONSE_BYTES) {
           @Override
           public void onComplete(Result result) {
-            then.accept(toAnswer(address, request, result, getContent()));
+            callback.accept(toAnswer(address, request, result, getContent()));
           }
         });
   }
@@ -124,13 +124,16 @@
       return RequestCodec.decode(request, status, content == null ? new byte[0] : content);
     } catch (MalformedMessageException e) {
       if (loggedErrors.add(request.getClass().getSimpleName() + e.getMessage())) {
-        LOG.error("bad answer from {} to {}: {}", address, request, e.getMessage());
+        LOG.error("malformed response from {} to {}: {}", address, request, e.getMessage());
       }
-      return new Answer.Nothing("bad answer");
+      return new Answer.Nothing("malformed response");
     }
   }
 
-  /** A connection that never came about carried no request; after that, anything is possible. */
+  /**
+   * Returns {@link Answer.Refused} if no connection was established, so that the request can't have
+   * been sent; with any other failure, the request may have been executed.
+   */
   private static Answer failureAnswer(Result result) {
     Throwable cause = result.getFailure();
     String reason = cause.getClass().getSimpleName();
--- a/src/main/java/org/oakwalk/adapter/HttpListener.java
+++ b/src/main/java/org/oakwalk/adapter/HttpListener.java
@@ -25,13 +25,14 @@
 import org.oakwalk.wire.UserCodec;
 import org.oakwalk.wire.WorkerCodec;
 
-/** The node's two doors: one for users and workers, one for the other controllers. */
+/** The node's HTTP server, with one port for users and workers and one for other controllers. */
 public final class HttpListener implements AutoCloseable {
   private static final int MAX_OPEN_REQUESTS = 2000;
   private static final String PEER_CONNECTOR = "peers";
 
-  /** Takes events to the core; false if there are too many. */
+  /** Passes events to the core. */
   public interface EventSink {
+    /** Returns true if the event was accepted, false if too many events are queued. */
     boolean offer(Event event);
   }
 
@@ -44,32 +45,34 @@
   private final AtomicInteger openRequests = new AtomicInteger();
   private long lastRequestNumber;
 
+  /** Creates a listener that accepts connections once it is started. */
   public HttpListener(
       ThreadPool threads,
       Scheduler scheduler,
       ByteBufferPool buffers,
-      Address serve,
-      Address peers,
+      Address clientAddress,
+      Address peerAddress,
       SocketBudget sockets,
       EventSink sink) {
     this.sink = sink;
     server = new Server(threads, scheduler, buffers);
     server.setStopTimeout(0);
-    clientConnector = connector(serve, "front");
-    peerConnector = connector(peers, PEER_CONNECTOR);
+    clientConnector = connector(clientAddress, "front");
+    peerConnector = connector(peerAddress, PEER_CONNECTOR);
     limiter = new ConnectionLimiter(sockets);
     clientConnector.addBean(limiter);
     server.addConnector(clientConnector);
     server.addConnector(peerConnector);
-    InboundRequestHandler inFront = new InboundRequestHandler(this::offer, Optional.of(limiter));
-    InboundRequestHandler inBack = new InboundRequestHandler(this::offer, Optional.empty());
+    InboundRequestHandler clientHandler =
+        new InboundRequestHandler(this::offer, Optional.of(limiter));
+    InboundRequestHandler peerHandler = new InboundRequestHandler(this::offer, Optional.empty());
     server.setHandler(
         new Handler.Abstract.NonBlocking() {
           @Override
           public boolean handle(Request request, Response response, Callback callback) {
-            boolean peer =
+            boolean fromPeer =
                 PEER_CONNECTOR.equals(request.getConnectionMetaData().getConnector().getName());
-            return (peer ? inBack : inFront).handle(request, response, callback);
+            return (fromPeer ? peerHandler : clientHandler).handle(request, response, callback);
           }
         });
   }
@@ -81,7 +84,7 @@
     http.setRequestHeaderSize(4096);
     http.setResponseHeaderSize(1024);
     http.setOutputBufferSize(8192);
-    // The cache of header fields takes 100 KB a connection, and a leader has one from each machine.
+    // The header cache takes 100 KB per connection, and each machine has one to the leader.
     http.setHeaderCacheSize(0);
     http.setHttpCompliance(HttpCompliance.RFC7230);
     http.setUriCompliance(UriCompliance.RFC3986);
@@ -95,17 +98,17 @@
     return connector;
   }
 
-  /** Opens both doors. */
+  /** Opens both ports. */
   public void start() throws Exception {
     server.start();
   }
 
-  /** The port of the door for users and workers, which differs from the settings if that was 0. */
+  /** Returns the actual port for users and workers, also if the configured port is 0. */
   public int clientPort() {
     return clientConnector.getLocalPort();
   }
 
-  /** The port of the door for the other controllers. */
+  /** Returns the actual port for the other controllers. */
   public int peerPort() {
     return peerConnector.getLocalPort();
   }
@@ -138,9 +141,9 @@
     }
   }
 
-  /** Answers an exchange. */
-  public void respond(ExchangeId exchange, org.oakwalk.core.port.Response response) {
-    InboundRequestHandler.PendingReply reply = removeReply(exchange);
+  /** Sends the response to a pending request; does nothing if it was already answered. */
+  public void respond(ExchangeId requestId, org.oakwalk.core.port.Response response) {
+    InboundRequestHandler.PendingReply reply = removeReply(requestId);
     if (reply == null) {
       return;
     }
@@ -150,10 +153,10 @@
       reply.error(problem.status(), problem.reason(), problem.retryAfter());
     } else if (response instanceof org.oakwalk.core.port.Response.Orders orders) {
       reply.send(200, WorkerCodec.orders(orders.token(), orders.orders()));
-    } else if (response instanceof org.oakwalk.core.port.Response.Elsewhere elsewhere) {
-      reply.send(421, WorkerCodec.redirect(elsewhere.leader()));
-    } else if (response instanceof org.oakwalk.core.port.Response.ToPeer toPeer) {
-      reply.send(200, PeerCodec.encode(toPeer.message()));
+    } else if (response instanceof org.oakwalk.core.port.Response.Elsewhere redirect) {
+      reply.send(421, WorkerCodec.redirect(redirect.leader()));
+    } else if (response instanceof org.oakwalk.core.port.Response.ToPeer peerResponse) {
+      reply.send(200, PeerCodec.encode(peerResponse.message()));
     } else {
       reply.send(200, new byte[0]);
     }
--- a/src/main/java/org/oakwalk/adapter/InboundRequestHandler.java
+++ b/src/main/java/org/oakwalk/adapter/InboundRequestHandler.java
@@ -26,7 +26,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Turns HTTP requests into events; answers that need no core are given here. */
+/** Converts HTTP requests to events for the core; rejects invalid requests without the core. */
 final class InboundRequestHandler extends Handler.Abstract.NonBlocking {
   private static final Logger LOG = LoggerFactory.getLogger(InboundRequestHandler.class);
   private static final int MAX_BODY_BYTES = 64 * 1024;
@@ -37,19 +37,19 @@
   private final Optional<ConnectionLimiter> limiter;
   private volatile boolean loggedMalformed;
 
-  /** Takes events, each with the place where its answer goes. */
+  /** Accepts events for the core, each with the reply that its response is sent to. */
   interface RequestSink {
-    /** Whether the event was taken; if not, there is too much to do. */
+    /** Returns true if the event was accepted, false if the node is overloaded. */
     boolean offer(PendingReply reply, Function<ExchangeId, Event> event);
   }
 
   /**
-   * Takes what comes in.
+   * Creates a handler for one listener.
    *
-   * @param limiter that of the front door; empty for what comes from the other controllers
+   * @param limiter limiter of the client listener; empty for the listener for other controllers
    */
-  InboundRequestHandler(RequestSink desk, Optional<ConnectionLimiter> limiter) {
-    this.sink = desk;
+  InboundRequestHandler(RequestSink sink, Optional<ConnectionLimiter> limiter) {
+    this.sink = sink;
     this.limiter = limiter;
   }
 
@@ -57,15 +57,15 @@
   public boolean handle(Request request, Response response, Callback callback) {
     String path = Request.getPathInContext(request);
     String method = request.getMethod();
-    ConnectionLimiter.ClientKind guest =
+    ConnectionLimiter.ClientKind clientKind =
         path.equals(WorkerCodec.REPORT_PATH)
             ? ConnectionLimiter.ClientKind.WORKER
             : ConnectionLimiter.ClientKind.USER;
-    Optional<ActiveRequest> stay =
+    Optional<ActiveRequest> activeRequest =
         limiter.map(
-            d -> new ActiveRequest(d, request.getConnectionMetaData().getConnection(), guest));
-    stay.ifPresent(ActiveRequest::received);
-    PendingReply reply = new PendingReply(response, callback, stay);
+            l -> new ActiveRequest(l, request.getConnectionMetaData().getConnection(), clientKind));
+    activeRequest.ifPresent(ActiveRequest::received);
+    PendingReply reply = new PendingReply(response, callback, activeRequest);
     if (limiter.isEmpty()) {
       if (checkMethod(path.equals(PeerCodec.PEER_PATH), "POST", method, reply)) {
         readBody(request, reply, MAX_PEER_BODY_BYTES, body -> handlePeerMessage(body, reply));
@@ -91,30 +91,34 @@
   }
 
   private static boolean checkMethod(
-      boolean found, String wanted, String method, PendingReply reply) {
-    if (!found) {
+      boolean pathFound, String expected, String method, PendingReply reply) {
+    if (!pathFound) {
       reply.error(404, "no such path", Optional.empty());
       return false;
     }
-    if (!wanted.equals(method)) {
+    if (!expected.equals(method)) {
       reply.error(405, "method not allowed", Optional.empty());
       return false;
     }
     return true;
   }
 
-  private void handleJob(String rest, String method, PendingReply reply) {
-    int slash = rest.indexOf('/');
-    String id = slash < 0 ? rest : rest.substring(0, slash);
-    boolean withdraw = slash >= 0 && rest.substring(slash + 1).equals(UserCodec.WITHDRAW);
+  private void handleJob(String subpath, String method, PendingReply reply) {
+    int slash = subpath.indexOf('/');
+    String id = slash < 0 ? subpath : subpath.substring(0, slash);
+    boolean withdraw = slash >= 0 && subpath.substring(slash + 1).equals(UserCodec.WITHDRAW);
     if (checkMethod(slash < 0 || withdraw, withdraw ? "POST" : "GET", method, reply)) {
       if (!JobId.wellFormed(id)) {
-        // Such a job can't have been accepted.
+        // Jobs with a malformed ID are never accepted, so none with this ID exists.
         reply.error(404, "no such job", Optional.empty());
       } else if (withdraw) {
-        offer(reply, ex -> new Event.UserAsks(ex, new UserRequest.Withdraw(new JobId(id))));
+        offer(
+            reply,
+            requestId -> new Event.UserAsks(requestId, new UserRequest.Withdraw(new JobId(id))));
       } else {
-        offer(reply, ex -> new Event.UserAsks(ex, new UserRequest.Query(new JobId(id))));
+        offer(
+            reply,
+            requestId -> new Event.UserAsks(requestId, new UserRequest.Query(new JobId(id))));
       }
     }
   }
@@ -122,7 +126,7 @@
   private void handleSubmission(byte[] body, PendingReply reply) {
     try {
       UserRequest.Submit submission = UserCodec.decodeSubmission(body);
-      offer(reply, exchange -> new Event.UserAsks(exchange, submission));
+      offer(reply, requestId -> new Event.UserAsks(requestId, submission));
     } catch (MalformedMessageException e) {
       reply.error(400, e.getMessage(), Optional.empty());
     }
@@ -131,26 +135,27 @@
   private void handleReport(byte[] body, PendingReply reply) {
     try {
       var report = WorkerCodec.report(body);
-      boolean crowded = reply.tryRedirect();
-      offer(reply, exchange -> new Event.WorkerReports(exchange, report, crowded));
+      boolean redirectPreferred = reply.tryRedirect();
+      offer(reply, requestId -> new Event.WorkerReports(requestId, report, redirectPreferred));
     } catch (MalformedMessageException e) {
-      rejectMalformed("report", e, reply);
+      rejectMalformed("worker report", e, reply);
     }
   }
 
   private void handlePeerMessage(byte[] body, PendingReply reply) {
     try {
       var message = PeerCodec.decode(body);
-      offer(reply, exchange -> new Event.PeerSays(exchange, message));
+      offer(reply, requestId -> new Event.PeerSays(requestId, message));
     } catch (MalformedMessageException e) {
-      rejectMalformed("message of a peer", e, reply);
+      rejectMalformed("peer message", e, reply);
     }
   }
 
-  private void rejectMalformed(String what, MalformedMessageException e, PendingReply reply) {
+  private void rejectMalformed(
+      String messageKind, MalformedMessageException e, PendingReply reply) {
     if (!loggedMalformed) {
       loggedMalformed = true;
-      LOG.error("malformed {}: {}", what, e.getMessage());
+      LOG.error("rejected malformed {}: {}", messageKind, e.getMessage());
     }
     reply.error(400, e.getMessage(), Optional.empty());
   }
@@ -165,13 +170,16 @@
     void accept(byte[] body);
   }
 
-  /** Reads a body up to a limit; what is larger is refused without being read. */
-  private static void readBody(Request request, PendingReply reply, int limit, BodyConsumer then) {
+  /**
+   * Reads a body of at most {@code limit} bytes; rejects larger bodies without reading the rest.
+   */
+  private static void readBody(
+      Request request, PendingReply reply, int limit, BodyConsumer consumer) {
     if (request.getLength() > limit) {
       rejectTooLarge(reply);
       return;
     }
-    new BodyReader(request, reply, limit, then).run();
+    new BodyReader(request, reply, limit, consumer).run();
   }
 
   private static void rejectTooLarge(PendingReply reply) {
@@ -187,11 +195,11 @@
     private byte[] body;
     private int size;
 
-    BodyReader(Request request, PendingReply reply, int limit, BodyConsumer then) {
+    BodyReader(Request request, PendingReply reply, int limit, BodyConsumer consumer) {
       this.request = request;
       this.reply = reply;
       this.limit = limit;
-      this.consumer = then;
+      this.consumer = consumer;
       this.body = new byte[(int) Math.max(256, Math.min(limit, request.getLength()))];
     }
 
@@ -222,21 +230,21 @@
     }
 
     private boolean append(ByteBuffer bytes) {
-      int more = bytes.remaining();
-      if (size + more > limit) {
+      int length = bytes.remaining();
+      if (size + length > limit) {
         return false;
       }
-      if (size + more > body.length) {
-        int grown = Math.min(limit, Math.max(size + more, body.length * 2));
-        body = Arrays.copyOf(body, grown);
+      if (size + length > body.length) {
+        int newCapacity = Math.min(limit, Math.max(size + length, body.length * 2));
+        body = Arrays.copyOf(body, newCapacity);
       }
-      bytes.get(body, size, more);
-      size += more;
+      bytes.get(body, size, length);
+      size += length;
       return true;
     }
   }
 
-  /** A request at the front door, from its coming until its answer is sent. */
+  /** A client's request in progress, from its arrival until its response is sent. */
   private record ActiveRequest(
       ConnectionLimiter limiter, Connection connection, ConnectionLimiter.ClientKind clientKind) {
     void received() {
@@ -251,7 +259,10 @@
       return limiter.tryRedirect(connection);
     }
 
-    /** Whether the connection is closed after an answer with this status. */
+    /**
+     * Returns true if the connection is to be closed after a response with this status. Any
+     * response to a worker other than a redirect cancels the connection's redirect.
+     */
     boolean closesAfter(int status) {
       if (clientKind == ConnectionLimiter.ClientKind.WORKER && status != MISDIRECTED_REQUEST) {
         limiter.cancelRedirect(connection);
@@ -260,7 +271,7 @@
     }
   }
 
-  /** The place where an answer goes; only the first one counts. */
+  /** The pending response to a request; only the first response is sent, later ones are ignored. */
   static final class PendingReply {
     private static final HttpField MESSAGE_PACK_TYPE =
         new HttpField(HttpHeader.CONTENT_TYPE, "application/msgpack");
@@ -269,14 +280,18 @@
     private final Optional<ActiveRequest> activeRequest;
     private final AtomicBoolean sent = new AtomicBoolean();
 
-    PendingReply(Response response, Callback callback, Optional<ActiveRequest> stay) {
+    PendingReply(Response response, Callback callback, Optional<ActiveRequest> activeRequest) {
       this.response = response;
       this.callback =
-          stay.<Callback>map(s -> Callback.from(s::responseSent, callback)).orElse(callback);
-      this.activeRequest = stay;
+          activeRequest
+              .<Callback>map(active -> Callback.from(active::responseSent, callback))
+              .orElse(callback);
+      this.activeRequest = activeRequest;
     }
 
-    /** Whether the worker that reported had better go elsewhere. */
+    /**
+     * Marks the reporting worker's connection as redirected if it should be; returns true if so.
+     */
     boolean tryRedirect() {
       return activeRequest.filter(ActiveRequest::tryRedirect).isPresent();
     }
@@ -287,7 +302,7 @@
 
     void send(int status, byte[] body) {
       if (sent.compareAndSet(false, true)) {
-        if (activeRequest.filter(s -> s.closesAfter(status)).isPresent()) {
+        if (activeRequest.filter(active -> active.closesAfter(status)).isPresent()) {
           closeConnection();
         }
         response.setStatus(status);
--- a/src/main/java/org/oakwalk/adapter/OutboundRequests.java
+++ b/src/main/java/org/oakwalk/adapter/OutboundRequests.java
@@ -13,25 +13,33 @@
 import org.oakwalk.core.store.RequestQueue;
 
 /**
- * Everything this node calls: the state service and the cloud each within a budget of its own, the
- * workers and the other controllers directly. Used by one thread only.
+ * Sends this node's requests to the state service, the cloud, workers and other controllers. Calls
+ * to the state service and to the cloud are each limited by a rate budget, and commands to workers
+ * by the number of sockets. Not thread-safe: used by the event loop only.
  */
 public final class OutboundRequests {
   private static final long STATE_TIMEOUT_MILLIS = 1_200;
   private static final long CLOUD_TIMEOUT_MILLIS = 5_000;
   private static final long WORKER_TIMEOUT_MILLIS = 3_000;
   private static final long PEER_TIMEOUT_MILLIS = 1_500;
+
+  /** Time that a watch may take beyond the wait that was requested of the service. */
   private static final long WATCH_MARGIN_MILLIS = 1_500;
+
   private static final long MAX_COMMAND_WAIT_MILLIS = 1_000;
   private static final int MAX_CLOUD_ATTEMPTS = 4;
   private static final int TOO_MANY_REQUESTS = 429;
 
-  /** Where things are. */
+  /** Part of the cloud's request limit that this node uses. */
+  private static final double CLOUD_RATE_FRACTION = 0.6;
+
+  /** Addresses of the state service, the cloud and the other controllers. */
   public record ServiceAddresses(String state, String cloud, Map<NodeId, String> peers) {}
 
-  /** Takes an answer on whichever thread it comes. */
+  /** Runs callbacks on the event loop's thread. */
   public interface CallbackExecutor {
-    void execute(Runnable onLoop);
+    /** Schedules a callback; may be called on any thread. */
+    void execute(Runnable callback);
   }
 
   private record QueuedCall(
@@ -48,38 +56,39 @@
   private int commandsInFlight;
   private long answerTime;
 
+  /** Creates a sender with empty queues; {@code now} is in milliseconds of the loop's clock. */
   public OutboundRequests(
       HttpCaller caller,
       ServiceAddresses addresses,
       Settings settings,
       SocketBudget sockets,
-      CallbackExecutor later,
+      CallbackExecutor callbacks,
       long now) {
     this.maxConcurrentCommands = sockets.maxConcurrentCommands();
     this.caller = caller;
     this.addresses = addresses;
-    this.callbacks = later;
+    this.callbacks = callbacks;
     stateQueue = new RequestQueue(settings, now, this::sendState);
-    double cps = settings.cloud().requestsPerSecond() * 0.6;
-    cloudBudget = new TokenBucket(cps, Math.max(2, cps), now);
+    double cloudRate = settings.cloud().requestsPerSecond() * CLOUD_RATE_FRACTION;
+    cloudBudget = new TokenBucket(cloudRate, Math.max(2, cloudRate), now);
   }
 
-  /** Sends a request as soon as its budget allows. */
-  public void call(Request request, long now, Consumer<Answer> then) {
-    if (request instanceof Request.State asked) {
-      stateQueue.enqueue(asked, now, then);
+  /** Queues a request and sends it as soon as its budget allows. */
+  public void call(Request request, long now, Consumer<Answer> callback) {
+    if (request instanceof Request.State stateRequest) {
+      stateQueue.enqueue(stateRequest, now, callback);
     } else if (request instanceof Request.Cloud) {
-      cloudQueue.add(new QueuedCall(request, now, 1, then));
+      cloudQueue.add(new QueuedCall(request, now, 1, callback));
       sendDue(now);
     } else if (request instanceof Request.Command command) {
-      commandQueue.add(new QueuedCall(command, now, 1, then));
+      commandQueue.add(new QueuedCall(command, now, 1, callback));
       sendCommands(now);
-    } else if (request instanceof Request.Tell tell) {
-      send(addresses.peers().get(tell.node()), request, PEER_TIMEOUT_MILLIS, then);
+    } else if (request instanceof Request.Tell peerRequest) {
+      send(addresses.peers().get(peerRequest.node()), request, PEER_TIMEOUT_MILLIS, callback);
     }
   }
 
-  /** Sends what the budgets allow by now. */
+  /** Sends the queued requests that the budgets allow at this time. */
   public void sendDue(long now) {
     sendCommands(now);
     stateQueue.sendDue(now);
@@ -90,32 +99,33 @@
           addresses.cloud(),
           next.request(),
           CLOUD_TIMEOUT_MILLIS,
-          answer -> cloudAnswered(next, answer));
+          answer -> handleCloudAnswer(next, answer));
     }
   }
 
-  /** Gives up commands to this address that still wait for a socket; nothing of them was sent. */
+  /** Refuses queued commands to this address that still wait for a socket; none was sent. */
   public void cancelCommands(String address) {
-    List<QueuedCall> recalled = new ArrayList<>();
-    for (QueuedCall waiting : commandQueue) {
-      if (((Request.Command) waiting.request()).address().equals(address)) {
-        recalled.add(waiting);
+    List<QueuedCall> cancelled = new ArrayList<>();
+    for (QueuedCall queued : commandQueue) {
+      if (((Request.Command) queued.request()).address().equals(address)) {
+        cancelled.add(queued);
       }
     }
-    commandQueue.removeAll(recalled);
-    recalled.forEach(waiting -> waiting.callback().accept(new Answer.Refused(0, "recalled")));
+    commandQueue.removeAll(cancelled);
+    cancelled.forEach(queued -> queued.callback().accept(new Answer.Refused(0, "cancelled")));
   }
 
   /**
-   * Sends commands while sockets allow. One that has to wait for long is given up unsent: its
-   * orders go out with the answer to the worker's next report.
+   * Sends queued commands while sockets are available. A command that waited for longer than {@link
+   * #MAX_COMMAND_WAIT_MILLIS} is refused unsent; its orders go out with the response to the
+   * worker's next report.
    */
   private void sendCommands(long now) {
     while (!commandQueue.isEmpty()) {
       QueuedCall next = commandQueue.peek();
       if (now - next.enqueuedAt() > MAX_COMMAND_WAIT_MILLIS) {
         commandQueue.poll();
-        next.callback().accept(new Answer.Refused(0, "no socket"));
+        next.callback().accept(new Answer.Refused(0, "no socket available"));
       } else if (commandsInFlight < maxConcurrentCommands) {
         commandQueue.poll();
         commandsInFlight++;
@@ -133,34 +143,35 @@
     }
   }
 
-  private void sendState(Request.State request, Consumer<Answer> then) {
+  private void sendState(Request.State request, Consumer<Answer> callback) {
     long timeout =
         request instanceof Request.Watch watch && watch.hold().millis() > 0
             ? watch.hold().millis() + WATCH_MARGIN_MILLIS
             : STATE_TIMEOUT_MILLIS;
-    send(addresses.state(), request, timeout, then);
+    send(addresses.state(), request, timeout, callback);
   }
 
-  private void cloudAnswered(QueuedCall sent, Answer answer) {
+  private void handleCloudAnswer(QueuedCall call, Answer answer) {
     if (answer instanceof Answer.Refused refused && refused.status() == TOO_MANY_REQUESTS) {
       cloudBudget.pauseUntil(answerTime + 500);
-      if (sent.attempts() < MAX_CLOUD_ATTEMPTS) {
+      if (call.attempts() < MAX_CLOUD_ATTEMPTS) {
         cloudQueue.add(
             new QueuedCall(
-                sent.request(), sent.enqueuedAt(), sent.attempts() + 1, sent.callback()));
+                call.request(), call.enqueuedAt(), call.attempts() + 1, call.callback()));
         return;
       }
     }
-    sent.callback().accept(answer);
+    call.callback().accept(answer);
   }
 
-  /** The time by which answers are handled. */
+  /** Sets the current time, at which answers are handled. */
   public void setTime(long now) {
     answerTime = now;
     stateQueue.setTime(now);
   }
 
-  private void send(String address, Request request, long timeout, Consumer<Answer> then) {
-    caller.send(address, request, timeout, answer -> callbacks.execute(() -> then.accept(answer)));
+  private void send(String address, Request request, long timeout, Consumer<Answer> callback) {
+    caller.send(
+        address, request, timeout, answer -> callbacks.execute(() -> callback.accept(answer)));
   }
 }
--- a/src/main/java/org/oakwalk/adapter/SocketBudget.java
+++ b/src/main/java/org/oakwalk/adapter/SocketBudget.java
@@ -1,33 +1,37 @@
 package org.oakwalk.adapter;
 
 /**
- * Shares out the sockets that a node may have open by what each side needs at most, so that none
- * can take those of another. What the other controllers, the state service, the cloud and commands
- * to workers may hold is bounded; the front door (users, workers, health checks) has all the rest.
- * "Sockets" in docs/design.md has the arithmetic.
+ * Divides the sockets that a node may have open, so that no use can starve another. Connections to
+ * other controllers, the state service and the cloud and commands to workers are bounded by what
+ * each needs at most; clients (users, workers, health checks) get the rest. The section "Sockets"
+ * in docs/design.md shows the calculation.
  *
- * @param totalSockets sockets that the platform allows
- * @param peerCount how many other controllers there are
+ * @param totalSockets open sockets that the platform allows
+ * @param peerCount number of other controllers
  */
 public record SocketBudget(int totalSockets, int peerCount) {
+  /** Part of all sockets that concurrent commands may use. */
   private static final double COMMAND_FRACTION = 0.04;
 
-  /** Connections to each of the other controllers, and as many from each. */
+  /** Maximum connections to each other controller, and likewise from each. */
   int connectionsPerPeer() {
     return bounded(128, 2, 4);
   }
 
-  /** Connections to the state service, or to any other place that is not a controller. */
+  /** Maximum connections to the state service, or any other destination except controllers. */
   int connectionsPerDestination() {
     return bounded(32, 4, 16);
   }
 
-  /** Commands that may be under way at once. */
+  /** Maximum number of commands in flight. */
   int maxConcurrentCommands() {
     return (int) Math.max(1, totalSockets * COMMAND_FRACTION);
   }
 
-  /** Outgoing connections up to which those to workers are kept open after a command. */
+  /**
+   * Number of outgoing connections from which on connections to workers are closed after each
+   * command.
+   */
   int keepAliveLimit() {
     return connectionsPerDestination()
         + cloudConnections()
@@ -35,7 +39,7 @@
         + maxConcurrentCommands();
   }
 
-  /** Connections that the front door takes. */
+  /** Maximum connections of users, workers and health checks. */
   int maxClientConnections() {
     int outgoing = keepAliveLimit() + maxConcurrentCommands();
     int incoming = peerCount * connectionsPerPeer();
@@ -43,19 +47,19 @@
   }
 
   /**
-   * Connections beyond which the front door asks for room: what lies between is for whoever comes
-   * while workers still find their way elsewhere.
+   * Client connections above which workers are redirected to other nodes. The gap to {@link
+   * #maxClientConnections} is for clients that connect until redirected workers have left.
    */
   int redirectThreshold() {
     return maxClientConnections() - Math.max(1, maxClientConnections() / 64);
   }
 
-  /** Connections of users beyond which they make room before workers do. */
+  /** Connections of users above which they are closed before workers are redirected. */
   int userConnectionLimit() {
     return maxClientConnections() / 4;
   }
 
-  /** For the doors themselves, for who waits to be let in, and for connections that are closing. */
+  /** Sockets for the listeners, for connections not yet accepted and for those being closed. */
   private int spareSockets() {
     return bounded(24, 4, 64);
   }
@@ -64,7 +68,7 @@
     return bounded(128, 2, 4);
   }
 
-  private int bounded(int part, int least, int most) {
-    return Math.min(most, Math.max(least, totalSockets / part));
+  private int bounded(int divisor, int min, int max) {
+    return Math.min(max, Math.max(min, totalSockets / divisor));
   }
 }
--- a/src/main/java/org/oakwalk/adapter/TokenBucket.java
+++ b/src/main/java/org/oakwalk/adapter/TokenBucket.java
@@ -1,6 +1,6 @@
 package org.oakwalk.adapter;
 
-/** Tokens that come in at a steady rate, up to a burst, and are spent by requests. */
+/** A token bucket: refilled at a constant rate up to the burst size, and spent by requests. */
 final class TokenBucket {
   private final double tokensPerMilli;
   private final double burst;
@@ -8,13 +8,14 @@
   private long refilledAt;
   private long pausedUntil = Long.MIN_VALUE;
 
-  TokenBucket(double perSecond, double burst, long now) {
-    this.tokensPerMilli = perSecond / 1000;
+  TokenBucket(double tokensPerSecond, double burst, long now) {
+    this.tokensPerMilli = tokensPerSecond / 1000;
     this.burst = burst;
     this.tokens = burst;
     this.refilledAt = now;
   }
 
+  /** Refills the bucket; returns true if it holds the amount, or is full, and is not paused. */
   boolean hasTokens(double amount, long now) {
     tokens = Math.min(burst, tokens + (now - refilledAt) * tokensPerMilli);
     refilledAt = now;
@@ -25,7 +26,7 @@
     tokens -= amount;
   }
 
-  /** The other side says that it is too much: nothing goes out for a while. */
+  /** Stops spending until this time, after the called service has reported overload. */
   void pauseUntil(long until) {
     pausedUntil = Math.max(pausedUntil, until);
     tokens = Math.min(tokens, 1);
--- a/src/main/java/org/oakwalk/wire/BinaryEncoding.java
+++ b/src/main/java/org/oakwalk/wire/BinaryEncoding.java
@@ -13,7 +13,7 @@
 import org.msgpack.core.MessageUnpacker;
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
-/** Trees to bytes and back, in the two encodings that go over the network. */
+/** Converts JSON trees to bytes and back, in MessagePack and CBOR. */
 final class BinaryEncoding {
   private static final ObjectMapper MESSAGE_PACK = new ObjectMapper(new MessagePackFactory());
   private static final ObjectMapper CBOR = new CBORMapper();
@@ -34,8 +34,9 @@
   }
 
   /**
-   * The protocol has nothing binary, and the parser reserves as much memory for it as its header
-   * claims: twenty bytes from anybody would end the process.
+   * Rejects binary and extension values, which the protocol doesn't use. The parser allocates the
+   * length that a binary value's header claims, so that a message of twenty bytes from any client
+   * could exhaust the memory and end the process.
    */
   private static void rejectBinaryValues(byte[] bytes) throws MalformedMessageException {
     try (MessageUnpacker unpacker = MessagePack.newDefaultUnpacker(bytes)) {
@@ -64,7 +65,7 @@
     try {
       return mapper.writeValueAsBytes(tree);
     } catch (JsonProcessingException e) {
-      throw new IllegalStateException("tree can't be written", e);
+      throw new IllegalStateException("tree can't be encoded", e);
     }
   }
 
@@ -77,7 +78,7 @@
         throw new MalformedMessageException("bytes after the end");
       }
     } catch (IOException | RuntimeException e) {
-      // The decoders also throw unchecked exceptions on bytes that are cut short or senseless.
+      // The decoders also throw unchecked exceptions on truncated or invalid bytes.
       throw new MalformedMessageException("not " + encoding);
     }
     if (tree instanceof ObjectNode map) {
@@ -86,7 +87,10 @@
     throw new MalformedMessageException("not a map");
   }
 
-  /** The MessagePack parser reports the regular end as an error of its own, CBOR's as no token. */
+  /**
+   * Returns true at the end of the input, which the MessagePack parser reports as {@link
+   * JsonEOFException} and the CBOR parser as a missing token.
+   */
   private static boolean atEnd(JsonParser parser) throws IOException {
     try {
       return parser.nextToken() == null;
--- a/src/main/java/org/oakwalk/wire/TakeCodec.java
+++ b/src/main/java/org/oakwalk/wire/CapacityTransferCodec.java
@@ -10,8 +10,8 @@
 import org.oakwalk.core.exchange.TakeId;
 import org.oakwalk.core.job.Resources;
 
-/** The stored form of takes. */
-final class TakeCodec implements SharedRecordCodec.RowCodec<Take> {
+/** Encodes and decodes stored capacity transfers from one job to another. */
+final class CapacityTransferCodec implements SharedRecordCodec.RowCodec<Take> {
   @Override
   public String typeTag() {
     return "take";
@@ -23,21 +23,21 @@
   }
 
   @Override
-  public void encode(Take take, ObjectNode map) {
-    map.put("token", take.id().token().value());
-    map.put("number", take.id().number());
-    map.put("state", take.state().name());
-    map.put("exchange", take.exchange());
-    map.put("giver", take.giver().value());
-    map.put("team", take.giverTeam());
-    map.put("tasks", take.tasks());
-    map.put("taker", take.taker().value());
-    map.put("cpus", take.room().cpus());
-    map.put("gpus", take.room().gpus());
-    map.put("memory_gb", take.room().memoryGb());
-    map.put("machine", take.machine().value());
-    map.put("level", take.level());
-    map.put("since", take.since().millis());
+  public void encode(Take transfer, ObjectNode map) {
+    map.put("token", transfer.id().token().value());
+    map.put("number", transfer.id().number());
+    map.put("state", transfer.state().name());
+    map.put("exchange", transfer.exchange());
+    map.put("giver", transfer.giver().value());
+    map.put("team", transfer.giverTeam());
+    map.put("tasks", transfer.tasks());
+    map.put("taker", transfer.taker().value());
+    map.put("cpus", transfer.room().cpus());
+    map.put("gpus", transfer.room().gpus());
+    map.put("memory_gb", transfer.room().memoryGb());
+    map.put("machine", transfer.machine().value());
+    map.put("level", transfer.level());
+    map.put("since", transfer.since().millis());
   }
 
   @Override
--- a/src/main/java/org/oakwalk/wire/CloudCodec.java
+++ b/src/main/java/org/oakwalk/wire/CloudCodec.java
@@ -14,7 +14,7 @@
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 
-/** Requests to the cloud and its answers. */
+/** Encodes requests to the cloud and decodes its responses. */
 public final class CloudCodec {
   private static final int RENTALS_PER_PAGE = 500;
 
@@ -59,7 +59,7 @@
     }
     List<Rental> rentals = new ArrayList<>();
     for (JsonNode item : fields.list("hosts")) {
-      rentals.add(rental(FieldReader.of(item)));
+      rentals.add(rental(FieldReader.ofMap(item)));
     }
     return new Answer.Rentals(rentals, fields.has("more") && fields.bool("more"));
   }
@@ -85,7 +85,7 @@
   private static Answer catalog(FieldReader fields) throws MalformedMessageException {
     Map<String, MachineType> types = new LinkedHashMap<>();
     for (JsonNode item : fields.list("flavors")) {
-      FieldReader type = FieldReader.of(item);
+      FieldReader type = FieldReader.ofMap(item);
       String name = type.text("sku");
       types.put(
           name,
--- a/src/main/java/org/oakwalk/wire/DrainCodec.java
+++ b/src/main/java/org/oakwalk/wire/DrainCodec.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.drain.DrainPlan;
 import org.oakwalk.core.store.StoredValue;
 
-/** The stored form of plans and of granted stops. */
+/** Encodes and decodes stored drain plans and counts of granted stops. */
 final class DrainCodec {
   private DrainCodec() {}
 
@@ -67,7 +67,7 @@
     return Arrays.stream(values)
         .filter(value -> value.name().equals(name))
         .findFirst()
-        .orElseThrow(() -> new MalformedMessageException("unknown word " + name));
+        .orElseThrow(() -> new MalformedMessageException("unknown value " + name));
   }
 
   static void encode(StoredValue.StopsRecord record, ObjectNode map) {
@@ -88,7 +88,7 @@
   static StoredValue.StopsRecord decodeStops(FieldReader map) throws MalformedMessageException {
     Map<String, StoredValue.StopCounts> byBudget = new TreeMap<>();
     for (Map.Entry<String, JsonNode> entry : map.get("budgets").properties()) {
-      FieldReader item = FieldReader.of(entry.getValue());
+      FieldReader item = FieldReader.ofMap(entry.getValue());
       Map<Long, Integer> times = new TreeMap<>();
       FieldReader byTime = item.map("times");
       for (Map.Entry<String, JsonNode> time : item.get("times").properties()) {
--- a/src/main/java/org/oakwalk/wire/FieldReader.java
+++ b/src/main/java/org/oakwalk/wire/FieldReader.java
@@ -6,7 +6,7 @@
 import java.util.Optional;
 import org.oakwalk.core.Span;
 
-/** Reads typed fields out of a map and says by name what is wrong with them. */
+/** Reads typed fields of a map; errors name the missing or invalid field. */
 final class FieldReader {
   private static final double MAX_SECONDS = 1e9;
   private static final double MAX_AMOUNT = 1e9;
@@ -18,13 +18,15 @@
     this.map = map;
   }
 
-  static FieldReader of(JsonNode node) throws MalformedMessageException {
+  /** Returns a reader of a node that must be a map. */
+  static FieldReader ofMap(JsonNode node) throws MalformedMessageException {
     if (node == null || !node.isObject()) {
       throw new MalformedMessageException("map expected");
     }
     return new FieldReader(node);
   }
 
+  /** Returns true if the field is present and not null. */
   boolean has(String name) {
     return map.hasNonNull(name);
   }
@@ -45,7 +47,7 @@
     return value.textValue();
   }
 
-  /** Text of a length that fits into a stored record. */
+  /** Reads a non-empty text that is short enough for a stored record. */
   String shortText(String name) throws MalformedMessageException {
     String value = text(name);
     if (value.isEmpty() || value.length() > MAX_TEXT_CHARS) {
@@ -66,13 +68,14 @@
     return value.booleanValue();
   }
 
-  long count(String name, long least, long most) throws MalformedMessageException {
+  /** Reads an integer between {@code min} and {@code max}, both inclusive. */
+  long count(String name, long min, long max) throws MalformedMessageException {
     JsonNode value = get(name);
     if (!value.isIntegralNumber() || !value.canConvertToLong()) {
       throw new MalformedMessageException("field " + name + " is not an integer");
     }
     long number = value.longValue();
-    if (number < least || number > most) {
+    if (number < min || number > max) {
       throw new MalformedMessageException("field " + name + " is out of range");
     }
     return number;
@@ -82,6 +85,7 @@
     return count(name, 0, Long.MAX_VALUE);
   }
 
+  /** Reads a non-negative number of at most {@link #MAX_AMOUNT}. */
   double amount(String name) throws MalformedMessageException {
     JsonNode value = get(name);
     if (!value.isNumber()) {
@@ -127,7 +131,8 @@
     return texts;
   }
 
+  /** Returns a reader of a nested map. */
   FieldReader map(String name) throws MalformedMessageException {
-    return of(get(name));
+    return ofMap(get(name));
   }
 }
--- a/src/main/java/org/oakwalk/wire/HeadroomCodec.java
+++ b/src/main/java/org/oakwalk/wire/HeadroomCodec.java
@@ -11,7 +11,7 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
 
-/** The stored form of room that is kept for replicas. */
+/** Encodes and decodes stored rows of headroom, which is capacity reserved for replicas. */
 final class HeadroomCodec implements SharedRecordCodec.RowCodec<HeadroomRow> {
   @Override
   public String typeTag() {
@@ -55,10 +55,10 @@
             map.text("class"),
             new Resources(map.amount("cpus"), map.amount("gpus"), map.amount("mem")),
             map.has("zone") ? Optional.of(map.text("zone")) : Optional.empty());
-    Map<String, Integer> places = new TreeMap<>();
+    Map<String, Integer> slots = new TreeMap<>();
     FieldReader byZone = map.map("places");
     for (Map.Entry<String, JsonNode> entry : map.get("places").properties()) {
-      places.put(entry.getKey(), (int) byZone.count(entry.getKey(), 0, Integer.MAX_VALUE));
+      slots.put(entry.getKey(), (int) byZone.count(entry.getKey(), 0, Integer.MAX_VALUE));
     }
     return new HeadroomRow(
         key,
@@ -68,7 +68,7 @@
         new TreeSet<>(map.has("types") ? map.textList("types") : java.util.List.of()),
         map.bool("spot"),
         (int) map.count("peak", 0, Integer.MAX_VALUE),
-        places);
+        slots);
   }
 
   private static Priority priority(String name) throws MalformedMessageException {
--- a/src/main/java/org/oakwalk/wire/JobCodec.java
+++ b/src/main/java/org/oakwalk/wire/JobCodec.java
@@ -12,7 +12,7 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
 
-/** A job's description, as users send it and as it is stored. */
+/** Encodes and decodes job specifications, in submissions and in stored records. */
 final class JobCodec {
   static final String ID_FIELD = "ref";
   private static final int MAX_TYPES_CHARS = 1500;
@@ -85,30 +85,30 @@
     return value;
   }
 
-  static void encode(JobSpec spec, ObjectNode into) {
-    into.put(ID_FIELD, spec.id().value());
-    into.put("jobclass", spec.jobClass());
-    into.put("crew", spec.team());
-    into.put("shape", name(SHAPES, spec.shape()));
-    into.put("urgency", name(PRIORITIES, spec.priority()));
-    into.put("pieces", spec.tasks());
-    into.put("vcpus", spec.resources().cpus());
-    into.put("accelerators", spec.resources().gpus());
-    into.put("memory_gb", spec.resources().memoryGb());
+  static void encode(JobSpec spec, ObjectNode map) {
+    map.put(ID_FIELD, spec.id().value());
+    map.put("jobclass", spec.jobClass());
+    map.put("crew", spec.team());
+    map.put("shape", name(SHAPES, spec.shape()));
+    map.put("urgency", name(PRIORITIES, spec.priority()));
+    map.put("pieces", spec.tasks());
+    map.put("vcpus", spec.resources().cpus());
+    map.put("accelerators", spec.resources().gpus());
+    map.put("memory_gb", spec.resources().memoryGb());
     if (!spec.machineTypes().isEmpty()) {
-      ArrayNode types = into.putArray("flavors");
+      ArrayNode types = map.putArray("flavors");
       spec.machineTypes().forEach(types::add);
     }
-    spec.zone().ifPresent(zone -> into.put("region", zone));
-    into.put("same_place", spec.oneZone());
-    into.put("spread", spec.spread());
-    into.put("leftovers", spec.spotAllowed());
-    into.put("bundle", spec.image());
-    into.put("size_gb", spec.imageGb());
-    into.put("guess_s", spec.estimatedRunTime().asSeconds());
-    into.put("snapshot_every_s", spec.checkpointInterval().asSeconds());
-    into.put("snapshot_s", spec.checkpointDuration().asSeconds());
-    spec.deadline().ifPresent(due -> into.put("due_s", due.asSeconds()));
+    spec.zone().ifPresent(zone -> map.put("region", zone));
+    map.put("same_place", spec.oneZone());
+    map.put("spread", spec.spread());
+    map.put("leftovers", spec.spotAllowed());
+    map.put("bundle", spec.image());
+    map.put("size_gb", spec.imageGb());
+    map.put("guess_s", spec.estimatedRunTime().asSeconds());
+    map.put("snapshot_every_s", spec.checkpointInterval().asSeconds());
+    map.put("snapshot_s", spec.checkpointDuration().asSeconds());
+    spec.deadline().ifPresent(due -> map.put("due_s", due.asSeconds()));
   }
 
   private static <T> String name(Map<String, T> choices, T value) {
--- a/src/main/java/org/oakwalk/wire/MalformedMessageException.java
+++ b/src/main/java/org/oakwalk/wire/MalformedMessageException.java
@@ -1,6 +1,6 @@
 package org.oakwalk.wire;
 
-/** A message that does not have the form it should have. */
+/** Thrown if a message or a stored value does not have the expected form. */
 public final class MalformedMessageException extends Exception {
   private static final long serialVersionUID = 1L;
 
--- a/src/main/java/org/oakwalk/wire/OutgoingRequest.java
+++ b/src/main/java/org/oakwalk/wire/OutgoingRequest.java
@@ -1,4 +1,4 @@
 package org.oakwalk.wire;
 
-/** A request as it goes out; the body is null if there is none. */
+/** An HTTP request to send; the body is null for a request without one. */
 public record OutgoingRequest(String method, String path, byte[] body) {}
--- a/src/main/java/org/oakwalk/wire/PeerCodec.java
+++ b/src/main/java/org/oakwalk/wire/PeerCodec.java
@@ -17,7 +17,7 @@
 import org.oakwalk.core.port.Response;
 import org.oakwalk.core.port.UserRequest;
 
-/** What controllers say to each other, as CBOR. */
+/** Encodes and decodes messages between controllers, as CBOR. */
 public final class PeerCodec {
   public static final String PEER_PATH = "/peer";
 
@@ -37,20 +37,20 @@
               (id, count) -> counts.putArray(id.value()).add(count.done()).add(count.running()));
       ArrayNode suspects = map.putArray("suspects");
       digest.suspects().forEach(id -> suspects.add(id.value()));
-    } else if (message instanceof PeerMessage.Acknowledged acknowledged) {
+    } else if (message instanceof PeerMessage.Acknowledged acknowledgement) {
       map.put("sort", "acknowledged");
-      map.put("from", acknowledged.from().value());
-      map.put("settled", acknowledged.settled());
+      map.put("from", acknowledgement.from().value());
+      map.put("settled", acknowledgement.settled());
     } else if (message instanceof PeerMessage.Probe probe) {
       map.put("sort", "probe");
       map.put("from", probe.from().value());
-    } else if (message instanceof PeerMessage.Carry carry) {
+    } else if (message instanceof PeerMessage.Carry forwardReport) {
       map.put("sort", "carry");
-      WorkerCodec.write(map, carry.report());
-    } else if (message instanceof PeerMessage.Carried carried) {
+      WorkerCodec.write(map, forwardReport.report());
+    } else if (message instanceof PeerMessage.Carried orders) {
       map.put("sort", "carried");
-      carried.token().ifPresent(token -> map.put("token", token.value()));
-      WorkerCodec.write(map, carried.orders());
+      orders.token().ifPresent(token -> map.put("token", token.value()));
+      WorkerCodec.write(map, orders.orders());
     } else if (message instanceof PeerMessage.Forward forward) {
       map.put("sort", "forward");
       request(forward.request(), map);
@@ -176,7 +176,7 @@
       map.put("reason", problem.reason());
       problem.retryAfter().ifPresent(span -> map.put("retry_ms", span.millis()));
     } else {
-      throw new IllegalArgumentException("not an answer to a user: " + response);
+      throw new IllegalArgumentException("not a response to a user: " + response);
     }
   }
 
--- a/src/main/java/org/oakwalk/wire/PlanRowCodec.java
+++ b/src/main/java/org/oakwalk/wire/PlanRowCodec.java
@@ -10,7 +10,7 @@
 import org.oakwalk.core.planner.GroupKey;
 import org.oakwalk.core.planner.PlanRow;
 
-/** The stored form of plans for dawns and of what they rest on. */
+/** Encodes and decodes stored rows of deadline plans and of the statistics behind them. */
 final class PlanRowCodec implements SharedRecordCodec.RowCodec<PlanRow> {
   private static final int MAX_COUNT = Integer.MAX_VALUE;
 
@@ -26,17 +26,17 @@
 
   @Override
   public void encode(PlanRow row, ObjectNode map) {
-    if (row instanceof PlanRow.Night night) {
+    if (row instanceof PlanRow.Night window) {
       map.put("k", "night");
-      map.put("dawn", night.dawn());
-      map.put("opens", night.opens().millis());
-      map.put("at", night.dawnAt().millis());
-      map.put("revised", night.revised().millis());
-      map.put("revisions", night.revisions());
-      map.put("share", night.share());
-      map.put("missing", night.missing());
-      map.put("machines", night.machines());
-      map.put("for_s", night.seconds());
+      map.put("dawn", window.dawn());
+      map.put("opens", window.opens().millis());
+      map.put("at", window.dawnAt().millis());
+      map.put("revised", window.revised().millis());
+      map.put("revisions", window.revisions());
+      map.put("share", window.share());
+      map.put("missing", window.missing());
+      map.put("machines", window.machines());
+      map.put("for_s", window.seconds());
     } else if (row instanceof PlanRow.Group group) {
       map.put("k", "group");
       map.put("dawn", group.dawn());
@@ -50,30 +50,30 @@
       map.put("end", group.endBy().millis());
       map.put("last", group.lastStart().millis());
       map.put("missing", group.missing());
-    } else if (row instanceof PlanRow.Runs runs) {
+    } else if (row instanceof PlanRow.Runs runTimes) {
       map.put("k", "runs");
-      map.put("class", runs.jobClass());
-      numbers(map.putArray("counts"), runs.counts());
-    } else if (row instanceof PlanRow.Coming coming) {
+      map.put("class", runTimes.jobClass());
+      numbers(map.putArray("counts"), runTimes.counts());
+    } else if (row instanceof PlanRow.Coming arrivals) {
       map.put("k", "coming");
-      map.put("dawn", coming.dawn());
-      map.put("team", coming.team());
-      map.put("class", coming.jobClass());
-      map.put("slice", coming.slice());
-      map.put("sum", coming.sum());
-      map.put("run", coming.run());
-      map.put("cpus", coming.room().cpus());
-      map.put("gpus", coming.room().gpus());
-      map.put("mem", coming.room().memoryGb());
-      numbers(map.putArray("slices"), coming.bySlice());
-    } else if (row instanceof PlanRow.Reach reach) {
+      map.put("dawn", arrivals.dawn());
+      map.put("team", arrivals.team());
+      map.put("class", arrivals.jobClass());
+      map.put("slice", arrivals.slice());
+      map.put("sum", arrivals.sum());
+      map.put("run", arrivals.run());
+      map.put("cpus", arrivals.room().cpus());
+      map.put("gpus", arrivals.room().gpus());
+      map.put("mem", arrivals.room().memoryGb());
+      numbers(map.putArray("slices"), arrivals.bySlice());
+    } else if (row instanceof PlanRow.Reach capacity) {
       map.put("k", "reach");
-      map.put("type", reach.type());
-      map.put("zone", reach.zone());
-      map.put("spot", reach.spot());
-      map.put("most", reach.most());
-      map.put("hours", reach.hours());
-      map.put("losses", reach.losses());
+      map.put("type", capacity.type());
+      map.put("zone", capacity.zone());
+      map.put("spot", capacity.spot());
+      map.put("most", capacity.most());
+      map.put("hours", capacity.hours());
+      map.put("losses", capacity.losses());
     }
   }
 
@@ -129,7 +129,7 @@
               map.amount("most"),
               map.amount("hours"),
               map.amount("losses"));
-      default -> throw new MalformedMessageException("row of a plan of unknown kind " + kind);
+      default -> throw new MalformedMessageException("unknown plan row type " + kind);
     };
   }
 
--- a/src/main/java/org/oakwalk/wire/ProductCodec.java
+++ b/src/main/java/org/oakwalk/wire/ProductCodec.java
@@ -17,14 +17,14 @@
 import org.oakwalk.core.product.ProductTerms;
 import org.oakwalk.core.store.StoredValue;
 
-/** The stored form of what operators declare of dawns, headroom and exchanges. */
+/** Encodes and decodes the stored terms of deadlines ("dawns"), headroom and exchanges. */
 public final class ProductCodec {
-  /** Another form is not guessed at: what it means can't be known. */
+  /** Records of other format versions are rejected, since their meaning is unknown. */
   private static final int FORMAT_VERSION = 1;
 
   private ProductCodec() {}
 
-  /** How long the record of these terms is, counted as the state service counts values. */
+  /** Returns the size of these terms as a stored record, as the state service measures values. */
   public static int storedBytes(ProductTerms terms) {
     return StateServiceCodec.value(new StoredValue.ProductRecord(terms)).toString().length();
   }
@@ -32,29 +32,30 @@
   static void encode(ProductTerms terms, ObjectNode map) {
     map.put("form", FORMAT_VERSION);
     map.put("version", terms.version());
-    ArrayNode dawns = map.putArray("dawns");
-    terms.dawns().forEach(dawn -> encode(dawn, dawns.addObject()));
+    ArrayNode deadlines = map.putArray("dawns");
+    terms.dawns().forEach(deadline -> encode(deadline, deadlines.addObject()));
     ArrayNode headrooms = map.putArray("headrooms");
     terms.headrooms().forEach(headroom -> encode(headroom, headrooms.addObject()));
     ArrayNode exchanges = map.putArray("exchanges");
     terms.exchanges().forEach(exchange -> encode(exchange, exchanges.addObject()));
   }
 
-  private static void encode(DawnTerms dawn, ObjectNode map) {
-    map.put("name", dawn.name());
-    dawn.daily()
+  private static void encode(DawnTerms deadline, ObjectNode map) {
+    map.put("name", deadline.name());
+    deadline
+        .daily()
         .ifPresent(
             daily -> {
               map.put("by", daily.by().toString());
               map.put("opens", daily.opens().toString());
               map.put("tz", daily.zone().getId());
             });
-    dawn.every().ifPresent(every -> map.put("every_s", every.asSeconds()));
-    map.put("lasts_s", dawn.lasts().asSeconds());
-    texts(map, "classes", dawn.classes());
-    texts(map, "teams", dawn.teams());
-    map.put("margin_s", dawn.margin().asSeconds());
-    map.put("quantile", dawn.quantile());
+    deadline.every().ifPresent(every -> map.put("every_s", every.asSeconds()));
+    map.put("lasts_s", deadline.lasts().asSeconds());
+    texts(map, "classes", deadline.classes());
+    texts(map, "teams", deadline.teams());
+    map.put("margin_s", deadline.margin().asSeconds());
+    map.put("quantile", deadline.quantile());
   }
 
   private static void encode(HeadroomTerms headroom, ObjectNode map) {
@@ -85,22 +86,23 @@
 
   static ProductTerms decode(FieldReader map) throws MalformedMessageException {
     SharedRecordCodec.checkFormat(map, FORMAT_VERSION);
-    List<DawnTerms> dawns = new ArrayList<>();
+    List<DawnTerms> deadlines = new ArrayList<>();
     for (JsonNode item : map.list("dawns")) {
-      dawns.add(dawn(FieldReader.of(item)));
+      deadlines.add(batchDeadline(FieldReader.ofMap(item)));
     }
     List<HeadroomTerms> headrooms = new ArrayList<>();
     for (JsonNode item : map.list("headrooms")) {
-      headrooms.add(headroom(FieldReader.of(item)));
+      headrooms.add(headroom(FieldReader.ofMap(item)));
     }
     List<ExchangeTerms> exchanges = new ArrayList<>();
     for (JsonNode item : map.list("exchanges")) {
-      exchanges.add(exchange(FieldReader.of(item)));
+      exchanges.add(exchange(FieldReader.ofMap(item)));
     }
-    return new ProductTerms(map.count("version", 1, Long.MAX_VALUE), dawns, headrooms, exchanges);
+    return new ProductTerms(
+        map.count("version", 1, Long.MAX_VALUE), deadlines, headrooms, exchanges);
   }
 
-  private static DawnTerms dawn(FieldReader map) throws MalformedMessageException {
+  private static DawnTerms batchDeadline(FieldReader map) throws MalformedMessageException {
     return new DawnTerms(
         map.shortText("name"),
         map.has("by") ? Optional.of(daily(map)) : Optional.empty(),
@@ -119,7 +121,7 @@
           LocalTime.parse(map.text("opens")),
           ZoneId.of(map.text("tz")));
     } catch (DateTimeException e) {
-      throw new MalformedMessageException("a dawn's hours or time zone can't be read");
+      throw new MalformedMessageException("malformed hours or time zone of a dawn");
     }
   }
 
--- a/src/main/java/org/oakwalk/wire/RequestCodec.java
+++ b/src/main/java/org/oakwalk/wire/RequestCodec.java
@@ -3,7 +3,7 @@
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 
-/** Requests of the core as HTTP messages, and HTTP answers as answers to the core. */
+/** Encodes requests of the core as HTTP requests and decodes HTTP responses to answers. */
 public final class RequestCodec {
   private RequestCodec() {}
 
--- a/src/main/java/org/oakwalk/wire/SharedRecordCodec.java
+++ b/src/main/java/org/oakwalk/wire/SharedRecordCodec.java
@@ -9,34 +9,33 @@
 import org.oakwalk.core.store.StoredValue;
 
 /**
- * The stored form of the records that leaders keep for their successors. Each value says the form
- * of its frame, and each row its sort; a row whose form changes gets a new sort. What this version
- * does not know is refused rather than half read, so that one feature stops and not all.
+ * Encodes and decodes the records that a leader stores for its successors. Each value holds the
+ * version of its format, and each row its type tag; a row whose format changes gets a new tag.
+ * Records with an unknown version or tag are rejected as a whole rather than read in part, so that
+ * only the feature that they belong to is disabled.
  */
 final class SharedRecordCodec {
   private static final int FORMAT_VERSION = 1;
   private static final int MAX_PARTS = 10_000;
 
-  /** The rows of one feature, in a codec of its own. */
+  /** Encodes and decodes the rows of one feature. */
   interface RowCodec<R extends SharedRow> {
-    /** What its rows are called where they are stored; short, since it stands in each row. */
+    /** The stored tag of its rows; short, since each row repeats it. */
     String typeTag();
 
     /** The class of its rows. */
     Class<R> rowClass();
 
-    /**
-     * Puts a row's fields into a map; all of them in at most {@link SharedRow#maxJsonBytes} bytes.
-     */
+    /** Writes a row's fields to a map, in at most {@link SharedRow#maxJsonBytes} bytes of JSON. */
     void encode(R row, ObjectNode map);
 
-    /** Reads what {@link #encode} has put there. */
+    /** Reads a row from a map that {@link #encode} has written. */
     R decode(FieldReader map) throws MalformedMessageException;
   }
 
-  /** Every feature adds its own here. */
+  /** The codecs of all features. */
   private static final List<RowCodec<?>> CODECS =
-      List.of(new HeadroomCodec(), new PlanRowCodec(), new TakeCodec());
+      List.of(new HeadroomCodec(), new PlanRowCodec(), new CapacityTransferCodec());
 
   private SharedRecordCodec() {}
 
@@ -61,7 +60,7 @@
     }
   }
 
-  /** One row as it is stored. */
+  /** Encodes a row with its type tag. */
   static ObjectNode row(SharedRow row) {
     for (RowCodec<?> codec : CODECS) {
       if (codec.rowClass().isInstance(row)) {
@@ -95,12 +94,12 @@
   private static List<SharedRow> rows(FieldReader map) throws MalformedMessageException {
     List<SharedRow> rows = new ArrayList<>();
     for (JsonNode item : map.list("rows")) {
-      rows.add(row(FieldReader.of(item)));
+      rows.add(row(FieldReader.ofMap(item)));
     }
     return rows;
   }
 
-  /** A row out of its stored form. */
+  /** Decodes a row by its type tag. */
   static SharedRow row(FieldReader map) throws MalformedMessageException {
     String sort = map.text("t");
     for (RowCodec<?> codec : CODECS) {
@@ -108,13 +107,14 @@
         return codec.decode(map);
       }
     }
-    throw new MalformedMessageException("row of unknown sort " + sort);
+    throw new MalformedMessageException("unknown row type " + sort);
   }
 
+  /** Rejects a record whose format version is not the known one. */
   static void checkFormat(FieldReader map, int known) throws MalformedMessageException {
     if (map.count("form") != known) {
       throw new MalformedMessageException(
-          "written in form " + map.count("form") + ", this version knows " + known);
+          "unsupported format version " + map.count("form") + ", expected " + known);
     }
   }
 }
--- a/src/main/java/org/oakwalk/wire/StateServiceCodec.java
+++ b/src/main/java/org/oakwalk/wire/StateServiceCodec.java
@@ -27,9 +27,9 @@
 import org.oakwalk.core.store.KeyChange;
 import org.oakwalk.core.store.StoredValue;
 
-/** Requests to the state service, its answers, and the form of the stored values. */
+/** Encodes requests to the state service and stored values, and decodes its responses. */
 public final class StateServiceCodec {
-  /** So many keys of a few kilobytes stay below the service's limit for one answer. */
+  /** With values of a few kilobytes, a page of this size stays below the response size limit. */
   private static final int ENTRIES_PER_PAGE = 250;
 
   private StateServiceCodec() {}
@@ -78,13 +78,13 @@
     for (Guard guard : request.guards()) {
       guards.addObject().put("k", guard.key()).put("stamp", guard.revision().value());
     }
-    ArrayNode then = map.putArray("then");
+    ArrayNode changes = map.putArray("then");
     for (Change change : request.changes()) {
-      ObjectNode item = then.addObject();
+      ObjectNode item = changes.addObject();
       if (change instanceof Change.Put put) {
         item.put("set", put.key());
         item.set("value", value(put.value()));
-        put.lease().ifPresent(hold -> item.put("hold", hold.value()));
+        put.lease().ifPresent(lease -> item.put("hold", lease.value()));
       } else if (change instanceof Change.Remove remove) {
         item.put("delete", remove.key());
       }
@@ -108,7 +108,7 @@
     if (request instanceof Request.ReadPage) {
       List<Entry> entries = new ArrayList<>();
       for (JsonNode item : fields.list("entries")) {
-        FieldReader entry = FieldReader.of(item);
+        FieldReader entry = FieldReader.ofMap(item);
         entries.add(
             new Entry(
                 entry.text("k"), valueOrUnreadable(entry), new Revision(entry.count("stamp"))));
@@ -125,19 +125,19 @@
   }
 
   private static Answer changes(FieldReader fields) throws MalformedMessageException {
-    List<KeyChange> news = new ArrayList<>();
+    List<KeyChange> changes = new ArrayList<>();
     if (fields.has("news")) {
       for (JsonNode node : fields.list("news")) {
-        FieldReader item = FieldReader.of(node);
+        FieldReader item = FieldReader.ofMap(node);
         Revision stamp = new Revision(item.count("stamp"));
         if (item.has("set")) {
-          news.add(new KeyChange(item.text("set"), Optional.of(valueOrUnreadable(item)), stamp));
+          changes.add(new KeyChange(item.text("set"), Optional.of(valueOrUnreadable(item)), stamp));
         } else {
-          news.add(new KeyChange(item.text("delete"), Optional.empty(), stamp));
+          changes.add(new KeyChange(item.text("delete"), Optional.empty(), stamp));
         }
       }
     }
-    return new Answer.Changes(new Revision(fields.count("epoch")), news);
+    return new Answer.Changes(new Revision(fields.count("epoch")), changes);
   }
 
   static ObjectNode value(StoredValue value) {
@@ -187,7 +187,7 @@
     } else if (value instanceof StoredValue.MachineListRecord record) {
       map.put("sort", "machines");
       ArrayNode list = map.putArray("machines");
-      // Without names of fields, since there are many in a value of a few kilobytes.
+      // Arrays without field names, since a value of a few kilobytes holds many machines.
       record
           .machines()
           .forEach(
@@ -202,12 +202,15 @@
     return map;
   }
 
-  /** One value that is damaged, or of a later version, must not hold up all the others. */
+  /**
+   * Decodes an entry's value; an invalid one, or one of a later version, becomes {@link
+   * StoredValue.Unreadable}, so that the other entries can still be read.
+   */
   private static StoredValue valueOrUnreadable(FieldReader item) {
     try {
       return value(item.map("value"));
     } catch (MalformedMessageException | RuntimeException e) {
-      // A record's own checks throw what they like.
+      // Constructors of records check their arguments and throw unchecked exceptions.
       return new StoredValue.Unreadable(String.valueOf(e.getMessage()));
     }
   }
@@ -233,7 +236,7 @@
   private static StoredValue types(FieldReader map) throws MalformedMessageException {
     Map<String, MachineType> types = new LinkedHashMap<>();
     for (JsonNode node : map.list("types")) {
-      FieldReader type = FieldReader.of(node);
+      FieldReader type = FieldReader.ofMap(node);
       types.put(
           type.text("name"),
           new MachineType(
@@ -276,20 +279,20 @@
               map.text("zone"),
               map.bool("spot"));
       case "machines" -> machines(map);
-      default -> throw new MalformedMessageException("stored value of unknown sort " + sort);
+      default -> throw new MalformedMessageException("unknown stored value type " + sort);
     };
   }
 
   private static StoredValue machines(FieldReader map) throws MalformedMessageException {
     List<StoredValue.MachineRecord> machines = new ArrayList<>();
     for (JsonNode node : map.list("machines")) {
-      boolean texts =
+      boolean textsValid =
           node.path(0).isTextual()
               && node.path(1).isTextual()
               && node.path(2).isTextual()
               && node.path(3).isTextual();
-      if (!texts || !node.path(4).isBoolean()) {
-        throw new MalformedMessageException("machine in a list is malformed");
+      if (!textsValid || !node.path(4).isBoolean()) {
+        throw new MalformedMessageException("machine list entry is malformed");
       }
       machines.add(
           new StoredValue.MachineRecord(
--- a/src/main/java/org/oakwalk/wire/UserCodec.java
+++ b/src/main/java/org/oakwalk/wire/UserCodec.java
@@ -7,7 +7,7 @@
 import org.oakwalk.core.port.Response;
 import org.oakwalk.core.port.UserRequest;
 
-/** Users' requests and the answers to them. */
+/** Decodes users' requests and encodes the responses to them. */
 public final class UserCodec {
   public static final String JOBS_PATH = "/v2/runs";
   public static final String WITHDRAW = "withdraw";
@@ -23,20 +23,20 @@
   private UserCodec() {}
 
   /**
-   * Reads a submission. One that is malformed but names its job still becomes a request, since the
-   * job may be known already.
+   * Decodes a submission. A malformed one with a valid job ID still becomes a request, without a
+   * specification, since the job may already be known.
    */
   public static UserRequest.Submit decodeSubmission(byte[] body) throws MalformedMessageException {
     FieldReader fields = new FieldReader(BinaryEncoding.decodeMessagePackMap(body));
     JobId id = JobCodec.id(fields);
     try {
       return new UserRequest.Submit(id, Optional.of(JobCodec.decode(fields)), "");
-    } catch (MalformedMessageException e) {
-      return new UserRequest.Submit(id, Optional.empty(), e.getMessage());
+    } catch (MalformedMessageException malformed) {
+      return new UserRequest.Submit(id, Optional.empty(), malformed.getMessage());
     }
   }
 
-  /** A job's state, as users read it. */
+  /** Encodes a job's status for users. */
   public static byte[] encodeStatus(Response.JobStatus status) {
     ObjectNode map = BinaryEncoding.newMap();
     map.put(JobCodec.ID_FIELD, status.job().value());
@@ -46,7 +46,7 @@
     return BinaryEncoding.encodeMessagePack(map);
   }
 
-  /** The reason of a refusal. */
+  /** Encodes the reason for which a request was refused. */
   public static byte[] encodeError(String reason) {
     return BinaryEncoding.encodeMessagePack(BinaryEncoding.newMap().put("error", reason));
   }
--- a/src/main/java/org/oakwalk/wire/WorkerCodec.java
+++ b/src/main/java/org/oakwalk/wire/WorkerCodec.java
@@ -20,7 +20,7 @@
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 
-/** Workers' reports and the orders to them. */
+/** Decodes workers' reports and encodes orders to workers. */
 public final class WorkerCodec {
   public static final String REPORT_PATH = "/hello";
   private static final String COMMAND_PATH = "/do";
@@ -48,10 +48,10 @@
   }
 
   static Report report(FieldReader fields) throws MalformedMessageException {
-    List<Report.Piece> pieces = new ArrayList<>();
+    List<Report.Piece> tasks = new ArrayList<>();
     if (fields.has("pieces")) {
       for (JsonNode item : fields.list("pieces")) {
-        pieces.add(piece(FieldReader.of(item)));
+        tasks.add(reportedTask(FieldReader.ofMap(item)));
       }
     }
     return new Report(
@@ -64,11 +64,11 @@
         fields.count("tick"),
         new Token(fields.has("baton") ? fields.count("baton") : 0),
         fields.optionalSeconds("warning_s"),
-        pieces);
+        tasks);
   }
 
-  private static Report.Piece piece(FieldReader fields) throws MalformedMessageException {
-    TaskId task = task(fields);
+  private static Report.Piece reportedTask(FieldReader fields) throws MalformedMessageException {
+    TaskId task = taskId(fields);
     Report.PieceState state = STATES.get(fields.text("status"));
     if (state == null) {
       throw new MalformedMessageException("field status has an unknown value");
@@ -81,7 +81,7 @@
     return new Report.Piece(task, new Attempt(fields.count("try")), state, cause);
   }
 
-  /** The answer to a report. */
+  /** Encodes the leader's response to a report. */
   public static byte[] orders(Token token, List<Order> orders) {
     ObjectNode map = BinaryEncoding.newMap();
     map.put("baton", token.value());
@@ -89,7 +89,7 @@
     return BinaryEncoding.encodeMessagePack(map);
   }
 
-  /** The answer of a node that does not lead. */
+  /** Encodes the response of a node that doesn't lead, with the name of the leader if known. */
   public static byte[] redirect(Optional<NodeId> leader) {
     ObjectNode map = BinaryEncoding.newMap();
     leader.ifPresent(node -> map.put("boss", node.value()));
@@ -109,12 +109,13 @@
       case 200 -> new Answer.Commanded(true, report(body));
       case 409 -> new Answer.Commanded(false, report(body));
       case 400 -> new Answer.Refused(status, "");
-      // Nothing that the protocol names: whoever answered so may have passed the command on.
+      // A status outside the protocol may come from a proxy that has forwarded the command.
+      // The outcome is unknown.
       default -> new Answer.Nothing("status " + status);
     };
   }
 
-  /** A report as its worker sent it, to be carried on. */
+  /** Writes a report in the form in which its worker sent it, to forward it to the leader. */
   static void write(ObjectNode map, Report report) {
     map.put("host", report.machine().value());
     map.put("addr", report.address());
@@ -124,10 +125,10 @@
     map.put("shift", report.session().value());
     map.put("tick", report.sequence());
     map.put("baton", report.token().value());
-    report.notice().ifPresent(left -> map.put("warning_s", left.asSeconds()));
-    ArrayNode pieces = map.putArray("pieces");
+    report.notice().ifPresent(remaining -> map.put("warning_s", remaining.asSeconds()));
+    ArrayNode tasks = map.putArray("pieces");
     for (Report.Piece piece : report.pieces()) {
-      ObjectNode item = pieces.addObject();
+      ObjectNode item = tasks.addObject();
       item.put("piece", piece.task().toString());
       item.put("try", piece.attempt().value());
       item.put("status", piece.state().name().toLowerCase(Locale.ROOT));
@@ -137,12 +138,12 @@
     }
   }
 
-  /** Orders that a leader gives by way of another controller. */
+  /** Decodes the leader's orders for a worker whose report another controller forwarded. */
   static List<Order> orders(FieldReader fields) throws MalformedMessageException {
     List<Order> orders = new ArrayList<>();
     for (JsonNode node : fields.list("orders")) {
-      FieldReader item = FieldReader.of(node);
-      TaskId task = task(item);
+      FieldReader item = FieldReader.ofMap(node);
+      TaskId task = taskId(item);
       Attempt attempt = new Attempt(item.count("try"));
       String verb = item.text("verb");
       orders.add(
@@ -158,7 +159,7 @@
     return orders;
   }
 
-  private static TaskId task(FieldReader fields) throws MalformedMessageException {
+  private static TaskId taskId(FieldReader fields) throws MalformedMessageException {
     return TaskId.parse(fields.text("piece"))
         .orElseThrow(() -> new MalformedMessageException("field piece is malformed"));
   }
--- a/src/test/java/org/oakwalk/adapter/ConnectionLimiterTest.java
+++ b/src/test/java/org/oakwalk/adapter/ConnectionLimiterTest.java
@@ -24,8 +24,8 @@
 import org.oakwalk.core.port.Response;
 
 /**
- * A front door on loopback that more come to than it has sockets for. The core is played by one
- * that sends crowded workers to another node, or keeps them if there is none.
+ * Tests the limits of a listener on loopback that gets more connections than it has sockets. A
+ * simple stand-in for the core redirects workers on request, unless there is no other node.
  */
 class ConnectionLimiterTest {
   private static final SocketBudget SOCKET_BUDGET = new SocketBudget(200, 2);
@@ -37,7 +37,7 @@
   private boolean noOtherNode;
   private byte[] reportBody;
 
-  /** One connection, which may be closed from there. */
+  /** A client with one connection, which the listener may close. */
   private static final class Client {
     private final Socket socket;
 
@@ -46,7 +46,7 @@
       socket.setSoTimeout(5000);
     }
 
-    /** Status and headers of the answer; empty if the connection is over. */
+    /** Returns the status line and headers of the response; empty if the connection is closed. */
     String send(String method, String path, byte[] body) {
       try {
         String head =
@@ -85,14 +85,14 @@
   void start() throws Exception {
     threads.start();
     scheduler.start();
-    Address anywhere = new Address("127.0.0.1", 0);
+    Address anyPort = new Address("127.0.0.1", 0);
     listener =
         new HttpListener(
             threads,
             scheduler,
             new ArrayByteBufferPool(),
-            anywhere,
-            anywhere,
+            anyPort,
+            anyPort,
             SOCKET_BUDGET,
             this::respond);
     listener.start();
@@ -156,18 +156,18 @@
 
   @Test
   void workersAreRedirectedBeforeListenerIsFull() throws Exception {
-    int staying = 0;
+    int accepted = 0;
     for (int i = 0; i < SOCKET_BUDGET.maxClientConnections() + 50; i++) {
       Client worker = connect();
       String answer = sendReport(worker);
       if (isOk(answer)) {
-        staying++;
+        accepted++;
       } else {
         assertThat(answer).startsWith("HTTP/1.1 421");
         worker.socket.close();
       }
     }
-    assertThat(staying).isEqualTo(SOCKET_BUDGET.redirectThreshold());
+    assertThat(accepted).isEqualTo(SOCKET_BUDGET.redirectThreshold());
     assertThat(queryJob(connect())).startsWith("HTTP/1.1 200").doesNotContain("close");
     assertThat(checkHealth(connect())).startsWith("HTTP/1.1 200");
   }
@@ -185,7 +185,7 @@
         assertThat(checkHealth(connect())).startsWith("HTTP/1.1 200");
       }
     }
-    // Who was closed finds the door open again.
+    // Workers whose connection was closed can connect again.
     int closed = 0;
     for (Client worker : workers) {
       if (!isOk(sendReport(worker))) {
--- a/src/test/java/org/oakwalk/adapter/OutboundRequestsTest.java
+++ b/src/test/java/org/oakwalk/adapter/OutboundRequestsTest.java
@@ -34,7 +34,10 @@
 import org.oakwalk.core.port.PeerMessage;
 import org.oakwalk.core.port.Request;
 
-/** Each outside system over loopback, played by a stand-in that answers as its page says. */
+/**
+ * Tests calls to the state service, the cloud, workers and peers over loopback, with a stand-in
+ * server that responds according to their protocols.
+ */
 class OutboundRequestsTest {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final ObjectMapper PACK = new ObjectMapper(new MessagePackFactory());
@@ -124,8 +127,8 @@
 
   @Test
   void truncatedResponseLeavesOutcomeUnknown() throws Exception {
-    byte[] whole = packed("{\"epoch\":7,\"entries\":[],\"more\":false}");
-    stubResponse("/store", 200, Arrays.copyOf(whole, whole.length - 3));
+    byte[] complete = packed("{\"epoch\":7,\"entries\":[],\"more\":false}");
+    stubResponse("/store", 200, Arrays.copyOf(complete, complete.length - 3));
     assertThat(call(new Request.ReadPage("c/", Optional.empty(), Request.Urgency.REST)))
         .isInstanceOf(Answer.Nothing.class);
   }
@@ -184,19 +187,19 @@
     for (int i = 0; i < socketBudget.maxConcurrentCommands(); i++) {
       outbound.call(command, 0, answer -> {});
     }
-    CompletableFuture<Answer> last = new CompletableFuture<>();
-    outbound.call(command, 0, last::complete);
+    CompletableFuture<Answer> waiting = new CompletableFuture<>();
+    outbound.call(command, 0, waiting::complete);
     outbound.sendDue(900);
-    assertThat(last).isNotDone();
+    assertThat(waiting).isNotDone();
     outbound.sendDue(1100);
-    assertThat(last.get()).isInstanceOf(Answer.Refused.class);
+    assertThat(waiting.get()).isInstanceOf(Answer.Refused.class);
     blocked.countDown();
   }
 
   /**
-   * A start waits for a socket when its job is withdrawn. The user was told, and up to a second
-   * later the start left all the same. Found by reading: no draw shows it, since simulated
-   * controllers have sockets for all commands.
+   * Guards against a start that is sent up to a second after its job's withdrawal was confirmed to
+   * the user: the command was waiting for a socket when the job was withdrawn. The simulator can't
+   * reproduce this, since simulated controllers have sockets for all commands.
    */
   @Test
   void cancelledCommandIsNeverSent() throws Exception {
@@ -214,20 +217,20 @@
     for (int i = 0; i < socketBudget.maxConcurrentCommands(); i++) {
       outbound.call(other, 0, answer -> {});
     }
-    String elsewhere = "localhost" + address.substring(address.indexOf(':'));
-    Request start = new Request.Command(elsewhere, new Token(4), SessionId.FIRST, List.of());
-    CompletableFuture<Answer> recalled = new CompletableFuture<>();
-    CompletableFuture<Answer> kept = new CompletableFuture<>();
-    outbound.call(start, 0, recalled::complete);
-    outbound.call(other, 0, kept::complete);
-    outbound.cancelCommands(elsewhere);
-    assertThat(recalled.getNow(null)).isEqualTo(new Answer.Refused(0, "recalled"));
+    String otherAddress = "localhost" + address.substring(address.indexOf(':'));
+    Request start = new Request.Command(otherAddress, new Token(4), SessionId.FIRST, List.of());
+    CompletableFuture<Answer> cancelled = new CompletableFuture<>();
+    CompletableFuture<Answer> notCancelled = new CompletableFuture<>();
+    outbound.call(start, 0, cancelled::complete);
+    outbound.call(other, 0, notCancelled::complete);
+    outbound.cancelCommands(otherAddress);
+    assertThat(cancelled.getNow(null)).isEqualTo(new Answer.Refused(0, "cancelled"));
     blocked.countDown();
-    for (int i = 0; i < 100 && !kept.isDone(); i++) {
+    for (int i = 0; i < 100 && !notCancelled.isDone(); i++) {
       Thread.sleep(20);
       outbound.sendDue(500);
     }
-    assertThat(kept).isDone();
+    assertThat(notCancelled).isDone();
     assertThat(received).hasValue(socketBudget.maxConcurrentCommands() + 1);
   }
 
@@ -250,21 +253,21 @@
           exchange.close();
         });
     Request command = new Request.Command(address, new Token(4), SessionId.FIRST, List.of());
-    SocketBudget few = new SocketBudget(8, 0);
-    try (ServerSocket silent = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
-        HttpCaller frugal =
-            new HttpCaller(threads, scheduler, new ArrayByteBufferPool(), few, List.of())) {
-      // Everything that may be kept is taken.
+    SocketBudget smallBudget = new SocketBudget(8, 0);
+    try (ServerSocket unresponsive = new ServerSocket(0, 50, InetAddress.getLoopbackAddress());
+        HttpCaller limitedCaller =
+            new HttpCaller(threads, scheduler, new ArrayByteBufferPool(), smallBudget, List.of())) {
+      // Uses up all connections that may be kept alive.
       for (String name : List.of("127.0.0.1:", "localhost:")) {
-        for (int i = 0; i < few.connectionsPerDestination(); i++) {
-          frugal.send(
-              name + silent.getLocalPort(), new Request.FetchCatalog(), 60_000, answer -> {});
-          silent.accept();
+        for (int i = 0; i < smallBudget.connectionsPerDestination(); i++) {
+          limitedCaller.send(
+              name + unresponsive.getLocalPort(), new Request.FetchCatalog(), 60_000, answer -> {});
+          unresponsive.accept();
         }
       }
       for (int i = 0; i < 50 && !"close".equalsIgnoreCase(header.get()); i++) {
         CompletableFuture<Answer> answer = new CompletableFuture<>();
-        frugal.send(address, command, 3000, answer::complete);
+        limitedCaller.send(address, command, 3000, answer::complete);
         answer.get();
       }
     }
--- a/src/test/java/org/oakwalk/wire/TakeCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/CapacityTransferCodecTest.java
@@ -17,8 +17,8 @@
 import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.store.StoredValue;
 
-/** Takes as they are stored. */
-class TakeCodecTest {
+/** Tests the stored format of capacity transfers. */
+class CapacityTransferCodecTest {
   private static Take example() {
     return new Take(
         new TakeId(new Token(Long.MAX_VALUE), Long.MAX_VALUE),
--- a/src/test/java/org/oakwalk/wire/DrainCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/DrainCodecTest.java
@@ -19,7 +19,7 @@
 import org.oakwalk.core.drain.DrainPlan;
 import org.oakwalk.core.store.StoredValue;
 
-/** The stored form of plans and granted stops. */
+/** Tests the stored format of drain plans and of counts of granted stops. */
 class DrainCodecTest {
   private static final int MIN_VALUE_LIMIT_BYTES = 4096;
 
@@ -57,7 +57,7 @@
         .isEqualTo(stops);
   }
 
-  /** The smallest values that a state service may have hold 4 KiB, counted as JSON. */
+  /** A state service may limit values to 4 KiB, measured as JSON. */
   @Test
   void largestRecordsFitIntoValueLimit() {
     Set<String> machines = new LinkedHashSet<>();
--- a/src/test/java/org/oakwalk/wire/MessageFormatTest.java
+++ b/src/test/java/org/oakwalk/wire/MessageFormatTest.java
@@ -47,7 +47,7 @@
 import org.oakwalk.core.store.JobRecord;
 import org.oakwalk.core.store.StoredValue;
 
-/** Messages against literal bytes and the protocol's own examples. */
+/** Tests the format of messages against literal bytes and the examples of the protocols. */
 class MessageFormatTest {
   private static final ObjectMapper JSON = new ObjectMapper();
   private static final TaskId TASK = new TaskId(new JobId("j-000412"), 4);
@@ -181,20 +181,20 @@
 
   @Test
   void corruptedBytesOnlyCauseMalformedMessageException() throws Exception {
-    UniformRandomProvider chance = RandomSource.XO_RO_SHI_RO_128_PP.create(7L);
-    byte[] good = packed(JOB);
+    UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(7L);
+    byte[] submission = packed(JOB);
     byte[] peer = PeerCodec.encode(digest());
     for (int i = 0; i < 4_000; i++) {
-      byte[] bad = (i % 2 == 0 ? good : peer).clone();
-      for (int k = 1 + chance.nextInt(4); k > 0; k--) {
-        bad[chance.nextInt(bad.length)] = (byte) chance.nextInt();
+      byte[] corrupted = (i % 2 == 0 ? submission : peer).clone();
+      for (int k = 1 + random.nextInt(4); k > 0; k--) {
+        corrupted[random.nextInt(corrupted.length)] = (byte) random.nextInt();
       }
       try {
         if (i % 2 == 0) {
-          UserCodec.decodeSubmission(bad);
-          WorkerCodec.report(bad);
+          UserCodec.decodeSubmission(corrupted);
+          WorkerCodec.report(corrupted);
         } else {
-          PeerCodec.decode(bad);
+          PeerCodec.decode(corrupted);
         }
       } catch (MalformedMessageException expected) {
         assertThat(expected.getMessage()).isNotBlank();
@@ -345,11 +345,11 @@
         .isInstanceOf(MalformedMessageException.class);
   }
 
-  /** Whatever is in a value, the answer that holds it is read. */
+  /** An invalid value must not prevent other entries of the same response from being read. */
   @Test
   void invalidStoredValueDoesNotFailPage() throws Exception {
     JobRecord record = new JobRecord(spec(), JobRecord.Phase.OPEN, new WallTime(5));
-    List<StoredValue> good =
+    List<StoredValue> validValues =
         List.of(
             record,
             new StoredValue.LeaderRecord(new NodeId("n"), "a", "x"),
@@ -358,19 +358,19 @@
             new StoredValue.MachineListRecord(
                 List.of(new StoredValue.MachineRecord(new MachineId("h"), "1", "g8", "a", true))),
             new StoredValue.StopsRecord(Map.of()));
-    List<String> strange =
+    List<String> invalidFields =
         List.of("null", "-1", "18446744073709551615", "1e300", "\"\"", "[]", "[null]", "{}");
-    for (StoredValue value : good) {
+    for (StoredValue value : validValues) {
       ObjectNode map = StateServiceCodec.value(value);
       List<String> names = new java.util.ArrayList<>();
       map.fieldNames().forEachRemaining(names::add);
       for (String name : names) {
-        for (String other : strange) {
-          ObjectNode bad = map.deepCopy();
-          bad.set(name, JSON.readTree(other));
+        for (String invalidField : invalidFields) {
+          ObjectNode invalid = map.deepCopy();
+          invalid.set(name, JSON.readTree(invalidField));
           ObjectNode page = BinaryEncoding.newMap();
           ArrayNode entries = page.putArray("entries");
-          entries.addObject().put("k", "x").put("stamp", 4).set("value", bad);
+          entries.addObject().put("k", "x").put("stamp", 4).set("value", invalid);
           entries
               .addObject()
               .put("k", "y")
@@ -383,7 +383,7 @@
                       new Request.ReadPage("", Optional.empty(), Request.Urgency.REST),
                       200,
                       BinaryEncoding.encodeMessagePack(page));
-          assertThat(read.entries().get(1).value()).as(bad.toString()).isEqualTo(record);
+          assertThat(read.entries().get(1).value()).as(invalid.toString()).isEqualTo(record);
         }
       }
     }
@@ -399,13 +399,14 @@
     String list =
         "{\"sort\":\"machines\",\"machines\":[[\"host-1\",\"10.1.0.1:9000\",\"g8\",\"a\",true]]}";
     StoredValue.MachineListRecord record = new StoredValue.MachineListRecord(List.of(machine));
-    assertThat(StateServiceCodec.value(FieldReader.of(JSON.readTree(single)))).isEqualTo(machine);
-    assertThat(StateServiceCodec.value(FieldReader.of(JSON.readTree(list)))).isEqualTo(record);
+    assertThat(StateServiceCodec.value(FieldReader.ofMap(JSON.readTree(single))))
+        .isEqualTo(machine);
+    assertThat(StateServiceCodec.value(FieldReader.ofMap(JSON.readTree(list)))).isEqualTo(record);
     assertThat(StateServiceCodec.value(record).toString()).isEqualTo(list);
     assertThatThrownBy(
             () ->
                 StateServiceCodec.value(
-                    FieldReader.of(JSON.readTree(list.replace("true", "\"yes\"")))))
+                    FieldReader.ofMap(JSON.readTree(list.replace("true", "\"yes\"")))))
         .isInstanceOf(MalformedMessageException.class);
   }
 
--- a/src/test/java/org/oakwalk/wire/PlanRowCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/PlanRowCodecTest.java
@@ -45,13 +45,13 @@
   @ParameterizedTest
   @MethodSource("rows")
   void roundTripPreservesRowWithinDeclaredSize(PlanRow row) throws Exception {
-    assertThat(SharedRecordCodec.row(FieldReader.of(SharedRecordCodec.row(row)))).isEqualTo(row);
+    assertThat(SharedRecordCodec.row(FieldReader.ofMap(SharedRecordCodec.row(row)))).isEqualTo(row);
     assertThat(SharedRecordCodec.row(row).toString().length())
         .isLessThanOrEqualTo(row.maxJsonBytes());
     assertThatThrownBy(
             () ->
                 SharedRecordCodec.row(
-                    FieldReader.of(SharedRecordCodec.row(row).put("k", "of a later form"))))
+                    FieldReader.ofMap(SharedRecordCodec.row(row).put("k", "of a later form"))))
         .isInstanceOf(MalformedMessageException.class);
   }
 }
--- a/src/test/java/org/oakwalk/wire/ProductCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/ProductCodecTest.java
@@ -12,7 +12,7 @@
 import org.oakwalk.core.store.StoredValue;
 import org.oakwalk.daemon.PolicyFile;
 
-/** The stored form of dawns, headroom and exchanges. */
+/** Tests the stored format of the terms of deadlines ("dawns"), headroom and exchanges. */
 class ProductCodecTest {
   private static StoredValue.ProductRecord example() throws Exception {
     ProductTerms terms = PolicyFile.read(Path.of("deploy/product.example.hcl")).product();
@@ -44,6 +44,6 @@
     ObjectNode map = StateServiceCodec.value(example());
     map.put("form", 2);
     assertThatThrownBy(() -> StateServiceCodec.value(new FieldReader(map)))
-        .hasMessage("written in form 2, this version knows 1");
+        .hasMessage("unsupported format version 2, expected 1");
   }
 }
--- a/src/test/java/org/oakwalk/wire/SharedRecordCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/SharedRecordCodecTest.java
@@ -18,7 +18,10 @@
 import org.oakwalk.core.shared.SharedRow;
 import org.oakwalk.core.store.StoredValue;
 
-/** The stored form of records that leaders keep, and that rows take no more than they say. */
+/**
+ * Tests the stored format of the records that leaders keep for their successors, and that rows
+ * don't exceed the size that they declare: records are divided into values by that size.
+ */
 class SharedRecordCodecTest {
   private static HeadroomRow row(String name) {
     Map<String, Integer> places = new TreeMap<>();
@@ -82,6 +85,6 @@
     ObjectNode map = StateServiceCodec.value(new StoredValue.SharedPart(7, List.of(row("a"))));
     ((ObjectNode) map.get("rows").get(0)).put("t", "room2");
     assertThatThrownBy(() -> StateServiceCodec.value(new FieldReader(map)))
-        .hasMessage("row of unknown sort room2");
+        .hasMessage("unknown row type room2");
   }
 }
--- a/src/test/java/org/oakwalk/wire/SubmissionTest.java
+++ b/src/test/java/org/oakwalk/wire/SubmissionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.oakwalk.core.port.UserRequest;
 
-/** Submissions that lack a field, or have one of another type or beyond its bounds. */
+/** Tests that submissions with missing fields, wrong types or values out of range are rejected. */
 class SubmissionTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -24,7 +24,7 @@
        "guess_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0}
       """;
 
-  /** Each field of a job: what is left out, null or of another type is named; bounds are kept. */
+  /** Each required field: the problem names it if it is missing, null, mistyped or out of range. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -67,7 +67,7 @@
     }
   }
 
-  /** What may be null may be left out, and is refused like the rest if it is of another type. */
+  /** Each optional field may be null or missing, but is rejected if mistyped or out of range. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -96,7 +96,7 @@
     }
   }
 
-  /** Without a job's id nobody can tell whether it is known; it is malformed as a whole. */
+  /** Without a valid job ID, the job can't be looked up, and the whole message is malformed. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
