--- a/src/main/java/org/oakwalk/adapter/OutboundRequests.java
+++ b/src/main/java/org/oakwalk/adapter/OutboundRequests.java
@@ -28,6 +28,7 @@
 
   private static final long MAX_COMMAND_WAIT_MILLIS = 1_000;
   private static final int MAX_CLOUD_ATTEMPTS = 4;
+  private static final long CLOUD_OVERLOAD_PAUSE_MILLIS = 500;
   private static final int TOO_MANY_REQUESTS = 429;
 
   /** Part of the cloud's request limit that this node uses. */
@@ -153,7 +154,7 @@
 
   private void handleCloudAnswer(QueuedCall call, Answer answer) {
     if (answer instanceof Answer.Refused refused && refused.status() == TOO_MANY_REQUESTS) {
-      cloudBudget.pauseUntil(answerTime + 500);
+      cloudBudget.pauseUntil(answerTime + CLOUD_OVERLOAD_PAUSE_MILLIS);
       if (call.attempts() < MAX_CLOUD_ATTEMPTS) {
         cloudQueue.add(
             new QueuedCall(
--- a/src/main/java/org/oakwalk/wire/CloudCodec.java
+++ b/src/main/java/org/oakwalk/wire/CloudCodec.java
@@ -20,6 +20,7 @@
 
   private CloudCodec() {}
 
+  /** Encodes a request to the cloud. */
   public static OutgoingRequest encode(Request.Cloud request) {
     if (request instanceof Request.FetchCatalog) {
       return new OutgoingRequest("GET", "/catalog", null);
@@ -42,6 +43,7 @@
     return new OutgoingRequest("POST", "/rentals/release", BinaryEncoding.encodeMessagePack(map));
   }
 
+  /** Decodes the response to a request; any status but 200 is a refusal. */
   public static Answer decode(Request.Cloud request, int status, byte[] body)
       throws MalformedMessageException {
     if (status != 200) {
--- a/src/main/java/org/oakwalk/wire/DrainCodec.java
+++ b/src/main/java/org/oakwalk/wire/DrainCodec.java
@@ -97,7 +97,7 @@
               Long.parseLong(time.getKey()),
               (int) byTime.count(time.getKey(), 0, Integer.MAX_VALUE));
         } catch (NumberFormatException e) {
-          throw new MalformedMessageException("field times holds something other than numbers");
+          throw new MalformedMessageException("field times has a key that is not a number");
         }
       }
       byBudget.put(
--- a/src/main/java/org/oakwalk/wire/PeerCodec.java
+++ b/src/main/java/org/oakwalk/wire/PeerCodec.java
@@ -47,10 +47,10 @@
     } else if (message instanceof PeerMessage.Carry forwardReport) {
       map.put("sort", "carry");
       WorkerCodec.write(map, forwardReport.report());
-    } else if (message instanceof PeerMessage.Carried orders) {
+    } else if (message instanceof PeerMessage.Carried reply) {
       map.put("sort", "carried");
-      orders.token().ifPresent(token -> map.put("token", token.value()));
-      WorkerCodec.write(map, orders.orders());
+      reply.token().ifPresent(token -> map.put("token", token.value()));
+      WorkerCodec.write(map, reply.orders());
     } else if (message instanceof PeerMessage.Forward forward) {
       map.put("sort", "forward");
       request(forward.request(), map);
@@ -89,6 +89,7 @@
     };
   }
 
+  /** Converts the HTTP response of a peer to an answer. */
   static Answer answer(int status, byte[] body) throws MalformedMessageException {
     return status == 200
         ? new Answer.Told(decode(body))
--- a/src/main/java/org/oakwalk/wire/RequestCodec.java
+++ b/src/main/java/org/oakwalk/wire/RequestCodec.java
@@ -7,6 +7,7 @@
 public final class RequestCodec {
   private RequestCodec() {}
 
+  /** Encodes a request in the protocol of the service that it is addressed to. */
   public static OutgoingRequest encode(Request request) {
     if (request instanceof Request.State state) {
       return StateServiceCodec.encode(state);
@@ -21,6 +22,7 @@
         "POST", PeerCodec.PEER_PATH, PeerCodec.encode(((Request.Tell) request).message()));
   }
 
+  /** Decodes the HTTP response to this request. */
   public static Answer decode(Request request, int status, byte[] body)
       throws MalformedMessageException {
     if (request instanceof Request.State state) {
--- a/src/main/java/org/oakwalk/wire/StateServiceCodec.java
+++ b/src/main/java/org/oakwalk/wire/StateServiceCodec.java
@@ -34,6 +34,7 @@
 
   private StateServiceCodec() {}
 
+  /** Encodes a request to the state service. */
   public static OutgoingRequest encode(Request.State request) {
     if (request instanceof Request.ReadPage read) {
       String after = read.after().map(key -> "&from=" + escape(key)).orElse("");
@@ -92,6 +93,7 @@
     return map;
   }
 
+  /** Decodes the response to a request; an error status other than a conflict is a refusal. */
   public static Answer decode(Request.State request, int status, byte[] body)
       throws MalformedMessageException {
     if (status == 409 && request instanceof Request.Commit) {
@@ -129,17 +131,19 @@
     if (fields.has("news")) {
       for (JsonNode node : fields.list("news")) {
         FieldReader item = FieldReader.ofMap(node);
-        Revision stamp = new Revision(item.count("stamp"));
+        Revision revision = new Revision(item.count("stamp"));
         if (item.has("set")) {
-          changes.add(new KeyChange(item.text("set"), Optional.of(valueOrUnreadable(item)), stamp));
+          changes.add(
+              new KeyChange(item.text("set"), Optional.of(valueOrUnreadable(item)), revision));
         } else {
-          changes.add(new KeyChange(item.text("delete"), Optional.empty(), stamp));
+          changes.add(new KeyChange(item.text("delete"), Optional.empty(), revision));
         }
       }
     }
     return new Answer.Changes(new Revision(fields.count("epoch")), changes);
   }
 
+  /** Encodes a stored value. */
   static ObjectNode value(StoredValue value) {
     ObjectNode map = BinaryEncoding.newMap();
     if (value instanceof JobRecord job) {
@@ -252,6 +256,7 @@
     return new StoredValue.MachineTypesRecord(types);
   }
 
+  /** Decodes a stored value by its type. */
   static StoredValue value(FieldReader map) throws MalformedMessageException {
     String sort = map.text("sort");
     return switch (sort) {
--- a/src/main/java/org/oakwalk/wire/WorkerCodec.java
+++ b/src/main/java/org/oakwalk/wire/WorkerCodec.java
@@ -43,6 +43,7 @@
 
   private WorkerCodec() {}
 
+  /** Decodes a report. */
   public static Report report(byte[] body) throws MalformedMessageException {
     return report(new FieldReader(BinaryEncoding.decodeMessagePackMap(body)));
   }
@@ -104,6 +105,7 @@
     return new OutgoingRequest("POST", COMMAND_PATH, BinaryEncoding.encodeMessagePack(map));
   }
 
+  /** Converts the HTTP response to a command to an answer; 409 is a rejected command. */
   static Answer commandResult(int status, byte[] body) throws MalformedMessageException {
     return switch (status) {
       case 200 -> new Answer.Commanded(true, report(body));
--- a/src/test/java/org/oakwalk/adapter/ConnectionLimiterTest.java
+++ b/src/test/java/org/oakwalk/adapter/ConnectionLimiterTest.java
@@ -116,18 +116,18 @@
   }
 
   private boolean respond(Event event) {
-    if (event instanceof Event.WorkerReports reports) {
+    if (event instanceof Event.WorkerReports reportEvent) {
       listener.respond(
-          reports.exchange(),
-          reports.crowded() && !noOtherNode
+          reportEvent.exchange(),
+          reportEvent.crowded() && !noOtherNode
               ? new Response.Elsewhere(Optional.of(new NodeId("other")))
               : new Response.Orders(new Token(1), List.of()));
-    } else if (event instanceof Event.UserAsks asks) {
+    } else if (event instanceof Event.UserAsks userEvent) {
       listener.respond(
-          asks.exchange(),
+          userEvent.exchange(),
           new Response.JobStatus(false, new JobId("j-000001"), Response.JobState.QUEUED, 0, 0));
-    } else if (event instanceof Event.HealthAsked asked) {
-      listener.respond(asked.exchange(), new Response.Ready());
+    } else if (event instanceof Event.HealthAsked healthEvent) {
+      listener.respond(healthEvent.exchange(), new Response.Ready());
     }
     return true;
   }
--- a/src/test/java/org/oakwalk/wire/PlanRowCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/PlanRowCodecTest.java
@@ -12,6 +12,7 @@
 import org.oakwalk.core.planner.GroupKey;
 import org.oakwalk.core.planner.PlanRow;
 
+/** Tests the stored format of plan rows, and that rows don't exceed the size that they declare. */
 class PlanRowCodecTest {
   private static final long LATE_MILLIS = 4_102_444_800_000L;
   private static final String NAME_WITH_QUOTES = "\"x\"".repeat(20);
--- a/src/test/java/org/oakwalk/wire/SharedRecordCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/SharedRecordCodecTest.java
@@ -20,7 +20,7 @@
 
 /**
  * Tests the stored format of the records that leaders keep for their successors, and that rows
- * don't exceed the size that they declare: records are divided into values by that size.
+ * don't exceed the size that they declare; records are divided into values by that size.
  */
 class SharedRecordCodecTest {
   private static HeadroomRow row(String name) {
--- a/src/test/java/org/oakwalk/wire/SubmissionTest.java
+++ b/src/test/java/org/oakwalk/wire/SubmissionTest.java
@@ -53,13 +53,13 @@
     job.set(field, JSON.readTree(good));
     assertThat(UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(job)).spec())
         .isPresent();
-    List<ObjectNode> malformed = new ArrayList<>();
-    malformed.add(job.deepCopy().without(field));
-    malformed.add(job.deepCopy().putNull(field));
+    List<ObjectNode> malformedJobs = new ArrayList<>();
+    malformedJobs.add(job.deepCopy().without(field));
+    malformedJobs.add(job.deepCopy().putNull(field));
     for (JsonNode value : JSON.readTree(bad)) {
-      malformed.add(job.deepCopy().set(field, value));
+      malformedJobs.add(job.deepCopy().set(field, value));
     }
-    for (ObjectNode each : malformed) {
+    for (ObjectNode each : malformedJobs) {
       UserRequest.Submit request =
           UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(each));
       assertThat(request.spec()).as(each.toString()).isEmpty();
