--- a/src/main/java/org/oakwalk/adapter/Listener.java
+++ b/src/main/java/org/oakwalk/adapter/HttpListener.java
@@ -25,50 +25,55 @@
 import org.oakwalk.wire.UserCodec;
 import org.oakwalk.wire.WorkerCodec;
 
-/** The node's two doors: one for users and workers, one for the other controllers. */
-public final class Listener implements AutoCloseable {
-  private static final int MOST_OPEN = 2000;
-  private static final String PEERS = "peers";
+/** The node's HTTP server, with one port for users and workers and one for other controllers. */
+public final class HttpListener implements AutoCloseable {
+  private static final int MAX_OPEN_REQUESTS = 2000;
+  private static final String PEER_CONNECTOR = "peers";
 
-  /** Takes events to the core; false if there are too many. */
-  public interface Sink {
+  /** Passes events to the core. */
+  public interface EventSink {
+    /** Returns true if the event was accepted, false if too many events are queued. */
     boolean offer(Event event);
   }
 
   private final Server server;
-  private final ServerConnector front;
-  private final ServerConnector back;
+  private final ServerConnector clientConnector;
+  private final ServerConnector peerConnector;
   private final ConnectionLimiter limiter;
-  private final Sink sink;
-  private final Map<InboundRequestId, Inbound.Reply> open = new HashMap<>();
-  private final AtomicInteger openCount = new AtomicInteger();
-  private long exchanges;
+  private final EventSink sink;
+  private final Map<InboundRequestId, InboundRequestHandler.PendingReply> openReplies =
+      new HashMap<>();
+  private final AtomicInteger openRequests = new AtomicInteger();
+  private long lastRequestNumber;
 
-  public Listener(
+  /** Creates a listener that accepts connections once it is started. */
+  public HttpListener(
       ThreadPool threads,
       Scheduler scheduler,
       ByteBufferPool buffers,
-      Address serve,
-      Address peers,
-      Sockets sockets,
-      Sink sink) {
+      Address clientAddress,
+      Address peerAddress,
+      SocketBudget sockets,
+      EventSink sink) {
     this.sink = sink;
     server = new Server(threads, scheduler, buffers);
     server.setStopTimeout(0);
-    front = connector(serve, "front");
-    back = connector(peers, PEERS);
+    clientConnector = connector(clientAddress, "front");
+    peerConnector = connector(peerAddress, PEER_CONNECTOR);
     limiter = new ConnectionLimiter(sockets);
-    front.addBean(limiter);
-    server.addConnector(front);
-    server.addConnector(back);
-    Inbound inFront = new Inbound(this::offer, Optional.of(limiter));
-    Inbound inBack = new Inbound(this::offer, Optional.empty());
+    clientConnector.addBean(limiter);
+    server.addConnector(clientConnector);
+    server.addConnector(peerConnector);
+    InboundRequestHandler clientHandler =
+        new InboundRequestHandler(this::offer, Optional.of(limiter));
+    InboundRequestHandler peerHandler = new InboundRequestHandler(this::offer, Optional.empty());
     server.setHandler(
         new Handler.Abstract.NonBlocking() {
           @Override
           public boolean handle(Request request, Response response, Callback callback) {
-            boolean peer = PEERS.equals(request.getConnectionMetaData().getConnector().getName());
-            return (peer ? inBack : inFront).handle(request, response, callback);
+            boolean fromPeer =
+                PEER_CONNECTOR.equals(request.getConnectionMetaData().getConnector().getName());
+            return (fromPeer ? peerHandler : clientHandler).handle(request, response, callback);
           }
         });
   }
@@ -80,7 +85,7 @@
     http.setRequestHeaderSize(4096);
     http.setResponseHeaderSize(1024);
     http.setOutputBufferSize(8192);
-    // The cache of header fields takes 100 KB a connection, and a leader has one from each machine.
+    // The header cache takes 100 KB per connection, and each machine has one to the leader.
     http.setHeaderCacheSize(0);
     http.setHttpCompliance(HttpCompliance.RFC7230);
     http.setUriCompliance(UriCompliance.RFC3986);
@@ -94,64 +99,65 @@
     return connector;
   }
 
-  /** Opens both doors. */
+  /** Opens both ports. */
   public void start() throws Exception {
     server.start();
   }
 
-  /** The port of the door for users and workers, which differs from the settings if that was 0. */
-  public int frontPort() {
-    return front.getLocalPort();
+  /** Returns the actual port for users and workers, also if the configured port is 0. */
+  public int clientPort() {
+    return clientConnector.getLocalPort();
   }
 
-  /** The port of the door for the other controllers. */
+  /** Returns the actual port for the other controllers. */
   public int peerPort() {
-    return back.getLocalPort();
+    return peerConnector.getLocalPort();
   }
 
-  private boolean offer(Inbound.Reply reply, Function<InboundRequestId, Event> event) {
-    if (openCount.incrementAndGet() > MOST_OPEN) {
-      openCount.decrementAndGet();
+  private boolean offer(
+      InboundRequestHandler.PendingReply reply, Function<InboundRequestId, Event> event) {
+    if (openRequests.incrementAndGet() > MAX_OPEN_REQUESTS) {
+      openRequests.decrementAndGet();
       return false;
     }
     InboundRequestId id;
-    synchronized (open) {
-      id = new InboundRequestId(++exchanges);
-      open.put(id, reply);
+    synchronized (openReplies) {
+      id = new InboundRequestId(++lastRequestNumber);
+      openReplies.put(id, reply);
     }
     if (!sink.offer(event.apply(id))) {
-      take(id);
+      removeReply(id);
       return false;
     }
     return true;
   }
 
-  private Inbound.Reply take(InboundRequestId id) {
-    synchronized (open) {
-      Inbound.Reply reply = open.remove(id);
+  private InboundRequestHandler.PendingReply removeReply(InboundRequestId id) {
+    synchronized (openReplies) {
+      InboundRequestHandler.PendingReply reply = openReplies.remove(id);
       if (reply != null) {
-        openCount.decrementAndGet();
+        openRequests.decrementAndGet();
       }
       return reply;
     }
   }
 
-  /** Answers an exchange. */
-  public void respond(InboundRequestId exchange, org.oakwalk.core.port.Response response) {
-    Inbound.Reply reply = take(exchange);
+  /** Sends the response to a pending request; does nothing if it was already answered. */
+  public void respond(InboundRequestId requestId, org.oakwalk.core.port.Response response) {
+    InboundRequestHandler.PendingReply reply = removeReply(requestId);
     if (reply == null) {
       return;
     }
     if (response instanceof org.oakwalk.core.port.Response.JobStatus status) {
-      reply.send(status.created() ? 201 : 200, UserCodec.status(status));
+      reply.send(status.created() ? 201 : 200, UserCodec.encodeStatus(status));
     } else if (response instanceof org.oakwalk.core.port.Response.Problem problem) {
       reply.error(problem.status(), problem.reason(), problem.retryAfter());
     } else if (response instanceof org.oakwalk.core.port.Response.Orders orders) {
       reply.send(200, WorkerCodec.orders(orders.token(), orders.orders()));
-    } else if (response instanceof org.oakwalk.core.port.Response.Redirect elsewhere) {
-      reply.send(421, WorkerCodec.elsewhere(elsewhere.leader()));
-    } else if (response instanceof org.oakwalk.core.port.Response.PeerResponse toPeer) {
-      reply.send(200, PeerCodec.encode(toPeer.message()));
+    } else if (response instanceof org.oakwalk.core.port.Response.Redirect redirect) {
+      reply.send(421, WorkerCodec.redirect(redirect.leader()));
+    } else if (response instanceof org.oakwalk.core.port.Response.PeerResponse peerResponse) {
+      reply.send(200, PeerCodec.encode(peerResponse.message()));
     } else {
       reply.send(200, new byte[0]);
     }
--- a/src/main/java/org/oakwalk/daemon/ProductFile.java
+++ b/src/main/java/org/oakwalk/daemon/ProductFile.java
@@ -214,7 +214,7 @@
       teams(file, "exchange \"" + exchange.name() + "\"", exchange.giverTeams(), settings);
     }
     int most = (int) (settings.state().valueKb() * 1024);
-    if (!terms.isUndeclared() && ProductCodec.bytes(terms) > most) {
+    if (!terms.isUndeclared() && ProductCodec.storedBytes(terms) > most) {
       throw new BadSettings(
           file
               + ": dawns, headroom and exchanges take more than the "
--- a/src/main/java/org/oakwalk/wire/TakeCodec.java
+++ b/src/main/java/org/oakwalk/wire/CapacityTransferCodec.java
@@ -10,38 +10,38 @@
 import org.oakwalk.core.exchange.TransferId;
 import org.oakwalk.core.job.Resources;
 
-/** The stored form of takes. */
-final class TakeCodec implements SharedCodec.RowCodec<CapacityTransfer> {
+/** Encodes and decodes stored capacity transfers from one job to another. */
+final class CapacityTransferCodec implements SharedRecordCodec.RowCodec<CapacityTransfer> {
   @Override
-  public String sort() {
+  public String typeTag() {
     return "take";
   }
 
   @Override
-  public Class<CapacityTransfer> type() {
+  public Class<CapacityTransfer> rowClass() {
     return CapacityTransfer.class;
   }
 
   @Override
-  public void encode(CapacityTransfer take, ObjectNode map) {
-    map.put("token", take.id().token().value());
-    map.put("number", take.id().number());
-    map.put("state", take.state().name());
-    map.put("exchange", take.exchangeName());
-    map.put("giver", take.giver().value());
-    map.put("team", take.giverTeam());
-    map.put("tasks", take.stoppedTasks());
-    map.put("taker", take.taker().value());
-    map.put("cpus", take.resources().cpus());
-    map.put("gpus", take.resources().gpus());
-    map.put("memory_gb", take.resources().memoryGb());
-    map.put("machine", take.machine().value());
-    map.put("level", take.demandLevel());
-    map.put("since", take.since().millis());
+  public void encode(CapacityTransfer transfer, ObjectNode map) {
+    map.put("token", transfer.id().token().value());
+    map.put("number", transfer.id().number());
+    map.put("state", transfer.state().name());
+    map.put("exchange", transfer.exchangeName());
+    map.put("giver", transfer.giver().value());
+    map.put("team", transfer.giverTeam());
+    map.put("tasks", transfer.stoppedTasks());
+    map.put("taker", transfer.taker().value());
+    map.put("cpus", transfer.resources().cpus());
+    map.put("gpus", transfer.resources().gpus());
+    map.put("memory_gb", transfer.resources().memoryGb());
+    map.put("machine", transfer.machine().value());
+    map.put("level", transfer.demandLevel());
+    map.put("since", transfer.since().millis());
   }
 
   @Override
-  public CapacityTransfer decode(Fields map) throws BadMessage {
+  public CapacityTransfer decode(FieldReader map) throws MalformedMessageException {
     return new CapacityTransfer(
         new TransferId(new Token(map.count("token")), map.count("number")),
         state(map.text("state")),
@@ -56,10 +56,10 @@
         new WallTime(map.count("since")));
   }
 
-  private static CapacityTransfer.State state(String name) throws BadMessage {
+  private static CapacityTransfer.State state(String name) throws MalformedMessageException {
     return Arrays.stream(CapacityTransfer.State.values())
         .filter(state -> state.name().equals(name))
         .findFirst()
-        .orElseThrow(() -> new BadMessage("unknown state " + name));
+        .orElseThrow(() -> new MalformedMessageException("unknown state " + name));
   }
 }
--- a/src/main/java/org/oakwalk/wire/HeadroomCodec.java
+++ b/src/main/java/org/oakwalk/wire/HeadroomCodec.java
@@ -11,15 +11,15 @@
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
 
-/** The stored form of room that is kept for replicas. */
-final class HeadroomCodec implements SharedCodec.RowCodec<HeadroomRow> {
+/** Encodes and decodes stored rows of headroom, which is capacity reserved for replicas. */
+final class HeadroomCodec implements SharedRecordCodec.RowCodec<HeadroomRow> {
   @Override
-  public String sort() {
+  public String typeTag() {
     return "room";
   }
 
   @Override
-  public Class<HeadroomRow> type() {
+  public Class<HeadroomRow> rowClass() {
     return HeadroomRow.class;
   }
 
@@ -47,7 +47,7 @@
   }
 
   @Override
-  public HeadroomRow decode(Fields map) throws BadMessage {
+  public HeadroomRow decode(FieldReader map) throws MalformedMessageException {
     HeadroomRow.HeadroomKey key =
         new HeadroomRow.HeadroomKey(
             map.text("name"),
@@ -55,28 +55,28 @@
             map.text("class"),
             new Resources(map.amount("cpus"), map.amount("gpus"), map.amount("mem")),
             map.has("zone") ? Optional.of(map.text("zone")) : Optional.empty());
-    Map<String, Integer> places = new TreeMap<>();
-    Fields byZone = map.map("places");
+    Map<String, Integer> slots = new TreeMap<>();
+    FieldReader byZone = map.map("places");
     for (Map.Entry<String, JsonNode> entry : map.get("places").properties()) {
-      places.put(entry.getKey(), (int) byZone.count(entry.getKey(), 0, Integer.MAX_VALUE));
+      slots.put(entry.getKey(), (int) byZone.count(entry.getKey(), 0, Integer.MAX_VALUE));
     }
     return new HeadroomRow(
         key,
         priority(map.text("priority")),
         map.text("image"),
         map.amount("gb"),
-        new TreeSet<>(map.has("types") ? map.texts("types") : java.util.List.of()),
-        map.flag("spot"),
+        new TreeSet<>(map.has("types") ? map.textList("types") : java.util.List.of()),
+        map.bool("spot"),
         (int) map.count("peak", 0, Integer.MAX_VALUE),
-        places);
+        slots);
   }
 
-  private static Priority priority(String name) throws BadMessage {
+  private static Priority priority(String name) throws MalformedMessageException {
     for (Priority priority : Priority.values()) {
       if (priority.name().equals(name)) {
         return priority;
       }
     }
-    throw new BadMessage("unknown priority " + name);
+    throw new MalformedMessageException("unknown priority " + name);
   }
 }
--- a/src/main/java/org/oakwalk/wire/HttpMessage.java
+++ /dev/null
@@ -1,4 +0,0 @@
-package org.oakwalk.wire;
-
-/** A request as it goes out; the body is null if there is none. */
-public record HttpMessage(String method, String path, byte[] body) {}
--- a/src/main/java/org/oakwalk/wire/PeerCodec.java
+++ b/src/main/java/org/oakwalk/wire/PeerCodec.java
@@ -17,14 +17,14 @@
 import org.oakwalk.core.port.Response;
 import org.oakwalk.core.port.UserRequest;
 
-/** What controllers say to each other, as CBOR. */
+/** Encodes and decodes messages between controllers, as CBOR. */
 public final class PeerCodec {
-  public static final String PATH = "/peer";
+  public static final String PEER_PATH = "/peer";
 
   private PeerCodec() {}
 
   public static byte[] encode(PeerMessage message) {
-    ObjectNode map = Pack.map();
+    ObjectNode map = BinaryEncoding.newMap();
     if (message instanceof PeerMessage.Digest digest) {
       map.put("sort", "digest");
       map.put("from", digest.from().value());
@@ -37,20 +37,20 @@
               (id, count) -> counts.putArray(id.value()).add(count.done()).add(count.running()));
       ArrayNode suspects = map.putArray("suspects");
       digest.suspects().forEach(id -> suspects.add(id.value()));
-    } else if (message instanceof PeerMessage.Acknowledgement acknowledged) {
+    } else if (message instanceof PeerMessage.Acknowledgement acknowledgement) {
       map.put("sort", "acknowledged");
-      map.put("from", acknowledged.from().value());
-      map.put("settled", acknowledged.relinquished());
+      map.put("from", acknowledgement.from().value());
+      map.put("settled", acknowledgement.relinquished());
     } else if (message instanceof PeerMessage.Probe probe) {
       map.put("sort", "probe");
       map.put("from", probe.from().value());
-    } else if (message instanceof PeerMessage.ForwardReport carry) {
+    } else if (message instanceof PeerMessage.ForwardReport forwardReport) {
       map.put("sort", "carry");
-      WorkerCodec.put(map, carry.report());
-    } else if (message instanceof PeerMessage.ForwardedReportOrders carried) {
+      WorkerCodec.write(map, forwardReport.report());
+    } else if (message instanceof PeerMessage.ForwardedReportOrders reply) {
       map.put("sort", "carried");
-      carried.token().ifPresent(token -> map.put("token", token.value()));
-      WorkerCodec.put(map, carried.orders());
+      reply.token().ifPresent(token -> map.put("token", token.value()));
+      WorkerCodec.write(map, reply.orders());
     } else if (message instanceof PeerMessage.ForwardUserRequest forward) {
       map.put("sort", "forward");
       request(forward.request(), map);
@@ -58,23 +58,23 @@
       map.put("sort", "forwarded");
       response(forwarded.response(), map);
     }
-    return Pack.cbor(map);
+    return BinaryEncoding.encodeCbor(map);
   }
 
-  public static PeerMessage decode(byte[] body) throws BadMessage {
-    ObjectNode map = Pack.cborMap(body);
-    Fields fields = new Fields(map);
+  public static PeerMessage decode(byte[] body) throws MalformedMessageException {
+    ObjectNode map = BinaryEncoding.decodeCborMap(body);
+    FieldReader fields = new FieldReader(map);
     String sort = fields.text("sort");
     return switch (sort) {
       case "digest" ->
           new PeerMessage.Digest(
               new NodeId(fields.text("from")),
               new Token(fields.count("token")),
-              fields.flag("serves"),
+              fields.bool("serves"),
               counts(fields.get("counts")),
               suspects(fields));
       case "acknowledged" ->
-          new PeerMessage.Acknowledgement(new NodeId(fields.text("from")), fields.flag("settled"));
+          new PeerMessage.Acknowledgement(new NodeId(fields.text("from")), fields.bool("settled"));
       case "probe" -> new PeerMessage.Probe(new NodeId(fields.text("from")));
       case "carry" -> new PeerMessage.ForwardReport(WorkerCodec.report(fields));
       case "carried" ->
@@ -85,19 +85,21 @@
               WorkerCodec.orders(fields));
       case "forward" -> new PeerMessage.ForwardUserRequest(request(fields));
       case "forwarded" -> new PeerMessage.ForwardedResponse(response(fields));
-      default -> throw new BadMessage("message of unknown sort " + sort);
+      default -> throw new MalformedMessageException("message of unknown sort " + sort);
     };
   }
 
-  static Answer answer(int status, byte[] body) throws BadMessage {
+  /** Converts the HTTP response of a peer to an answer. */
+  static Answer answer(int status, byte[] body) throws MalformedMessageException {
     return status == 200
         ? new Answer.PeerReply(decode(body))
         : new Answer.Refused(status, "peer refused");
   }
 
-  private static Map<JobId, PeerMessage.TaskCounts> counts(JsonNode node) throws BadMessage {
+  private static Map<JobId, PeerMessage.TaskCounts> counts(JsonNode node)
+      throws MalformedMessageException {
     if (!node.isObject()) {
-      throw new BadMessage("counts are malformed");
+      throw new MalformedMessageException("counts are malformed");
     }
     Map<JobId, PeerMessage.TaskCounts> counts = new HashMap<>();
     for (Map.Entry<String, JsonNode> field : node.properties()) {
@@ -105,9 +107,9 @@
       if (!JobId.isWellFormed(field.getKey())
           || !pair.isArray()
           || pair.size() != 2
-          || !count(pair.get(0))
-          || !count(pair.get(1))) {
-        throw new BadMessage("counts are malformed");
+          || !isCount(pair.get(0))
+          || !isCount(pair.get(1))) {
+        throw new MalformedMessageException("counts are malformed");
       }
       counts.put(
           new JobId(field.getKey()),
@@ -116,11 +118,11 @@
     return counts;
   }
 
-  private static boolean count(JsonNode node) {
+  private static boolean isCount(JsonNode node) {
     return node.isIntegralNumber() && node.canConvertToInt() && node.intValue() >= 0;
   }
 
-  private static Set<JobId> suspects(Fields fields) throws BadMessage {
+  private static Set<JobId> suspects(FieldReader fields) throws MalformedMessageException {
     Set<JobId> suspects = new HashSet<>();
     if (fields.has("suspects")) {
       for (JsonNode id : fields.list("suspects")) {
@@ -143,9 +145,9 @@
     }
   }
 
-  private static UserRequest request(Fields fields) throws BadMessage {
+  private static UserRequest request(FieldReader fields) throws MalformedMessageException {
     if (!JobId.isWellFormed(fields.text("job"))) {
-      throw new BadMessage("field job is malformed");
+      throw new MalformedMessageException("field job is malformed");
     }
     JobId job = new JobId(fields.text("job"));
     String ask = fields.text("ask");
@@ -159,7 +161,7 @@
                   ? Optional.of(JobCodec.decode(fields.map("spec")))
                   : Optional.empty(),
               fields.text("problem"));
-      default -> throw new BadMessage("unknown request " + ask);
+      default -> throw new MalformedMessageException("unknown request " + ask);
     };
   }
 
@@ -175,11 +177,11 @@
       map.put("reason", problem.reason());
       problem.retryAfter().ifPresent(span -> map.put("retry_ms", span.millis()));
     } else {
-      throw new IllegalArgumentException("not an answer to a user: " + response);
+      throw new IllegalArgumentException("not a response to a user: " + response);
     }
   }
 
-  private static Response response(Fields fields) throws BadMessage {
+  private static Response response(FieldReader fields) throws MalformedMessageException {
     if (fields.has("status")) {
       return new Response.Problem(
           (int) fields.count("status", 400, 599),
@@ -191,13 +193,13 @@
     for (Response.JobState state : Response.JobState.values()) {
       if (state.name().equals(fields.text("state"))) {
         return new Response.JobStatus(
-            fields.flag("created"),
+            fields.bool("created"),
             new JobId(fields.text("job")),
             state,
             (int) fields.count("done", 0, Integer.MAX_VALUE),
             (int) fields.count("running", 0, Integer.MAX_VALUE));
       }
     }
-    throw new BadMessage("unknown state");
+    throw new MalformedMessageException("unknown state");
   }
 }
--- a/src/main/java/org/oakwalk/wire/ProductCodec.java
+++ b/src/main/java/org/oakwalk/wire/ProductCodec.java
@@ -17,44 +17,45 @@
 import org.oakwalk.core.product.ProductTerms;
 import org.oakwalk.core.store.StoredValue;
 
-/** The stored form of what operators declare of dawns, headroom and exchanges. */
+/** Encodes and decodes the stored terms of deadlines ("dawns"), headroom and exchanges. */
 public final class ProductCodec {
-  /** Another form is not guessed at: what it means can't be known. */
-  private static final int FORM = 1;
+  /** Records of other format versions are rejected, since their meaning is unknown. */
+  private static final int FORMAT_VERSION = 1;
 
   private ProductCodec() {}
 
-  /** How long the record of these terms is, counted as the state service counts values. */
-  public static int bytes(ProductTerms terms) {
-    return StateCodec.value(new StoredValue.ProductRecord(terms)).toString().length();
+  /** Returns the size of these terms as a stored record, as the state service measures values. */
+  public static int storedBytes(ProductTerms terms) {
+    return StateServiceCodec.value(new StoredValue.ProductRecord(terms)).toString().length();
   }
 
   static void encode(ProductTerms terms, ObjectNode map) {
-    map.put("form", FORM);
+    map.put("form", FORMAT_VERSION);
     map.put("version", terms.version());
-    ArrayNode dawns = map.putArray("dawns");
-    terms.batchDeadlines().forEach(dawn -> encode(dawn, dawns.addObject()));
+    ArrayNode deadlines = map.putArray("dawns");
+    terms.batchDeadlines().forEach(deadline -> encode(deadline, deadlines.addObject()));
     ArrayNode headrooms = map.putArray("headrooms");
     terms.headrooms().forEach(headroom -> encode(headroom, headrooms.addObject()));
     ArrayNode exchanges = map.putArray("exchanges");
     terms.exchanges().forEach(exchange -> encode(exchange, exchanges.addObject()));
   }
 
-  private static void encode(BatchDeadlineTerms dawn, ObjectNode map) {
-    map.put("name", dawn.name());
-    dawn.daily()
+  private static void encode(BatchDeadlineTerms deadline, ObjectNode map) {
+    map.put("name", deadline.name());
+    deadline
+        .daily()
         .ifPresent(
             daily -> {
               map.put("by", daily.dueAt().toString());
               map.put("opens", daily.opensAt().toString());
               map.put("tz", daily.zone().getId());
             });
-    dawn.interval().ifPresent(every -> map.put("every_s", every.asSeconds()));
-    map.put("lasts_s", dawn.windowLength().asSeconds());
-    texts(map, "classes", dawn.classes());
-    texts(map, "teams", dawn.teams());
-    map.put("margin_s", dawn.safetyMargin().asSeconds());
-    map.put("quantile", dawn.runTimeQuantile());
+    deadline.interval().ifPresent(every -> map.put("every_s", every.asSeconds()));
+    map.put("lasts_s", deadline.windowLength().asSeconds());
+    texts(map, "classes", deadline.classes());
+    texts(map, "teams", deadline.teams());
+    map.put("margin_s", deadline.safetyMargin().asSeconds());
+    map.put("quantile", deadline.runTimeQuantile());
   }
 
   private static void encode(HeadroomTerms headroom, ObjectNode map) {
@@ -83,24 +84,26 @@
     texts.forEach(list::add);
   }
 
-  static ProductTerms decode(Fields map) throws BadMessage {
-    SharedCodec.checkForm(map, FORM);
-    List<BatchDeadlineTerms> dawns = new ArrayList<>();
+  static ProductTerms decode(FieldReader map) throws MalformedMessageException {
+    SharedRecordCodec.checkFormat(map, FORMAT_VERSION);
+    List<BatchDeadlineTerms> deadlines = new ArrayList<>();
     for (JsonNode item : map.list("dawns")) {
-      dawns.add(dawn(Fields.of(item)));
+      deadlines.add(batchDeadline(FieldReader.ofMap(item)));
     }
     List<HeadroomTerms> headrooms = new ArrayList<>();
     for (JsonNode item : map.list("headrooms")) {
-      headrooms.add(headroom(Fields.of(item)));
+      headrooms.add(headroom(FieldReader.ofMap(item)));
     }
     List<ExchangeTerms> exchanges = new ArrayList<>();
     for (JsonNode item : map.list("exchanges")) {
-      exchanges.add(exchange(Fields.of(item)));
+      exchanges.add(exchange(FieldReader.ofMap(item)));
     }
-    return new ProductTerms(map.count("version", 1, Long.MAX_VALUE), dawns, headrooms, exchanges);
+    return new ProductTerms(
+        map.count("version", 1, Long.MAX_VALUE), deadlines, headrooms, exchanges);
   }
 
-  private static BatchDeadlineTerms dawn(Fields map) throws BadMessage {
+  private static BatchDeadlineTerms batchDeadline(FieldReader map)
+      throws MalformedMessageException {
     return new BatchDeadlineTerms(
         map.shortText("name"),
         map.has("by") ? Optional.of(daily(map)) : Optional.empty(),
@@ -112,18 +115,19 @@
         share(map, "quantile"));
   }
 
-  private static BatchDeadlineTerms.DailyDeadline daily(Fields map) throws BadMessage {
+  private static BatchDeadlineTerms.DailyDeadline daily(FieldReader map)
+      throws MalformedMessageException {
     try {
       return new BatchDeadlineTerms.DailyDeadline(
           LocalTime.parse(map.text("by")),
           LocalTime.parse(map.text("opens")),
           ZoneId.of(map.text("tz")));
     } catch (DateTimeException e) {
-      throw new BadMessage("a dawn's hours or time zone can't be read");
+      throw new MalformedMessageException("malformed hours or time zone of a dawn");
     }
   }
 
-  private static HeadroomTerms headroom(Fields map) throws BadMessage {
+  private static HeadroomTerms headroom(FieldReader map) throws MalformedMessageException {
     return new HeadroomTerms(
         map.shortText("name"),
         map.optionalText("class"),
@@ -134,7 +138,7 @@
         share(map, "warm"));
   }
 
-  private static ExchangeTerms exchange(Fields map) throws BadMessage {
+  private static ExchangeTerms exchange(FieldReader map) throws MalformedMessageException {
     return new ExchangeTerms(
         map.shortText("name"),
         texts(map, "takers"),
@@ -146,14 +150,14 @@
         map.seconds("patience_s"));
   }
 
-  private static Set<String> texts(Fields map, String name) throws BadMessage {
-    return new LinkedHashSet<>(map.texts(name));
+  private static Set<String> texts(FieldReader map, String name) throws MalformedMessageException {
+    return new LinkedHashSet<>(map.textList(name));
   }
 
-  private static double share(Fields map, String name) throws BadMessage {
+  private static double share(FieldReader map, String name) throws MalformedMessageException {
     double share = map.amount(name);
     if (share > 1) {
-      throw new BadMessage("field " + name + " is out of range");
+      throw new MalformedMessageException("field " + name + " is out of range");
     }
     return share;
   }
--- a/src/main/java/org/oakwalk/wire/StateCodec.java
+++ b/src/main/java/org/oakwalk/wire/StateServiceCodec.java
@@ -27,17 +27,18 @@
 import org.oakwalk.core.store.KeyChange;
 import org.oakwalk.core.store.StoredValue;
 
-/** Requests to the state service, its answers, and the form of the stored values. */
-public final class StateCodec {
-  /** So many keys of a few kilobytes stay below the service's limit for one answer. */
-  private static final int PAGE = 250;
+/** Encodes requests to the state service and stored values, and decodes its responses. */
+public final class StateServiceCodec {
+  /** With values of a few kilobytes, a page of this size stays below the response size limit. */
+  private static final int ENTRIES_PER_PAGE = 250;
 
-  private StateCodec() {}
+  private StateServiceCodec() {}
 
-  public static HttpMessage encode(Request.StateServiceRequest request) {
+  /** Encodes a request to the state service. */
+  public static OutgoingRequest encode(Request.StateServiceRequest request) {
     if (request instanceof Request.ReadPage read) {
       String after = read.after().map(key -> "&from=" + escape(key)).orElse("");
-      return get("/store?starts=" + escape(read.prefix()) + after + "&limit=" + PAGE);
+      return get("/store?starts=" + escape(read.prefix()) + after + "&limit=" + ENTRIES_PER_PAGE);
     }
     if (request instanceof Request.Watch watch) {
       return get(
@@ -49,23 +50,23 @@
               + watch.maxWait().millis());
     }
     if (request instanceof Request.GrantLease grant) {
-      return post("/leases", Pack.map().put("ttl_ms", grant.ttl().millis()));
+      return post("/leases", BinaryEncoding.newMap().put("ttl_ms", grant.ttl().millis()));
     }
     if (request instanceof Request.RenewLease renew) {
-      return post("/leases/" + renew.lease().value() + "/renew", Pack.map());
+      return post("/leases/" + renew.lease().value() + "/renew", BinaryEncoding.newMap());
     }
     if (request instanceof Request.RevokeLease drop) {
-      return new HttpMessage("DELETE", "/leases/" + drop.lease().value(), null);
+      return new OutgoingRequest("DELETE", "/leases/" + drop.lease().value(), null);
     }
     return post("/commit", commit((Request.Commit) request));
   }
 
-  private static HttpMessage get(String path) {
-    return new HttpMessage("GET", path, null);
+  private static OutgoingRequest get(String path) {
+    return new OutgoingRequest("GET", path, null);
   }
 
-  private static HttpMessage post(String path, ObjectNode body) {
-    return new HttpMessage("POST", path, Pack.messagePack(body));
+  private static OutgoingRequest post(String path, ObjectNode body) {
+    return new OutgoingRequest("POST", path, BinaryEncoding.encodeMessagePack(body));
   }
 
   private static String escape(String key) {
@@ -73,18 +74,18 @@
   }
 
   private static ObjectNode commit(Request.Commit request) {
-    ObjectNode map = Pack.map();
+    ObjectNode map = BinaryEncoding.newMap();
     ArrayNode guards = map.putArray("guards");
     for (Guard guard : request.guards()) {
       guards.addObject().put("k", guard.key()).put("stamp", guard.revision().value());
     }
-    ArrayNode then = map.putArray("then");
+    ArrayNode changes = map.putArray("then");
     for (Change change : request.changes()) {
-      ObjectNode item = then.addObject();
+      ObjectNode item = changes.addObject();
       if (change instanceof Change.Put put) {
         item.put("set", put.key());
         item.set("value", value(put.value()));
-        put.lease().ifPresent(hold -> item.put("hold", hold.value()));
+        put.lease().ifPresent(lease -> item.put("hold", lease.value()));
       } else if (change instanceof Change.Remove remove) {
         item.put("delete", remove.key());
       }
@@ -92,10 +93,12 @@
     return map;
   }
 
+  /** Decodes the response to a request; an error status other than a conflict is a refusal. */
   public static Answer decode(Request.StateServiceRequest request, int status, byte[] body)
-      throws BadMessage {
+      throws MalformedMessageException {
     if (status == 409 && request instanceof Request.Commit) {
-      return new Answer.Conflict(new Fields(Pack.messagePackMap(body)).texts("failed"));
+      return new Answer.Conflict(
+          new FieldReader(BinaryEncoding.decodeMessagePackMap(body)).textList("failed"));
     }
     if (status != 200 && status != 201 && status != 204) {
       return new Answer.Refused(status, "");
@@ -103,15 +106,16 @@
     if (request instanceof Request.RenewLease || request instanceof Request.RevokeLease) {
       return new Answer.Ok();
     }
-    Fields fields = new Fields(Pack.messagePackMap(body));
+    FieldReader fields = new FieldReader(BinaryEncoding.decodeMessagePackMap(body));
     if (request instanceof Request.ReadPage) {
       List<Entry> entries = new ArrayList<>();
       for (JsonNode item : fields.list("entries")) {
-        Fields entry = Fields.of(item);
+        FieldReader entry = FieldReader.ofMap(item);
         entries.add(
-            new Entry(entry.text("k"), readable(entry), new Revision(entry.count("stamp"))));
+            new Entry(
+                entry.text("k"), valueOrUnreadable(entry), new Revision(entry.count("stamp"))));
       }
-      return new Answer.Page(entries, fields.flag("more"), new Revision(fields.count("epoch")));
+      return new Answer.Page(entries, fields.bool("more"), new Revision(fields.count("epoch")));
     }
     if (request instanceof Request.Watch) {
       return changes(fields);
@@ -122,24 +126,26 @@
     return new Answer.Committed(new Revision(fields.count("epoch")));
   }
 
-  private static Answer changes(Fields fields) throws BadMessage {
-    List<KeyChange> news = new ArrayList<>();
+  private static Answer changes(FieldReader fields) throws MalformedMessageException {
+    List<KeyChange> changes = new ArrayList<>();
     if (fields.has("news")) {
       for (JsonNode node : fields.list("news")) {
-        Fields item = Fields.of(node);
-        Revision stamp = new Revision(item.count("stamp"));
+        FieldReader item = FieldReader.ofMap(node);
+        Revision revision = new Revision(item.count("stamp"));
         if (item.has("set")) {
-          news.add(new KeyChange(item.text("set"), Optional.of(readable(item)), stamp));
+          changes.add(
+              new KeyChange(item.text("set"), Optional.of(valueOrUnreadable(item)), revision));
         } else {
-          news.add(new KeyChange(item.text("delete"), Optional.empty(), stamp));
+          changes.add(new KeyChange(item.text("delete"), Optional.empty(), revision));
         }
       }
     }
-    return new Answer.Changes(new Revision(fields.count("epoch")), news);
+    return new Answer.Changes(new Revision(fields.count("epoch")), changes);
   }
 
+  /** Encodes a stored value. */
   static ObjectNode value(StoredValue value) {
-    ObjectNode map = Pack.map();
+    ObjectNode map = BinaryEncoding.newMap();
     if (value instanceof JobRecord job) {
       map.put("sort", "job");
       map.put("phase", job.phase().name());
@@ -168,10 +174,10 @@
       ProductCodec.encode(record.terms(), map);
     } else if (value instanceof StoredValue.SharedHead head) {
       map.put("sort", "head");
-      SharedCodec.encode(head, map);
+      SharedRecordCodec.encode(head, map);
     } else if (value instanceof StoredValue.SharedPart part) {
       map.put("sort", "part");
-      SharedCodec.encode(part, map);
+      SharedRecordCodec.encode(part, map);
     } else if (value instanceof StoredValue.DoneChunk chunk) {
       map.put("sort", "done");
       map.put("bits", chunk.bits());
@@ -185,7 +191,7 @@
     } else if (value instanceof StoredValue.MachineListRecord record) {
       map.put("sort", "machines");
       ArrayNode list = map.putArray("machines");
-      // Without names of fields, since there are many in a value of a few kilobytes.
+      // Arrays without field names, since a value of a few kilobytes holds many machines.
       record
           .machines()
           .forEach(
@@ -200,12 +206,15 @@
     return map;
   }
 
-  /** One value that is damaged, or of a later version, must not hold up all the others. */
-  private static StoredValue readable(Fields item) {
+  /**
+   * Decodes an entry's value; an invalid one, or one of a later version, becomes {@link
+   * StoredValue.Unreadable}, so that the other entries can still be read.
+   */
+  private static StoredValue valueOrUnreadable(FieldReader item) {
     try {
       return value(item.map("value"));
-    } catch (BadMessage | RuntimeException e) {
-      // A record's own checks throw what they like.
+    } catch (MalformedMessageException | RuntimeException e) {
+      // Constructors of records check their arguments and throw unchecked exceptions.
       return new StoredValue.Unreadable(String.valueOf(e.getMessage()));
     }
   }
@@ -228,10 +237,10 @@
     }
   }
 
-  private static StoredValue types(Fields map) throws BadMessage {
+  private static StoredValue types(FieldReader map) throws MalformedMessageException {
     Map<String, MachineType> types = new LinkedHashMap<>();
     for (JsonNode node : map.list("types")) {
-      Fields type = Fields.of(node);
+      FieldReader type = FieldReader.ofMap(node);
       types.put(
           type.text("name"),
           new MachineType(
@@ -242,12 +251,13 @@
               type.amount("price"),
               type.amount("spot_price"),
               type.seconds("boot_s"),
-              type.texts("zones")));
+              type.textList("zones")));
     }
     return new StoredValue.MachineTypesRecord(types);
   }
 
-  static StoredValue value(Fields map) throws BadMessage {
+  /** Decodes a stored value by its type. */
+  static StoredValue value(FieldReader map) throws MalformedMessageException {
     String sort = map.text("sort");
     return switch (sort) {
       case "job" ->
@@ -260,11 +270,11 @@
               new NodeId(map.text("node")), map.text("zone"), map.text("incarnation"));
       case "relay" -> new StoredValue.RelayRecord(map.text("zone"), new Token(map.count("token")));
       case "types" -> types(map);
-      case "drain" -> DrainCodec.drain(map);
-      case "stops" -> DrainCodec.stops(map);
+      case "drain" -> DrainCodec.decodeDrain(map);
+      case "stops" -> DrainCodec.decodeStops(map);
       case "product" -> new StoredValue.ProductRecord(ProductCodec.decode(map));
-      case "head" -> SharedCodec.head(map);
-      case "part" -> SharedCodec.part(map);
+      case "head" -> SharedRecordCodec.head(map);
+      case "part" -> SharedRecordCodec.part(map);
       case "done" -> new StoredValue.DoneChunk(map.text("bits"));
       case "machine" ->
           new StoredValue.MachineRecord(
@@ -272,22 +282,22 @@
               map.text("address"),
               map.text("type"),
               map.text("zone"),
-              map.flag("spot"));
+              map.bool("spot"));
       case "machines" -> machines(map);
-      default -> throw new BadMessage("stored value of unknown sort " + sort);
+      default -> throw new MalformedMessageException("unknown stored value type " + sort);
     };
   }
 
-  private static StoredValue machines(Fields map) throws BadMessage {
+  private static StoredValue machines(FieldReader map) throws MalformedMessageException {
     List<StoredValue.MachineRecord> machines = new ArrayList<>();
     for (JsonNode node : map.list("machines")) {
-      boolean texts =
+      boolean textsValid =
           node.path(0).isTextual()
               && node.path(1).isTextual()
               && node.path(2).isTextual()
               && node.path(3).isTextual();
-      if (!texts || !node.path(4).isBoolean()) {
-        throw new BadMessage("machine in a list is malformed");
+      if (!textsValid || !node.path(4).isBoolean()) {
+        throw new MalformedMessageException("machine list entry is malformed");
       }
       machines.add(
           new StoredValue.MachineRecord(
@@ -300,12 +310,12 @@
     return new StoredValue.MachineListRecord(machines);
   }
 
-  private static JobRecord.Phase phase(String name) throws BadMessage {
+  private static JobRecord.Phase phase(String name) throws MalformedMessageException {
     for (JobRecord.Phase phase : JobRecord.Phase.values()) {
       if (phase.name().equals(name)) {
         return phase;
       }
     }
-    throw new BadMessage("unknown phase " + name);
+    throw new MalformedMessageException("unknown phase " + name);
   }
 }
--- a/src/main/java/org/oakwalk/wire/WorkerCodec.java
+++ b/src/main/java/org/oakwalk/wire/WorkerCodec.java
@@ -20,7 +20,7 @@
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 
-/** Workers' reports and the orders to them. */
+/** Decodes workers' reports and encodes orders to workers. */
 public final class WorkerCodec {
   public static final String REPORT_PATH = "/hello";
   private static final String COMMAND_PATH = "/do";
@@ -43,15 +43,16 @@
 
   private WorkerCodec() {}
 
-  public static Report report(byte[] body) throws BadMessage {
-    return report(new Fields(Pack.messagePackMap(body)));
+  /** Decodes a report. */
+  public static Report report(byte[] body) throws MalformedMessageException {
+    return report(new FieldReader(BinaryEncoding.decodeMessagePackMap(body)));
   }
 
-  static Report report(Fields fields) throws BadMessage {
-    List<Report.ReportedTask> pieces = new ArrayList<>();
+  static Report report(FieldReader fields) throws MalformedMessageException {
+    List<Report.ReportedTask> tasks = new ArrayList<>();
     if (fields.has("pieces")) {
       for (JsonNode item : fields.list("pieces")) {
-        pieces.add(piece(Fields.of(item)));
+        tasks.add(reportedTask(FieldReader.ofMap(item)));
       }
     }
     return new Report(
@@ -59,19 +60,20 @@
         fields.shortText("addr"),
         fields.shortText("flavor"),
         fields.shortText("region"),
-        fields.flag("leftovers"),
+        fields.bool("leftovers"),
         new SessionId(fields.count("shift")),
         fields.count("tick"),
         new Token(fields.has("baton") ? fields.count("baton") : 0),
         fields.optionalSeconds("warning_s"),
-        pieces);
+        tasks);
   }
 
-  private static Report.ReportedTask piece(Fields fields) throws BadMessage {
-    TaskId task = task(fields);
+  private static Report.ReportedTask reportedTask(FieldReader fields)
+      throws MalformedMessageException {
+    TaskId task = taskId(fields);
     Report.TaskState state = STATES.get(fields.text("status"));
     if (state == null) {
-      throw new BadMessage("field status has an unknown value");
+      throw new MalformedMessageException("field status has an unknown value");
     }
     Report.Cause cause =
         state != Report.TaskState.ENDED
@@ -81,41 +83,43 @@
     return new Report.ReportedTask(task, new Attempt(fields.count("try")), state, cause);
   }
 
-  /** The answer to a report. */
+  /** Encodes the leader's response to a report. */
   public static byte[] orders(Token token, List<Order> orders) {
-    ObjectNode map = Pack.map();
+    ObjectNode map = BinaryEncoding.newMap();
     map.put("baton", token.value());
-    put(map, orders);
-    return Pack.messagePack(map);
+    write(map, orders);
+    return BinaryEncoding.encodeMessagePack(map);
   }
 
-  /** The answer of a node that does not lead. */
-  public static byte[] elsewhere(Optional<NodeId> leader) {
-    ObjectNode map = Pack.map();
+  /** Encodes the response of a node that doesn't lead, with the name of the leader if known. */
+  public static byte[] redirect(Optional<NodeId> leader) {
+    ObjectNode map = BinaryEncoding.newMap();
     leader.ifPresent(node -> map.put("boss", node.value()));
-    return Pack.messagePack(map);
+    return BinaryEncoding.encodeMessagePack(map);
   }
 
-  static HttpMessage command(Request.Command command) {
-    ObjectNode map = Pack.map();
+  static OutgoingRequest command(Request.Command command) {
+    ObjectNode map = BinaryEncoding.newMap();
     map.put("baton", command.token().value());
     map.put("shift", command.session().value());
-    put(map, command.orders());
-    return new HttpMessage("POST", COMMAND_PATH, Pack.messagePack(map));
+    write(map, command.orders());
+    return new OutgoingRequest("POST", COMMAND_PATH, BinaryEncoding.encodeMessagePack(map));
   }
 
-  static Answer commanded(int status, byte[] body) throws BadMessage {
+  /** Converts the HTTP response to a command to an answer; 409 is a rejected command. */
+  static Answer commandResult(int status, byte[] body) throws MalformedMessageException {
     return switch (status) {
       case 200 -> new Answer.CommandResult(true, report(body));
       case 409 -> new Answer.CommandResult(false, report(body));
       case 400 -> new Answer.Refused(status, "");
-      // Nothing that the protocol names: whoever answered so may have passed the command on.
+      // A status outside the protocol may come from a proxy that has forwarded the command.
+      // The outcome is unknown.
       default -> new Answer.OutcomeUnknown("status " + status);
     };
   }
 
-  /** A report as its worker sent it, to be carried on. */
-  static void put(ObjectNode map, Report report) {
+  /** Writes a report in the form in which its worker sent it, to forward it to the leader. */
+  static void write(ObjectNode map, Report report) {
     map.put("host", report.machine().value());
     map.put("addr", report.address());
     map.put("flavor", report.type());
@@ -124,10 +128,10 @@
     map.put("shift", report.session().value());
     map.put("tick", report.sequence());
     map.put("baton", report.token().value());
-    report.reclaimNotice().ifPresent(left -> map.put("warning_s", left.asSeconds()));
-    ArrayNode pieces = map.putArray("pieces");
+    report.reclaimNotice().ifPresent(remaining -> map.put("warning_s", remaining.asSeconds()));
+    ArrayNode tasks = map.putArray("pieces");
     for (Report.ReportedTask piece : report.tasks()) {
-      ObjectNode item = pieces.addObject();
+      ObjectNode item = tasks.addObject();
       item.put("piece", piece.task().toString());
       item.put("try", piece.attempt().value());
       item.put("status", piece.state().name().toLowerCase(Locale.ROOT));
@@ -137,12 +141,12 @@
     }
   }
 
-  /** Orders that a leader gives by way of another controller. */
-  static List<Order> orders(Fields fields) throws BadMessage {
+  /** Decodes the leader's orders for a worker whose report another controller forwarded. */
+  static List<Order> orders(FieldReader fields) throws MalformedMessageException {
     List<Order> orders = new ArrayList<>();
     for (JsonNode node : fields.list("orders")) {
-      Fields item = Fields.of(node);
-      TaskId task = task(item);
+      FieldReader item = FieldReader.ofMap(node);
+      TaskId task = taskId(item);
       Attempt attempt = new Attempt(item.count("try"));
       String verb = item.text("verb");
       orders.add(
@@ -152,18 +156,18 @@
                 new Order.Halt(
                     task, attempt, item.optionalSeconds("wind_down_s").orElse(Span.millis(0)));
             case "clear" -> new Order.Clear(task, attempt);
-            default -> throw new BadMessage("unknown order " + verb);
+            default -> throw new MalformedMessageException("unknown order " + verb);
           });
     }
     return orders;
   }
 
-  private static TaskId task(Fields fields) throws BadMessage {
+  private static TaskId taskId(FieldReader fields) throws MalformedMessageException {
     return TaskId.parse(fields.text("piece"))
-        .orElseThrow(() -> new BadMessage("field piece is malformed"));
+        .orElseThrow(() -> new MalformedMessageException("field piece is malformed"));
   }
 
-  static void put(ObjectNode map, List<Order> orders) {
+  static void write(ObjectNode map, List<Order> orders) {
     ArrayNode list = map.putArray("orders");
     for (Order order : orders) {
       ObjectNode item = list.addObject();
--- a/src/test/java/org/oakwalk/adapter/ConnectionLimiterTest.java
+++ b/src/test/java/org/oakwalk/adapter/ConnectionLimiterTest.java
@@ -24,20 +24,20 @@
 import org.oakwalk.core.port.Response;
 
 /**
- * A front door on loopback that more come to than it has sockets for. The core is played by one
- * that sends crowded workers to another node, or keeps them if there is none.
+ * Tests the limits of a listener on loopback that gets more connections than it has sockets. A
+ * simple stand-in for the core redirects workers on request, unless there is no other node.
  */
 class ConnectionLimiterTest {
-  private static final Sockets SOCKETS = new Sockets(200, 2);
+  private static final SocketBudget SOCKET_BUDGET = new SocketBudget(200, 2);
 
   private final QueuedThreadPool threads = new QueuedThreadPool(8, 2);
   private final ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler();
   private final List<Client> clients = new ArrayList<>();
-  private Listener listener;
-  private boolean alone;
-  private byte[] report;
+  private HttpListener listener;
+  private boolean noOtherNode;
+  private byte[] reportBody;
 
-  /** One connection, which may be closed from there. */
+  /** A client with one connection, which the listener may close. */
   private static final class Client {
     private final Socket socket;
 
@@ -46,8 +46,8 @@
       socket.setSoTimeout(5000);
     }
 
-    /** Status and headers of the answer; empty if the connection is over. */
-    String ask(String method, String path, byte[] body) {
+    /** Returns the status line and headers of the response; empty if the connection is closed. */
+    String send(String method, String path, byte[] body) {
       try {
         String head =
             method
@@ -58,13 +58,13 @@
                 + "\r\n\r\n";
         socket.getOutputStream().write(head.getBytes(StandardCharsets.UTF_8));
         socket.getOutputStream().write(body);
-        return answer();
+        return readResponse();
       } catch (IOException e) {
         return "";
       }
     }
 
-    private String answer() throws IOException {
+    private String readResponse() throws IOException {
       InputStream in = socket.getInputStream();
       StringBuilder head = new StringBuilder();
       while (head.indexOf("\r\n\r\n") < 0) {
@@ -85,18 +85,18 @@
   void start() throws Exception {
     threads.start();
     scheduler.start();
-    Address anywhere = new Address("127.0.0.1", 0);
+    Address anyPort = new Address("127.0.0.1", 0);
     listener =
-        new Listener(
+        new HttpListener(
             threads,
             scheduler,
             new ArrayByteBufferPool(),
-            anywhere,
-            anywhere,
-            SOCKETS,
-            this::serve);
+            anyPort,
+            anyPort,
+            SOCKET_BUDGET,
+            this::respond);
     listener.start();
-    report =
+    reportBody =
         new ObjectMapper(new MessagePackFactory())
             .writeValueAsBytes(
                 new ObjectMapper()
@@ -115,114 +115,116 @@
     threads.stop();
   }
 
-  private boolean serve(Event event) {
-    if (event instanceof Event.WorkerReportReceived reports) {
+  private boolean respond(Event event) {
+    if (event instanceof Event.WorkerReportReceived reportEvent) {
       listener.respond(
-          reports.requestId(),
-          reports.redirectPreferred() && !alone
+          reportEvent.requestId(),
+          reportEvent.redirectPreferred() && !noOtherNode
               ? new Response.Redirect(Optional.of(new NodeId("other")))
               : new Response.Orders(new Token(1), List.of()));
-    } else if (event instanceof Event.UserRequestReceived asks) {
+    } else if (event instanceof Event.UserRequestReceived userEvent) {
       listener.respond(
-          asks.requestId(),
+          userEvent.requestId(),
           new Response.JobStatus(false, new JobId("j-000001"), Response.JobState.QUEUED, 0, 0));
-    } else if (event instanceof Event.HealthCheckReceived asked) {
-      listener.respond(asked.requestId(), new Response.Ready());
+    } else if (event instanceof Event.HealthCheckReceived healthEvent) {
+      listener.respond(healthEvent.requestId(), new Response.Ready());
     }
     return true;
   }
 
-  private Client come() throws IOException {
-    Client client = new Client(listener.frontPort());
+  private Client connect() throws IOException {
+    Client client = new Client(listener.clientPort());
     clients.add(client);
     return client;
   }
 
-  private String report(Client client) {
-    return client.ask("POST", "/hello", report);
+  private String sendReport(Client client) {
+    return client.send("POST", "/hello", reportBody);
   }
 
-  private static String poll(Client client) {
-    return client.ask("GET", "/v2/runs/j-000001", new byte[0]);
+  private static String queryJob(Client client) {
+    return client.send("GET", "/v2/runs/j-000001", new byte[0]);
   }
 
-  private static String probe(Client client) {
-    return client.ask("GET", "/ready", new byte[0]);
+  private static String checkHealth(Client client) {
+    return client.send("GET", "/ready", new byte[0]);
   }
 
-  private static boolean served(String answer) {
+  private static boolean isOk(String answer) {
     return answer.startsWith("HTTP/1.1 200");
   }
 
   @Test
-  void sendsWorkersElsewhereBeforeItIsFull() throws Exception {
-    int staying = 0;
-    for (int i = 0; i < SOCKETS.front() + 50; i++) {
-      Client worker = come();
-      String answer = report(worker);
-      if (served(answer)) {
-        staying++;
+  void workersAreRedirectedBeforeListenerIsFull() throws Exception {
+    int accepted = 0;
+    for (int i = 0; i < SOCKET_BUDGET.maxClientConnections() + 50; i++) {
+      Client worker = connect();
+      String answer = sendReport(worker);
+      if (isOk(answer)) {
+        accepted++;
       } else {
         assertThat(answer).startsWith("HTTP/1.1 421");
         worker.socket.close();
       }
     }
-    assertThat(staying).isEqualTo(SOCKETS.crowded());
-    assertThat(poll(come())).startsWith("HTTP/1.1 200").doesNotContain("close");
-    assertThat(probe(come())).startsWith("HTTP/1.1 200");
+    assertThat(accepted).isEqualTo(SOCKET_BUDGET.redirectThreshold());
+    assertThat(queryJob(connect())).startsWith("HTTP/1.1 200").doesNotContain("close");
+    assertThat(checkHealth(connect())).startsWith("HTTP/1.1 200");
   }
 
   @Test
-  void letsUsersAndProbesInWhereWorkersHaveNowhereElseToGo() throws Exception {
-    alone = true;
+  void usersAndHealthChecksAreAcceptedWhenWorkersCannotBeRedirected() throws Exception {
+    noOtherNode = true;
     List<Client> workers = new ArrayList<>();
-    for (int i = 0; i < SOCKETS.front() + 50; i++) {
-      Client worker = come();
+    for (int i = 0; i < SOCKET_BUDGET.maxClientConnections() + 50; i++) {
+      Client worker = connect();
       workers.add(worker);
-      assertThat(report(worker)).startsWith("HTTP/1.1 200");
+      assertThat(sendReport(worker)).startsWith("HTTP/1.1 200");
       if (i % 10 == 0) {
-        assertThat(poll(come())).startsWith("HTTP/1.1 200");
-        assertThat(probe(come())).startsWith("HTTP/1.1 200");
+        assertThat(queryJob(connect())).startsWith("HTTP/1.1 200");
+        assertThat(checkHealth(connect())).startsWith("HTTP/1.1 200");
       }
     }
-    // Who was closed finds the door open again.
+    // Workers whose connection was closed can connect again.
     int closed = 0;
     for (Client worker : workers) {
-      if (!served(report(worker))) {
+      if (!isOk(sendReport(worker))) {
         closed++;
-        assertThat(report(come())).startsWith("HTTP/1.1 200");
+        assertThat(sendReport(connect())).startsWith("HTTP/1.1 200");
       }
     }
     assertThat(closed).isPositive();
   }
 
   @Test
-  void closesUsersBeforeWorkers() throws Exception {
-    alone = true;
+  void userConnectionsAreClosedBeforeWorkerConnections() throws Exception {
+    noOtherNode = true;
     List<Client> workers = new ArrayList<>();
-    Client user = come();
-    assertThat(poll(user)).startsWith("HTTP/1.1 200");
-    for (int i = 0; i < SOCKETS.front(); i++) {
-      Client worker = come();
+    Client user = connect();
+    assertThat(queryJob(user)).startsWith("HTTP/1.1 200");
+    for (int i = 0; i < SOCKET_BUDGET.maxClientConnections(); i++) {
+      Client worker = connect();
       workers.add(worker);
-      assertThat(report(worker)).startsWith("HTTP/1.1 200");
+      assertThat(sendReport(worker)).startsWith("HTTP/1.1 200");
     }
-    assertThat(poll(user)).isEmpty();
-    assertThat(workers).allMatch(worker -> served(report(worker)));
+    assertThat(queryJob(user)).isEmpty();
+    assertThat(workers).allMatch(worker -> isOk(sendReport(worker)));
   }
 
   @Test
-  void asksUsersBeyondTheirPartToComeAnew() throws Exception {
+  void userConnectionsAboveLimitAreClosedAfterResponse() throws Exception {
     List<Client> workers = new ArrayList<>();
-    for (int i = 0; i < SOCKETS.crowded() - SOCKETS.users(); i++) {
-      Client worker = come();
+    for (int i = 0;
+        i < SOCKET_BUDGET.redirectThreshold() - SOCKET_BUDGET.userConnectionLimit();
+        i++) {
+      Client worker = connect();
       workers.add(worker);
-      assertThat(report(worker)).startsWith("HTTP/1.1 200");
+      assertThat(sendReport(worker)).startsWith("HTTP/1.1 200");
     }
-    for (int i = 0; i < 3 * SOCKETS.front(); i++) {
-      assertThat(poll(come())).startsWith("HTTP/1.1 200");
+    for (int i = 0; i < 3 * SOCKET_BUDGET.maxClientConnections(); i++) {
+      assertThat(queryJob(connect())).startsWith("HTTP/1.1 200");
     }
-    assertThat(poll(come())).contains("Connection: close");
-    assertThat(workers).allMatch(worker -> served(report(worker)));
+    assertThat(queryJob(connect())).contains("Connection: close");
+    assertThat(workers).allMatch(worker -> isOk(sendReport(worker)));
   }
 }
--- a/src/test/java/org/oakwalk/wire/SubmissionTest.java
+++ b/src/test/java/org/oakwalk/wire/SubmissionTest.java
@@ -12,7 +12,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.oakwalk.core.port.UserRequest;
 
-/** Submissions that lack a field, or have one of another type or beyond its bounds. */
+/** Tests that submissions with missing fields, wrong types or values out of range are rejected. */
 class SubmissionTest {
   private static final ObjectMapper JSON = new ObjectMapper();
 
@@ -24,7 +24,7 @@
        "guess_s":240.0,"snapshot_every_s":30.0,"snapshot_s":4.0,"due_s":900.0}
       """;
 
-  /** Each field of a job: what is left out, null or of another type is named; bounds are kept. */
+  /** Each required field: the problem names it if it is missing, null, mistyped or out of range. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -47,24 +47,27 @@
         "snapshot_every_s | 0 | [-1, \"1\", true, []]",
         "snapshot_s | 0 | [-1, \"1\", true, []]"
       })
-  void everyFieldIsNeeded(String field, String good, String bad) throws Exception {
+  void missingOrInvalidRequiredFieldIsNamed(String field, String good, String bad)
+      throws Exception {
     ObjectNode job = (ObjectNode) JSON.readTree(JOB);
     job.set(field, JSON.readTree(good));
-    assertThat(UserCodec.submission(Pack.messagePack(job)).spec()).isPresent();
-    List<ObjectNode> malformed = new ArrayList<>();
-    malformed.add(job.deepCopy().without(field));
-    malformed.add(job.deepCopy().putNull(field));
+    assertThat(UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(job)).spec())
+        .isPresent();
+    List<ObjectNode> malformedJobs = new ArrayList<>();
+    malformedJobs.add(job.deepCopy().without(field));
+    malformedJobs.add(job.deepCopy().putNull(field));
     for (JsonNode value : JSON.readTree(bad)) {
-      malformed.add(job.deepCopy().set(field, value));
+      malformedJobs.add(job.deepCopy().set(field, value));
     }
-    for (ObjectNode each : malformed) {
-      UserRequest.Submit request = UserCodec.submission(Pack.messagePack(each));
+    for (ObjectNode each : malformedJobs) {
+      UserRequest.Submit request =
+          UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(each));
       assertThat(request.spec()).as(each.toString()).isEmpty();
       assertThat(request.problem()).contains(field);
     }
   }
 
-  /** What may be null may be left out, and is refused like the rest if it is of another type. */
+  /** Each optional field may be null or missing, but is rejected if mistyped or out of range. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
@@ -74,37 +77,39 @@
         "region | \"a\" | [7, true, \"\", [], {}]",
         "due_s | 0 | [-1, \"1\", true, [], {}]"
       })
-  void whatMayBeNullMayBeLeftOut(String field, String good, String bad) throws Exception {
+  void optionalFieldMayBeNullOrMissing(String field, String good, String bad) throws Exception {
     ObjectNode job = (ObjectNode) JSON.readTree(JOB);
     for (ObjectNode each :
         List.<ObjectNode>of(
             job.deepCopy().without(field),
             job.deepCopy().putNull(field),
             job.deepCopy().set(field, JSON.readTree(good)))) {
-      assertThat(UserCodec.submission(Pack.messagePack(each)).spec()).isPresent();
+      assertThat(UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(each)).spec())
+          .isPresent();
     }
     for (JsonNode value : JSON.readTree(bad)) {
       job.set(field, value);
-      UserRequest.Submit request = UserCodec.submission(Pack.messagePack(job));
+      UserRequest.Submit request =
+          UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(job));
       assertThat(request.spec()).as(job.toString()).isEmpty();
       assertThat(request.problem()).contains(field);
     }
   }
 
-  /** Without a job's id nobody can tell whether it is known; it is malformed as a whole. */
+  /** Without a valid job ID, the job can't be looked up, and the whole message is malformed. */
   @ParameterizedTest
   @CsvSource(
       delimiter = '|',
       quoteCharacter = '`',
       value = {"null", "7", "true", "\"\"", "\"j-\"", "\"J-1\"", "\"j-1/0\"", "\"j-1 \"", "[]"})
-  void refusesAnIdOfAnotherForm(String id) throws Exception {
+  void submissionWithInvalidIdIsMalformed(String id) throws Exception {
     ObjectNode job = (ObjectNode) JSON.readTree(JOB);
     job.set("ref", JSON.readTree(id));
-    assertThatThrownBy(() -> UserCodec.submission(Pack.messagePack(job)))
-        .isInstanceOf(BadMessage.class)
+    assertThatThrownBy(() -> UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(job)))
+        .isInstanceOf(MalformedMessageException.class)
         .hasMessageContaining("ref");
     job.remove("ref");
-    assertThatThrownBy(() -> UserCodec.submission(Pack.messagePack(job)))
-        .isInstanceOf(BadMessage.class);
+    assertThatThrownBy(() -> UserCodec.decodeSubmission(BinaryEncoding.encodeMessagePack(job)))
+        .isInstanceOf(MalformedMessageException.class);
   }
 }
