--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.oakwalk.core.capacity.Catalogue;
+import org.oakwalk.core.capacity.MachineTypeCatalog;
 import org.oakwalk.core.job.Admission;
 import org.oakwalk.core.job.OpenQuestions;
 import org.oakwalk.core.job.UserRequestHandler;
@@ -53,7 +53,7 @@
   private final UserRequestHandler userRequests;
   private final WithdrawalHalts halts;
   private final OpenQuestions questions = new OpenQuestions();
-  private final Catalogue catalogue;
+  private final MachineTypeCatalog catalogue;
   private Optional<LeaderTerm> term = Optional.empty();
   private Moment nextDigest = new Moment(Long.MIN_VALUE / 2);
   private Optional<NodeId> digestFrom = Optional.empty();
@@ -119,7 +119,7 @@
             view,
             settings.teams(),
             new Admission(settings.teams(), view, policy.mostOpenJobs()));
-    this.catalogue = new Catalogue(outbox);
+    this.catalogue = new MachineTypeCatalog(outbox);
     view.setListener(
         new StoreView.Listener() {
           @Override
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.oakwalk.core.capacity.Boots;
-import org.oakwalk.core.capacity.Capacity;
-import org.oakwalk.core.capacity.CatalogueKeeper;
-import org.oakwalk.core.drain.Drainer;
-import org.oakwalk.core.drain.Gate;
-import org.oakwalk.core.drain.Mover;
-import org.oakwalk.core.drain.PlanKeeper;
-import org.oakwalk.core.drain.StopLedger;
+import org.oakwalk.core.capacity.Autoscaler;
+import org.oakwalk.core.capacity.BootTracker;
+import org.oakwalk.core.capacity.MachineTypeWriter;
+import org.oakwalk.core.drain.DisruptionLimiter;
+import org.oakwalk.core.drain.DrainController;
+import org.oakwalk.core.drain.DrainPlanRegistry;
+import org.oakwalk.core.drain.ReplicaMover;
+import org.oakwalk.core.drain.StopGrants;
 import org.oakwalk.core.fleet.CommandDispatcher;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
@@ -65,11 +65,11 @@
   private final RunTimes runTimes = new RunTimes();
   private final Pace pace = new Pace(runTimes);
   private final Placer placer;
-  private final Capacity capacity;
-  private final Gate gate;
-  private final Mover mover;
-  private final Drainer drainer;
-  private final CatalogueKeeper keeper;
+  private final Autoscaler capacity;
+  private final DisruptionLimiter gate;
+  private final ReplicaMover mover;
+  private final DrainController drainer;
+  private final MachineTypeWriter keeper;
   private final Products products;
   private final Planner planner;
   private boolean roundDue = true;
@@ -131,16 +131,16 @@
             graceLimit,
             now);
     this.gate =
-        new Gate(
-            policy.drains().budgetsOf(settings.teams().keySet()),
-            new StopLedger(outbox, guard, view.recentStops(), view::recentStopsRevision),
+        new DisruptionLimiter(
+            policy.drains().budgetsFor(settings.teams().keySet()),
+            new StopGrants(outbox, guard, view.recentStops(), view::recentStopsRevision),
             fleet,
             jobs,
             suspectAfter);
     Quota quota = new Quota(settings.teams(), fleet);
     Headroom headroom = new Headroom(fleet, jobs, quota, settings, gate::allows);
     this.planner = new Planner(fleet, jobs, settings, policy.scoring().floor(), headroom::kept);
-    this.mover = new Mover(fleet, quota, gate, outbox, suspectAfter, headroom);
+    this.mover = new ReplicaMover(fleet, quota, gate, outbox, suspectAfter, headroom);
     this.products =
         new Products(
             policy.product(),
@@ -164,9 +164,9 @@
             gate::allows,
             headroom,
             products);
-    this.keeper = new CatalogueKeeper(outbox, view, guard, settings.state());
+    this.keeper = new MachineTypeWriter(outbox, view, guard, settings.state());
     this.capacity =
-        new Capacity(
+        new Autoscaler(
             outbox,
             fleet,
             jobs,
@@ -178,21 +178,21 @@
             suspectAfter,
             sort -> bars(view, sort),
             spec -> quota.placesLeft(spec.team(), spec.room()));
-    capacity.keeps(headroom::kept);
+    capacity.setReservedSpecs(headroom::kept);
     this.drainer =
-        new Drainer(
+        new DrainController(
             fleet,
             jobs,
             view,
             capacity,
-            new PlanKeeper(outbox, view, guard, fleet, policy.drains().plans()),
+            new DrainPlanRegistry(outbox, view, guard, fleet, policy.drains().plans()),
             gate,
             mover);
   }
 
-  private static boolean bars(StoreView view, Boots.Sort sort) {
+  private static boolean bars(StoreView view, BootTracker.MachinePool sort) {
     return view.drainPlans().all().stream()
-        .anyMatch(drain -> drain.plan().bars(sort.zone(), sort.type(), sort.spot()));
+        .anyMatch(drain -> drain.plan().forbidsRenting(sort.zone(), sort.type(), sort.spot()));
   }
 
   /**
@@ -286,12 +286,12 @@
 
   /** Whether hardly any machine reaches this node, though there are some. */
   boolean blind(boolean othersCarry, Moment now) {
-    return recovery.complete() && capacity.health().blind(othersCarry, now);
+    return recovery.complete() && capacity.failureDetector().isCutOff(othersCarry, now);
   }
 
   /** This process stood still until now, so that nobody's silence tells anything. */
   void stoodStill(Moment now) {
-    capacity.health().stoodStill(now);
+    capacity.failureDetector().processStalled(now);
   }
 
   void peerSettled(NodeId peer, Moment now) {
@@ -442,12 +442,12 @@
 
   @Override
   public void stopping(Placement placement, Fleet.Why why) {
-    gate.stopped(placement, why);
+    gate.recordStop(placement, why);
   }
 
   @Override
   public void left(Placement placement, Moment now) {
-    mover.left(placement, now);
+    mover.placementEnded(placement, now);
   }
 
   @Override
--- a/src/main/java/org/oakwalk/core/Policy.java
+++ b/src/main/java/org/oakwalk/core/Policy.java
@@ -1,6 +1,6 @@
 package org.oakwalk.core;
 
-import org.oakwalk.core.drain.Drains;
+import org.oakwalk.core.drain.DrainPolicy;
 import org.oakwalk.core.product.ProductTerms;
 
 /** The operators' own choices; every default is documented in docs/operations.md. */
@@ -10,7 +10,7 @@
     Span round,
     Capacity capacity,
     int mostOpenJobs,
-    Drains drains,
+    DrainPolicy drains,
     ProductTerms product) {
 
   /** Weights of the score. */
@@ -41,7 +41,7 @@
         Span.seconds(2),
         new Capacity(0.15, 2, Span.seconds(40), 0.5, Span.seconds(5), Span.seconds(120)),
         10_000,
-        Drains.NONE,
+        DrainPolicy.NONE,
         ProductTerms.NONE);
   }
 }
--- a/src/main/java/org/oakwalk/core/Products.java
+++ b/src/main/java/org/oakwalk/core/Products.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.BiConsumer;
-import org.oakwalk.core.drain.Gate;
+import org.oakwalk.core.drain.DisruptionLimiter;
 import org.oakwalk.core.exchange.Exchange;
 import org.oakwalk.core.exchange.Take;
 import org.oakwalk.core.fleet.Fleet;
@@ -38,7 +38,7 @@
       Fleet fleet,
       JobBook jobs,
       Quota quota,
-      Gate gate,
+      DisruptionLimiter gate,
       RunTimes runTimes,
       Span suspectAfter,
       Reserve reserve,
--- a/src/main/java/org/oakwalk/core/capacity/Capacity.java
+++ b/src/main/java/org/oakwalk/core/capacity/Autoscaler.java
@@ -35,16 +35,16 @@
 import org.slf4j.LoggerFactory;
 
 /** Decides what to rent and what to return, and talks to the cloud about it. */
-public final class Capacity {
-  private static final Logger LOG = LoggerFactory.getLogger(Capacity.class);
-  private static final Span PLAN_EVERY = Span.seconds(1);
-  private static final Span RETRY = Span.seconds(1);
-  private static final int MOST_RELEASED = 100;
-  private static final double TIGHT_HALVES_IN_SECONDS = 150;
-  private static final double LOOSE_HALVES_IN_SECONDS = 45;
-  private static final double TOTAL_HALVES_IN_SECONDS = 40;
-  private static final double LOOSE_HEADROOM = 0.3;
-  private static final Span OUT_OF_REACH = Span.seconds(10);
+public final class Autoscaler {
+  private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
+  private static final Span PLAN_INTERVAL = Span.seconds(1);
+  private static final Span RELEASE_RETRY_INTERVAL = Span.seconds(1);
+  private static final int MAX_RELEASE_BATCH = 100;
+  private static final double URGENT_HALF_LIFE_SECONDS = 150;
+  private static final double DEFERRABLE_HALF_LIFE_SECONDS = 45;
+  private static final double TOTAL_HALF_LIFE_SECONDS = 40;
+  private static final double DEFERRABLE_HEADROOM_SHARE = 0.3;
+  private static final Span UNREACHABLE_COUNTED_FOR = Span.seconds(10);
 
   private final Outbox outbox;
   private final Fleet fleet;
@@ -54,27 +54,30 @@
   private final Settings.CloudLimits limits;
   private final Span suspectAfter;
   private final Demand demand;
-  private final Boots boots;
-  private final Health health;
-  private final Renter renter;
-  private final Surplus surplus;
-  private final BoundWork bound;
-  private Supplier<List<JobSpec>> kept = List::of;
-  private final Set<MachineId> returned = new HashSet<>();
+  private final BootTracker bootTracker;
+  private final MachineFailureDetector failureDetector;
+  private final RentalRequester renter;
+  private final ScaleDown scaleDown;
+  private final ZoneBoundDemand zoneBoundDemand;
+  private Supplier<List<JobSpec>> reservedSpecs = List::of;
+  private final Set<MachineId> releasedIds = new HashSet<>();
   private final Set<Machine> releasing = new HashSet<>();
   private Map<String, MachineType> types = Map.of();
   private Moment nextPlan = new Moment(Long.MIN_VALUE / 2);
   private Moment nextList = new Moment(Long.MIN_VALUE / 2);
   private Moment nextRelease = new Moment(Long.MIN_VALUE / 2);
-  private final Map<String, Integer> enoughByType = new HashMap<>();
-  private boolean cloudFails;
-  private Moment firstAsked;
-  private boolean listKnown;
+  private final Map<String, Integer> sufficientByType = new HashMap<>();
+  private boolean cloudUnavailable;
+  private Moment firstListRequest;
+  private boolean listComplete;
   private String summary = "";
-  private boolean listing;
-  private final Peaks tightPeaks = new Peaks(PLAN_EVERY, TIGHT_HALVES_IN_SECONDS);
-  private final Peaks loosePeaks = new Peaks(PLAN_EVERY, LOOSE_HALVES_IN_SECONDS);
-  private final Peaks totalPeaks = new Peaks(PLAN_EVERY, TOTAL_HALVES_IN_SECONDS);
+  private boolean listInFlight;
+  private final DecayingPeaks urgentPeaks =
+      new DecayingPeaks(PLAN_INTERVAL, URGENT_HALF_LIFE_SECONDS);
+  private final DecayingPeaks deferrablePeaks =
+      new DecayingPeaks(PLAN_INTERVAL, DEFERRABLE_HALF_LIFE_SECONDS);
+  private final DecayingPeaks totalPeaks =
+      new DecayingPeaks(PLAN_INTERVAL, TOTAL_HALF_LIFE_SECONDS);
 
   /**
    * Decides for a fleet.
@@ -82,7 +85,7 @@
    * @param bars sorts of machines that must not be rented at present
    * @param placesLeft for how many tasks more of a job its team's limit leaves room
    */
-  public Capacity(
+  public Autoscaler(
       Outbox outbox,
       Fleet fleet,
       JobBook jobs,
@@ -92,7 +95,7 @@
       RunTimes runTimes,
       Deadlines planned,
       Span suspectAfter,
-      Predicate<Boots.Sort> bars,
+      Predicate<BootTracker.MachinePool> bars,
       ToIntFunction<JobSpec> placesLeft) {
     this.outbox = outbox;
     this.fleet = fleet;
@@ -101,22 +104,22 @@
     this.policy = policy;
     this.limits = settings.cloud();
     this.suspectAfter = suspectAfter;
-    this.boots = new Boots(policy.bootPatience());
-    this.health = new Health(fleet, boots, policy, suspectAfter);
-    this.surplus = new Surplus(fleet, policy, suspectAfter);
-    this.renter = new Renter(outbox, fleet, boots, bars);
+    this.bootTracker = new BootTracker(policy.bootPatience());
+    this.failureDetector = new MachineFailureDetector(fleet, bootTracker, policy, suspectAfter);
+    this.scaleDown = new ScaleDown(fleet, policy, suspectAfter);
+    this.renter = new RentalRequester(outbox, fleet, bootTracker, bars);
     this.demand = new Demand(settings.objectives(), runTimes, planned);
-    this.bound = new BoundWork(fleet, jobs, demand, placesLeft);
+    this.zoneBoundDemand = new ZoneBoundDemand(fleet, jobs, demand, placesLeft);
   }
 
   /** What tells broken machines from those that are merely out of reach. */
-  public Health health() {
-    return health;
+  public MachineFailureDetector failureDetector() {
+    return failureDetector;
   }
 
   /** Machines are held for these as well, as if they were jobs. */
-  public void keeps(Supplier<List<JobSpec>> specs) {
-    kept = specs;
+  public void setReservedSpecs(Supplier<List<JobSpec>> specs) {
+    reservedSpecs = specs;
   }
 
   /** Follows the fleet; rents only once it is known what there is. */
@@ -125,46 +128,46 @@
     if (types.isEmpty()) {
       return;
     }
-    if (!listing && !nextList.isAfter(now)) {
-      list(Optional.empty(), now);
+    if (!listInFlight && !nextList.isAfter(now)) {
+      requestList(Optional.empty(), now);
     }
     if (!nextPlan.isAfter(now)) {
-      nextPlan = now.plus(PLAN_EVERY);
-      health.survey(now, this::returnMachine);
+      nextPlan = now.plus(PLAN_INTERVAL);
+      failureDetector.checkMachines(now, this::returnMachine);
       if (recovered) {
         plan(now, wall);
       }
     }
     if (!nextRelease.isAfter(now)) {
-      release(now);
+      releaseBatch(now);
     }
   }
 
-  private void list(Optional<MachineId> after, Moment now) {
-    listing = true;
-    firstAsked = firstAsked == null ? now : firstAsked;
+  private void requestList(Optional<MachineId> after, Moment now) {
+    listInFlight = true;
+    firstListRequest = firstListRequest == null ? now : firstListRequest;
     outbox.call(
         new Request.ListRentals(after),
         answer -> {
-          listing = false;
-          cloudFails = !(answer instanceof Answer.Rentals);
+          listInFlight = false;
+          cloudUnavailable = !(answer instanceof Answer.Rentals);
           nextList = now.plus(limits.listLag().times(0.7));
           if (answer instanceof Answer.Rentals page) {
             for (Rental rental : page.rentals()) {
-              listed(rental, now);
+              applyListEntry(rental, now);
             }
             if (page.more() && !page.rentals().isEmpty()) {
-              list(Optional.of(page.rentals().get(page.rentals().size() - 1).id()), now);
+              requestList(Optional.of(page.rentals().get(page.rentals().size() - 1).id()), now);
             } else {
               // A list shows the past, by up to twice its lag.
-              listKnown |= now.past(firstAsked, limits.listLag().times(2));
+              listComplete |= now.past(firstListRequest, limits.listLag().times(2));
             }
           }
         });
   }
 
   /** Takes over a line of the list, which shows the past: only new machines and ends count. */
-  private void listed(Rental rental, Moment now) {
+  private void applyListEntry(Rental rental, Moment now) {
     Optional<Machine> machine = fleet.find(rental.id());
     if (machine.isPresent()) {
       if (rental.status() == Rental.Status.FAILED
@@ -174,7 +177,7 @@
       }
       return;
     }
-    if (returned.contains(rental.id())) {
+    if (releasedIds.contains(rental.id())) {
       // The list shows the past, and what the cloud has confirmed as gone never comes back. Taken
       // for
       // one that boots, it would be given up later, as if boots had failed.
@@ -205,10 +208,10 @@
     releasing.add(machine);
   }
 
-  private void release(Moment now) {
+  private void releaseBatch(Moment now) {
     List<Machine> batch = new ArrayList<>();
     for (Machine machine : releasing) {
-      if (batch.size() < MOST_RELEASED) {
+      if (batch.size() < MAX_RELEASE_BATCH) {
         batch.add(machine);
       }
     }
@@ -219,11 +222,12 @@
     outbox.call(
         new Request.Release(batch.stream().map(Machine::id).toList()),
         answer -> {
-          nextRelease = now.plus(answer instanceof Answer.Ok ? Span.millis(0) : RETRY);
+          nextRelease =
+              now.plus(answer instanceof Answer.Ok ? Span.millis(0) : RELEASE_RETRY_INTERVAL);
           if (answer instanceof Answer.Ok) {
             for (Machine machine : batch) {
               releasing.remove(machine);
-              returned.add(machine.id());
+              releasedIds.add(machine.id());
               fleet.gone(machine, now);
               registry.gone(machine.id());
             }
@@ -232,73 +236,79 @@
   }
 
   /** Machines that the open jobs ask for; tight is the part that can't wait for a boot. */
-  private record Need(double total, double ordinary, double tight) {
-    static final Need NONE = new Need(0, 0, 0);
+  private record MachineDemand(double total, double ordinary, double urgent) {
+    static final MachineDemand NONE = new MachineDemand(0, 0, 0);
 
-    Need plus(Need other) {
-      return new Need(total + other.total, ordinary + other.ordinary, tight + other.tight);
+    MachineDemand plus(MachineDemand other) {
+      return new MachineDemand(
+          total + other.total, ordinary + other.ordinary, urgent + other.urgent);
     }
   }
 
   private void plan(Moment now, WallTime wall) {
-    Map<String, Need> needs = new HashMap<>();
+    Map<String, MachineDemand> needs = new HashMap<>();
     for (Job job : jobs.all()) {
       if (job.open()) {
-        MachineType type = Demand.cheapest(job.spec(), types.values());
+        MachineType type = Demand.cheapestType(job.spec(), types.values());
         if (type != null) {
-          double machines = Demand.machines(job.spec().room(), demand.slots(job, type, wall), type);
+          double machines =
+              Demand.machineCount(job.spec().room(), demand.concurrentTasks(job, type, wall), type);
           boolean spot = job.spec().spotAllowed();
           needs.merge(
               type.name(),
-              new Need(machines, spot ? 0 : machines, demand.tight(job, type, wall) ? machines : 0),
-              Need::plus);
+              new MachineDemand(
+                  machines,
+                  spot ? 0 : machines,
+                  demand.needsStandbyCapacity(job, type, wall) ? machines : 0),
+              MachineDemand::plus);
         }
       }
     }
-    for (JobSpec spec : kept.get()) {
-      MachineType type = Demand.cheapest(spec, types.values());
+    for (JobSpec spec : reservedSpecs.get()) {
+      MachineType type = Demand.cheapestType(spec, types.values());
       if (type != null) {
-        double machines = Demand.machines(spec.room(), spec.tasks(), type);
+        double machines = Demand.machineCount(spec.room(), spec.tasks(), type);
         needs.merge(
             type.name(),
-            new Need(machines, spec.spotAllowed() ? 0 : machines, machines),
-            Need::plus);
+            new MachineDemand(machines, spec.spotAllowed() ? 0 : machines, machines),
+            MachineDemand::plus);
       }
     }
     for (MachineType type : types.values()) {
-      Need need = needs.getOrDefault(type.name(), Need.NONE);
+      MachineDemand need = needs.getOrDefault(type.name(), MachineDemand.NONE);
       // What could not be rented was not used either, so it is no measure for what is kept.
-      int held = held(type);
-      double tight = tightPeaks.raise(type.name(), need.tight(), held);
-      double loose = loosePeaks.raise(type.name(), need.total() - need.tight(), held);
+      int held = activeCount(type);
+      double tight = urgentPeaks.update(type.name(), need.urgent(), held);
+      double loose = deferrablePeaks.update(type.name(), need.total() - need.urgent(), held);
       // The two peaks belong to different moments, so together they ask for more than was ever
       // asked for at once; over a large fleet that is most of the money.
-      double total = totalPeaks.raise(type.name(), need.total(), held);
+      double total = totalPeaks.update(type.name(), need.total(), held);
       double ready =
           Math.min(
               total * (1 + policy.headroom()),
-              tight * (1 + policy.headroom()) + loose * (1 + policy.headroom() * LOOSE_HEADROOM));
+              tight * (1 + policy.headroom())
+                  + loose * (1 + policy.headroom() * DEFERRABLE_HEADROOM_SHARE));
       // With nothing to do at all, the spare machines go as well.
       int wanted = need.total() <= 0 ? 0 : (int) Math.ceil(ready) + policy.spareMachines();
-      adjust(type, need, wanted, now);
+      scale(type, need, wanted, now);
     }
-    bound
-        .missing(spec -> Demand.cheapest(spec, types.values()), suspectAfter, now, wall)
-        .forEach((sort, count) -> supply(sort, count, now));
+    zoneBoundDemand
+        .missingMachines(spec -> Demand.cheapestType(spec, types.values()), suspectAfter, now, wall)
+        .forEach((sort, count) -> provideMachines(sort, count, now));
   }
 
   /** Gets machines in one zone, whatever is held elsewhere; that becomes surplus later. */
-  private void supply(Boots.Sort sort, int count, Moment now) {
-    int left = count - surplus.keep(sort, count, now);
+  private void provideMachines(BootTracker.MachinePool sort, int count, Moment now) {
+    int left = count - scaleDown.reactivate(sort, count, now);
     if (left > 0 && sort.spot()) {
       left -= renter.rent(sort, left, now);
     }
     if (left > 0) {
-      renter.rent(new Boots.Sort(sort.type(), sort.zone(), false), left, now);
+      renter.rent(new BootTracker.MachinePool(sort.type(), sort.zone(), false), left, now);
     }
   }
 
-  private int held(MachineType type) {
+  private int activeCount(MachineType type) {
     int held = 0;
     for (Machine machine : fleet.machines()) {
       if (machine.type().name().equals(type.name()) && machine.duty() == Duty.IN_USE) {
@@ -308,11 +318,11 @@
     return held;
   }
 
-  private void adjust(MachineType type, Need need, int wanted, Moment now) {
+  private void scale(MachineType type, MachineDemand need, int wanted, Moment now) {
     int ordinary = 0;
     int spot = 0;
     for (Machine machine : fleet.machines()) {
-      if (machine.type().name().equals(type.name()) && counts(machine, now)) {
+      if (machine.type().name().equals(type.name()) && countsAsCapacity(machine, now)) {
         ordinary += machine.spot() ? 0 : 1;
         spot += machine.spot() ? 1 : 0;
       }
@@ -326,21 +336,21 @@
       // Only then: where none lacks, a surplus has to stay one, or nothing is ever returned.
       missing = Math.max(missing, lacking);
     }
-    enoughByType.put(type.name(), wanted - (int) Math.max(0, (wanted - need.total()) / 2));
+    sufficientByType.put(type.name(), wanted - (int) Math.max(0, (wanted - need.total()) / 2));
     summary =
         String.format(
             Locale.ROOT,
             "need %.1f (ordinary %.1f, tight %.1f) wanted %d held %d",
             need.total(),
             need.ordinary(),
-            need.tight(),
+            need.urgent(),
             wanted,
             ordinary + spot);
     if (missing > 0) {
-      int kept = surplus.keepOrdinary(type, lacking, now);
+      int kept = scaleDown.reactivateOrdinary(type, lacking, now);
       lacking -= kept;
       missing -= kept;
-      missing -= surplus.keep(type, missing - lacking, now);
+      missing -= scaleDown.reactivate(type, missing - lacking, now);
     }
     if (missing > 0) {
       int flexible = Math.max(0, wanted - wantedOrdinary);
@@ -354,36 +364,36 @@
         renter.rent(type, true, left, now);
       }
     } else if (missing < 0) {
-      surplus.retire(type, -missing, ordinary - wantedOrdinary, now);
+      scaleDown.retire(type, -missing, ordinary - wantedOrdinary, now);
     }
   }
 
   /** Whether the cloud's list has shown all that was rented before this leader rose. */
-  public boolean listKnown() {
-    return listKnown;
+  public boolean isListComplete() {
+    return listComplete;
   }
 
   /** Whether the cloud did not answer when its list was last asked for. */
-  public boolean cloudFails() {
-    return cloudFails;
+  public boolean isCloudUnavailable() {
+    return cloudUnavailable;
   }
 
   /** By when a machine rented in this one's place is up, or is given up. */
-  public Span bootsWithin(Machine machine) {
-    return boots.givenUpAfter(Boots.Sort.of(machine), machine.type());
+  public Span bootTimeout(Machine machine) {
+    return bootTracker.bootTimeout(BootTracker.MachinePool.of(machine), machine.type());
   }
 
   /** Whether machines of some sort failed to come up one after the other a short time ago. */
-  public boolean bootsFail(Moment now) {
-    return boots.anyBlamed(now);
+  public boolean anyPoolFailing(Moment now) {
+    return bootTracker.anyFailing(now);
   }
 
   /**
    * How many machines of a type are up and could be done without, those that a plan has chosen too:
    * half of what is held beyond the need may be missing for a while.
    */
-  public int spare(MachineType type) {
-    Integer enough = enoughByType.get(type.name());
+  public int spareCount(MachineType type) {
+    Integer enough = sufficientByType.get(type.name());
     if (enough == null) {
       return 0;
     }
@@ -402,15 +412,19 @@
     return summary;
   }
 
-  private boolean counts(Machine machine, Moment now) {
+  private boolean countsAsCapacity(Machine machine, Moment now) {
     return switch (machine.state()) {
       case BOOTING ->
-          !now.past(machine.known(), boots.replacedAfter(Boots.Sort.of(machine), machine.type()));
+          !now.past(
+              machine.known(),
+              bootTracker.replacementDelay(BootTracker.MachinePool.of(machine), machine.type()));
       case ENROLLING, UNCONFIRMED -> true;
       // Many silent at once are out of reach for a while; to rent as many again would be waste.
       case UP ->
           machine.duty() == Duty.IN_USE
-              && !now.past(machine.heard(), health.listens(now) ? suspectAfter : OUT_OF_REACH);
+              && !now.past(
+                  machine.heard(),
+                  failureDetector.isSilenceReliable(now) ? suspectAfter : UNREACHABLE_COUNTED_FOR);
       case LAPSED, RETURNING, GONE -> false;
     };
   }
--- a/src/main/java/org/oakwalk/core/capacity/Health.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineFailureDetector.java
@@ -13,43 +13,44 @@
 import org.slf4j.LoggerFactory;
 
 /** Tells broken machines from those that are out of reach, and from this node's own trouble. */
-public final class Health {
-  private static final Logger LOG = LoggerFactory.getLogger(Health.class);
-  private static final Span PAID_AT_LEAST = Span.seconds(60);
-  private static final Span CONFIRMS_WITHIN = Span.seconds(4);
+public final class MachineFailureDetector {
+  private static final Logger LOG = LoggerFactory.getLogger(MachineFailureDetector.class);
+  private static final Span MIN_BILLED_TIME = Span.seconds(60);
+  private static final Span CONFIRMATION_TIMEOUT = Span.seconds(4);
 
   /** As above once nearly all others have confirmed; one lost packet costs a second of it. */
-  private static final Span LAST_CONFIRM_WITHIN = Span.seconds(2);
+  private static final Span FINAL_CONFIRMATION_TIMEOUT = Span.seconds(2);
 
   /** While others still confirm, a busy leader may merely not have come to the last ones. */
-  private static final Span NONE_CONFIRMED_FOR = Span.millis(900);
+  private static final Span NO_CONFIRMATION_PERIOD = Span.millis(900);
 
-  private static final double OVERDUE = 0.7;
+  private static final double OVERDUE_SHARE = 0.7;
 
   /** How long a machine may take to find out that it still can't reach the leader itself. */
-  private static final Span ON_ITS_WAY = Span.seconds(7);
+  private static final Span DIRECT_ATTEMPT_TIME = Span.seconds(7);
 
   /** Silent machines are asked by command about so often, in terms of what makes them silent. */
-  private static final double ASKED_AGAIN = 3;
+  private static final double PROBE_INTERVAL_FACTOR = 3;
 
-  private static final int LEAST_TO_JUDGE = 3;
-  private static final double NEARLY_ALL = 0.75;
+  private static final int MIN_MACHINES_TO_JUDGE = 3;
+  private static final double CUT_OFF_SHARE = 0.75;
 
   private final Fleet fleet;
-  private final Boots boots;
+  private final BootTracker bootTracker;
   private final Policy.Capacity policy;
   private final Span suspectAfter;
-  private int known;
-  private int unreached;
-  private int answering;
-  private int unconfirmedBefore;
-  private Moment confirmed = new Moment(Long.MIN_VALUE / 2);
-  private Moment manyQuiet = new Moment(Long.MIN_VALUE / 2);
-  private Moment stoodStill = new Moment(Long.MIN_VALUE / 2);
-
-  Health(Fleet fleet, Boots boots, Policy.Capacity policy, Span suspectAfter) {
+  private int knownMachines;
+  private int unreachedMachines;
+  private int commandOnlyMachines;
+  private int previousUnconfirmed;
+  private Moment lastConfirmation = new Moment(Long.MIN_VALUE / 2);
+  private Moment lastMassSilence = new Moment(Long.MIN_VALUE / 2);
+  private Moment lastProcessStall = new Moment(Long.MIN_VALUE / 2);
+
+  MachineFailureDetector(
+      Fleet fleet, BootTracker boots, Policy.Capacity policy, Span suspectAfter) {
     this.fleet = fleet;
-    this.boots = boots;
+    this.bootTracker = boots;
     this.policy = policy;
     this.suspectAfter = suspectAfter;
   }
@@ -58,9 +59,9 @@
    * This process stood still until now: what came in meanwhile has not been read, so for a while no
    * machine is taken for silent and no boot for late.
    */
-  public void stoodStill(Moment now) {
-    manyQuiet = now;
-    stoodStill = now;
+  public void processStalled(Moment now) {
+    lastMassSilence = now;
+    lastProcessStall = now;
   }
 
   /**
@@ -68,41 +69,45 @@
    *
    * @param giveBack takes each machine that is to be returned
    */
-  void survey(Moment now, Consumer<Machine> giveBack) {
+  void checkMachines(Moment now, Consumer<Machine> giveBack) {
     List<Machine> silent = new ArrayList<>();
     List<Machine> unanswered = new ArrayList<>();
     int up = 0;
     int lapsed = 0;
     int unconfirmed = 0;
     int quiet = 0;
-    unreached = 0;
-    answering = 0;
+    unreachedMachines = 0;
+    commandOnlyMachines = 0;
     for (Machine machine : List.copyOf(fleet.machines())) {
       machine
           .takeBoot()
-          .ifPresent(took -> boots.came(Boots.Sort.of(machine), machine.type(), took));
+          .ifPresent(
+              took ->
+                  bootTracker.recordSuccess(
+                      BootTracker.MachinePool.of(machine), machine.type(), took));
       switch (machine.state()) {
         case BOOTING -> {
-          if (listens(now)
+          if (isSilenceReliable(now)
               && now.past(
-                  machine.known(), boots.givenUpAfter(Boots.Sort.of(machine), machine.type()))) {
+                  machine.known(),
+                  bootTracker.bootTimeout(BootTracker.MachinePool.of(machine), machine.type()))) {
             LOG.info("machine {} never came up", machine.id());
             if (!machine.listedAsUp()) {
-              boots.failed(Boots.Sort.of(machine), machine.type(), now);
+              bootTracker.recordFailure(BootTracker.MachinePool.of(machine), machine.type(), now);
             }
             giveBack.accept(machine);
           }
         }
         case UP -> {
           up++;
-          unreached += notReached(machine, now) ? 1 : 0;
-          answering += answersOnly(machine, now) ? 1 : 0;
+          unreachedMachines += isUnreached(machine, now) ? 1 : 0;
+          commandOnlyMachines += answersCommandsOnly(machine, now) ? 1 : 0;
           // Reports come at their own times, so of machines that a cut takes all at once some seem
           // silent well before the others; who is overdue already counts as well.
-          quiet += now.past(machine.heard(), suspectAfter.times(OVERDUE)) ? 1 : 0;
-          if (now.past(machine.heard(), patience(machine))) {
+          quiet += now.past(machine.heard(), suspectAfter.times(OVERDUE_SHARE)) ? 1 : 0;
+          if (now.past(machine.heard(), silenceTimeout(machine))) {
             silent.add(machine);
-          } else if (unfit(machine) && !machine.duty().endsWhenEmpty()) {
+          } else if (isUnfit(machine) && !machine.duty().endsWhenEmpty()) {
             LOG.info(
                 "machine {} {} and is left out",
                 machine.id(),
@@ -111,23 +116,24 @@
           }
           if (machine.duty().endsWhenEmpty()
               && machine.idle()
-              && (machine.duty() == Duty.CORDONED || now.past(machine.known(), PAID_AT_LEAST))) {
+              && (machine.duty() == Duty.CORDONED || now.past(machine.known(), MIN_BILLED_TIME))) {
             giveBack.accept(machine);
           }
         }
         case LAPSED -> {
           lapsed++;
-          unreached += notReached(machine, now) ? 1 : 0;
-          answering += answersOnly(machine, now) ? 1 : 0;
+          unreachedMachines += isUnreached(machine, now) ? 1 : 0;
+          commandOnlyMachines += answersCommandsOnly(machine, now) ? 1 : 0;
           quiet++;
           silent.add(machine);
         }
         case UNCONFIRMED -> {
           unconfirmed++;
-          if (machine.returnable() && now.past(machine.known(), CONFIRMS_WITHIN)) {
+          if (machine.returnable() && now.past(machine.known(), CONFIRMATION_TIMEOUT)) {
             quiet++;
             silent.add(machine);
-          } else if (machine.returnable() && now.past(machine.known(), LAST_CONFIRM_WITHIN)) {
+          } else if (machine.returnable()
+              && now.past(machine.known(), FINAL_CONFIRMATION_TIMEOUT)) {
             unanswered.add(machine);
           }
         }
@@ -136,20 +142,22 @@
     }
     // Many silent machines at once are out of reach rather than broken. They are left alone, also
     // when their leases have run out, since they come back when the network does.
-    known = up + lapsed;
-    int many = Math.max(2, (known + unconfirmed) / 6);
+    knownMachines = up + lapsed;
+    int many = Math.max(2, (knownMachines + unconfirmed) / 6);
     if (quiet > many) {
-      manyQuiet = now;
+      lastMassSilence = now;
     }
-    if (unconfirmed != unconfirmedBefore) {
-      unconfirmedBefore = unconfirmed;
-      confirmed = now;
+    if (unconfirmed != previousUnconfirmed) {
+      previousUnconfirmed = unconfirmed;
+      lastConfirmation = now;
     }
-    if (unconfirmed <= many && unconfirmed < known && now.past(confirmed, NONE_CONFIRMED_FOR)) {
+    if (unconfirmed <= many
+        && unconfirmed < knownMachines
+        && now.past(lastConfirmation, NO_CONFIRMATION_PERIOD)) {
       silent.addAll(unanswered);
     }
     // When the network is back they report one after the other: the last few are not broken either.
-    if (listens(now)) {
+    if (isSilenceReliable(now)) {
       for (Machine machine : silent) {
         // One machine that does not answer a new leader holds up all older jobs.
         if (machine.state() == Machine.State.UNCONFIRMED
@@ -161,20 +169,20 @@
     }
   }
 
-  private boolean notReached(Machine machine, Moment now) {
+  private boolean isUnreached(Machine machine, Moment now) {
     return machine.carried() || now.past(machine.heard(), suspectAfter);
   }
 
   /** Whether it has ceased to report, but answers commands. */
-  private boolean answersOnly(Machine machine, Moment now) {
+  private boolean answersCommandsOnly(Machine machine, Moment now) {
     return now.past(machine.heard(), suspectAfter)
         && machine.commanded().past(machine.heard(), suspectAfter)
-        && !now.past(machine.commanded(), suspectAfter.times(ASKED_AGAIN));
+        && !now.past(machine.commanded(), suspectAfter.times(PROBE_INTERVAL_FACTOR));
   }
 
   /** A machine that can't reach this node is off trying to now and then. */
-  private Span patience(Machine machine) {
-    return machine.carried() ? suspectAfter.plus(ON_ITS_WAY) : suspectAfter;
+  private Span silenceTimeout(Machine machine) {
+    return machine.carried() ? suspectAfter.plus(DIRECT_ATTEMPT_TIME) : suspectAfter;
   }
 
   /**
@@ -185,22 +193,23 @@
    *     workers that reach them. A machine that answers commands, and that nobody carries for,
    *     reaches none of them: the next leader would be as blind
    */
-  public boolean blind(boolean wouldCarry, Moment now) {
-    return known >= LEAST_TO_JUDGE
-        && unreached - (wouldCarry ? answering : 0) >= known * NEARLY_ALL
-        && settledSince(stoodStill, now);
+  public boolean isCutOff(boolean wouldCarry, Moment now) {
+    return knownMachines >= MIN_MACHINES_TO_JUDGE
+        && unreachedMachines - (wouldCarry ? commandOnlyMachines : 0)
+            >= knownMachines * CUT_OFF_SHARE
+        && hasSettledSince(lastProcessStall, now);
   }
 
-  private boolean settledSince(Moment trouble, Moment now) {
+  private boolean hasSettledSince(Moment trouble, Moment now) {
     return now.past(trouble, suspectAfter.plus(policy.suspectAfter()));
   }
 
   /** Whether silence tells anything: not when many were silent at once a short time ago. */
-  public boolean listens(Moment now) {
-    return settledSince(manyQuiet, now);
+  public boolean isSilenceReliable(Moment now) {
+    return hasSettledSince(lastMassSilence, now);
   }
 
-  private static boolean unfit(Machine machine) {
+  private static boolean isUnfit(Machine machine) {
     return machine.faulty() || machine.slow();
   }
 }
--- a/src/main/java/org/oakwalk/core/capacity/Catalogue.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineTypeCatalog.java
@@ -9,18 +9,18 @@
 import org.oakwalk.core.port.Request;
 
 /** The cloud's machine types as last read. */
-public final class Catalogue {
-  private static final Span RETRY = Span.millis(700);
-  private static final Span LEADER_REFRESH = Span.seconds(60);
-  private static final Span REFRESH = Span.seconds(600);
+public final class MachineTypeCatalog {
+  private static final Span RETRY_INTERVAL = Span.millis(700);
+  private static final Span LEADER_REFRESH_INTERVAL = Span.seconds(60);
+  private static final Span FOLLOWER_REFRESH_INTERVAL = Span.seconds(600);
 
   private final Outbox outbox;
   private Map<String, MachineType> types = Map.of();
-  private boolean asking;
-  private Moment read = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private boolean requestInFlight;
+  private Moment lastRead = new Moment(Long.MIN_VALUE / 2);
+  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
 
-  public Catalogue(Outbox outbox) {
+  public MachineTypeCatalog(Outbox outbox) {
     this.outbox = outbox;
   }
 
@@ -37,19 +37,19 @@
     if (types.isEmpty()) {
       types = stored;
     }
-    Span age = leading ? LEADER_REFRESH : REFRESH;
-    if (asking || nextTry.isAfter(now) || !now.past(read, age)) {
+    Span age = leading ? LEADER_REFRESH_INTERVAL : FOLLOWER_REFRESH_INTERVAL;
+    if (requestInFlight || nextAttemptAt.isAfter(now) || !now.past(lastRead, age)) {
       return;
     }
-    asking = true;
+    requestInFlight = true;
     outbox.call(
         new Request.FetchCatalog(),
         answer -> {
-          asking = false;
-          nextTry = now.plus(RETRY);
+          requestInFlight = false;
+          nextAttemptAt = now.plus(RETRY_INTERVAL);
           if (answer instanceof Answer.Catalog catalog && !catalog.types().isEmpty()) {
             types = catalog.types();
-            read = now;
+            lastRead = now;
           }
         });
   }
--- a/src/main/java/org/oakwalk/core/capacity/CatalogueKeeper.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineTypeWriter.java
@@ -19,36 +19,37 @@
  * Keeps the machine types in the store, so that a node that starts while the cloud is down can take
  * requests and a leader can take over.
  */
-public final class CatalogueKeeper {
-  private static final Span RETRY = Span.seconds(5);
+public final class MachineTypeWriter {
+  private static final Span RETRY_INTERVAL = Span.seconds(5);
 
   /** More than the record of one type takes. */
-  private static final int BYTES_OF_A_TYPE = 300;
+  private static final int MAX_BYTES_PER_TYPE = 300;
 
   private final Outbox outbox;
   private final StoreView view;
   private final Guard guard;
-  private final int mostTypes;
-  private boolean writing;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private final int maxTypes;
+  private boolean writeInFlight;
+  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
 
-  public CatalogueKeeper(Outbox outbox, StoreView view, Guard guard, Settings.StateLimits limits) {
+  public MachineTypeWriter(
+      Outbox outbox, StoreView view, Guard guard, Settings.StateLimits limits) {
     this.outbox = outbox;
     this.view = view;
     this.guard = guard;
-    this.mostTypes = (int) (limits.valueKb() * 1024 / BYTES_OF_A_TYPE);
+    this.maxTypes = (int) (limits.valueKb() * 1024 / MAX_BYTES_PER_TYPE);
   }
 
   /** Stores the types if they differ in more than their prices, which move all the time. */
   public void tick(Map<String, MachineType> types, Moment now) {
-    if (writing
-        || nextTry.isAfter(now)
-        || types.size() > mostTypes
-        || same(types, view.machineTypes())) {
+    if (writeInFlight
+        || nextAttemptAt.isAfter(now)
+        || types.size() > maxTypes
+        || equalExceptPrices(types, view.machineTypes())) {
       return;
     }
-    writing = true;
-    nextTry = now.plus(RETRY);
+    writeInFlight = true;
+    nextAttemptAt = now.plus(RETRY_INTERVAL);
     outbox.call(
         new Request.Commit(
             // Also on the record's version, or a write whose answer was lost could be applied after
@@ -60,10 +61,11 @@
                     new StoredValue.MachineTypesRecord(types),
                     Optional.empty())),
             Request.Urgency.REST),
-        answer -> writing = false);
+        answer -> writeInFlight = false);
   }
 
-  private static boolean same(Map<String, MachineType> one, Map<String, MachineType> other) {
+  private static boolean equalExceptPrices(
+      Map<String, MachineType> one, Map<String, MachineType> other) {
     return one.keySet().equals(other.keySet())
         && one.values().stream().allMatch(type -> type.sameBut(other.get(type.name())));
   }
--- a/src/main/java/org/oakwalk/core/capacity/Renter.java
+++ b/src/main/java/org/oakwalk/core/capacity/RentalRequester.java
@@ -23,25 +23,26 @@
 import org.slf4j.LoggerFactory;
 
 /** Rents machines: one request at a time for each sort and zone, with a pause after a refusal. */
-final class Renter {
-  private static final Logger LOG = LoggerFactory.getLogger(Renter.class);
-  private static final Span REFUSED_PAUSE = Span.seconds(8);
-  private static final int MOST_PER_ASK = 50;
+final class RentalRequester {
+  private static final Logger LOG = LoggerFactory.getLogger(RentalRequester.class);
+  private static final Span REFUSAL_BACKOFF = Span.seconds(8);
+  private static final int MAX_MACHINES_PER_REQUEST = 50;
 
   private final Outbox outbox;
   private final Fleet fleet;
-  private final Boots boots;
-  private final Predicate<Boots.Sort> bars;
-  private final Map<Boots.Sort, Moment> refusedUntil = new HashMap<>();
-  private final Set<Boots.Sort> asking = new HashSet<>();
+  private final BootTracker bootTracker;
+  private final Predicate<BootTracker.MachinePool> isForbidden;
+  private final Map<BootTracker.MachinePool, Moment> refusedUntil = new HashMap<>();
+  private final Set<BootTracker.MachinePool> requestsInFlight = new HashSet<>();
   private Moment clock = new Moment(0);
-  private long asks;
+  private long lastRequestNumber;
 
-  Renter(Outbox outbox, Fleet fleet, Boots boots, Predicate<Boots.Sort> bars) {
-    this.bars = bars;
+  RentalRequester(
+      Outbox outbox, Fleet fleet, BootTracker boots, Predicate<BootTracker.MachinePool> bars) {
+    this.isForbidden = bars;
     this.outbox = outbox;
     this.fleet = fleet;
-    this.boots = boots;
+    this.bootTracker = boots;
   }
 
   /**
@@ -52,15 +53,18 @@
     clock = now;
     Map<String, Integer> held = new HashMap<>();
     for (Machine machine : fleet.machines()) {
-      if (machine.type().name().equals(type.name()) && machine.spot() == spot && !leaves(machine)) {
+      if (machine.type().name().equals(type.name())
+          && machine.spot() == spot
+          && !isDraining(machine)) {
         held.merge(machine.zone(), 1, Integer::sum);
       }
     }
     List<String> zones = new ArrayList<>(type.zones());
-    zones.removeIf(zone -> !free(new Boots.Sort(type.name(), zone, spot), now));
-    zones.removeIf(zone -> bars.test(new Boots.Sort(type.name(), zone, spot)));
+    zones.removeIf(zone -> !canRequest(new BootTracker.MachinePool(type.name(), zone, spot), now));
+    zones.removeIf(zone -> isForbidden.test(new BootTracker.MachinePool(type.name(), zone, spot)));
     List<String> sound = new ArrayList<>(zones);
-    sound.removeIf(zone -> boots.blamed(new Boots.Sort(type.name(), zone, spot), now));
+    sound.removeIf(
+        zone -> bootTracker.isFailing(new BootTracker.MachinePool(type.name(), zone, spot), now));
     if (!sound.isEmpty()) {
       zones = sound;
     }
@@ -70,15 +74,15 @@
     int asked = 0;
     for (int i = 0; i < zones.size() && asked < count; i++) {
       int share = (int) Math.ceil((count - asked) / (double) (zones.size() - i));
-      int number = Math.min(share, MOST_PER_ASK);
+      int number = Math.min(share, MAX_MACHINES_PER_REQUEST);
       asked += number;
-      ask(
-          new Boots.Sort(type.name(), zones.get(i), spot),
-          AskId.of(fleet.token(), ++asks),
+      sendRequest(
+          new BootTracker.MachinePool(type.name(), zones.get(i), spot),
+          AskId.of(fleet.token(), ++lastRequestNumber),
           number,
           5);
     }
-    for (Boots.Sort market : asking) {
+    for (BootTracker.MachinePool market : requestsInFlight) {
       if (market.type().equals(type.name()) && market.spot() == spot && asked == 0) {
         // An answer is still out; it may bring what is missing.
         return count;
@@ -88,38 +92,38 @@
   }
 
   /** Asks for machines of one sort, wherever others are; returns for how many it has asked. */
-  int rent(Boots.Sort sort, int count, Moment now) {
+  int rent(BootTracker.MachinePool sort, int count, Moment now) {
     clock = now;
-    if (asking.contains(sort)) {
+    if (requestsInFlight.contains(sort)) {
       // The answer that is still out may bring what is missing.
       return count;
     }
-    if (!free(sort, now) || bars.test(sort) || boots.blamed(sort, now)) {
+    if (!canRequest(sort, now) || isForbidden.test(sort) || bootTracker.isFailing(sort, now)) {
       return 0;
     }
-    int number = Math.min(count, MOST_PER_ASK);
-    ask(sort, AskId.of(fleet.token(), ++asks), number, 5);
+    int number = Math.min(count, MAX_MACHINES_PER_REQUEST);
+    sendRequest(sort, AskId.of(fleet.token(), ++lastRequestNumber), number, 5);
     return number;
   }
 
   /** Whether a plan empties it: its replacement is to come up where it was. */
-  private static boolean leaves(Machine machine) {
+  private static boolean isDraining(Machine machine) {
     return machine.duty() == Duty.NEXT || machine.duty() == Duty.CORDONED;
   }
 
-  private boolean free(Boots.Sort market, Moment now) {
+  private boolean canRequest(BootTracker.MachinePool market, Moment now) {
     Moment until = refusedUntil.get(market);
-    return !asking.contains(market) && (until == null || !until.isAfter(now));
+    return !requestsInFlight.contains(market) && (until == null || !until.isAfter(now));
   }
 
   /** Rents under a name of its own, which is repeated until the cloud has answered. */
-  private void ask(Boots.Sort market, AskId name, int count, int tries) {
-    asking.add(market);
+  private void sendRequest(BootTracker.MachinePool market, AskId name, int count, int tries) {
+    requestsInFlight.add(market);
     outbox.call(
         new Request.Rent(name, market.type(), market.zone(), market.spot(), count),
         answer -> {
           if (answer instanceof Answer.Rented rented) {
-            asking.remove(market);
+            requestsInFlight.remove(market);
             LOG.info(
                 "{} rented {} of {} in {} spot {}",
                 name,
@@ -140,14 +144,14 @@
               }
             }
             if (rented.machines().size() < count) {
-              refusedUntil.put(market, clock.plus(REFUSED_PAUSE));
+              refusedUntil.put(market, clock.plus(REFUSAL_BACKOFF));
             }
           } else if (answer instanceof Answer.Nothing && tries > 1) {
-            ask(market, name, count, tries - 1);
+            sendRequest(market, name, count, tries - 1);
           } else {
             // No capacity, or no answer for long; machines that came of it show up in the list.
-            asking.remove(market);
-            refusedUntil.put(market, clock.plus(REFUSED_PAUSE));
+            requestsInFlight.remove(market);
+            refusedUntil.put(market, clock.plus(REFUSAL_BACKOFF));
           }
         });
   }
--- a/src/main/java/org/oakwalk/core/capacity/Surplus.java
+++ b/src/main/java/org/oakwalk/core/capacity/ScaleDown.java
@@ -15,38 +15,38 @@
 import org.slf4j.LoggerFactory;
 
 /** Picks the machines that are too many, and those of them that are taken back into use. */
-final class Surplus {
-  private static final Logger LOG = LoggerFactory.getLogger(Surplus.class);
+final class ScaleDown {
+  private static final Logger LOG = LoggerFactory.getLogger(ScaleDown.class);
 
   private final Fleet fleet;
   private final Policy.Capacity policy;
   private final Span suspectAfter;
 
-  Surplus(Fleet fleet, Policy.Capacity policy, Span suspectAfter) {
+  ScaleDown(Fleet fleet, Policy.Capacity policy, Span suspectAfter) {
     this.fleet = fleet;
     this.policy = policy;
     this.suspectAfter = suspectAfter;
   }
 
   /** Takes machines back into use that were to be returned; returns how many. */
-  int keep(MachineType type, int count, Moment now) {
-    return keep(type, machine -> true, count, now);
+  int reactivate(MachineType type, int count, Moment now) {
+    return reactivate(type, machine -> true, count, now);
   }
 
   /** As above, of ordinary machines. */
-  int keepOrdinary(MachineType type, int count, Moment now) {
-    return keep(type, machine -> !machine.spot(), count, now);
+  int reactivateOrdinary(MachineType type, int count, Moment now) {
+    return reactivate(type, machine -> !machine.spot(), count, now);
   }
 
   /** As above, of one sort; ordinary ones do as well where spot machines do. */
-  int keep(Boots.Sort sort, int count, Moment now) {
+  int reactivate(BootTracker.MachinePool sort, int count, Moment now) {
     return fleet.machines().stream()
         .map(Machine::type)
         .filter(type -> type.name().equals(sort.type()))
         .findFirst()
         .map(
             type ->
-                keep(
+                reactivate(
                     type,
                     machine ->
                         machine.zone().equals(sort.zone()) && (sort.spot() || !machine.spot()),
@@ -55,7 +55,7 @@
         .orElse(0);
   }
 
-  private int keep(MachineType type, Predicate<Machine> which, int count, Moment now) {
+  private int reactivate(MachineType type, Predicate<Machine> which, int count, Moment now) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       if (machine.type().name().equals(type.name())
@@ -81,7 +81,7 @@
    * one has ended, since an even load over all machines would otherwise leave none idle.
    */
   void retire(MachineType type, int surplus, int ordinarySurplus, Moment now) {
-    int left = surplus - letGo(type, surplus);
+    int left = surplus - cordonPending(type, surplus);
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       if (!machine.type().name().equals(type.name())
@@ -114,7 +114,7 @@
   }
 
   /** Rather than others, those that a plan has chosen go at once; returns how many. */
-  private int letGo(MachineType type, int surplus) {
+  private int cordonPending(MachineType type, int surplus) {
     int gone = 0;
     for (Machine machine : fleet.machines()) {
       if (gone < surplus
--- a/src/main/java/org/oakwalk/core/drain/Budget.java
+++ b/src/main/java/org/oakwalk/core/drain/DisruptionBudget.java
@@ -7,11 +7,12 @@
  * What a team, or a class of its jobs, may lose by stops of our own.
  *
  * @param jobClass the class it is about; all of the team's if empty
- * @param down how many tasks may be down at once; a share of those that should be up if below one
- * @param stopsPerHour how many tasks may be stopped within any hour; empty if as many as need be
+ * @param maxDown how many tasks may be down at once; a share of those that should be up if below
+ *     one
+ * @param maxStopsPerHour how many tasks may be stopped within any hour; empty if as many as need be
  */
-public record Budget(
-    String team, Optional<String> jobClass, double down, Optional<Integer> stopsPerHour) {
+public record DisruptionBudget(
+    String team, Optional<String> jobClass, double maxDown, Optional<Integer> maxStopsPerHour) {
 
   /** Tells it from others. */
   public String name() {
@@ -24,9 +25,9 @@
   }
 
   /** How many tasks may be down, of so many that should be up. */
-  int most(int expected) {
-    return down > 0 && down < 1
-        ? (int) Math.max(1, Math.floor(down * expected))
-        : (int) Math.floor(down);
+  int maxTasksDown(int expected) {
+    return maxDown > 0 && maxDown < 1
+        ? (int) Math.max(1, Math.floor(maxDown * expected))
+        : (int) Math.floor(maxDown);
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/DrainPlan.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainPlan.java
@@ -11,15 +11,15 @@
  *
  * @param name tells it from other plans; letters, digits, dashes
  * @param version the higher one of two plans of a name counts
- * @param kind spot or ordinary machines only, or both
- * @param step how many machines may be on their way out at once; a share of all that it selects if
- *     below one
+ * @param spotFilter spot or ordinary machines only, or both
+ * @param concurrency how many machines may be on their way out at once; a share of all that it
+ *     selects if below one
  * @param surge how many machines may be held beyond what is wanted, while others are on their way
  *     out
- * @param pause time between two choices of machines
- * @param patience how long work may run out on a machine before it is stopped
- * @param replicaMayWait the plan waits as long as some replica has waited longer than this
- * @param workMayWait and as long as other work has waited longer than this
+ * @param selectionInterval time between two choices of machines
+ * @param drainTimeout how long work may run out on a machine before it is stopped
+ * @param maxReplicaWait the plan waits as long as some replica has waited longer than this
+ * @param maxWorkWait and as long as other work has waited longer than this
  */
 public record DrainPlan(
     String name,
@@ -27,15 +27,15 @@
     Status status,
     Set<String> zones,
     Set<String> types,
-    Optional<Boolean> kind,
+    Optional<Boolean> spotFilter,
     Set<String> machines,
-    Then then,
-    double step,
+    DrainMode mode,
+    double concurrency,
     int surge,
-    Span pause,
-    Span patience,
-    Span replicaMayWait,
-    Span workMayWait) {
+    Span selectionInterval,
+    Span drainTimeout,
+    Span maxReplicaWait,
+    Span maxWorkWait) {
 
   /** Whether anything is to be done at present. */
   public enum Status {
@@ -45,7 +45,7 @@
   }
 
   /** What becomes of a machine's place. */
-  public enum Then {
+  public enum DrainMode {
     /** Another machine is rented for it, and machines rented later are left alone. */
     REPLACE,
     /** None is rented where the plan selects, and all machines there go. */
@@ -54,7 +54,7 @@
 
   /** Whether it is about a machine, whenever that was rented. */
   public boolean selects(Machine machine) {
-    return about(machine.zone(), machine.type().name(), machine.spot())
+    return matches(machine.zone(), machine.type().name(), machine.spot())
         && (machines.isEmpty() || machines.contains(machine.id().value()));
   }
 
@@ -63,26 +63,27 @@
    * newest}: the cloud names machines in the order in which it created them.
    */
   public boolean selects(Machine machine, MachineId newest) {
-    return selects(machine) && (then == Then.RETURN || machine.id().compareTo(newest) <= 0);
+    return selects(machine) && (mode == DrainMode.RETURN || machine.id().compareTo(newest) <= 0);
   }
 
   /** Whether machines of this sort are not to be rented while it runs. */
-  public boolean bars(String zone, String type, boolean spot) {
+  public boolean forbidsRenting(String zone, String type, boolean spot) {
     return status == Status.RUNNING
-        && then == Then.RETURN
+        && mode == DrainMode.RETURN
         && machines.isEmpty()
-        && about(zone, type, spot);
+        && matches(zone, type, spot);
   }
 
-  private boolean about(String zone, String type, boolean spot) {
+  private boolean matches(String zone, String type, boolean spot) {
     return (zones.isEmpty() || zones.contains(zone))
         && (types.isEmpty() || types.contains(type))
-        && (kind.isEmpty() || kind.get() == spot);
+        && (spotFilter.isEmpty() || spotFilter.get() == spot);
   }
 
   /** How many machines may be on their way out at once, of so many. */
-  int most(int selected) {
-    int atOnce = step < 1 ? (int) Math.max(1, Math.floor(step * selected)) : (int) step;
+  int maxInProgress(int selected) {
+    int atOnce =
+        concurrency < 1 ? (int) Math.max(1, Math.floor(concurrency * selected)) : (int) concurrency;
     return Math.min(atOnce, surge);
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/PlanKeeper.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainPlanRegistry.java
@@ -26,21 +26,21 @@
  * higher, together with the newest machine's name, which is all that tells what has been done:
  * machines rented later have later names. Of two nodes with unlike files the higher version wins.
  */
-public final class PlanKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(PlanKeeper.class);
-  private static final Span RETRY = Span.seconds(5);
-  private static final int MOST_PLANS = 32;
+public final class DrainPlanRegistry {
+  private static final Logger LOG = LoggerFactory.getLogger(DrainPlanRegistry.class);
+  private static final Span RETRY_INTERVAL = Span.seconds(5);
+  private static final int MAX_PLANS = 32;
 
   private final Outbox outbox;
   private final StoreView view;
   private final Guard guard;
   private final Fleet fleet;
   private final List<DrainPlan> declared;
-  private final Set<String> told = new HashSet<>();
-  private boolean writing;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private final Set<String> loggedWarnings = new HashSet<>();
+  private boolean writeInFlight;
+  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
 
-  public PlanKeeper(
+  public DrainPlanRegistry(
       Outbox outbox, StoreView view, Guard guard, Fleet fleet, List<DrainPlan> declared) {
     this.outbox = outbox;
     this.view = view;
@@ -55,27 +55,28 @@
   }
 
   /** Whether there is nothing to follow, now or later. */
-  boolean idle() {
+  boolean isEmpty() {
     return declared.isEmpty() && view.drainPlans().all().isEmpty();
   }
 
   /** Stores what this node's file has newly; to be called once the fleet is known. */
   void tick(Moment now) {
-    if (writing || nextTry.isAfter(now)) {
+    if (writeInFlight || nextAttemptAt.isAfter(now)) {
       return;
     }
     for (DrainPlan plan : declared) {
       Optional<StoredValue.DrainRecord> stored = view.drainPlans().find(plan.name());
       if (view.drainPlans().isUnreadable(plan.name())) {
-        once(plan.name() + " unreadable", "drain {}: the stored plan can't be read", plan.name());
+        warnOnce(
+            plan.name() + " unreadable", "drain {}: the stored plan can't be read", plan.name());
       } else if (stored.isEmpty() || stored.get().plan().version() < plan.version()) {
-        if (view.drainPlans().all().size() < MOST_PLANS || stored.isPresent()) {
+        if (view.drainPlans().all().size() < MAX_PLANS || stored.isPresent()) {
           store(plan, now);
           return;
         }
-        once(plan.name() + " many", "drain {}: too many plans are stored", plan.name());
+        warnOnce(plan.name() + " many", "drain {}: too many plans are stored", plan.name());
       } else if (!stored.get().plan().equals(plan)) {
-        once(
+        warnOnce(
             plan.name() + stored.get().plan().version(),
             "drain {}: version {} is stored and counts, the file has another {}",
             plan.name(),
@@ -85,15 +86,15 @@
     }
   }
 
-  private void once(String about, String format, Object... words) {
-    if (told.add(about)) {
+  private void warnOnce(String about, String format, Object... words) {
+    if (loggedWarnings.add(about)) {
       LOG.warn(format, words);
     }
   }
 
   private void store(DrainPlan plan, Moment now) {
-    writing = true;
-    nextTry = now.plus(RETRY);
+    writeInFlight = true;
+    nextAttemptAt = now.plus(RETRY_INTERVAL);
     MachineId newest = new MachineId("");
     int selected = 0;
     for (Machine machine : fleet.machines()) {
@@ -113,7 +114,7 @@
             List.of(new Change.Put(key, record, Optional.empty())),
             Request.Urgency.REST),
         answer -> {
-          writing = false;
+          writeInFlight = false;
           if (answer instanceof Answer.Committed) {
             LOG.info(
                 "drain {} version {} {}: {} machines, up to {}",
--- a/src/main/java/org/oakwalk/core/drain/Caution.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainSafetyCheck.java
@@ -5,7 +5,7 @@
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
-import org.oakwalk.core.capacity.Capacity;
+import org.oakwalk.core.capacity.Autoscaler;
 import org.oakwalk.core.fleet.Duty;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.job.Job;
@@ -17,27 +17,28 @@
  * Why plans had better wait. A reason counts for a while after it has passed, so that a plan does
  * not go on and stop again with each report.
  */
-final class Caution {
-  private static final Span COUNTS_FOR = Span.seconds(10);
+final class DrainSafetyCheck {
+  private static final Span REASON_HOLD_TIME = Span.seconds(10);
 
   /** A watch may be held for a second and has to be answered. */
-  private static final Span STORE_OUT_AFTER = Span.seconds(5);
+  private static final Span STORE_TIMEOUT = Span.seconds(5);
 
-  private static final Span NEW_FOR = Span.seconds(120);
-  private static final int SEVERAL = 2;
+  private static final Span NEW_MACHINE_AGE = Span.seconds(120);
+  private static final int MIN_UNFIT_MACHINES = 2;
 
   private final Fleet fleet;
   private final StoreView view;
-  private final Capacity capacity;
+  private final Autoscaler autoscaler;
   private final JobBook jobs;
-  private final Mover mover;
-  private String reason = "";
-  private Moment seen = new Moment(Long.MIN_VALUE / 2);
+  private final ReplicaMover mover;
+  private String lastReason = "";
+  private Moment lastSeen = new Moment(Long.MIN_VALUE / 2);
 
-  Caution(Fleet fleet, StoreView view, Capacity capacity, JobBook jobs, Mover mover) {
+  DrainSafetyCheck(
+      Fleet fleet, StoreView view, Autoscaler capacity, JobBook jobs, ReplicaMover mover) {
     this.fleet = fleet;
     this.view = view;
-    this.capacity = capacity;
+    this.autoscaler = capacity;
     this.jobs = jobs;
     this.mover = mover;
   }
@@ -45,38 +46,38 @@
   /**
    * Why nothing should be drained now by these plans, if there is a reason; the strictest counts.
    */
-  Optional<String> reason(Collection<DrainPlan> plans, Moment now) {
-    Optional<String> present = present(plans, now);
+  Optional<String> pauseReason(Collection<DrainPlan> plans, Moment now) {
+    Optional<String> present = currentReason(plans, now);
     if (present.isPresent()) {
-      reason = present.get();
-      seen = now;
+      lastReason = present.get();
+      lastSeen = now;
     }
-    return now.past(seen, COUNTS_FOR) ? Optional.empty() : Optional.of(reason);
+    return now.past(lastSeen, REASON_HOLD_TIME) ? Optional.empty() : Optional.of(lastReason);
   }
 
-  private Optional<String> present(Collection<DrainPlan> plans, Moment now) {
-    if (now.past(view.lastConfirmed(), STORE_OUT_AFTER)) {
+  private Optional<String> currentReason(Collection<DrainPlan> plans, Moment now) {
+    if (now.past(view.lastConfirmed(), STORE_TIMEOUT)) {
       return Optional.of("the state service is out of reach");
     }
-    if (!capacity.health().listens(now)) {
+    if (!autoscaler.failureDetector().isSilenceReliable(now)) {
       return Optional.of("many machines were silent together");
     }
-    if (capacity.cloudFails()) {
+    if (autoscaler.isCloudUnavailable()) {
       return Optional.of("the cloud does not answer");
     }
-    if (capacity.bootsFail(now)) {
+    if (autoscaler.anyPoolFailing(now)) {
       return Optional.of("new machines don't come up");
     }
-    if (newOnesFail(now)) {
+    if (newMachinesFail(now)) {
       return Optional.of("new machines fail their tasks or are slow");
     }
-    Optional<Span> replica = plans.stream().map(DrainPlan::replicaMayWait).min(Span::compareTo);
-    Optional<Span> work = plans.stream().map(DrainPlan::workMayWait).min(Span::compareTo);
+    Optional<Span> replica = plans.stream().map(DrainPlan::maxReplicaWait).min(Span::compareTo);
+    Optional<Span> work = plans.stream().map(DrainPlan::maxWorkWait).min(Span::compareTo);
     if (replica.isEmpty() || work.isEmpty()) {
       return Optional.empty();
     }
     for (Job job : jobs.all()) {
-      if (waits(job, job.spec().service() ? replica.get() : work.get(), now)) {
+      if (waitsTooLong(job, job.spec().service() ? replica.get() : work.get(), now)) {
         return Optional.of("work of class " + job.spec().jobClass() + " waits for room");
       }
     }
@@ -84,15 +85,15 @@
   }
 
   /** Whether several machines that plans would leave alone were left out soon after they came. */
-  private boolean newOnesFail(Moment now) {
+  private boolean newMachinesFail(Moment now) {
     return fleet.machines().stream()
             .filter(machine -> machine.duty() == Duty.UNFIT && !machine.leavesSoon())
-            .filter(machine -> !now.past(machine.known(), NEW_FOR))
+            .filter(machine -> !now.past(machine.known(), NEW_MACHINE_AGE))
             .count()
-        >= SEVERAL;
+        >= MIN_UNFIT_MACHINES;
   }
 
-  private boolean waits(Job job, Span mayWait, Moment now) {
+  private boolean waitsTooLong(Job job, Span mayWait, Moment now) {
     if (!job.open()
         || job.pendingCount() <= 0
         || job.suspect()
@@ -102,6 +103,6 @@
     int next = job.nextPending(0, now);
     return next >= 0
         && now.past(job.waitingSince(), mayWait)
-        && !mover.moves(new TaskId(job.id(), next));
+        && !mover.isMoving(new TaskId(job.id(), next));
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/Evictor.java
+++ b/src/main/java/org/oakwalk/core/drain/Evictor.java
@@ -18,13 +18,13 @@
  */
 final class Evictor {
   private final Fleet fleet;
-  private final Gate gate;
-  private final Mover mover;
+  private final DisruptionLimiter disruptionLimiter;
+  private final ReplicaMover replicaMover;
 
-  Evictor(Fleet fleet, Gate gate, Mover mover) {
+  Evictor(Fleet fleet, DisruptionLimiter gate, ReplicaMover mover) {
     this.fleet = fleet;
-    this.gate = gate;
-    this.mover = mover;
+    this.disruptionLimiter = gate;
+    this.replicaMover = mover;
   }
 
   /**
@@ -33,24 +33,24 @@
    * @param impatient whether work has had its time to run out
    * @return why not all that is due could be done, if so
    */
-  Optional<String> empty(Machine machine, boolean impatient, Moment now) {
+  Optional<String> evictTasks(Machine machine, boolean impatient, Moment now) {
     Optional<String> held = Optional.empty();
     List<Placement> left = new ArrayList<>(machine.placements());
     left.removeIf(Placement::halting);
-    left.sort(Comparator.comparingDouble(placement -> loss(placement, now)));
+    left.sort(Comparator.comparingDouble(placement -> lostSeconds(placement, now)));
     for (Placement placement : left) {
       if (placement.halting()) {
         continue;
       }
       if (placement.job().spec().gang()) {
-        Optional<String> why = impatient ? gang(placement.job()) : Optional.empty();
+        Optional<String> why = impatient ? stopGang(placement.job()) : Optional.empty();
         held = held.or(() -> why);
       } else if (placement.job().spec().service()) {
-        if (!mover.move(placement, impatient, now)) {
+        if (!replicaMover.tryMove(placement, impatient, now)) {
           held = Optional.of("replicas of " + placement.job().spec().team() + " have to stay yet");
         }
       } else if (impatient) {
-        if (gate.allows(List.of(placement))) {
+        if (disruptionLimiter.allows(List.of(placement))) {
           fleet.halt(placement, placement.job().spec().saveTime(), Fleet.Why.DRAINED);
         } else {
           held = Optional.of("budget of " + placement.job().spec().team());
@@ -61,7 +61,7 @@
   }
 
   /** Seconds of work that a stop would lose; what saves loses none. */
-  private static double loss(Placement placement, Moment now) {
+  private static double lostSeconds(Placement placement, Moment now) {
     if (placement.job().spec().checkpointEvery().millis() > 0) {
       return 0;
     }
@@ -70,19 +70,19 @@
   }
 
   /** A gang moves whole or not at all: all its tasks stop together if there is room elsewhere. */
-  private Optional<String> gang(Job job) {
+  private Optional<String> stopGang(Job job) {
     List<Placement> tasks = fleet.placementsOf(job);
     int room = 0;
     for (Machine machine : fleet.machines()) {
-      room += stays(machine) ? mover.free(machine).count(job.spec().room()) : 0;
+      room += staysInUse(machine) ? replicaMover.unreserved(machine).count(job.spec().room()) : 0;
     }
     for (Placement task : tasks) {
-      room += stays(task.machine()) ? 1 : 0;
+      room += staysInUse(task.machine()) ? 1 : 0;
     }
     if (room < job.spec().tasks()) {
       return Optional.of("no room for gang " + job.id());
     }
-    if (!gate.allows(tasks)) {
+    if (!disruptionLimiter.allows(tasks)) {
       return Optional.of("budget of " + job.spec().team());
     }
     Span grace = job.spec().saveTime();
@@ -90,7 +90,7 @@
     return Optional.empty();
   }
 
-  private static boolean stays(Machine machine) {
+  private static boolean staysInUse(Machine machine) {
     return machine.duty() == Duty.IN_USE && machine.state() == Machine.State.UP;
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/Mover.java
+++ b/src/main/java/org/oakwalk/core/drain/ReplicaMover.java
@@ -25,36 +25,36 @@
  * is chosen and its room kept before the stop, and the start is ordered as soon as it is certain
  * that the task is gone.
  */
-public final class Mover {
-  private static final Logger LOG = LoggerFactory.getLogger(Mover.class);
+public final class ReplicaMover {
+  private static final Logger LOG = LoggerFactory.getLogger(ReplicaMover.class);
 
   /** Life of a move. */
   enum State {
     /** The old place is told to stop; the new one keeps room. */
     STOPPING,
     /** The new place fell out meanwhile; whoever places tasks finds another one. */
-    HOMELESS,
+    TARGET_LOST,
     /** It is ordered at the new place. */
     STARTING
   }
 
-  private static final class Move {
-    final Placement from;
-    final Machine to;
-    final Moment since;
+  private static final class ReplicaMove {
+    final Placement source;
+    final Machine target;
+    final Moment startedAt;
     State state = State.STOPPING;
 
-    Move(Placement from, Machine to, Moment since) {
-      this.from = from;
-      this.to = to;
-      this.since = since;
+    ReplicaMove(Placement from, Machine to, Moment since) {
+      this.source = from;
+      this.target = to;
+      this.startedAt = since;
     }
 
     /** The one place where the state changes. */
     void enter(State next) {
       if (state != State.STOPPING || next == State.STOPPING) {
         throw new IllegalStateException(
-            "move of " + from.task() + " from " + state + " to " + next);
+            "move of " + source.task() + " from " + state + " to " + next);
       }
       state = next;
     }
@@ -62,30 +62,35 @@
 
   private final Fleet fleet;
   private final Quota quota;
-  private final Gate gate;
+  private final DisruptionLimiter disruptionLimiter;
   private final Outbox outbox;
   private final Span suspectAfter;
-  private final Reserve reserve;
-  private final Map<TaskId, Move> moves = new LinkedHashMap<>();
-
-  public Mover(
-      Fleet fleet, Quota quota, Gate gate, Outbox outbox, Span suspectAfter, Reserve reserve) {
-    this.reserve = reserve;
+  private final Reserve capacityReserve;
+  private final Map<TaskId, ReplicaMove> movesByTask = new LinkedHashMap<>();
+
+  public ReplicaMover(
+      Fleet fleet,
+      Quota quota,
+      DisruptionLimiter gate,
+      Outbox outbox,
+      Span suspectAfter,
+      Reserve reserve) {
+    this.capacityReserve = reserve;
     this.fleet = fleet;
     this.quota = quota;
-    this.gate = gate;
+    this.disruptionLimiter = gate;
     this.outbox = outbox;
     this.suspectAfter = suspectAfter;
   }
 
   /** How many replicas are on their way. */
-  int underWay() {
-    return moves.size();
+  int moveCount() {
+    return movesByTask.size();
   }
 
   /** Whether it has a task on its way, so that this task's wait is nobody else's matter. */
-  boolean moves(TaskId task) {
-    return moves.containsKey(task);
+  boolean isMoving(TaskId task) {
+    return movesByTask.containsKey(task);
   }
 
   /**
@@ -93,16 +98,16 @@
    *
    * @param anywhere whether a host that will itself be emptied later is better than none
    */
-  boolean move(Placement placement, boolean anywhere, Moment now) {
-    if (placement.halting() || moves.containsKey(placement.task())) {
+  boolean tryMove(Placement placement, boolean anywhere, Moment now) {
+    if (placement.halting() || movesByTask.containsKey(placement.task())) {
       return true;
     }
-    Machine to = target(placement, anywhere, now);
-    if (to == null || !gate.allows(List.of(placement))) {
+    Machine to = findTarget(placement, anywhere, now);
+    if (to == null || !disruptionLimiter.allows(List.of(placement))) {
       return false;
     }
     to.promise(placement.job().spec().room());
-    moves.put(placement.task(), new Move(placement, to, now));
+    movesByTask.put(placement.task(), new ReplicaMove(placement, to, now));
     LOG.info("task {} moves from {} to {}", placement.task(), placement.machine().id(), to.id());
     fleet.halt(placement, placement.job().spec().saveTime(), Fleet.Why.MOVED);
     return true;
@@ -112,12 +117,12 @@
    * The best place: one that stays, where the image is, in the same zone, with most room left. A
    * job whose tasks' zones matter stays in its zone.
    */
-  private Machine target(Placement placement, boolean anywhere, Moment now) {
+  private Machine findTarget(Placement placement, boolean anywhere, Moment now) {
     JobSpec spec = placement.job().spec();
     Machine from = placement.machine();
     return fleet.machines().stream()
         .filter(machine -> machine != from && (anywhere || !machine.leavesSoon()))
-        .filter(machine -> takes(machine, spec, now))
+        .filter(machine -> hasRoomFor(machine, spec, now))
         .filter(machine -> spec.allows(machine.type().name(), machine.zone(), machine.spot()))
         .filter(machine -> machine.zone().equals(from.zone()) || !spec.oneZone() && !spec.spread())
         .min(
@@ -130,38 +135,38 @@
   }
 
   /** What is free on a machine for what is moved: nothing of what is kept for others. */
-  Room free(Machine machine) {
-    return reserve.beyond(machine);
+  Room unreserved(Machine machine) {
+    return capacityReserve.beyond(machine);
   }
 
   /** Whether a machine that is not to be emptied has room for a task now. */
-  private boolean takes(Machine machine, JobSpec spec, Moment now) {
+  private boolean hasRoomFor(Machine machine, JobSpec spec, Moment now) {
     return machine.duty() == Duty.IN_USE
         && machine.takesTasks(now, suspectAfter)
-        && spec.room().fits(free(machine));
+        && spec.room().fits(unreserved(machine));
   }
 
   /** An attempt is surely on its machine no more: if it is moved, it starts at its next host. */
-  public void left(Placement placement, Moment now) {
-    Move move = moves.get(placement.task());
-    if (move == null || move.from != placement || move.state != State.STOPPING) {
+  public void placementEnded(Placement placement, Moment now) {
+    ReplicaMove move = movesByTask.get(placement.task());
+    if (move == null || move.source != placement || move.state != State.STOPPING) {
       return;
     }
     JobSpec spec = placement.job().spec();
-    move.to.promiseEnds(spec.room());
+    move.target.promiseEnds(spec.room());
     boolean starts =
         placement.job().open()
             && placement.job().isFree(placement.task().index())
-            && takes(move.to, spec, now)
-            && !move.to.remembers(placement.task())
+            && hasRoomFor(move.target, spec, now)
+            && !move.target.remembers(placement.task())
             && quota.allows(placement.job(), 1);
-    move.enter(starts ? State.STARTING : State.HOMELESS);
+    move.enter(starts ? State.STARTING : State.TARGET_LOST);
     if (starts) {
       fleet.place(
           placement.job(),
           placement.task().index(),
           fleet.nextAttempt(),
-          move.to,
+          move.target,
           Span.millis(0),
           now);
     }
@@ -169,24 +174,24 @@
 
   /** Looks which moves have come to an end, and which have lost their next host. */
   void tick(Moment now) {
-    moves
+    movesByTask
         .values()
         .removeIf(
             move -> {
-              Placement at = fleet.placementOf(move.from.task()).orElse(null);
+              Placement at = fleet.placementOf(move.source.task()).orElse(null);
               if (move.state == State.STOPPING) {
-                if (at == move.from && !move.to.takesTasks(now, suspectAfter)) {
+                if (at == move.source && !move.target.takesTasks(now, suspectAfter)) {
                   // It hangs, died or is taken back: another place is found when the task is gone.
-                  move.to.promiseEnds(move.from.job().spec().room());
-                  move.enter(State.HOMELESS);
+                  move.target.promiseEnds(move.source.job().spec().room());
+                  move.enter(State.TARGET_LOST);
                 }
                 return false;
               }
-              if (!move.from.job().open()) {
+              if (!move.source.job().open()) {
                 return true;
               }
-              if (at != null && at != move.from && at.state() == Placement.State.RUNNING) {
-                outbox.measured(Effect.Measure.REPLICA_GAP, now.since(move.since));
+              if (at != null && at != move.source && at.state() == Placement.State.RUNNING) {
+                outbox.measured(Effect.Measure.REPLICA_GAP, now.since(move.startedAt));
                 return true;
               }
               return false;
--- a/src/main/java/org/oakwalk/core/exchange/Exchange.java
+++ b/src/main/java/org/oakwalk/core/exchange/Exchange.java
@@ -9,7 +9,7 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.drain.Gate;
+import org.oakwalk.core.drain.DisruptionLimiter;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
@@ -41,7 +41,7 @@
   private final Fleet fleet;
   private final JobBook jobs;
   private final Quota quota;
-  private final Gate gate;
+  private final DisruptionLimiter gate;
   private final Token token;
   private final Span suspectAfter;
   private final Starts starts;
@@ -62,7 +62,7 @@
       Fleet fleet,
       JobBook jobs,
       Quota quota,
-      Gate gate,
+      DisruptionLimiter gate,
       RunTimes runTimes,
       Span suspectAfter,
       Reserve reserve,
--- a/src/main/java/org/oakwalk/daemon/DrainFile.java
+++ b/src/main/java/org/oakwalk/daemon/DrainFile.java
@@ -10,9 +10,9 @@
 import java.util.Set;
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.drain.Budget;
+import org.oakwalk.core.drain.DisruptionBudget;
 import org.oakwalk.core.drain.DrainPlan;
-import org.oakwalk.core.drain.Drains;
+import org.oakwalk.core.drain.DrainPolicy;
 
 /** The blocks {@code drain} and {@code budget} of the operators' file. */
 final class DrainFile {
@@ -47,19 +47,19 @@
   }
 
   /** Reads both kinds of blocks out of a file's contents. */
-  static Drains read(Path file, Map<String, Object> root) throws BadSettings {
+  static DrainPolicy read(Path file, Map<String, Object> root) throws BadSettings {
     DrainFile reader = new DrainFile(file);
     List<DrainPlan> plans = new ArrayList<>();
     for (Map.Entry<String, Object> block : Block.named(file, root, "drain", Set.of())) {
       plans.add(reader.plan(block.getKey(), block.getValue()));
     }
-    List<Budget> budgets = new ArrayList<>();
+    List<DisruptionBudget> budgets = new ArrayList<>();
     Set<String> names = new HashSet<>();
     for (Map.Entry<String, Object> block :
-        Block.named(file, root, "budget", Set.of(Drains.EVERY_TEAM))) {
+        Block.named(file, root, "budget", Set.of(DrainPolicy.EVERY_TEAM))) {
       List<?> several = block.getValue() instanceof List<?> list ? list : List.of(block.getValue());
       for (Object fields : several) {
-        Budget budget = reader.budget(block.getKey(), fields);
+        DisruptionBudget budget = reader.budget(block.getKey(), fields);
         if (!names.add(budget.name())) {
           throw reader.bad("budget \"" + budget.name() + "\" stands there twice");
         }
@@ -69,11 +69,11 @@
     if (plans.size() > MOST_PLANS || budgets.size() > MOST_BUDGETS) {
       throw reader.bad("more than " + MOST_PLANS + " drains or budgets");
     }
-    return new Drains(plans, budgets);
+    return new DrainPolicy(plans, budgets);
   }
 
   /** Looks whether what is declared fits the deployment, and whether plans can end at all. */
-  static void check(Path file, Drains drains, Settings settings) throws BadSettings {
+  static void check(Path file, DrainPolicy drains, Settings settings) throws BadSettings {
     DrainFile reader = new DrainFile(file);
     for (DrainPlan plan : drains.plans()) {
       for (String zone : plan.zones()) {
@@ -82,14 +82,14 @@
         }
       }
     }
-    for (Budget budget : drains.budgets()) {
-      if (!budget.team().equals(Drains.EVERY_TEAM)
+    for (DisruptionBudget budget : drains.budgets()) {
+      if (!budget.team().equals(DrainPolicy.EVERY_TEAM)
           && !settings.teams().containsKey(budget.team())) {
         throw reader.bad("budget \"" + budget.name() + "\": unknown team " + budget.team());
       }
       boolean nothing =
-          budget.down() == 0
-              || budget.stopsPerHour().isPresent() && budget.stopsPerHour().get() == 0;
+          budget.maxDown() == 0
+              || budget.maxStopsPerHour().isPresent() && budget.maxStopsPerHour().get() == 0;
       for (DrainPlan plan : drains.plans()) {
         if (nothing && plan.status() != DrainPlan.Status.ENDED) {
           throw reader.bad(
@@ -132,7 +132,7 @@
         fields.texts("types"),
         kind.map("spot"::equals),
         machines,
-        DrainPlan.Then.valueOf(then.toUpperCase(Locale.ROOT)),
+        DrainPlan.DrainMode.valueOf(then.toUpperCase(Locale.ROOT)),
         step,
         surge,
         Span.seconds(fields.number("pause_s", 0, 86_400, 0)),
@@ -141,7 +141,7 @@
         Span.seconds(fields.number("work_waits_s", 0, 86_400, 15)));
   }
 
-  private Budget budget(String team, Object block) throws BadSettings {
+  private DisruptionBudget budget(String team, Object block) throws BadSettings {
     if (!(block instanceof Map<?, ?> map)) {
       throw bad("budget is not a block with a name");
     }
@@ -151,7 +151,7 @@
       throw bad(fields.name() + ": down must be a whole number, or a share between 0 and 1");
     }
     double stops = fields.number("stops_per_hour", 0, 1e6, -1);
-    return new Budget(
+    return new DisruptionBudget(
         team,
         Optional.ofNullable(fields.text("class")),
         down,
--- a/src/main/java/org/oakwalk/model/BudgetRule.java
+++ b/src/main/java/org/oakwalk/model/BudgetRule.java
@@ -5,7 +5,7 @@
 import java.util.Optional;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.TaskId;
-import org.oakwalk.core.drain.Budget;
+import org.oakwalk.core.drain.DisruptionBudget;
 import org.oakwalk.core.job.JobSpec;
 
 /**
@@ -16,7 +16,7 @@
 final class BudgetRule {
   private final World world;
   private final Map<TaskId, JobSpec> stopped = new HashMap<>();
-  private final Map<Budget, Integer> stops = new HashMap<>();
+  private final Map<DisruptionBudget, Integer> stops = new HashMap<>();
   private final Map<TaskId, JobSpec> begun = new HashMap<>();
 
   BudgetRule(World world) {
@@ -26,20 +26,20 @@
   /** A worker stops a running task since it was told to; returns what is broken by it. */
   Optional<String> stopped(TaskId task, JobSpec spec) {
     stopped.put(task, spec);
-    for (Budget budget : world.plans.budgets()) {
+    for (DisruptionBudget budget : world.plans.budgets()) {
       if (!budget.covers(spec)) {
         continue;
       }
       int count = stops.merge(budget, 1, Integer::sum);
-      if (budget.stopsPerHour().isPresent() && count > budget.stopsPerHour().get()) {
+      if (budget.maxStopsPerHour().isPresent() && count > budget.maxStopsPerHour().get()) {
         return Optional.of(budget.name() + " has been stopped " + count + " times");
       }
       long down = stopped.values().stream().filter(budget::covers).count();
       long expected = begun.values().stream().filter(budget::covers).count();
       double most =
-          budget.down() > 0 && budget.down() < 1
-              ? Math.max(1, Math.floor(budget.down() * expected))
-              : budget.down();
+          budget.maxDown() > 0 && budget.maxDown() < 1
+              ? Math.max(1, Math.floor(budget.maxDown() * expected))
+              : budget.maxDown();
       if (down > most) {
         return Optional.of(budget.name() + " has " + down + " tasks down by our own doing");
       }
--- a/src/main/java/org/oakwalk/model/Plans.java
+++ b/src/main/java/org/oakwalk/model/Plans.java
@@ -10,9 +10,9 @@
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Policy;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.drain.Budget;
+import org.oakwalk.core.drain.DisruptionBudget;
 import org.oakwalk.core.drain.DrainPlan;
-import org.oakwalk.core.drain.Drains;
+import org.oakwalk.core.drain.DrainPolicy;
 import org.oakwalk.core.product.DawnTerms;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.product.ProductTerms;
@@ -25,7 +25,7 @@
   private final Words base;
   private final List<Words> lines;
   private final Queueing order;
-  private final List<Budget> budgets = new ArrayList<>();
+  private final List<DisruptionBudget> budgets = new ArrayList<>();
 
   /**
    * The files of a scenario.
@@ -60,7 +60,7 @@
         policy.round(),
         policy.capacity(),
         (int) base.number("open", policy.mostOpenJobs()),
-        new Drains(List.copyOf(plans.values()), budgets),
+        new DrainPolicy(List.copyOf(plans.values()), budgets),
         order == Queueing.PLANNED ? terms : withoutDawns(terms));
   }
 
@@ -104,13 +104,13 @@
         .anyMatch(line -> rentedSeconds <= line.number("from", 0) + PLAN_SEEN_SECONDS);
   }
 
-  List<Budget> budgets() {
+  List<DisruptionBudget> budgets() {
     return budgets;
   }
 
-  private static Budget budget(Words line) {
+  private static DisruptionBudget budget(Words line) {
     int stops = (int) line.number("stops", -1);
-    return new Budget(
+    return new DisruptionBudget(
         line.word(1),
         Optional.ofNullable(line.text("class", null)),
         line.number("down", 1),
@@ -127,7 +127,7 @@
         texts(line, "types"),
         kind.isEmpty() ? Optional.empty() : Optional.of(kind.equals("spot")),
         texts(line, "machines"),
-        DrainPlan.Then.valueOf(line.text("then", "replace").toUpperCase(Locale.ROOT)),
+        DrainPlan.DrainMode.valueOf(line.text("then", "replace").toUpperCase(Locale.ROOT)),
         line.number("step", 1),
         (int) line.number("surge", line.number("step", 1)),
         Span.seconds(line.number("pause", 0)),
--- a/src/main/java/org/oakwalk/wire/DrainCodec.java
+++ b/src/main/java/org/oakwalk/wire/DrainCodec.java
@@ -24,15 +24,15 @@
     map.put("status", plan.status().name());
     texts(map.putArray("zones"), plan.zones());
     texts(map.putArray("types"), plan.types());
-    plan.kind().ifPresent(spot -> map.put("spot", spot));
+    plan.spotFilter().ifPresent(spot -> map.put("spot", spot));
     texts(map.putArray("machines"), plan.machines());
-    map.put("then", plan.then().name());
-    map.put("step", plan.step());
+    map.put("then", plan.mode().name());
+    map.put("step", plan.concurrency());
     map.put("surge", plan.surge());
-    map.put("pause_s", plan.pause().asSeconds());
-    map.put("patience_s", plan.patience().asSeconds());
-    map.put("replica_waits_s", plan.replicaMayWait().asSeconds());
-    map.put("work_waits_s", plan.workMayWait().asSeconds());
+    map.put("pause_s", plan.selectionInterval().asSeconds());
+    map.put("patience_s", plan.drainTimeout().asSeconds());
+    map.put("replica_waits_s", plan.maxReplicaWait().asSeconds());
+    map.put("work_waits_s", plan.maxWorkWait().asSeconds());
     map.put("newest", record.newestMachine().value());
     map.put("selected", record.selectedMachines());
   }
@@ -51,7 +51,7 @@
             new LinkedHashSet<>(map.texts("types")),
             map.has("spot") ? Optional.of(map.flag("spot")) : Optional.empty(),
             new LinkedHashSet<>(map.texts("machines")),
-            named(DrainPlan.Then.values(), map.text("then")),
+            named(DrainPlan.DrainMode.values(), map.text("then")),
             map.amount("step"),
             (int) map.count("surge", 0, Integer.MAX_VALUE),
             map.seconds("pause_s"),
--- a/src/test/java/org/oakwalk/core/capacity/CatalogueKeeperTest.java
+++ b/src/test/java/org/oakwalk/core/capacity/MachineTypeWriterTest.java
@@ -22,15 +22,15 @@
 import org.oakwalk.core.store.StoredValue;
 
 /** The stored machine types are those that were written last, also if an older write is late. */
-class CatalogueKeeperTest {
+class MachineTypeWriterTest {
   private final Outbox outbox = new Outbox();
   private final FaultyStore store = new FaultyStore();
   private final StoreView view = new StoreView(outbox, 200, 1);
-  private CatalogueKeeper keeper;
+  private MachineTypeWriter writer;
   private Moment now = new Moment(0);
 
   @BeforeEach
-  void leads() {
+  void startTerm() {
     Revision token =
         store.put(StoreKeys.LEADER, new StoredValue.LeaderRecord(new NodeId("n"), "a", "life"));
     view.setListener(
@@ -41,8 +41,8 @@
           @Override
           public void jobChanged(KnownJob known, Moment at) {}
         });
-    keeper =
-        new CatalogueKeeper(
+    writer =
+        new MachineTypeWriter(
             outbox,
             view,
             new Guard(StoreKeys.LEADER, token),
@@ -66,7 +66,7 @@
       view.tick(now);
       store.serve(outbox, commit -> fate);
     }
-    keeper.tick(types, now);
+    writer.tick(types, now);
     store.serve(outbox, commit -> fate);
   }
 
@@ -77,7 +77,7 @@
   }
 
   @Test
-  void olderTypesThatAreLateDoNotComeBack() {
+  void delayedWriteDoesNotOverwriteNewerTypes() {
     tick(types("m"), FaultyStore.CommitOutcome.DELAYED);
     tick(types("m", "n"), FaultyStore.CommitOutcome.APPLIED);
     store.applyDelayed(0);
@@ -85,7 +85,7 @@
   }
 
   @Test
-  void aLostAnswerHoldsNothingUp() {
+  void lostAnswerDoesNotBlockLaterWrites() {
     tick(types("m"), FaultyStore.CommitOutcome.ANSWER_LOST);
     tick(types("m", "n"), FaultyStore.CommitOutcome.APPLIED);
     tick(types("m", "n"), FaultyStore.CommitOutcome.APPLIED);
--- a/src/test/java/org/oakwalk/core/drain/StopLedgerTest.java
+++ b/src/test/java/org/oakwalk/core/drain/StopGrantsTest.java
@@ -21,16 +21,18 @@
 import org.oakwalk.core.store.StoredValue;
 
 /** Stops that were made stand in the store, also if an older ledger is stored late. */
-class StopLedgerTest {
-  private static final Budget ONE = new Budget("one", Optional.empty(), 5, Optional.of(40));
-  private static final Budget TWO = new Budget("two", Optional.empty(), 5, Optional.of(40));
+class StopGrantsTest {
+  private static final DisruptionBudget ONE =
+      new DisruptionBudget("one", Optional.empty(), 5, Optional.of(40));
+  private static final DisruptionBudget TWO =
+      new DisruptionBudget("two", Optional.empty(), 5, Optional.of(40));
   private static final WallTime WALL = new WallTime(1_000_000_000);
 
   private FaultyStore store = new FaultyStore();
   private Outbox outbox;
   private long now;
 
-  private Revision stamp() {
+  private Revision storedRevision() {
     return store.find(StoreKeys.RECENT_STOPS).map(Entry::revision).orElse(Revision.NONE);
   }
 
@@ -38,20 +40,21 @@
     return store.find(StoreKeys.RECENT_STOPS).map(entry -> (StoredValue.StopsRecord) entry.value());
   }
 
-  private StopLedger leads() {
+  private StopGrants startTerm() {
     outbox = new Outbox();
     Revision token =
         store.put(StoreKeys.LEADER, new StoredValue.LeaderRecord(new NodeId("n"), "a", "life"));
-    return new StopLedger(outbox, new Guard(StoreKeys.LEADER, token), record(), this::stamp);
+    return new StopGrants(
+        outbox, new Guard(StoreKeys.LEADER, token), record(), this::storedRevision);
   }
 
-  private void tick(StopLedger ledger, FaultyStore.CommitOutcome fate) {
+  private void tick(StopGrants ledger, FaultyStore.CommitOutcome fate) {
     now += 1100;
     ledger.tick(List.of(ONE, TWO), Map.of(), new Moment(now), WALL);
     store.serve(outbox, commit -> fate);
   }
 
-  private int stored(Budget budget) {
+  private int stored(DisruptionBudget budget) {
     return record()
         .map(record -> record.byBudget().get(budget.name()))
         .map(stops -> stops.grantedByInterval().values().stream().mapToInt(Integer::intValue).sum())
@@ -59,45 +62,45 @@
   }
 
   @Test
-  void anOlderLedgerThatIsLateTakesNoStopBack() {
-    StopLedger ledger = leads();
-    ledger.has(ONE, 1);
+  void delayedWriteDoesNotRevokeNewerGrants() {
+    StopGrants ledger = startTerm();
+    ledger.checkOrRequest(ONE, 1);
     tick(ledger, FaultyStore.CommitOutcome.DELAYED);
-    ledger.has(TWO, 2);
+    ledger.checkOrRequest(TWO, 2);
     tick(ledger, FaultyStore.CommitOutcome.APPLIED);
-    assertThat(ledger.has(TWO, 2)).isTrue();
+    assertThat(ledger.checkOrRequest(TWO, 2)).isTrue();
     store.applyDelayed(0);
     assertThat(stored(TWO)).isGreaterThanOrEqualTo(2);
   }
 
   /** It goes on after a write of which the answer was lost. */
   @Test
-  void aLostAnswerHoldsNothingUpForLong() {
-    StopLedger ledger = leads();
-    ledger.has(ONE, 1);
+  void grantsContinueAfterLostAnswer() {
+    StopGrants ledger = startTerm();
+    ledger.checkOrRequest(ONE, 1);
     tick(ledger, FaultyStore.CommitOutcome.ANSWER_LOST);
     for (int i = 0; i < 3; i++) {
-      ledger.has(ONE, 1);
+      ledger.checkOrRequest(ONE, 1);
       tick(ledger, FaultyStore.CommitOutcome.APPLIED);
     }
-    assertThat(ledger.has(ONE, 1)).isTrue();
+    assertThat(ledger.checkOrRequest(ONE, 1)).isTrue();
   }
 
   /** No leader has made more stops than are stored, whatever is lost or late. */
   @Test
-  void whatWasMadeIsStored() {
+  void everyStopMadeIsStored() {
     for (long seed = 1; seed <= 200; seed++) {
       store = new FaultyStore();
       UniformRandomProvider chance = RandomSource.XO_SHI_RO_256_PP.create(seed);
-      Map<Budget, Integer> made = new HashMap<>(Map.of(ONE, 0, TWO, 0));
-      StopLedger ledger = leads();
+      Map<DisruptionBudget, Integer> made = new HashMap<>(Map.of(ONE, 0, TWO, 0));
+      StopGrants ledger = startTerm();
       for (int step = 0; step < 100; step++) {
         if (chance.nextInt(20) == 0) {
-          ledger = leads();
+          ledger = startTerm();
         }
-        Budget budget = chance.nextBoolean() ? ONE : TWO;
-        if (ledger.has(budget, 1)) {
-          ledger.use(budget);
+        DisruptionBudget budget = chance.nextBoolean() ? ONE : TWO;
+        if (ledger.checkOrRequest(budget, 1)) {
+          ledger.consume(budget);
           made.merge(budget, 1, Integer::sum);
         }
         FaultyStore.CommitOutcome[] fates = FaultyStore.CommitOutcome.values();
--- a/src/test/java/org/oakwalk/daemon/DrainFileTest.java
+++ b/src/test/java/org/oakwalk/daemon/DrainFileTest.java
@@ -14,7 +14,7 @@
 import org.oakwalk.core.Policy;
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.Span;
-import org.oakwalk.core.drain.Budget;
+import org.oakwalk.core.drain.DisruptionBudget;
 import org.oakwalk.core.drain.DrainPlan;
 
 /** What operators declare of plans and budgets: read, checked, and refused in one line. */
@@ -43,7 +43,7 @@
                 Set.of("g8"),
                 Optional.of(false),
                 Set.of("host-000231", "host-000232"),
-                DrainPlan.Then.REPLACE,
+                DrainPlan.DrainMode.REPLACE,
                 10,
                 10,
                 Span.seconds(5),
@@ -52,16 +52,16 @@
                 Span.seconds(15)));
     assertThat(policy.drains().budgets())
         .containsExactly(
-            new Budget("vision", Optional.empty(), 0.1, Optional.of(600)),
-            new Budget("vision", Optional.of("search"), 2, Optional.empty()));
+            new DisruptionBudget("vision", Optional.empty(), 0.1, Optional.of(600)),
+            new DisruptionBudget("vision", Optional.of("search"), 2, Optional.empty()));
   }
 
   @Test
   void theRollIsForAnyTeam() throws Exception {
     Policy policy = PolicyFile.read(Path.of("deploy/roll.hcl"));
     PolicyFile.check(Path.of("deploy/roll.hcl"), policy, settings());
-    assertThat(policy.drains().budgetsOf(settings().teams().keySet()))
-        .containsExactly(new Budget("crew", Optional.empty(), 1, Optional.empty()));
+    assertThat(policy.drains().budgetsFor(settings().teams().keySet()))
+        .containsExactly(new DisruptionBudget("crew", Optional.empty(), 1, Optional.empty()));
   }
 
   @ParameterizedTest
--- a/src/test/java/org/oakwalk/wire/DrainCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/DrainCodecTest.java
@@ -33,7 +33,7 @@
             Set.of(),
             Optional.of(true),
             machines,
-            DrainPlan.Then.RETURN,
+            DrainPlan.DrainMode.RETURN,
             0.25,
             40,
             Span.seconds(5),
