--- a/src/main/java/org/oakwalk/core/capacity/Autoscaler.java
+++ b/src/main/java/org/oakwalk/core/capacity/Autoscaler.java
@@ -34,16 +34,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Decides what to rent and what to return, and talks to the cloud about it. */
+/** Rents and releases machines according to demand, and reads the cloud's list of rentals. */
 public final class Autoscaler {
   private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
   private static final Span PLAN_INTERVAL = Span.seconds(1);
   private static final Span RELEASE_RETRY_INTERVAL = Span.seconds(1);
   private static final int MAX_RELEASE_BATCH = 100;
+  // Half-lives with which past peaks of demand decay.
   private static final double URGENT_HALF_LIFE_SECONDS = 150;
   private static final double DEFERRABLE_HALF_LIFE_SECONDS = 45;
   private static final double TOTAL_HALF_LIFE_SECONDS = 40;
+
+  /** Share of the headroom that is kept for demand that can wait for machines to boot. */
   private static final double DEFERRABLE_HEADROOM_SHARE = 0.3;
+
+  /** How long a silent machine counts as capacity while silence is not evidence of a failure. */
   private static final Span UNREACHABLE_COUNTED_FOR = Span.seconds(10);
 
   private final Outbox outbox;
@@ -80,10 +85,10 @@
       new DecayingPeaks(PLAN_INTERVAL, TOTAL_HALF_LIFE_SECONDS);
 
   /**
-   * Decides for a fleet.
+   * Creates the autoscaler of a fleet.
    *
-   * @param bars sorts of machines that must not be rented at present
-   * @param placesLeft for how many tasks more of a job its team's limit leaves room
+   * @param isForbidden returns whether a pool must not be rented from at present
+   * @param quotaRemaining returns how many more tasks of a job its team's quota allows
    */
   public Autoscaler(
       Outbox outbox,
@@ -93,10 +98,10 @@
       Policy.Capacity policy,
       Settings settings,
       RunTimes runTimes,
-      Deadlines planned,
+      Deadlines plannedDeadlines,
       Span suspectAfter,
-      Predicate<BootTracker.MachinePool> bars,
-      ToIntFunction<JobSpec> placesLeft) {
+      Predicate<BootTracker.MachinePool> isForbidden,
+      ToIntFunction<JobSpec> quotaRemaining) {
     this.outbox = outbox;
     this.fleet = fleet;
     this.jobs = jobs;
@@ -107,22 +112,26 @@
     this.bootTracker = new BootTracker(policy.bootPatience());
     this.failureDetector = new MachineFailureDetector(fleet, bootTracker, policy, suspectAfter);
     this.scaleDown = new ScaleDown(fleet, policy, suspectAfter);
-    this.renter = new RentalRequester(outbox, fleet, bootTracker, bars);
-    this.demand = new Demand(settings.objectives(), runTimes, planned);
-    this.zoneBoundDemand = new ZoneBoundDemand(fleet, jobs, demand, placesLeft);
+    this.renter = new RentalRequester(outbox, fleet, bootTracker, isForbidden);
+    this.demand = new Demand(settings.objectives(), runTimes, plannedDeadlines);
+    this.zoneBoundDemand = new ZoneBoundDemand(fleet, jobs, demand, quotaRemaining);
   }
 
-  /** What tells broken machines from those that are merely out of reach. */
+  /** Detector that tells failed machines from unreachable ones. */
   public MachineFailureDetector failureDetector() {
     return failureDetector;
   }
 
-  /** Machines are held for these as well, as if they were jobs. */
+  /** Sets a supplier of specs for which capacity is kept as if they were submitted jobs. */
   public void setReservedSpecs(Supplier<List<JobSpec>> specs) {
     reservedSpecs = specs;
   }
 
-  /** Follows the fleet; rents only once it is known what there is. */
+  /**
+   * Runs the steps that are due.
+   *
+   * @param recovered whether the fleet is completely known; machines are rented only then
+   */
   public void tick(Map<String, MachineType> known, boolean recovered, Moment now, WallTime wall) {
     types = known;
     if (types.isEmpty()) {
@@ -159,28 +168,30 @@
             if (page.more() && !page.rentals().isEmpty()) {
               requestList(Optional.of(page.rentals().get(page.rentals().size() - 1).id()), now);
             } else {
-              // A list shows the past, by up to twice its lag.
+              // A list can be outdated by up to twice its lag.
               listComplete |= now.past(firstListRequest, limits.listLag().times(2));
             }
           }
         });
   }
 
-  /** Takes over a line of the list, which shows the past: only new machines and ends count. */
+  /**
+   * Applies one entry of the list. Since the list may be outdated, only unknown machines and
+   * failures are taken from it.
+   */
   private void applyListEntry(Rental rental, Moment now) {
     Optional<Machine> machine = fleet.find(rental.id());
     if (machine.isPresent()) {
       if (rental.status() == Rental.Status.FAILED
           && machine.get().state() != Machine.State.RETURNING) {
-        LOG.info("machine {} has failed", rental.id());
+        LOG.info("machine {} is listed as failed; releasing it", rental.id());
         returnMachine(machine.get());
       }
       return;
     }
     if (releasedIds.contains(rental.id())) {
-      // The list shows the past, and what the cloud has confirmed as gone never comes back. Taken
-      // for
-      // one that boots, it would be given up later, as if boots had failed.
+      // The list may be outdated, and a machine whose release the cloud has confirmed never
+      // returns. Added as booting, it would be given up later and count as a failed boot.
       return;
     }
     Moment rented = new Moment(now.millis() - rental.held().millis());
@@ -195,7 +206,7 @@
             rented)
         .ifPresent(
             added -> {
-              LOG.info("machine {} found in the list", added.id());
+              LOG.info("machine {} added from the cloud's list", added.id());
               added.listed(rental.status());
               if (rental.status() == Rental.Status.FAILED) {
                 returnMachine(added);
@@ -235,7 +246,12 @@
         });
   }
 
-  /** Machines that the open jobs ask for; tight is the part that can't wait for a boot. */
+  /**
+   * Demand of open jobs, in machines.
+   *
+   * @param ordinary the part that must not run on spot machines
+   * @param urgent the part that can't wait for machines to boot
+   */
   private record MachineDemand(double total, double ordinary, double urgent) {
     static final MachineDemand NONE = new MachineDemand(0, 0, 0);
 
@@ -246,7 +262,7 @@
   }
 
   private void plan(Moment now, WallTime wall) {
-    Map<String, MachineDemand> needs = new HashMap<>();
+    Map<String, MachineDemand> demandByType = new HashMap<>();
     for (Job job : jobs.all()) {
       if (job.open()) {
         MachineType type = Demand.cheapestType(job.spec(), types.values());
@@ -254,7 +270,7 @@
           double machines =
               Demand.machineCount(job.spec().room(), demand.concurrentTasks(job, type, wall), type);
           boolean spot = job.spec().spotAllowed();
-          needs.merge(
+          demandByType.merge(
               type.name(),
               new MachineDemand(
                   machines,
@@ -268,43 +284,47 @@
       MachineType type = Demand.cheapestType(spec, types.values());
       if (type != null) {
         double machines = Demand.machineCount(spec.room(), spec.tasks(), type);
-        needs.merge(
+        demandByType.merge(
             type.name(),
             new MachineDemand(machines, spec.spotAllowed() ? 0 : machines, machines),
             MachineDemand::plus);
       }
     }
     for (MachineType type : types.values()) {
-      MachineDemand need = needs.getOrDefault(type.name(), MachineDemand.NONE);
-      // What could not be rented was not used either, so it is no measure for what is kept.
+      MachineDemand typeDemand = demandByType.getOrDefault(type.name(), MachineDemand.NONE);
+      // Past demand that could not be met with machines does not justify keeping more machines.
       int held = activeCount(type);
-      double tight = urgentPeaks.update(type.name(), need.urgent(), held);
-      double loose = deferrablePeaks.update(type.name(), need.total() - need.urgent(), held);
-      // The two peaks belong to different moments, so together they ask for more than was ever
-      // asked for at once; over a large fleet that is most of the money.
-      double total = totalPeaks.update(type.name(), need.total(), held);
-      double ready =
+      double urgent = urgentPeaks.update(type.name(), typeDemand.urgent(), held);
+      double deferrable =
+          deferrablePeaks.update(type.name(), typeDemand.total() - typeDemand.urgent(), held);
+      // The urgent and deferrable peaks occur at different times, so their sum exceeds the demand
+      // at
+      // any one time; in a large fleet that excess is most of the cost.
+      double total = totalPeaks.update(type.name(), typeDemand.total(), held);
+      double target =
           Math.min(
               total * (1 + policy.headroom()),
-              tight * (1 + policy.headroom())
-                  + loose * (1 + policy.headroom() * DEFERRABLE_HEADROOM_SHARE));
-      // With nothing to do at all, the spare machines go as well.
-      int wanted = need.total() <= 0 ? 0 : (int) Math.ceil(ready) + policy.spareMachines();
-      scale(type, need, wanted, now);
+              urgent * (1 + policy.headroom())
+                  + deferrable * (1 + policy.headroom() * DEFERRABLE_HEADROOM_SHARE));
+      // Without any demand, the spare machines are returned as well.
+      int wanted = typeDemand.total() <= 0 ? 0 : (int) Math.ceil(target) + policy.spareMachines();
+      scale(type, typeDemand, wanted, now);
     }
     zoneBoundDemand
         .missingMachines(spec -> Demand.cheapestType(spec, types.values()), suspectAfter, now, wall)
-        .forEach((sort, count) -> provideMachines(sort, count, now));
+        .forEach((pool, count) -> provideMachines(pool, count, now));
   }
 
-  /** Gets machines in one zone, whatever is held elsewhere; that becomes surplus later. */
-  private void provideMachines(BootTracker.MachinePool sort, int count, Moment now) {
-    int left = count - scaleDown.reactivate(sort, count, now);
-    if (left > 0 && sort.spot()) {
-      left -= renter.rent(sort, left, now);
+  /**
+   * Provides machines in one pool regardless of those in other pools, which become surplus later.
+   */
+  private void provideMachines(BootTracker.MachinePool pool, int count, Moment now) {
+    int left = count - scaleDown.reactivate(pool, count, now);
+    if (left > 0 && pool.spot()) {
+      left -= renter.rent(pool, left, now);
     }
     if (left > 0) {
-      renter.rent(new BootTracker.MachinePool(sort.type(), sort.zone(), false), left, now);
+      renter.rent(new BootTracker.MachinePool(pool.type(), pool.zone(), false), left, now);
     }
   }
 
@@ -318,7 +338,7 @@
     return held;
   }
 
-  private void scale(MachineType type, MachineDemand need, int wanted, Moment now) {
+  private void scale(MachineType type, MachineDemand typeDemand, int wanted, Moment now) {
     int ordinary = 0;
     int spot = 0;
     for (Machine machine : fleet.machines()) {
@@ -328,35 +348,37 @@
       }
     }
     int wantedOrdinary =
-        wanted == 0 ? 0 : (int) Math.ceil(need.ordinary() * (1 + policy.headroom())) + 1;
-    // Spot machines, however many there are, are of no use to work that must not run on them.
-    int lacking = Math.max(0, (int) Math.ceil(need.ordinary()) - ordinary);
+        wanted == 0 ? 0 : (int) Math.ceil(typeDemand.ordinary() * (1 + policy.headroom())) + 1;
+    // Spot machines cannot cover the demand of jobs that must not run on them.
+    int missingOrdinary = Math.max(0, (int) Math.ceil(typeDemand.ordinary()) - ordinary);
     int missing = wanted - ordinary - spot;
-    if (lacking > 0) {
-      // Only then: where none lacks, a surplus has to stay one, or nothing is ever returned.
-      missing = Math.max(missing, lacking);
+    if (missingOrdinary > 0) {
+      // Only if ordinary machines are lacking: otherwise a surplus would never be returned.
+      missing = Math.max(missing, missingOrdinary);
     }
-    sufficientByType.put(type.name(), wanted - (int) Math.max(0, (wanted - need.total()) / 2));
+    sufficientByType.put(
+        type.name(), wanted - (int) Math.max(0, (wanted - typeDemand.total()) / 2));
     summary =
         String.format(
             Locale.ROOT,
-            "need %.1f (ordinary %.1f, tight %.1f) wanted %d held %d",
-            need.total(),
-            need.ordinary(),
-            need.urgent(),
+            "demand %.1f (ordinary %.1f, urgent %.1f) wanted %d held %d",
+            typeDemand.total(),
+            typeDemand.ordinary(),
+            typeDemand.urgent(),
             wanted,
             ordinary + spot);
     if (missing > 0) {
-      int kept = scaleDown.reactivateOrdinary(type, lacking, now);
-      lacking -= kept;
-      missing -= kept;
-      missing -= scaleDown.reactivate(type, missing - lacking, now);
+      int reactivated = scaleDown.reactivateOrdinary(type, missingOrdinary, now);
+      missingOrdinary -= reactivated;
+      missing -= reactivated;
+      missing -= scaleDown.reactivate(type, missing - missingOrdinary, now);
     }
     if (missing > 0) {
       int flexible = Math.max(0, wanted - wantedOrdinary);
       int wantedSpot = (int) Math.floor(flexible * policy.spotShare());
-      int askSpot = Math.min(missing - lacking, Math.max(0, wantedSpot - spot));
-      int left = askSpot > 0 ? missing - renter.rent(type, true, askSpot, now) : missing;
+      int requestedSpot = Math.min(missing - missingOrdinary, Math.max(0, wantedSpot - spot));
+      int left =
+          requestedSpot > 0 ? missing - renter.rent(type, true, requestedSpot, now) : missing;
       if (left > 0) {
         left -= renter.rent(type, false, left, now);
       }
@@ -368,46 +390,46 @@
     }
   }
 
-  /** Whether the cloud's list has shown all that was rented before this leader rose. */
+  /** Returns whether the cloud's list has covered all rentals from before this leader's term. */
   public boolean isListComplete() {
     return listComplete;
   }
 
-  /** Whether the cloud did not answer when its list was last asked for. */
+  /** Returns whether the last request for the cloud's list failed. */
   public boolean isCloudUnavailable() {
     return cloudUnavailable;
   }
 
-  /** By when a machine rented in this one's place is up, or is given up. */
+  /** Time within which a replacement for a machine comes up or is given up. */
   public Span bootTimeout(Machine machine) {
     return bootTracker.bootTimeout(BootTracker.MachinePool.of(machine), machine.type());
   }
 
-  /** Whether machines of some sort failed to come up one after the other a short time ago. */
+  /** Returns whether consecutive boots have failed recently in any pool. */
   public boolean anyPoolFailing(Moment now) {
     return bootTracker.anyFailing(now);
   }
 
   /**
-   * How many machines of a type are up and could be done without, those that a plan has chosen too:
-   * half of what is held beyond the need may be missing for a while.
+   * Number of machines of a type that are up and can be drained now, including those that a drain
+   * plan has already selected. Half of the capacity beyond the demand may be missing temporarily.
    */
   public int spareCount(MachineType type) {
-    Integer enough = sufficientByType.get(type.name());
-    if (enough == null) {
+    Integer sufficient = sufficientByType.get(type.name());
+    if (sufficient == null) {
       return 0;
     }
     int up = 0;
     for (Machine machine : fleet.machines()) {
-      boolean serves =
+      boolean inUse =
           machine.state() == Machine.State.UP
               && (machine.duty() == Duty.IN_USE || machine.duty() == Duty.NEXT);
-      up += serves && machine.type().name().equals(type.name()) ? 1 : 0;
+      up += inUse && machine.type().name().equals(type.name()) ? 1 : 0;
     }
-    return up - enough;
+    return up - sufficient;
   }
 
-  /** One line on the last plan, for the log. */
+  /** One-line summary of the last scaling decision, for the log. */
   public String summary() {
     return summary;
   }
@@ -419,7 +441,9 @@
               machine.known(),
               bootTracker.replacementDelay(BootTracker.MachinePool.of(machine), machine.type()));
       case ENROLLING, UNCONFIRMED -> true;
-      // Many silent at once are out of reach for a while; to rent as many again would be waste.
+      // Many machines that fall silent at once are unreachable for a while; replacing them all
+      // would
+      // be waste.
       case UP ->
           machine.duty() == Duty.IN_USE
               && !now.past(
--- a/src/main/java/org/oakwalk/core/capacity/BootTracker.java
+++ b/src/main/java/org/oakwalk/core/capacity/BootTracker.java
@@ -8,32 +8,39 @@
 import org.oakwalk.core.fleet.MachineType;
 
 /**
- * Learns how long machines take to come up, for each type, zone and kind: how late one has to be to
- * be replaced, how late to be given up, and where machines have failed to come up of late.
+ * Tracks boot times and boot failures for each machine pool. Determines when a booting machine is
+ * replaced, when it is given up, and in which pools boots have failed recently.
  */
 public final class BootTracker {
+  /** Weight of a new sample in the moving averages. */
   private static final double SAMPLE_WEIGHT = 0.25;
 
-  /** What usual boots take may be exceeded this often before a replacement is rented. */
+  /** Multiple of the typical boot time after which a replacement is rented. */
   private static final double REPLACEMENT_FACTOR = 1.6;
 
-  /** And this often before the machine is given up; it is charged all the while. */
+  /**
+   * Multiple of the typical boot time after which a machine is given up. It is charged until then.
+   */
   private static final double TIMEOUT_FACTOR = 3.2;
 
-  /** Boots vary by about so much over the type's own time without being late. */
+  /**
+   * Boots normally take up to this multiple of the boot time that the catalog gives for the type.
+   */
   private static final double NORMAL_VARIATION_FACTOR = 1.6;
 
-  /** Late boots may use up the operators' patience so many times, but only where some came late. */
+  /**
+   * Limit of the timeout as a multiple of the configured one, for pools with late or failed boots.
+   */
   private static final double MAX_TIMEOUT_FACTOR = 2;
 
-  /** What patience gains by each machine in a row that was given up. */
+  /** Share by which the timeout grows with each consecutive failure. */
   private static final double TIMEOUT_INCREASE_PER_FAILURE = 0.25;
 
   private static final int MAX_COUNTED_FAILURES = 4;
   private static final int FAILING_AFTER_FAILURES = 2;
   private static final Span FAILING_PERIOD = Span.seconds(90);
 
-  /** Machines of one sort in one zone. */
+  /** Machines of one type and one kind (spot or ordinary) in one zone. */
   public record MachinePool(String type, String zone, boolean spot) {
     static MachinePool of(Machine machine) {
       return new MachinePool(machine.type().name(), machine.zone(), machine.spot());
@@ -51,86 +58,86 @@
   private final Map<MachinePool, BootStatistics> statistics = new HashMap<>();
 
   /**
-   * A record without entries.
+   * Creates a tracker without samples.
    *
-   * @param configuredTimeout how long a machine may boot at most, as long as none has come late
+   * @param configuredTimeout limit of the boot timeout for pools without late or failed boots
    */
-  BootTracker(Span patience) {
-    this.configuredTimeout = patience;
+  BootTracker(Span configuredTimeout) {
+    this.configuredTimeout = configuredTimeout;
   }
 
-  /** A machine came up after booting this long. */
-  void recordSuccess(MachinePool sort, MachineType type, Span took) {
-    BootStatistics record = statisticsOf(sort, type);
-    double off = took.asSeconds() - record.meanSeconds;
-    record.consecutiveFailures = 0;
-    record.meanSeconds += SAMPLE_WEIGHT * off;
-    record.meanDeviation += SAMPLE_WEIGHT * (Math.abs(off) - record.meanDeviation);
+  /** Records that a machine came up after the given boot time. */
+  void recordSuccess(MachinePool pool, MachineType type, Span bootTime) {
+    BootStatistics stats = statisticsOf(pool, type);
+    double difference = bootTime.asSeconds() - stats.meanSeconds;
+    stats.consecutiveFailures = 0;
+    stats.meanSeconds += SAMPLE_WEIGHT * difference;
+    stats.meanDeviation += SAMPLE_WEIGHT * (Math.abs(difference) - stats.meanDeviation);
   }
 
   /**
-   * A machine was given up. Where none comes up at all they may be late rather than dead, which
-   * only more patience can tell.
+   * Records that a machine was given up. Consecutive failures extend the timeout: if no machine
+   * comes up, boots may be slow rather than failed, and only a longer wait can tell.
    */
-  void recordFailure(MachinePool sort, MachineType type, Moment now) {
-    BootStatistics record = statisticsOf(sort, type);
-    record.consecutiveFailures++;
-    record.lastFailure = now;
+  void recordFailure(MachinePool pool, MachineType type, Moment now) {
+    BootStatistics stats = statisticsOf(pool, type);
+    stats.consecutiveFailures++;
+    stats.lastFailure = now;
   }
 
   /**
-   * Whether machines of this sort failed to come up one after the other a short time ago. A single
-   * one tells nothing: some fail everywhere.
+   * Returns whether several consecutive boots in the pool failed and the last failure was recent. A
+   * single failure does not count, since occasional boot failures occur in every pool.
    */
-  boolean isFailing(MachinePool sort, Moment now) {
-    BootStatistics record = statistics.get(sort);
-    return failsRepeatedly(record) && !now.past(record.lastFailure, FAILING_PERIOD);
+  boolean isFailing(MachinePool pool, Moment now) {
+    BootStatistics stats = statistics.get(pool);
+    return failsRepeatedly(stats) && !now.past(stats.lastFailure, FAILING_PERIOD);
   }
 
-  /** Whether any sort of machines is blamed. */
+  /** Returns whether any pool is failing. */
   boolean anyFailing(Moment now) {
-    return statistics.keySet().stream().anyMatch(sort -> isFailing(sort, now));
+    return statistics.keySet().stream().anyMatch(pool -> isFailing(pool, now));
   }
 
-  private static boolean failsRepeatedly(BootStatistics record) {
-    return record != null && record.consecutiveFailures >= FAILING_AFTER_FAILURES;
+  private static boolean failsRepeatedly(BootStatistics stats) {
+    return stats != null && stats.consecutiveFailures >= FAILING_AFTER_FAILURES;
   }
 
-  /** After what time a machine that still boots is replaced. */
-  Span replacementDelay(MachinePool sort, MachineType type) {
-    return typicalBootTime(sort, type).times(REPLACEMENT_FACTOR);
+  /** Boot time after which a replacement is rented for a machine that is still booting. */
+  Span replacementDelay(MachinePool pool, MachineType type) {
+    return typicalBootTime(pool, type).times(REPLACEMENT_FACTOR);
   }
 
-  /** After what time a machine that still boots is given up. */
-  Span bootTimeout(MachinePool sort, MachineType type) {
-    BootStatistics record = statistics.get(sort);
-    boolean noneComes = failsRepeatedly(record);
-    int inARow = noneComes ? Math.min(MAX_COUNTED_FAILURES, record.consecutiveFailures) : 0;
-    Span late =
-        typicalBootTime(sort, type)
-            .times(TIMEOUT_FACTOR * (1 + inARow * TIMEOUT_INCREASE_PER_FAILURE));
-    boolean known =
-        noneComes
-            || typicalBootTime(sort, type).compareTo(type.boot().times(NORMAL_VARIATION_FACTOR))
+  /** Boot time after which a machine that is still booting is given up. */
+  Span bootTimeout(MachinePool pool, MachineType type) {
+    BootStatistics stats = statistics.get(pool);
+    boolean failing = failsRepeatedly(stats);
+    int counted = failing ? Math.min(MAX_COUNTED_FAILURES, stats.consecutiveFailures) : 0;
+    Span timeout =
+        typicalBootTime(pool, type)
+            .times(TIMEOUT_FACTOR * (1 + counted * TIMEOUT_INCREASE_PER_FAILURE));
+    boolean bootsLate =
+        failing
+            || typicalBootTime(pool, type).compareTo(type.boot().times(NORMAL_VARIATION_FACTOR))
                 > 0;
-    Span most = known ? configuredTimeout.times(MAX_TIMEOUT_FACTOR) : configuredTimeout;
-    return late.compareTo(most) < 0 ? late : most;
+    Span limit = bootsLate ? configuredTimeout.times(MAX_TIMEOUT_FACTOR) : configuredTimeout;
+    return timeout.compareTo(limit) < 0 ? timeout : limit;
   }
 
-  /** What boots take of late with their spread, but no less than the type's own time. */
-  private Span typicalBootTime(MachinePool sort, MachineType type) {
-    BootStatistics record = statistics.get(sort);
-    double seconds = record == null ? 0 : record.meanSeconds + record.meanDeviation;
+  /** Recent mean boot time plus its mean deviation, but at least the catalog's boot time. */
+  private Span typicalBootTime(MachinePool pool, MachineType type) {
+    BootStatistics stats = statistics.get(pool);
+    double seconds = stats == null ? 0 : stats.meanSeconds + stats.meanDeviation;
     return Span.seconds(Math.max(type.boot().asSeconds(), seconds));
   }
 
-  private BootStatistics statisticsOf(MachinePool sort, MachineType type) {
+  private BootStatistics statisticsOf(MachinePool pool, MachineType type) {
     return statistics.computeIfAbsent(
-        sort,
-        s -> {
-          BootStatistics record = new BootStatistics();
-          record.meanSeconds = type.boot().asSeconds();
-          return record;
+        pool,
+        p -> {
+          BootStatistics stats = new BootStatistics();
+          stats.meanSeconds = type.boot().asSeconds();
+          return stats;
         });
   }
 }
--- a/src/main/java/org/oakwalk/core/capacity/Demand.java
+++ b/src/main/java/org/oakwalk/core/capacity/Demand.java
@@ -14,74 +14,82 @@
 import org.oakwalk.core.placement.Deadlines;
 import org.oakwalk.core.placement.RunTimes;
 
-/** How much room the open jobs need to be in time. */
+/** Computes the capacity that open jobs need to finish in time. */
 final class Demand {
+  /** Jobs with less slack than this multiple of the boot time need standby capacity. */
   private static final double BOOT_TIME_MARGIN = 1.4;
+
+  /** Target run-through time of jobs without a nearer objective or deadline. */
   private static final Span DEFAULT_TARGET = Span.seconds(120);
 
   /**
-   * Part of the time until dawn that is to be enough for what is known: machines cost the same
-   * whether they do it now or later, and what is still to come has the rest.
+   * Share of the time until the planned deadline within which the known work should finish.
+   * Machines cost the same whether they do it early or late; the rest of the time is left for work
+   * that is still to be submitted.
    */
   private static final double PLANNED_TIME_SHARE = 0.5;
 
   private static final Span NO_TARGET = Span.millis(Long.MAX_VALUE);
 
-  /** Over this time work is spread that nobody waits for. */
+  /** Period over which background work is spread. */
   private static final Span BACKGROUND_PERIOD = Span.seconds(600);
 
   private final List<Settings.Objective> objectives;
   private final RunTimes runTimes;
   private final Deadlines plannedDeadlines;
 
-  Demand(List<Settings.Objective> objectives, RunTimes runTimes, Deadlines planned) {
+  Demand(List<Settings.Objective> objectives, RunTimes runTimes, Deadlines plannedDeadlines) {
     this.objectives = objectives;
     this.runTimes = runTimes;
-    this.plannedDeadlines = planned;
+    this.plannedDeadlines = plannedDeadlines;
   }
 
   /**
-   * Tasks of a job that should be on machines at once. All replicas of a service; of an array so
-   * many that what is left ends in time, if each place is used again and again.
+   * Number of tasks of a job that should be placed at the same time. For a service or a gang these
+   * are all unfinished tasks; for an array, as many as are needed to finish the remaining tasks in
+   * time if each slot runs one task after another.
    */
   double concurrentTasks(Job job, MachineType type, WallTime now) {
     JobSpec spec = job.spec();
-    int open = job.spec().tasks() - job.doneCount();
+    int unfinished = job.spec().tasks() - job.doneCount();
     if (spec.service() || spec.gang()) {
-      return open;
+      return unfinished;
     }
     if (job.suspect()) {
       return Math.max(1, job.activeCount());
     }
     double run = Math.max(1, runTimes.expected(spec).asSeconds());
-    Optional<Span> dawn = plannedDeadlines.ends(job, now);
-    if (dawn.isPresent() && !hasEarlierTarget(spec, now.since(job.accepted()), dawn.get())) {
-      // All groups of a plan share the machines one after the other, so parts of places add up.
-      double time = dawn.get().minus(type.fetch(spec.imageGb())).asSeconds() * PLANNED_TIME_SHARE;
-      return open / Math.max(1, Math.floor(time / run));
+    Optional<Span> plannedEnd = plannedDeadlines.ends(job, now);
+    if (plannedEnd.isPresent()
+        && !hasEarlierTarget(spec, now.since(job.accepted()), plannedEnd.get())) {
+      // Jobs of a plan use the machines one after the other, so fractions of slots are added up.
+      double time =
+          plannedEnd.get().minus(type.fetch(spec.imageGb())).asSeconds() * PLANNED_TIME_SHARE;
+      return unfinished / Math.max(1, Math.floor(time / run));
     }
     if (isBackground(spec)) {
-      // It fills what is idle anyhow, so what it uses at present is no measure of what to rent.
-      return Math.min(open, Math.ceil(open * run / BACKGROUND_PERIOD.asSeconds()));
+      // Background jobs fill idle machines, so their current usage does not justify renting.
+      return Math.min(unfinished, Math.ceil(unfinished * run / BACKGROUND_PERIOD.asSeconds()));
     }
     double left = effectiveTarget(spec).minus(now.since(job.accepted())).asSeconds() * 0.8;
     left -= type.fetch(spec.imageGb()).asSeconds();
     double waves = Math.max(1, Math.floor(left / run));
-    return Math.min(open, Math.max(Math.ceil(open / waves), job.activeCount()));
+    return Math.min(unfinished, Math.max(Math.ceil(unfinished / waves), job.activeCount()));
   }
 
   /**
-   * Whether machines rented when a job of this kind comes would be too late for it, so that room
-   * for the next one has to stand ready.
+   * Returns whether machines rented only when such a job is submitted would be too late for it, so
+   * that capacity for the next one has to be kept ready.
    */
   boolean needsStandbyCapacity(Job job, MachineType type, WallTime now) {
     JobSpec spec = job.spec();
     if (spec.service()) {
       return true;
     }
-    Optional<Span> dawn = plannedDeadlines.ends(job, now);
+    Optional<Span> plannedEnd = plannedDeadlines.ends(job, now);
     if (isBackground(spec)
-        || dawn.isPresent() && !hasEarlierTarget(spec, now.since(job.accepted()), dawn.get())) {
+        || plannedEnd.isPresent()
+            && !hasEarlierTarget(spec, now.since(job.accepted()), plannedEnd.get())) {
       return false;
     }
     Span slack =
@@ -89,7 +97,7 @@
     return slack.compareTo(type.boot().times(BOOT_TIME_MARGIN)) < 0;
   }
 
-  /** Whether nobody waits for the job: it is of the lowest priority, and no time is set for it. */
+  /** Returns whether a job has the lowest priority and neither a deadline nor an objective. */
   private boolean isBackground(JobSpec spec) {
     return spec.priority() == Priority.LOW
         && spec.due().isEmpty()
@@ -97,16 +105,18 @@
             .noneMatch(o -> o.kind().equals("finished") && o.jobClass().equals(spec.jobClass()));
   }
 
-  /** Whether a job's own target comes before what is planned for it. */
-  private boolean hasEarlierTarget(JobSpec spec, Span age, Span dawn) {
-    return ownTarget(spec).filter(due -> due.minus(age).compareTo(dawn) < 0).isPresent();
+  /** Returns whether a job's own target is earlier than its planned deadline. */
+  private boolean hasEarlierTarget(JobSpec spec, Span age, Span plannedEnd) {
+    return ownTarget(spec).filter(due -> due.minus(age).compareTo(plannedEnd) < 0).isPresent();
   }
 
+  /** Target of a job: its deadline, or the nearer of its objective and the default. */
   private Span effectiveTarget(JobSpec spec) {
     Span own = ownTarget(spec).orElse(DEFAULT_TARGET);
     return spec.due().isEmpty() && own.compareTo(DEFAULT_TARGET) > 0 ? DEFAULT_TARGET : own;
   }
 
+  /** The earlier of a job's deadline and the objective of its class, if there is one. */
   private Optional<Span> ownTarget(JobSpec spec) {
     Span target = spec.due().orElse(NO_TARGET);
     for (Settings.Objective objective : objectives) {
@@ -118,25 +128,25 @@
     return target == NO_TARGET ? Optional.empty() : Optional.of(target);
   }
 
-  /** The type that costs least for one task. */
+  /** Returns the machine type with the lowest price per task, or null if no type is suitable. */
   static MachineType cheapestType(JobSpec spec, Collection<MachineType> types) {
     MachineType best = null;
     double least = Double.MAX_VALUE;
     for (MachineType type : types) {
       boolean allowed =
           type.zones().stream().anyMatch(zone -> spec.allows(type.name(), zone, false));
-      int each = type.room().count(spec.room());
-      if (allowed && each > 0 && type.price() / each < least) {
-        least = type.price() / each;
+      int perMachine = type.room().count(spec.room());
+      if (allowed && perMachine > 0 && type.price() / perMachine < least) {
+        least = type.price() / perMachine;
         best = type;
       }
     }
     return best;
   }
 
-  /** Room for that many tasks, as a number of machines of a type. */
-  static double machineCount(Room task, double slots, MachineType type) {
-    int each = type.room().count(task);
-    return each <= 0 ? 0 : slots / each;
+  /** Converts a number of concurrent tasks into machines of a type. */
+  static double machineCount(Room perTask, double tasks, MachineType type) {
+    int perMachine = type.room().count(perTask);
+    return perMachine <= 0 ? 0 : tasks / perMachine;
   }
 }
--- a/src/main/java/org/oakwalk/core/capacity/MachineFailureDetector.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineFailureDetector.java
@@ -12,27 +12,41 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Tells broken machines from those that are out of reach, and from this node's own trouble. */
+/**
+ * Detects failed machines, and tells them from unreachable machines and from a stall or
+ * disconnection of this node.
+ */
 public final class MachineFailureDetector {
   private static final Logger LOG = LoggerFactory.getLogger(MachineFailureDetector.class);
   private static final Span MIN_BILLED_TIME = Span.seconds(60);
+
+  /** Time within which a known machine has to report to a new leader. */
   private static final Span CONFIRMATION_TIMEOUT = Span.seconds(4);
 
-  /** As above once nearly all others have confirmed; one lost packet costs a second of it. */
+  /**
+   * Confirmation timeout once nearly all other machines have confirmed. A lost packet can delay a
+   * confirmation by one second.
+   */
   private static final Span FINAL_CONFIRMATION_TIMEOUT = Span.seconds(2);
 
-  /** While others still confirm, a busy leader may merely not have come to the last ones. */
+  /**
+   * The shorter timeout applies only after this time without a new confirmation: a busy leader may
+   * not have processed the last reports yet.
+   */
   private static final Span NO_CONFIRMATION_PERIOD = Span.millis(900);
 
+  /** Share of the suspicion timeout after which a machine counts towards mass silence. */
   private static final double OVERDUE_SHARE = 0.7;
 
-  /** How long a machine may take to find out that it still can't reach the leader itself. */
+  /** Time that a machine may take for a direct attempt to reach the leader that fails. */
   private static final Span DIRECT_ATTEMPT_TIME = Span.seconds(7);
 
-  /** Silent machines are asked by command about so often, in terms of what makes them silent. */
+  /** Approximate interval of command probes to silent machines, in suspicion timeouts. */
   private static final double PROBE_INTERVAL_FACTOR = 3;
 
   private static final int MIN_MACHINES_TO_JUDGE = 3;
+
+  /** Share of unreached machines from which this node counts as cut off. */
   private static final double CUT_OFF_SHARE = 0.75;
 
   private final Fleet fleet;
@@ -48,16 +62,16 @@
   private Moment lastProcessStall = new Moment(Long.MIN_VALUE / 2);
 
   MachineFailureDetector(
-      Fleet fleet, BootTracker boots, Policy.Capacity policy, Span suspectAfter) {
+      Fleet fleet, BootTracker bootTracker, Policy.Capacity policy, Span suspectAfter) {
     this.fleet = fleet;
-    this.bootTracker = boots;
+    this.bootTracker = bootTracker;
     this.policy = policy;
     this.suspectAfter = suspectAfter;
   }
 
   /**
-   * This process stood still until now: what came in meanwhile has not been read, so for a while no
-   * machine is taken for silent and no boot for late.
+   * Notes that this process has been stalled until now. Messages that arrived meanwhile have not
+   * been read, so for a while no machine is treated as silent and no boot as late.
    */
   public void processStalled(Moment now) {
     lastMassSilence = now;
@@ -65,51 +79,53 @@
   }
 
   /**
-   * Finds what doesn't work: silent machines, boots that never end, machines that fail tasks.
+   * Finds silent machines, boots that have timed out, and machines that fail tasks or are slow.
    *
-   * @param giveBack takes each machine that is to be returned
+   * @param returnMachine called with each machine that is to be returned
    */
-  void checkMachines(Moment now, Consumer<Machine> giveBack) {
+  void checkMachines(Moment now, Consumer<Machine> returnMachine) {
     List<Machine> silent = new ArrayList<>();
     List<Machine> unanswered = new ArrayList<>();
     int up = 0;
-    int lapsed = 0;
+    int expired = 0;
     int unconfirmed = 0;
-    int quiet = 0;
+    int overdue = 0;
     unreachedMachines = 0;
     commandOnlyMachines = 0;
     for (Machine machine : List.copyOf(fleet.machines())) {
       machine
           .takeBoot()
           .ifPresent(
-              took ->
+              bootTime ->
                   bootTracker.recordSuccess(
-                      BootTracker.MachinePool.of(machine), machine.type(), took));
+                      BootTracker.MachinePool.of(machine), machine.type(), bootTime));
       switch (machine.state()) {
         case BOOTING -> {
           if (isSilenceReliable(now)
               && now.past(
                   machine.known(),
                   bootTracker.bootTimeout(BootTracker.MachinePool.of(machine), machine.type()))) {
-            LOG.info("machine {} never came up", machine.id());
+            LOG.info(
+                "machine {} did not come up within the boot timeout; releasing it", machine.id());
             if (!machine.listedAsUp()) {
               bootTracker.recordFailure(BootTracker.MachinePool.of(machine), machine.type(), now);
             }
-            giveBack.accept(machine);
+            returnMachine.accept(machine);
           }
         }
         case UP -> {
           up++;
           unreachedMachines += isUnreached(machine, now) ? 1 : 0;
           commandOnlyMachines += answersCommandsOnly(machine, now) ? 1 : 0;
-          // Reports come at their own times, so of machines that a cut takes all at once some seem
-          // silent well before the others; who is overdue already counts as well.
-          quiet += now.past(machine.heard(), suspectAfter.times(OVERDUE_SHARE)) ? 1 : 0;
+          // Reports are not synchronized, so in a network partition some machines exceed the
+          // timeout
+          // well before the others; machines whose report is overdue therefore count already.
+          overdue += now.past(machine.heard(), suspectAfter.times(OVERDUE_SHARE)) ? 1 : 0;
           if (now.past(machine.heard(), silenceTimeout(machine))) {
             silent.add(machine);
           } else if (isUnfit(machine) && !machine.duty().endsWhenEmpty()) {
             LOG.info(
-                "machine {} {} and is left out",
+                "machine {} {}; excluding it from placement",
                 machine.id(),
                 machine.slow() ? "is slow" : "fails its tasks");
             machine.duty(Duty.UNFIT);
@@ -117,20 +133,20 @@
           if (machine.duty().endsWhenEmpty()
               && machine.idle()
               && (machine.duty() == Duty.CORDONED || now.past(machine.known(), MIN_BILLED_TIME))) {
-            giveBack.accept(machine);
+            returnMachine.accept(machine);
           }
         }
         case LAPSED -> {
-          lapsed++;
+          expired++;
           unreachedMachines += isUnreached(machine, now) ? 1 : 0;
           commandOnlyMachines += answersCommandsOnly(machine, now) ? 1 : 0;
-          quiet++;
+          overdue++;
           silent.add(machine);
         }
         case UNCONFIRMED -> {
           unconfirmed++;
           if (machine.returnable() && now.past(machine.known(), CONFIRMATION_TIMEOUT)) {
-            quiet++;
+            overdue++;
             silent.add(machine);
           } else if (machine.returnable()
               && now.past(machine.known(), FINAL_CONFIRMATION_TIMEOUT)) {
@@ -140,71 +156,84 @@
         case ENROLLING, RETURNING, GONE -> {}
       }
     }
-    // Many silent machines at once are out of reach rather than broken. They are left alone, also
-    // when their leases have run out, since they come back when the network does.
-    knownMachines = up + lapsed;
-    int many = Math.max(2, (knownMachines + unconfirmed) / 6);
-    if (quiet > many) {
+    // Many machines that are silent at once are unreachable rather than failed. They are kept, even
+    // with expired leases, since they return when the network recovers.
+    knownMachines = up + expired;
+    int massSilenceLimit = Math.max(2, (knownMachines + unconfirmed) / 6);
+    if (overdue > massSilenceLimit) {
       lastMassSilence = now;
     }
     if (unconfirmed != previousUnconfirmed) {
       previousUnconfirmed = unconfirmed;
       lastConfirmation = now;
     }
-    if (unconfirmed <= many
+    if (unconfirmed <= massSilenceLimit
         && unconfirmed < knownMachines
         && now.past(lastConfirmation, NO_CONFIRMATION_PERIOD)) {
       silent.addAll(unanswered);
     }
-    // When the network is back they report one after the other: the last few are not broken either.
+    // After the network recovers, machines report one after another, so the last silent ones have
+    // not
+    // failed either.
     if (isSilenceReliable(now)) {
       for (Machine machine : silent) {
-        // One machine that does not answer a new leader holds up all older jobs.
+        // A single machine that does not report to a new leader delays all jobs of earlier terms.
         if (machine.state() == Machine.State.UNCONFIRMED
             || now.past(machine.heard(), policy.suspectAfter())) {
-          LOG.info("machine {} is silent, {} tasks", machine.id(), machine.placements().size());
-          giveBack.accept(machine);
+          LOG.info(
+              "machine {} is silent; releasing it with {} tasks placed",
+              machine.id(),
+              machine.placements().size());
+          returnMachine.accept(machine);
         }
       }
     }
   }
 
+  /** Returns whether a machine is silent or its reports arrive only through a peer. */
   private boolean isUnreached(Machine machine, Moment now) {
     return machine.carried() || now.past(machine.heard(), suspectAfter);
   }
 
-  /** Whether it has ceased to report, but answers commands. */
+  /** Returns whether a machine has stopped reporting but still answers commands. */
   private boolean answersCommandsOnly(Machine machine, Moment now) {
     return now.past(machine.heard(), suspectAfter)
         && machine.commanded().past(machine.heard(), suspectAfter)
         && !now.past(machine.commanded(), suspectAfter.times(PROBE_INTERVAL_FACTOR));
   }
 
-  /** A machine that can't reach this node is off trying to now and then. */
+  /**
+   * Silence after which a machine counts as silent. One whose reports are forwarded spends
+   * additional time on attempts to reach this node directly.
+   */
   private Span silenceTimeout(Machine machine) {
     return machine.carried() ? suspectAfter.plus(DIRECT_ATTEMPT_TIME) : suspectAfter;
   }
 
   /**
-   * Whether at the last survey hardly any machine reached this node, though there are some: it is
-   * cut off from them.
+   * Returns whether this node is cut off from the machines: at the last check it was in contact
+   * with hardly any of them.
    *
-   * @param wouldCarry whether others hear this node, so that they would carry the reports of
-   *     workers that reach them. A machine that answers commands, and that nobody carries for,
-   *     reaches none of them: the next leader would be as blind
+   * @param peersForward whether peers hear this node, so that they forward the reports of workers
+   *     that reach them. A machine that answers commands and whose reports are not forwarded
+   *     reaches no peer either, so another leader would be cut off from it as well
    */
-  public boolean isCutOff(boolean wouldCarry, Moment now) {
+  public boolean isCutOff(boolean peersForward, Moment now) {
     return knownMachines >= MIN_MACHINES_TO_JUDGE
-        && unreachedMachines - (wouldCarry ? commandOnlyMachines : 0)
+        && unreachedMachines - (peersForward ? commandOnlyMachines : 0)
             >= knownMachines * CUT_OFF_SHARE
         && hasSettledSince(lastProcessStall, now);
   }
 
-  private boolean hasSettledSince(Moment trouble, Moment now) {
-    return now.past(trouble, suspectAfter.plus(policy.suspectAfter()));
+  /** Returns whether reports have had time to resume since an incident. */
+  private boolean hasSettledSince(Moment incident, Moment now) {
+    return now.past(incident, suspectAfter.plus(policy.suspectAfter()));
   }
 
-  /** Whether silence tells anything: not when many were silent at once a short time ago. */
+  /**
+   * Returns whether silence is evidence of a failed machine. It is not if many machines were silent
+   * at once recently.
+   */
   public boolean isSilenceReliable(Moment now) {
     return hasSettledSince(lastMassSilence, now);
   }
--- a/src/main/java/org/oakwalk/core/capacity/MachineTypeCatalog.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineTypeCatalog.java
@@ -8,7 +8,7 @@
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
 
-/** The cloud's machine types as last read. */
+/** Machine types offered by the cloud, as of the last successful read. */
 public final class MachineTypeCatalog {
   private static final Span RETRY_INTERVAL = Span.millis(700);
   private static final Span LEADER_REFRESH_INTERVAL = Span.seconds(60);
@@ -29,16 +29,16 @@
   }
 
   /**
-   * Reads the types now and then.
+   * Refreshes the machine types when they are due.
    *
-   * @param stored what an earlier leader stored, for as long as the cloud has not answered
+   * @param stored the types from the state store, used until the cloud has answered
    */
   public void tick(boolean leading, Map<String, MachineType> stored, Moment now) {
     if (types.isEmpty()) {
       types = stored;
     }
-    Span age = leading ? LEADER_REFRESH_INTERVAL : FOLLOWER_REFRESH_INTERVAL;
-    if (requestInFlight || nextAttemptAt.isAfter(now) || !now.past(lastRead, age)) {
+    Span maxAge = leading ? LEADER_REFRESH_INTERVAL : FOLLOWER_REFRESH_INTERVAL;
+    if (requestInFlight || nextAttemptAt.isAfter(now) || !now.past(lastRead, maxAge)) {
       return;
     }
     requestInFlight = true;
--- a/src/main/java/org/oakwalk/core/capacity/MachineTypeWriter.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineTypeWriter.java
@@ -16,13 +16,13 @@
 import org.oakwalk.core.store.StoredValue;
 
 /**
- * Keeps the machine types in the store, so that a node that starts while the cloud is down can take
- * requests and a leader can take over.
+ * Writes the machine types to the state store, so that while the cloud is unavailable a starting
+ * node can accept requests and a new leader can take over.
  */
 public final class MachineTypeWriter {
   private static final Span RETRY_INTERVAL = Span.seconds(5);
 
-  /** More than the record of one type takes. */
+  /** Upper bound of the stored size of one machine type. */
   private static final int MAX_BYTES_PER_TYPE = 300;
 
   private final Outbox outbox;
@@ -40,7 +40,10 @@
     this.maxTypes = (int) (limits.valueKb() * 1024 / MAX_BYTES_PER_TYPE);
   }
 
-  /** Stores the types if they differ in more than their prices, which move all the time. */
+  /**
+   * Stores the types if they differ from the stored ones in more than the prices, which change
+   * continuously.
+   */
   public void tick(Map<String, MachineType> types, Moment now) {
     if (writeInFlight
         || nextAttemptAt.isAfter(now)
@@ -52,8 +55,9 @@
     nextAttemptAt = now.plus(RETRY_INTERVAL);
     outbox.call(
         new Request.Commit(
-            // Also on the record's version, or a write whose answer was lost could be applied after
-            // a newer one and bring older types back.
+            // Also guards the record's revision: otherwise a write without an answer could be
+            // applied
+            // after a newer one and restore outdated types.
             List.of(guard, new Guard(StoreKeys.MACHINE_TYPES, view.machineTypesRevision())),
             List.of(
                 new Change.Put(
--- a/src/main/java/org/oakwalk/core/capacity/RentalRequester.java
+++ b/src/main/java/org/oakwalk/core/capacity/RentalRequester.java
@@ -22,7 +22,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Rents machines: one request at a time for each sort and zone, with a pause after a refusal. */
+/** Rents machines with one request at a time per pool, and backs off after a refusal. */
 final class RentalRequester {
   private static final Logger LOG = LoggerFactory.getLogger(RentalRequester.class);
   private static final Span REFUSAL_BACKOFF = Span.seconds(8);
@@ -34,23 +34,26 @@
   private final Predicate<BootTracker.MachinePool> isForbidden;
   private final Map<BootTracker.MachinePool, Moment> refusedUntil = new HashMap<>();
   private final Set<BootTracker.MachinePool> requestsInFlight = new HashSet<>();
-  private Moment clock = new Moment(0);
+  private Moment lastTick = new Moment(0);
   private long lastRequestNumber;
 
   RentalRequester(
-      Outbox outbox, Fleet fleet, BootTracker boots, Predicate<BootTracker.MachinePool> bars) {
-    this.isForbidden = bars;
+      Outbox outbox,
+      Fleet fleet,
+      BootTracker bootTracker,
+      Predicate<BootTracker.MachinePool> isForbidden) {
+    this.isForbidden = isForbidden;
     this.outbox = outbox;
     this.fleet = fleet;
-    this.bootTracker = boots;
+    this.bootTracker = bootTracker;
   }
 
   /**
-   * Asks for machines in the zones that have fewest, where machines have failed to come up only if
-   * that is so in all; returns for how many it asked.
+   * Requests machines, preferring the zones that have the fewest. Zones with recent boot failures
+   * are used only if all zones have them. Returns the number requested.
    */
   int rent(MachineType type, boolean spot, int count, Moment now) {
-    clock = now;
+    lastTick = now;
     Map<String, Integer> held = new HashMap<>();
     for (Machine machine : fleet.machines()) {
       if (machine.type().name().equals(type.name())
@@ -62,96 +65,98 @@
     List<String> zones = new ArrayList<>(type.zones());
     zones.removeIf(zone -> !canRequest(new BootTracker.MachinePool(type.name(), zone, spot), now));
     zones.removeIf(zone -> isForbidden.test(new BootTracker.MachinePool(type.name(), zone, spot)));
-    List<String> sound = new ArrayList<>(zones);
-    sound.removeIf(
+    List<String> healthy = new ArrayList<>(zones);
+    healthy.removeIf(
         zone -> bootTracker.isFailing(new BootTracker.MachinePool(type.name(), zone, spot), now));
-    if (!sound.isEmpty()) {
-      zones = sound;
+    if (!healthy.isEmpty()) {
+      zones = healthy;
     }
     zones.sort(
         Comparator.comparingInt((String zone) -> held.getOrDefault(zone, 0))
             .thenComparing(Comparator.naturalOrder()));
-    int asked = 0;
-    for (int i = 0; i < zones.size() && asked < count; i++) {
-      int share = (int) Math.ceil((count - asked) / (double) (zones.size() - i));
+    int requested = 0;
+    for (int i = 0; i < zones.size() && requested < count; i++) {
+      int share = (int) Math.ceil((count - requested) / (double) (zones.size() - i));
       int number = Math.min(share, MAX_MACHINES_PER_REQUEST);
-      asked += number;
+      requested += number;
       sendRequest(
           new BootTracker.MachinePool(type.name(), zones.get(i), spot),
           AskId.of(fleet.token(), ++lastRequestNumber),
           number,
           5);
     }
-    for (BootTracker.MachinePool market : requestsInFlight) {
-      if (market.type().equals(type.name()) && market.spot() == spot && asked == 0) {
-        // An answer is still out; it may bring what is missing.
+    for (BootTracker.MachinePool pool : requestsInFlight) {
+      if (pool.type().equals(type.name()) && pool.spot() == spot && requested == 0) {
+        // A request is still in flight; it may provide the missing machines.
         return count;
       }
     }
-    return asked;
+    return requested;
   }
 
-  /** Asks for machines of one sort, wherever others are; returns for how many it has asked. */
-  int rent(BootTracker.MachinePool sort, int count, Moment now) {
-    clock = now;
-    if (requestsInFlight.contains(sort)) {
-      // The answer that is still out may bring what is missing.
+  /** Requests machines in one pool and returns the number requested or still in flight. */
+  int rent(BootTracker.MachinePool pool, int count, Moment now) {
+    lastTick = now;
+    if (requestsInFlight.contains(pool)) {
+      // The request in flight may provide the missing machines.
       return count;
     }
-    if (!canRequest(sort, now) || isForbidden.test(sort) || bootTracker.isFailing(sort, now)) {
+    if (!canRequest(pool, now) || isForbidden.test(pool) || bootTracker.isFailing(pool, now)) {
       return 0;
     }
     int number = Math.min(count, MAX_MACHINES_PER_REQUEST);
-    sendRequest(sort, AskId.of(fleet.token(), ++lastRequestNumber), number, 5);
+    sendRequest(pool, AskId.of(fleet.token(), ++lastRequestNumber), number, 5);
     return number;
   }
 
-  /** Whether a plan empties it: its replacement is to come up where it was. */
+  /** Returns whether a drain plan removes a machine; its replacement is rented in the same zone. */
   private static boolean isDraining(Machine machine) {
     return machine.duty() == Duty.NEXT || machine.duty() == Duty.CORDONED;
   }
 
-  private boolean canRequest(BootTracker.MachinePool market, Moment now) {
-    Moment until = refusedUntil.get(market);
-    return !requestsInFlight.contains(market) && (until == null || !until.isAfter(now));
+  private boolean canRequest(BootTracker.MachinePool pool, Moment now) {
+    Moment until = refusedUntil.get(pool);
+    return !requestsInFlight.contains(pool) && (until == null || !until.isAfter(now));
   }
 
-  /** Rents under a name of its own, which is repeated until the cloud has answered. */
-  private void sendRequest(BootTracker.MachinePool market, AskId name, int count, int tries) {
-    requestsInFlight.add(market);
+  /** Sends a request whose id is unique and is reused for retries until the cloud has answered. */
+  private void sendRequest(BootTracker.MachinePool pool, AskId id, int count, int attemptsLeft) {
+    requestsInFlight.add(pool);
     outbox.call(
-        new Request.Rent(name, market.type(), market.zone(), market.spot(), count),
+        new Request.Rent(id, pool.type(), pool.zone(), pool.spot(), count),
         answer -> {
           if (answer instanceof Answer.Rented rented) {
-            requestsInFlight.remove(market);
+            requestsInFlight.remove(pool);
             LOG.info(
-                "{} rented {} of {} in {} spot {}",
-                name,
+                "request {}: rented {} of {} machines in zone {} (spot: {})",
+                id,
                 rented.machines().size(),
                 count,
-                market.zone(),
-                market.spot());
-            for (MachineId id : rented.machines()) {
-              if (fleet.find(id).isEmpty()) {
+                pool.zone(),
+                pool.spot());
+            for (MachineId machine : rented.machines()) {
+              if (fleet.find(machine).isEmpty()) {
                 fleet.add(
-                    id,
+                    machine,
                     "",
-                    market.type(),
-                    market.zone(),
-                    market.spot(),
+                    pool.type(),
+                    pool.zone(),
+                    pool.spot(),
                     Machine.State.BOOTING,
-                    clock);
+                    lastTick);
               }
             }
             if (rented.machines().size() < count) {
-              refusedUntil.put(market, clock.plus(REFUSAL_BACKOFF));
+              refusedUntil.put(pool, lastTick.plus(REFUSAL_BACKOFF));
             }
-          } else if (answer instanceof Answer.Nothing && tries > 1) {
-            sendRequest(market, name, count, tries - 1);
+          } else if (answer instanceof Answer.Nothing && attemptsLeft > 1) {
+            sendRequest(pool, id, count, attemptsLeft - 1);
           } else {
-            // No capacity, or no answer for long; machines that came of it show up in the list.
-            requestsInFlight.remove(market);
-            refusedUntil.put(market, clock.plus(REFUSAL_BACKOFF));
+            // No capacity, or no answer after all attempts. Machines that were rented nevertheless
+            // appear
+            // in the cloud's list.
+            requestsInFlight.remove(pool);
+            refusedUntil.put(pool, lastTick.plus(REFUSAL_BACKOFF));
           }
         });
   }
--- a/src/main/java/org/oakwalk/core/capacity/ScaleDown.java
+++ b/src/main/java/org/oakwalk/core/capacity/ScaleDown.java
@@ -14,7 +14,7 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** Picks the machines that are too many, and those of them that are taken back into use. */
+/** Selects surplus machines to retire, and retiring machines to take back into use. */
 final class ScaleDown {
   private static final Logger LOG = LoggerFactory.getLogger(ScaleDown.class);
 
@@ -28,60 +28,64 @@
     this.suspectAfter = suspectAfter;
   }
 
-  /** Takes machines back into use that were to be returned; returns how many. */
+  /** Takes up to {@code count} retiring machines of a type back into use; returns how many. */
   int reactivate(MachineType type, int count, Moment now) {
     return reactivate(type, machine -> true, count, now);
   }
 
-  /** As above, of ordinary machines. */
+  /** Same as {@link #reactivate(MachineType, int, Moment)}, for ordinary machines only. */
   int reactivateOrdinary(MachineType type, int count, Moment now) {
     return reactivate(type, machine -> !machine.spot(), count, now);
   }
 
-  /** As above, of one sort; ordinary ones do as well where spot machines do. */
-  int reactivate(BootTracker.MachinePool sort, int count, Moment now) {
+  /**
+   * Same as {@link #reactivate(MachineType, int, Moment)}, for one pool; ordinary machines qualify
+   * for a spot pool as well.
+   */
+  int reactivate(BootTracker.MachinePool pool, int count, Moment now) {
     return fleet.machines().stream()
         .map(Machine::type)
-        .filter(type -> type.name().equals(sort.type()))
+        .filter(type -> type.name().equals(pool.type()))
         .findFirst()
         .map(
             type ->
                 reactivate(
                     type,
                     machine ->
-                        machine.zone().equals(sort.zone()) && (sort.spot() || !machine.spot()),
+                        machine.zone().equals(pool.zone()) && (pool.spot() || !machine.spot()),
                     count,
                     now))
         .orElse(0);
   }
 
-  private int reactivate(MachineType type, Predicate<Machine> which, int count, Moment now) {
+  private int reactivate(MachineType type, Predicate<Machine> filter, int count, Moment now) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       if (machine.type().name().equals(type.name())
-          && which.test(machine)
+          && filter.test(machine)
           && machine.state() == Machine.State.UP
           && machine.duty() == Duty.RETIRING
           && !now.past(machine.heard(), suspectAfter)) {
         candidates.add(machine);
       }
     }
-    // The cheap ones first, then those that would take longest to empty: what is nearly empty goes.
+    // Cheap machines first, then those that would take longest to become empty.
     candidates.sort(
         Comparator.comparing((Machine machine) -> machine.leavesSoon() ? 1 : 0)
             .thenComparingDouble(machine -> type.price(machine.spot()))
             .thenComparing(Machine::emptyBy, Comparator.reverseOrder()));
-    List<Machine> kept = candidates.subList(0, Math.min(count, candidates.size()));
-    kept.forEach(machine -> machine.duty(Duty.IN_USE));
-    return kept.size();
+    List<Machine> reactivated = candidates.subList(0, Math.min(count, candidates.size()));
+    reactivated.forEach(machine -> machine.duty(Duty.IN_USE));
+    return reactivated.size();
   }
 
   /**
-   * Picks machines that are no longer needed. They get no new tasks and are returned when the last
-   * one has ended, since an even load over all machines would otherwise leave none idle.
+   * Retires machines that are no longer needed. They get no new tasks and are returned when their
+   * last task has ended; without this, a load spread evenly over all machines would leave none
+   * idle.
    */
   void retire(MachineType type, int surplus, int ordinarySurplus, Moment now) {
-    int left = surplus - cordonPending(type, surplus);
+    int remaining = surplus - cordonPending(type, surplus);
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       if (!machine.type().name().equals(type.name())
@@ -90,10 +94,9 @@
         continue;
       }
       if (!machine.hears()) {
-        // It is empty as it gets no tasks, not as there are none. It may be one of a whole zone,
-        // and
-        // those that hear have to do without it meanwhile.
-        left--;
+        // The machine is empty because responses don't reach it, not for lack of tasks. This may
+        // affect a whole zone, and the remaining machines have to compensate for it meanwhile.
+        remaining--;
       } else if (now.past(machine.known(), policy.idle()) && !machine.holdsReplica()) {
         candidates.add(machine);
       }
@@ -102,29 +105,32 @@
         Comparator.comparing((Machine machine) -> machine.leavesSoon() ? 0 : 1)
             .thenComparingDouble(machine -> -type.price(machine.spot()))
             .thenComparing(Machine::emptyBy));
-    int ordinaryLeft = ordinarySurplus;
+    int ordinaryRemaining = ordinarySurplus;
     for (Machine machine : candidates) {
-      if (left > 0 && (machine.spot() || ordinaryLeft > 0)) {
-        left--;
-        ordinaryLeft -= machine.spot() ? 0 : 1;
+      if (remaining > 0 && (machine.spot() || ordinaryRemaining > 0)) {
+        remaining--;
+        ordinaryRemaining -= machine.spot() ? 0 : 1;
         machine.duty(Duty.RETIRING);
-        LOG.info("machine {} is not needed any more", machine.id());
+        LOG.info("machine {} is surplus; retiring it", machine.id());
       }
     }
   }
 
-  /** Rather than others, those that a plan has chosen go at once; returns how many. */
+  /**
+   * Cordons machines that drain plans have already selected, in preference to retiring others;
+   * returns how many.
+   */
   private int cordonPending(MachineType type, int surplus) {
-    int gone = 0;
+    int cordoned = 0;
     for (Machine machine : fleet.machines()) {
-      if (gone < surplus
+      if (cordoned < surplus
           && machine.duty() == Duty.NEXT
           && machine.type().name().equals(type.name())
           && machine.duty(Duty.CORDONED)) {
-        gone++;
-        LOG.info("machine {} can be done without", machine.id());
+        cordoned++;
+        LOG.info("machine {} is surplus; cordoning it for its drain plan", machine.id());
       }
     }
-    return gone;
+    return cordoned;
   }
 }
--- a/src/main/java/org/oakwalk/core/capacity/ZoneBoundDemand.java
+++ b/src/main/java/org/oakwalk/core/capacity/ZoneBoundDemand.java
@@ -18,14 +18,18 @@
 import org.oakwalk.core.job.JobSpec;
 
 /**
- * What jobs lack that may run in one zone only. All that is held may be enough by number and yet
- * stand in other zones, in particular after a zone has lost machines; such jobs would wait for as
- * long as that is so.
+ * Computes the machines that are missing for jobs which can run in one zone only. The fleet can be
+ * large enough in total while its machines are in other zones, in particular after a zone has lost
+ * machines; without this, such jobs would wait until the distribution changes.
  */
 final class ZoneBoundDemand {
-  /** Until then other work may end there, or machines on their way may come up. */
+  /**
+   * Minimum wait of a job before machines are rented for it: other tasks may end in the zone, or
+   * booting machines may come up.
+   */
   private static final Span MIN_WAIT = Span.seconds(20);
 
+  /** Maximum number of jobs evaluated in one run. */
   private static final int MAX_JOBS = 100;
 
   private final Fleet fleet;
@@ -34,25 +38,28 @@
   private final ToIntFunction<JobSpec> quotaRemaining;
 
   /**
-   * Looks at these jobs and machines.
+   * Creates the computation for a fleet and its jobs.
    *
-   * @param quotaRemaining for how many tasks more of a job its team's limit leaves room
+   * @param quotaRemaining returns how many more tasks of a job its team's quota allows
    */
-  ZoneBoundDemand(Fleet fleet, JobBook jobs, Demand demand, ToIntFunction<JobSpec> placesLeft) {
+  ZoneBoundDemand(Fleet fleet, JobBook jobs, Demand demand, ToIntFunction<JobSpec> quotaRemaining) {
     this.fleet = fleet;
     this.jobs = jobs;
     this.demand = demand;
-    this.quotaRemaining = placesLeft;
+    this.quotaRemaining = quotaRemaining;
   }
 
-  /** Machines that bound jobs have lacked for a while, by sort; those on their way are set off. */
+  /**
+   * Returns the number of missing machines by pool, for zone-bound jobs that have waited long
+   * enough. Free room and machines that are coming up are deducted.
+   */
   Map<BootTracker.MachinePool, Integer> missingMachines(
-      Function<JobSpec, MachineType> cheapest, Span suspectAfter, Moment now, WallTime wall) {
-    Map<BootTracker.MachinePool, Double> lacks = new LinkedHashMap<>();
-    Map<String, Integer> granted = new HashMap<>();
-    Map<String, Double> claimed = new HashMap<>();
-    Map<JobId, String> begunIn = null;
-    int looked = 0;
+      Function<JobSpec, MachineType> cheapestType, Span suspectAfter, Moment now, WallTime wall) {
+    Map<BootTracker.MachinePool, Double> missingByPool = new LinkedHashMap<>();
+    Map<String, Integer> grantedByTeam = new HashMap<>();
+    Map<String, Double> claimedByZone = new HashMap<>();
+    Map<JobId, String> zoneByJob = null;
+    int evaluated = 0;
     for (Job job : jobs.all()) {
       JobSpec spec = job.spec();
       boolean waits =
@@ -60,60 +67,66 @@
       if (!waits || spec.zone().isEmpty() && !(spec.oneZone() && job.activeCount() > 0)) {
         continue;
       }
-      if (spec.zone().isEmpty() && begunIn == null) {
-        begunIn = zonesInUse();
+      if (spec.zone().isEmpty() && zoneByJob == null) {
+        zoneByJob = zonesInUse();
       }
-      String zone = spec.zone().orElse(begunIn == null ? null : begunIn.get(job.id()));
-      MachineType type = cheapest.apply(spec);
+      String zone = spec.zone().orElse(zoneByJob == null ? null : zoneByJob.get(job.id()));
+      MachineType type = cheapestType.apply(spec);
       if (zone == null || type == null || !type.zones().contains(zone)) {
         continue;
       }
-      int within = quotaRemaining.applyAsInt(spec) - granted.getOrDefault(spec.team(), 0);
+      int allowed = quotaRemaining.applyAsInt(spec) - grantedByTeam.getOrDefault(spec.team(), 0);
       int wanted = (int) Math.ceil(demand.concurrentTasks(job, type, wall)) - job.activeCount();
-      int tasks = Math.min(Math.min(wanted, job.pendingCount()), within);
+      int tasks = Math.min(Math.min(wanted, job.pendingCount()), allowed);
       if (tasks <= 0 || spec.gang() && tasks < job.pendingCount()) {
         continue;
       }
-      if (looked++ == MAX_JOBS) {
+      if (evaluated++ == MAX_JOBS) {
         break;
       }
-      granted.merge(spec.team(), tasks, Integer::sum);
-      // What one job finds room on, or will, is not there for the next one.
-      double used = claimed.getOrDefault(zone, 0.0);
-      int each = type.room().count(spec.room());
-      int free = (int) Math.max(0, availableSlots(spec, zone, suspectAfter, now) - used * each);
+      grantedByTeam.merge(spec.team(), tasks, Integer::sum);
+      // Room that one job can use now or soon is not available to the next job.
+      double claimedMachines = claimedByZone.getOrDefault(zone, 0.0);
+      int perMachine = type.room().count(spec.room());
+      int free =
+          (int)
+              Math.max(
+                  0, availableSlots(spec, zone, suspectAfter, now) - claimedMachines * perMachine);
       int found = Math.min(free, tasks);
-      claimed.put(zone, used + (double) found / each);
+      claimedByZone.put(zone, claimedMachines + (double) found / perMachine);
       if (found < tasks) {
-        lacks.merge(
+        missingByPool.merge(
             new BootTracker.MachinePool(type.name(), zone, spec.spotAllowed()),
-            (double) (tasks - found) / each,
+            (double) (tasks - found) / perMachine,
             Double::sum);
       }
     }
     Map<BootTracker.MachinePool, Integer> missing = new LinkedHashMap<>();
-    lacks.forEach((sort, machines) -> missing.put(sort, (int) Math.ceil(machines - 1e-6)));
+    missingByPool.forEach((pool, machines) -> missing.put(pool, (int) Math.ceil(machines - 1e-6)));
     return missing;
   }
 
-  /** Places for such tasks in a zone, on machines that take some or are on their way. */
+  /** Tasks of a job that fit into a zone, on machines that accept tasks or are coming up. */
   private int availableSlots(JobSpec spec, String zone, Span suspectAfter, Moment now) {
-    int places = 0;
+    int slots = 0;
     for (Machine machine : fleet.machines()) {
       if (machine.zone().equals(zone) && spec.allows(machine.type().name(), zone, machine.spot())) {
         switch (machine.state()) {
-          case BOOTING, ENROLLING -> places += machine.type().room().count(spec.room());
+          case BOOTING, ENROLLING -> slots += machine.type().room().count(spec.room());
           case UP ->
-              places +=
+              slots +=
                   machine.takesTasks(now, suspectAfter) ? machine.free().count(spec.room()) : 0;
           case UNCONFIRMED, LAPSED, RETURNING, GONE -> {}
         }
       }
     }
-    return places;
+    return slots;
   }
 
-  /** Where jobs are that have begun in one zone and may use no other as long as they are there. */
+  /**
+   * Zones of the jobs that must keep all tasks in one zone and have tasks placed; they cannot use
+   * another zone meanwhile.
+   */
   private Map<JobId, String> zonesInUse() {
     Map<JobId, String> zones = new HashMap<>();
     for (Machine machine : fleet.machines()) {
