--- a/src/main/java/org/oakwalk/core/capacity/Autoscaler.java
+++ b/src/main/java/org/oakwalk/core/capacity/Autoscaler.java
@@ -40,9 +40,14 @@
   private static final Span PLAN_INTERVAL = Span.seconds(1);
   private static final Span RELEASE_RETRY_INTERVAL = Span.seconds(1);
   private static final int MAX_RELEASE_BATCH = 100;
-  // Half-lives with which past peaks of demand decay.
+
+  /** Half-life of past peaks of the demand that can't wait for machines to boot. */
   private static final double URGENT_HALF_LIFE_SECONDS = 150;
+
+  /** Half-life of past peaks of the demand that can wait for machines to boot. */
   private static final double DEFERRABLE_HALF_LIFE_SECONDS = 45;
+
+  /** Half-life of past peaks of the total demand. */
   private static final double TOTAL_HALF_LIFE_SECONDS = 40;
 
   /** Share of the headroom that is kept for demand that can wait for machines to boot. */
@@ -132,8 +137,9 @@
    *
    * @param recovered whether the fleet is completely known; machines are rented only then
    */
-  public void tick(Map<String, MachineType> known, boolean recovered, Moment now, WallTime wall) {
-    types = known;
+  public void tick(
+      Map<String, MachineType> machineTypes, boolean recovered, Moment now, WallTime wall) {
+    types = machineTypes;
     if (types.isEmpty()) {
       return;
     }
@@ -247,7 +253,7 @@
   }
 
   /**
-   * Demand of open jobs, in machines.
+   * Demand of open jobs and reserved specs, as a number of machines of one type.
    *
    * @param ordinary the part that must not run on spot machines
    * @param urgent the part that can't wait for machines to boot
@@ -298,8 +304,7 @@
       double deferrable =
           deferrablePeaks.update(type.name(), typeDemand.total() - typeDemand.urgent(), held);
       // The urgent and deferrable peaks occur at different times, so their sum exceeds the demand
-      // at
-      // any one time; in a large fleet that excess is most of the cost.
+      // at any one time; in a large fleet that excess is most of the cost.
       double total = totalPeaks.update(type.name(), typeDemand.total(), held);
       double target =
           Math.min(
@@ -442,8 +447,7 @@
               bootTracker.replacementDelay(BootTracker.MachinePool.of(machine), machine.type()));
       case ENROLLING, UNCONFIRMED -> true;
       // Many machines that fall silent at once are unreachable for a while; replacing them all
-      // would
-      // be waste.
+      // would be waste.
       case UP ->
           machine.duty() == Duty.IN_USE
               && !now.past(
--- a/src/main/java/org/oakwalk/core/capacity/BootTracker.java
+++ b/src/main/java/org/oakwalk/core/capacity/BootTracker.java
@@ -112,10 +112,10 @@
   Span bootTimeout(MachinePool pool, MachineType type) {
     BootStatistics stats = statistics.get(pool);
     boolean failing = failsRepeatedly(stats);
-    int counted = failing ? Math.min(MAX_COUNTED_FAILURES, stats.consecutiveFailures) : 0;
+    int countedFailures = failing ? Math.min(MAX_COUNTED_FAILURES, stats.consecutiveFailures) : 0;
     Span timeout =
         typicalBootTime(pool, type)
-            .times(TIMEOUT_FACTOR * (1 + counted * TIMEOUT_INCREASE_PER_FAILURE));
+            .times(TIMEOUT_FACTOR * (1 + countedFailures * TIMEOUT_INCREASE_PER_FAILURE));
     boolean bootsLate =
         failing
             || typicalBootTime(pool, type).compareTo(type.boot().times(NORMAL_VARIATION_FACTOR))
--- a/src/main/java/org/oakwalk/core/capacity/Demand.java
+++ b/src/main/java/org/oakwalk/core/capacity/Demand.java
@@ -19,7 +19,7 @@
   /** Jobs with less slack than this multiple of the boot time need standby capacity. */
   private static final double BOOT_TIME_MARGIN = 1.4;
 
-  /** Target run-through time of jobs without a nearer objective or deadline. */
+  /** Completion target of jobs without a deadline or a shorter objective. */
   private static final Span DEFAULT_TARGET = Span.seconds(120);
 
   /**
@@ -58,22 +58,23 @@
     if (job.suspect()) {
       return Math.max(1, job.activeCount());
     }
-    double run = Math.max(1, runTimes.expected(spec).asSeconds());
+    double runSeconds = Math.max(1, runTimes.expected(spec).asSeconds());
     Optional<Span> plannedEnd = plannedDeadlines.ends(job, now);
     if (plannedEnd.isPresent()
         && !hasEarlierTarget(spec, now.since(job.accepted()), plannedEnd.get())) {
       // Jobs of a plan use the machines one after the other, so fractions of slots are added up.
       double time =
           plannedEnd.get().minus(type.fetch(spec.imageGb())).asSeconds() * PLANNED_TIME_SHARE;
-      return unfinished / Math.max(1, Math.floor(time / run));
+      return unfinished / Math.max(1, Math.floor(time / runSeconds));
     }
     if (isBackground(spec)) {
       // Background jobs fill idle machines, so their current usage does not justify renting.
-      return Math.min(unfinished, Math.ceil(unfinished * run / BACKGROUND_PERIOD.asSeconds()));
+      return Math.min(
+          unfinished, Math.ceil(unfinished * runSeconds / BACKGROUND_PERIOD.asSeconds()));
     }
     double left = effectiveTarget(spec).minus(now.since(job.accepted())).asSeconds() * 0.8;
     left -= type.fetch(spec.imageGb()).asSeconds();
-    double waves = Math.max(1, Math.floor(left / run));
+    double waves = Math.max(1, Math.floor(left / runSeconds));
     return Math.min(unfinished, Math.max(Math.ceil(unfinished / waves), job.activeCount()));
   }
 
@@ -110,7 +111,7 @@
     return ownTarget(spec).filter(due -> due.minus(age).compareTo(plannedEnd) < 0).isPresent();
   }
 
-  /** Target of a job: its deadline, or the nearer of its objective and the default. */
+  /** A job's own target, but at most the default unless the job has a deadline. */
   private Span effectiveTarget(JobSpec spec) {
     Span own = ownTarget(spec).orElse(DEFAULT_TARGET);
     return spec.due().isEmpty() && own.compareTo(DEFAULT_TARGET) > 0 ? DEFAULT_TARGET : own;
--- a/src/main/java/org/oakwalk/core/capacity/MachineFailureDetector.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineFailureDetector.java
@@ -38,7 +38,7 @@
   /** Share of the suspicion timeout after which a machine counts towards mass silence. */
   private static final double OVERDUE_SHARE = 0.7;
 
-  /** Time that a machine may take for a direct attempt to reach the leader that fails. */
+  /** Time that a machine may take to find that it still can't reach the leader directly. */
   private static final Span DIRECT_ATTEMPT_TIME = Span.seconds(7);
 
   /** Approximate interval of command probes to silent machines, in suspicion timeouts. */
@@ -118,8 +118,7 @@
           unreachedMachines += isUnreached(machine, now) ? 1 : 0;
           commandOnlyMachines += answersCommandsOnly(machine, now) ? 1 : 0;
           // Reports are not synchronized, so in a network partition some machines exceed the
-          // timeout
-          // well before the others; machines whose report is overdue therefore count already.
+          // timeout well before the others; overdue machines therefore count already.
           overdue += now.past(machine.heard(), suspectAfter.times(OVERDUE_SHARE)) ? 1 : 0;
           if (now.past(machine.heard(), silenceTimeout(machine))) {
             silent.add(machine);
@@ -173,8 +172,7 @@
       silent.addAll(unanswered);
     }
     // After the network recovers, machines report one after another, so the last silent ones have
-    // not
-    // failed either.
+    // not failed either.
     if (isSilenceReliable(now)) {
       for (Machine machine : silent) {
         // A single machine that does not report to a new leader delays all jobs of earlier terms.
--- a/src/main/java/org/oakwalk/core/capacity/MachineTypeWriter.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineTypeWriter.java
@@ -56,8 +56,7 @@
     outbox.call(
         new Request.Commit(
             // Also guards the record's revision: otherwise a write without an answer could be
-            // applied
-            // after a newer one and restore outdated types.
+            // applied after a newer one and restore outdated types.
             List.of(guard, new Guard(StoreKeys.MACHINE_TYPES, view.machineTypesRevision())),
             List.of(
                 new Change.Put(
--- a/src/main/java/org/oakwalk/core/capacity/RentalRequester.java
+++ b/src/main/java/org/oakwalk/core/capacity/RentalRequester.java
@@ -34,7 +34,7 @@
   private final Predicate<BootTracker.MachinePool> isForbidden;
   private final Map<BootTracker.MachinePool, Moment> refusedUntil = new HashMap<>();
   private final Set<BootTracker.MachinePool> requestsInFlight = new HashSet<>();
-  private Moment lastTick = new Moment(0);
+  private Moment currentTime = new Moment(0);
   private long lastRequestNumber;
 
   RentalRequester(
@@ -50,10 +50,11 @@
 
   /**
    * Requests machines, preferring the zones that have the fewest. Zones with recent boot failures
-   * are used only if all zones have them. Returns the number requested.
+   * are used only if all zones have them. Returns the number requested, or {@code count} if nothing
+   * was requested but a request for the type is in flight.
    */
   int rent(MachineType type, boolean spot, int count, Moment now) {
-    lastTick = now;
+    currentTime = now;
     Map<String, Integer> held = new HashMap<>();
     for (Machine machine : fleet.machines()) {
       if (machine.type().name().equals(type.name())
@@ -94,9 +95,12 @@
     return requested;
   }
 
-  /** Requests machines in one pool and returns the number requested or still in flight. */
+  /**
+   * Requests machines in one pool, regardless of those in other pools. Returns the number
+   * requested, or {@code count} if a request for the pool is in flight.
+   */
   int rent(BootTracker.MachinePool pool, int count, Moment now) {
-    lastTick = now;
+    currentTime = now;
     if (requestsInFlight.contains(pool)) {
       // The request in flight may provide the missing machines.
       return count;
@@ -143,20 +147,19 @@
                     pool.zone(),
                     pool.spot(),
                     Machine.State.BOOTING,
-                    lastTick);
+                    currentTime);
               }
             }
             if (rented.machines().size() < count) {
-              refusedUntil.put(pool, lastTick.plus(REFUSAL_BACKOFF));
+              refusedUntil.put(pool, currentTime.plus(REFUSAL_BACKOFF));
             }
           } else if (answer instanceof Answer.Nothing && attemptsLeft > 1) {
             sendRequest(pool, id, count, attemptsLeft - 1);
           } else {
             // No capacity, or no answer after all attempts. Machines that were rented nevertheless
-            // appear
-            // in the cloud's list.
+            // appear in the cloud's list.
             requestsInFlight.remove(pool);
-            refusedUntil.put(pool, lastTick.plus(REFUSAL_BACKOFF));
+            refusedUntil.put(pool, currentTime.plus(REFUSAL_BACKOFF));
           }
         });
   }
--- a/src/main/java/org/oakwalk/core/capacity/ScaleDown.java
+++ b/src/main/java/org/oakwalk/core/capacity/ScaleDown.java
@@ -69,7 +69,8 @@
         candidates.add(machine);
       }
     }
-    // Cheap machines first, then those that would take longest to become empty.
+    // Machines that stay first, then cheap ones, then those that would take longest to empty, so
+    // that nearly empty machines are returned.
     candidates.sort(
         Comparator.comparing((Machine machine) -> machine.leavesSoon() ? 1 : 0)
             .thenComparingDouble(machine -> type.price(machine.spot()))
--- a/src/main/java/org/oakwalk/core/drain/DisruptionBudget.java
+++ b/src/main/java/org/oakwalk/core/drain/DisruptionBudget.java
@@ -4,27 +4,27 @@
 import org.oakwalk.core.job.JobSpec;
 
 /**
- * What a team, or a class of its jobs, may lose by stops of our own.
+ * Limits how many tasks of a team, or of one job class of a team, the scheduler may disrupt.
  *
- * @param jobClass the class it is about; all of the team's if empty
- * @param maxDown how many tasks may be down at once; a share of those that should be up if below
- *     one
- * @param maxStopsPerHour how many tasks may be stopped within any hour; empty if as many as need be
+ * @param jobClass the job class that is limited; all jobs of the team if empty
+ * @param maxDown maximum number of tasks down at the same time; if below one, a share of the tasks
+ *     that should be up
+ * @param maxStopsPerHour maximum number of tasks stopped within any hour; unlimited if empty
  */
 public record DisruptionBudget(
     String team, Optional<String> jobClass, double maxDown, Optional<Integer> maxStopsPerHour) {
 
-  /** Tells it from others. */
+  /** Unique name of the budget. */
   public String name() {
     return team + jobClass.map(name -> "." + name).orElse("");
   }
 
-  /** Whether a job's tasks count. */
+  /** Returns whether the budget applies to a job's tasks. */
   public boolean covers(JobSpec spec) {
     return spec.team().equals(team) && jobClass.map(spec.jobClass()::equals).orElse(true);
   }
 
-  /** How many tasks may be down, of so many that should be up. */
+  /** Maximum number of tasks down if {@code expected} tasks should be up. */
   int maxTasksDown(int expected) {
     return maxDown > 0 && maxDown < 1
         ? (int) Math.max(1, Math.floor(maxDown * expected))
--- a/src/main/java/org/oakwalk/core/drain/DisruptionLimiter.java
+++ b/src/main/java/org/oakwalk/core/drain/DisruptionLimiter.java
@@ -16,12 +16,12 @@
 import org.oakwalk.core.job.JobBook;
 
 /**
- * Asked before each stop that could as well be left: whether the budgets of those who lose by it
- * allow it. What is down is found out from placements and jobs, whatever the cause, so that losses
- * nobody wanted hold up those that somebody wants.
+ * Checks voluntary stops of tasks against the disruption budgets. The tasks that are down are
+ * counted from placements and jobs regardless of the cause, so involuntary losses also delay
+ * voluntary stops.
  */
 public final class DisruptionLimiter {
-  /** What a budget covers at present. */
+  /** Current task counts of a budget. */
   private static final class DisruptionTally {
     int expected;
     int down;
@@ -38,80 +38,83 @@
   private boolean talliesValid;
 
   /**
-   * A gate that lets nothing through that is covered by a budget, until the first survey.
+   * Creates a limiter that allows no stop covered by a budget until the tallies have been updated.
    *
-   * @param suspectAfter after what silence of a machine its tasks count as down
+   * @param suspectAfter silence of a machine after which its tasks count as down
    */
   public DisruptionLimiter(
       List<DisruptionBudget> budgets,
-      StopGrants ledger,
+      StopGrants stopGrants,
       Fleet fleet,
       JobBook jobs,
       Span suspectAfter) {
     this.budgets = budgets;
-    this.stopGrants = ledger;
+    this.stopGrants = stopGrants;
     this.fleet = fleet;
     this.jobs = jobs;
     this.suspectAfter = suspectAfter;
     budgets.forEach(budget -> tallies.put(budget, new DisruptionTally()));
   }
 
-  /** Whether any budget is declared. */
+  /** Returns whether any budget is declared. */
   public boolean hasBudgets() {
     return !budgets.isEmpty();
   }
 
   /**
-   * Finds out what is down, and has stops granted that were asked for. Nothing is let through while
-   * it is not known what runs.
+   * Counts the tasks that are down, and requests grants for the stops asked for. No covered stop is
+   * allowed while the fleet is not completely known.
    */
   public void updateTallies(boolean fleetKnown, Moment now, WallTime wall) {
     talliesValid = fleetKnown;
     if (budgets.isEmpty() || !fleetKnown) {
       return;
     }
-    tallies.replaceAll((budget, account) -> new DisruptionTally());
+    tallies.replaceAll((budget, tally) -> new DisruptionTally());
     Map<Job, Integer> up = new HashMap<>();
     for (Machine machine : fleet.machines()) {
-      boolean heard =
+      boolean reporting =
           machine.state() == Machine.State.UP && !now.past(machine.heard(), suspectAfter);
       for (Placement placement : machine.placements()) {
-        if (heard && !placement.halting() && placement.state() == Placement.State.RUNNING) {
+        if (reporting && !placement.halting() && placement.state() == Placement.State.RUNNING) {
           up.merge(placement.job(), 1, Integer::sum);
         }
       }
     }
-    Map<DisruptionBudget, Integer> open = new HashMap<>();
+    Map<DisruptionBudget, Integer> notRestarted = new HashMap<>();
     tallies.forEach(
-        (budget, account) -> {
+        (budget, tally) -> {
           for (Job job : jobs.ofTeam(budget.team())) {
             if (job.open() && budget.covers(job.spec())) {
-              addJob(job, up.getOrDefault(job, 0), account);
+              addJob(job, up.getOrDefault(job, 0), tally);
             }
           }
-          account.down +=
-              Math.min(stopGrants.inheritedNotRestarted(budget), account.inheritedTasksPending);
-          open.put(budget, account.arrayTasksDown);
+          tally.down +=
+              Math.min(stopGrants.inheritedNotRestarted(budget), tally.inheritedTasksPending);
+          notRestarted.put(budget, tally.arrayTasksDown);
         });
-    stopGrants.tick(budgets, open, now, wall);
+    stopGrants.tick(budgets, notRestarted, now, wall);
   }
 
-  private static void addJob(Job job, int up, DisruptionTally account) {
+  private static void addJob(Job job, int up, DisruptionTally tally) {
     boolean service = job.spec().service();
-    // What an older leader's service had running is not known, so all of it is taken to have run.
-    int begun = service && job.inherited() ? job.spec().tasks() : job.begunCount();
-    account.expected += begun;
-    account.down += Math.max(0, begun - up);
+    // How many replicas of an inherited service were running is not known, so all are assumed.
+    int started = service && job.inherited() ? job.spec().tasks() : job.begunCount();
+    tally.expected += started;
+    tally.down += Math.max(0, started - up);
     if (!service) {
-      account.arrayTasksDown += Math.max(0, begun - up);
-      // What saves or fetches at a change of leader is neither waiting nor seen running yet.
+      tally.arrayTasksDown += Math.max(0, started - up);
+      // After a change of leader, tasks that are checkpointing or fetching their image are neither
+      // pending nor reported as running.
       int notUp = job.spec().tasks() - job.doneCount() - up;
-      account.inheritedTasksPending +=
-          job.inherited() ? Math.max(0, notUp - Math.max(0, begun - up)) : 0;
+      tally.inheritedTasksPending +=
+          job.inherited() ? Math.max(0, notUp - Math.max(0, started - up)) : 0;
     }
   }
 
-  /** Whether all these may be stopped now; stops that lack a grant are asked for. */
+  /**
+   * Returns whether all given tasks may be stopped now, and requests the grants that are missing.
+   */
   public boolean allows(Collection<Placement> stops) {
     boolean allowed = true;
     for (Map.Entry<DisruptionBudget, DisruptionTally> entry : tallies.entrySet()) {
@@ -121,37 +124,38 @@
         count += budget.covers(stop.job().spec()) ? 1 : 0;
       }
       if (count > 0) {
-        DisruptionTally account = entry.getValue();
-        boolean room =
-            talliesValid && account.down + count <= budget.maxTasksDown(account.expected);
-        allowed &= room && stopGrants.checkOrRequest(budget, count);
+        DisruptionTally tally = entry.getValue();
+        boolean belowLimit =
+            talliesValid && tally.down + count <= budget.maxTasksDown(tally.expected);
+        allowed &= belowLimit && stopGrants.checkOrRequest(budget, count);
       }
     }
     return allowed;
   }
 
-  /** A task is stopped: the one place where that is written down, whoever wants it. */
-  public void recordStop(Placement placement, Fleet.Why why) {
+  /** Records a stop; called for every stop, whatever its reason. */
+  public void recordStop(Placement placement, Fleet.Why reason) {
     tallies.forEach(
-        (budget, account) -> {
+        (budget, tally) -> {
           if (budget.covers(placement.job().spec())) {
-            // Also of one that no report has shown to run yet: by the next survey it is down.
+            // Also applies to a task not yet reported as running: the next update has to count it
+            // as down.
             placement.job().mayHaveBegun(placement.task().index());
-            account.down++;
-            if (why.voluntary()) {
+            tally.down++;
+            if (reason.voluntary()) {
               stopGrants.consume(budget);
             }
           }
         });
   }
 
-  /** What is down against the budgets, for the log. */
+  /** Tasks down and the limit for each budget, for the log. */
   String summary() {
     List<String> parts = new ArrayList<>();
     tallies.forEach(
-        (budget, account) ->
+        (budget, tally) ->
             parts.add(
-                budget.name() + " " + account.down + "/" + budget.maxTasksDown(account.expected)));
+                budget.name() + " " + tally.down + "/" + budget.maxTasksDown(tally.expected)));
     return String.join(", ", parts);
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/DrainController.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainController.java
@@ -22,21 +22,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Carries out the plans in force, a few machines at a time: each is chosen, replaced ahead, emptied
- * and returned. What a plan has done is not written down: it shows in which machines are left.
+ * Executes the drain plans in force, a few machines at a time: each machine is selected, replaced
+ * in advance, emptied and returned. The progress of a plan is not stored; it follows from the
+ * machines that remain.
  */
 public final class DrainController {
   private static final Logger LOG = LoggerFactory.getLogger(DrainController.class);
   private static final Span TICK_INTERVAL = Span.millis(400);
   private static final Span PROGRESS_LOG_INTERVAL = Span.seconds(10);
-  private static final String DRAINED_MESSAGE = "all machines have gone";
+  private static final String DRAINED_MESSAGE = "all selected machines are drained";
 
-  /** Of the machines on their way out, one in so many may hold replicas as long as others don't. */
+  /**
+   * Of the machines being drained, at most one in this many is selected for its replicas while
+   * others without replicas remain.
+   */
   private static final int REPLICA_HOLDER_DIVISOR = 2;
 
+  /** Pause in selecting machines after a replacement did not come up. */
   private static final Span NO_REPLACEMENT_BACKOFF = Span.seconds(60);
 
-  /** What this leader has seen of a plan. */
+  /** Progress of a plan since the start of this leader's term. */
   private static final class DrainProgress {
     Moment startedAt;
     int initialRemaining;
@@ -45,18 +50,18 @@
     String waitReason = "";
   }
 
-  /** A plan in force and what it is about at this moment. */
+  /** A plan in force and the machines that it selects at present. */
   private static final class TrackedDrain {
     final StoredValue.DrainRecord record;
     final DrainProgress progress;
     final List<Machine> machines = new ArrayList<>();
 
-    /** Machines that are held, but not wanted any more; quarantined ones use up no step. */
+    /** Selected machines that are being drained; unfit machines do not count. */
     int inProgress;
 
-    TrackedDrain(StoredValue.DrainRecord record, DrainProgress mine) {
+    TrackedDrain(StoredValue.DrainRecord record, DrainProgress progress) {
       this.record = record;
-      this.progress = mine;
+      this.progress = progress;
     }
 
     boolean isRunning() {
@@ -79,7 +84,7 @@
   private final ReplicaMover replicaMover;
   private final Evictor evictor;
   private final DrainSafetyCheck safetyCheck;
-  private final Map<String, DrainProgress> progress = new HashMap<>();
+  private final Map<String, DrainProgress> progressByPlan = new HashMap<>();
   private final Map<Machine, Moment> waitingSince = new HashMap<>();
   private Moment nextTick = new Moment(Long.MIN_VALUE / 2);
   private Moment nextProgressLog = new Moment(Long.MIN_VALUE / 2);
@@ -88,20 +93,20 @@
       Fleet fleet,
       JobBook jobs,
       StoreView view,
-      Autoscaler capacity,
-      DrainPlanRegistry keeper,
-      DisruptionLimiter gate,
-      ReplicaMover mover) {
+      Autoscaler autoscaler,
+      DrainPlanRegistry planRegistry,
+      DisruptionLimiter disruptionLimiter,
+      ReplicaMover replicaMover) {
     this.fleet = fleet;
-    this.autoscaler = capacity;
-    this.planRegistry = keeper;
-    this.disruptionLimiter = gate;
-    this.replicaMover = mover;
-    this.evictor = new Evictor(fleet, gate, mover);
-    this.safetyCheck = new DrainSafetyCheck(fleet, view, capacity, jobs, mover);
+    this.autoscaler = autoscaler;
+    this.planRegistry = planRegistry;
+    this.disruptionLimiter = disruptionLimiter;
+    this.replicaMover = replicaMover;
+    this.evictor = new Evictor(fleet, disruptionLimiter, replicaMover);
+    this.safetyCheck = new DrainSafetyCheck(fleet, view, autoscaler, jobs, replicaMover);
   }
 
-  /** Takes the next steps; does nothing as long as no plan and no budget was ever declared. */
+  /** Runs the steps that are due; does nothing if neither a plan nor a budget is declared. */
   public void tick(boolean fleetKnown, Moment now, WallTime wall) {
     if (nextTick.isAfter(now) || planRegistry.isEmpty() && !disruptionLimiter.hasBudgets()) {
       return;
@@ -117,101 +122,105 @@
     }
     waitingSince.keySet().removeIf(machine -> machine.state() != Machine.State.UP);
     Collection<StoredValue.DrainRecord> plans = planRegistry.plans();
-    List<TrackedDrain> followed = new ArrayList<>();
+    List<TrackedDrain> drains = new ArrayList<>();
     for (StoredValue.DrainRecord record : plans) {
-      DrainProgress mine =
-          progress.computeIfAbsent(record.plan().name(), name -> new DrainProgress());
-      followed.add(new TrackedDrain(record, mine));
+      DrainProgress progress =
+          progressByPlan.computeIfAbsent(record.plan().name(), name -> new DrainProgress());
+      drains.add(new TrackedDrain(record, progress));
     }
-    Map<Machine, List<TrackedDrain>> claims = assignMachines(followed);
-    Optional<String> waits =
+    Map<Machine, List<TrackedDrain>> plansByMachine = assignMachines(drains);
+    Optional<String> pauseReason =
         safetyCheck.pauseReason(
-            followed.stream()
+            drains.stream()
                 .filter(TrackedDrain::isRunning)
-                .map(plan -> plan.record.plan())
+                .map(drain -> drain.record.plan())
                 .toList(),
             now);
     for (Machine machine : fleet.machines()) {
       if (machine.state() == Machine.State.RETURNING) {
         continue;
       }
-      boolean claimed = claims.containsKey(machine);
-      machine.leavesSoon(claimed);
-      boolean chosen = isDraining(machine);
-      if (chosen && (!claimed || waits.isPresent()) && machine.duty(Duty.IN_USE)) {
-        // Nobody empties it any more, so it serves again.
-        LOG.info("machine {} takes tasks again", machine.id());
+      boolean selected = plansByMachine.containsKey(machine);
+      machine.leavesSoon(selected);
+      boolean draining = isDraining(machine);
+      if (draining && (!selected || pauseReason.isPresent()) && machine.duty(Duty.IN_USE)) {
+        // The machine is no longer drained, so it returns to normal use.
+        LOG.info("machine {} is no longer drained and accepts tasks again", machine.id());
         waitingSince.remove(machine);
       }
     }
-    for (TrackedDrain plan : followed) {
-      if (plan.isRunning()) {
-        advance(plan, claims, waits, now);
+    for (TrackedDrain drain : drains) {
+      if (drain.isRunning()) {
+        advance(drain, plansByMachine, pauseReason, now);
       }
     }
     if (!nextProgressLog.isAfter(now)) {
       nextProgressLog = now.plus(PROGRESS_LOG_INTERVAL);
-      followed.forEach(plan -> logProgress(plan, now));
+      drains.forEach(drain -> logProgress(drain, now));
     }
   }
 
-  /** The running plans that each machine is up to be emptied by. */
-  private Map<Machine, List<TrackedDrain>> assignMachines(List<TrackedDrain> plans) {
-    Map<Machine, List<TrackedDrain>> claims = new LinkedHashMap<>();
+  /** Returns the running plans that select each machine. */
+  private Map<Machine, List<TrackedDrain>> assignMachines(List<TrackedDrain> drains) {
+    Map<Machine, List<TrackedDrain>> plansByMachine = new LinkedHashMap<>();
     for (Machine machine : fleet.machines()) {
       if (machine.state() != Machine.State.UP && machine.state() != Machine.State.LAPSED) {
         continue;
       }
-      for (TrackedDrain plan : plans) {
-        if (plan.isRunning() && plan.record.plan().selects(machine, plan.record.newestMachine())) {
-          claims.computeIfAbsent(machine, m -> new ArrayList<>(1)).add(plan);
-          plan.machines.add(machine);
-          plan.inProgress += isDraining(machine) ? 1 : 0;
+      for (TrackedDrain drain : drains) {
+        if (drain.isRunning()
+            && drain.record.plan().selects(machine, drain.record.newestMachine())) {
+          plansByMachine.computeIfAbsent(machine, m -> new ArrayList<>(1)).add(drain);
+          drain.machines.add(machine);
+          drain.inProgress += isDraining(machine) ? 1 : 0;
         }
       }
     }
-    return claims;
+    return plansByMachine;
   }
 
+  /** Advances one running plan. */
   private void advance(
-      TrackedDrain followed,
-      Map<Machine, List<TrackedDrain>> claims,
-      Optional<String> waits,
+      TrackedDrain drain,
+      Map<Machine, List<TrackedDrain>> plansByMachine,
+      Optional<String> pauseReason,
       Moment now) {
-    DrainPlan plan = followed.record.plan();
-    DrainProgress mine = followed.progress;
-    if (mine.startedAt == null) {
-      mine.startedAt = now;
-      mine.initialRemaining = followed.machines.size();
+    DrainPlan plan = drain.record.plan();
+    DrainProgress progress = drain.progress;
+    if (progress.startedAt == null) {
+      progress.startedAt = now;
+      progress.initialRemaining = drain.machines.size();
     }
-    mine.waitReason = waits.orElse("");
-    if (waits.isPresent()) {
+    progress.waitReason = pauseReason.orElse("");
+    if (pauseReason.isPresent()) {
       return;
     }
-    selectMachines(followed, claims, now);
-    cordonSelected(followed, now);
-    for (Machine machine : followed.machines) {
+    selectMachines(drain, plansByMachine, now);
+    cordonSelected(drain, now);
+    for (Machine machine : drain.machines) {
       if (machine.duty() == Duty.CORDONED) {
-        // Of several plans the most patient one counts.
-        Span patience =
-            claims.get(machine).stream()
-                .map(claim -> claim.record.plan().drainTimeout())
+        // Of several plans the longest timeout applies.
+        Span timeout =
+            plansByMachine.get(machine).stream()
+                .map(other -> other.record.plan().drainTimeout())
                 .max(Span::compareTo)
                 .orElse(plan.drainTimeout());
-        boolean impatient = now.past(waitingSince.computeIfAbsent(machine, m -> now), patience);
-        evictor.evictTasks(machine, impatient, now).ifPresent(why -> mine.waitReason = why);
+        boolean timedOut = now.past(waitingSince.computeIfAbsent(machine, m -> now), timeout);
+        evictor
+            .evictTasks(machine, timedOut, now)
+            .ifPresent(reason -> progress.waitReason = reason);
       }
     }
   }
 
-  /** Chooses the machines that go next: as many as are allowed to be on their way out at once. */
+  /** Selects the next machines to drain, up to the plan's limit. */
   private void selectMachines(
-      TrackedDrain plan, Map<Machine, List<TrackedDrain>> claims, Moment now) {
-    if (plan.progress.nextSelection.isAfter(now) || plan.isAtLimit()) {
+      TrackedDrain drain, Map<Machine, List<TrackedDrain>> plansByMachine, Moment now) {
+    if (drain.progress.nextSelection.isAfter(now) || drain.isAtLimit()) {
       return;
     }
     List<Machine> candidates = new ArrayList<>();
-    for (Machine machine : plan.machines) {
+    for (Machine machine : drain.machines) {
       if (machine.state() == Machine.State.UP
           && (machine.duty() == Duty.IN_USE || machine.duty() == Duty.RETIRING)) {
         candidates.add(machine);
@@ -221,37 +230,38 @@
         Comparator.comparing((Machine machine) -> machine.duty() == Duty.RETIRING ? 0 : 1)
             .thenComparingInt(machine -> machine.placements().size())
             .thenComparing(Machine::id));
-    // Replicas move one after the other, so some of their machines are always among those that go:
-    // left to the end, they would make it late.
-    int holders = 0;
-    for (Machine machine : plan.machines) {
-      holders += isDraining(machine) && machine.holdsReplica() ? 1 : 0;
+    // Replicas are moved one after another, so some of the machines that hold them are always
+    // included: left to the end, they would delay the drain.
+    int drainingHolders = 0;
+    for (Machine machine : drain.machines) {
+      drainingHolders += isDraining(machine) && machine.holdsReplica() ? 1 : 0;
     }
-    int more = Math.max(2, plan.maxInProgress() / REPLICA_HOLDER_DIVISOR) - holders;
+    int holdersToAdd =
+        Math.max(2, drain.maxInProgress() / REPLICA_HOLDER_DIVISOR) - drainingHolders;
     List<Machine> first = new ArrayList<>();
     for (Machine machine : candidates) {
-      if (machine.holdsReplica() && first.size() < more) {
+      if (machine.holdsReplica() && first.size() < holdersToAdd) {
         first.add(machine);
       }
     }
     candidates.removeAll(first);
     candidates.addAll(0, first);
-    int chosen = 0;
+    int selectedCount = 0;
     for (Machine machine : candidates) {
-      if (plan.isAtLimit()) {
+      if (drain.isAtLimit()) {
         break;
       }
-      // Whoever else wants it as well must have a step left for it too.
-      List<TrackedDrain> all = claims.get(machine);
+      // Every other plan that selects the machine must be below its limit as well.
+      List<TrackedDrain> all = plansByMachine.get(machine);
       if (all.stream().noneMatch(TrackedDrain::isAtLimit) && machine.duty(Duty.NEXT)) {
         waitingSince.put(machine, now);
-        all.forEach(claim -> claim.inProgress++);
-        chosen++;
+        all.forEach(other -> other.inProgress++);
+        selectedCount++;
       }
     }
-    if (chosen > 0) {
-      plan.progress.nextSelection = now.plus(plan.record.plan().selectionInterval());
-      LOG.info("drain {}: {} machines go next", plan.record.plan().name(), chosen);
+    if (selectedCount > 0) {
+      drain.progress.nextSelection = now.plus(drain.record.plan().selectionInterval());
+      LOG.info("drain {}: selected {} machines", drain.record.plan().name(), selectedCount);
     }
   }
 
@@ -260,14 +270,14 @@
   }
 
   /**
-   * Lets chosen machines go as far as the others are enough without them. One that waits for long
-   * is let off again, since its replacement does not come.
+   * Cordons selected machines as far as the remaining capacity suffices without them. A machine
+   * whose replacement does not come up in time is deselected.
    */
-  private void cordonSelected(TrackedDrain followed, Moment now) {
-    DrainPlan plan = followed.record.plan();
-    DrainProgress mine = followed.progress;
+  private void cordonSelected(TrackedDrain drain, Moment now) {
+    DrainPlan plan = drain.record.plan();
+    DrainProgress progress = drain.progress;
     Map<String, Integer> spare = new HashMap<>();
-    for (Machine machine : followed.machines) {
+    for (Machine machine : drain.machines) {
       if (machine.duty() != Duty.NEXT) {
         continue;
       }
@@ -276,60 +286,65 @@
         spare.merge(type, -1, Integer::sum);
         machine.duty(Duty.CORDONED);
         waitingSince.put(machine, now);
-        LOG.info("drain {}: machine {} is emptied", plan.name(), machine.id());
+        LOG.info("drain {}: cordoned machine {}", plan.name(), machine.id());
       } else if (now.past(
           waitingSince.computeIfAbsent(machine, m -> now), autoscaler.bootTimeout(machine))) {
         machine.duty(Duty.IN_USE);
         waitingSince.remove(machine);
-        mine.nextSelection = now.plus(NO_REPLACEMENT_BACKOFF);
-        mine.waitReason = "replacements don't come";
-        LOG.info("drain {}: no replacement for machine {}", plan.name(), machine.id());
+        progress.nextSelection = now.plus(NO_REPLACEMENT_BACKOFF);
+        progress.waitReason = "replacements do not come up";
+        LOG.info(
+            "drain {}: no replacement came up for machine {}; deselecting it",
+            plan.name(),
+            machine.id());
       } else {
-        mine.waitReason = "replacements are on their way";
+        progress.waitReason = "replacements are not up yet";
       }
     }
   }
 
-  private void logProgress(TrackedDrain followed, Moment now) {
-    StoredValue.DrainRecord record = followed.record;
+  /** Logs changes of a plan's state, and the progress of a running plan. */
+  private void logProgress(TrackedDrain drain, Moment now) {
+    StoredValue.DrainRecord record = drain.record;
     DrainPlan plan = record.plan();
-    DrainProgress mine = followed.progress;
-    if (!followed.isRunning() || mine.startedAt == null) {
+    DrainProgress progress = drain.progress;
+    if (!drain.isRunning() || progress.startedAt == null) {
       String line = plan.status().name();
-      if (!followed.isRunning() && !line.equals(mine.lastLogged)) {
-        mine.lastLogged = line;
+      if (!drain.isRunning() && !line.equals(progress.lastLogged)) {
+        progress.lastLogged = line;
         LOG.info("drain {} version {} is {}", plan.name(), plan.version(), line);
       }
       return;
     }
-    int left = followed.machines.size();
-    int underWay = followed.inProgress;
-    if (left == 0 && mine.waitReason.isEmpty()) {
-      if (!mine.lastLogged.equals(DRAINED_MESSAGE)) {
-        mine.lastLogged = DRAINED_MESSAGE;
+    int left = drain.machines.size();
+    int inProgress = drain.inProgress;
+    if (left == 0 && progress.waitReason.isEmpty()) {
+      if (!progress.lastLogged.equals(DRAINED_MESSAGE)) {
+        progress.lastLogged = DRAINED_MESSAGE;
         LOG.info("drain {} version {}: {}", plan.name(), plan.version(), DRAINED_MESSAGE);
       }
       return;
     }
-    mine.lastLogged = "";
-    int gone = mine.initialRemaining - left;
+    progress.lastLogged = "";
+    int drained = progress.initialRemaining - left;
     String end =
-        gone <= 0
-            ? "end not known yet"
-            : "ends in about "
-                + Span.millis(now.since(mine.startedAt).millis() * left / gone).asSeconds()
-                + " s";
+        drained <= 0
+            ? "remaining time unknown"
+            : "about "
+                + Span.millis(now.since(progress.startedAt).millis() * left / drained).asSeconds()
+                + " s remaining";
     LOG.info(
-        "drain {} version {}: {} of {} done, {} under way, {} left, {} moving; down {}; {}{}",
+        "drain {} version {}: {} of {} machines done, {} in progress, {} left, {} replicas moving;"
+            + " tasks down: {}; {}{}",
         plan.name(),
         plan.version(),
         Math.max(0, record.selectedMachines() - left),
         record.selectedMachines(),
-        underWay,
+        inProgress,
         left,
         replicaMover.moveCount(),
         disruptionLimiter.summary(),
-        mine.waitReason.isEmpty() ? "" : "waits: " + mine.waitReason + "; ",
+        progress.waitReason.isEmpty() ? "" : "delayed: " + progress.waitReason + "; ",
         end);
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/DrainPlan.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainPlan.java
@@ -7,19 +7,19 @@
 import org.oakwalk.core.fleet.Machine;
 
 /**
- * What operators want done with some of the machines. Empty sets select all.
+ * A drain that operators have declared for a set of machines. An empty set matches everything.
  *
- * @param name tells it from other plans; letters, digits, dashes
- * @param version the higher one of two plans of a name counts
- * @param spotFilter spot or ordinary machines only, or both
- * @param concurrency how many machines may be on their way out at once; a share of all that it
- *     selects if below one
- * @param surge how many machines may be held beyond what is wanted, while others are on their way
- *     out
- * @param selectionInterval time between two choices of machines
- * @param drainTimeout how long work may run out on a machine before it is stopped
- * @param maxReplicaWait the plan waits as long as some replica has waited longer than this
- * @param maxWorkWait and as long as other work has waited longer than this
+ * @param name unique name; letters, digits, dashes
+ * @param version of two plans with the same name, the one with the higher version applies
+ * @param spotFilter true for spot machines only, false for ordinary ones only, empty for both
+ * @param mode what happens to the capacity of a drained machine
+ * @param concurrency maximum number of machines being drained at the same time; if below one, a
+ *     share of the selected machines
+ * @param surge maximum number of additional machines that may be held while others are drained
+ * @param selectionInterval minimum time between two selections of machines
+ * @param drainTimeout how long tasks may continue on a machine before they are stopped
+ * @param maxReplicaWait the plan is paused while any replica has waited longer than this
+ * @param maxWorkWait the plan is paused while any other task has waited longer than this
  */
 public record DrainPlan(
     String name,
@@ -37,36 +37,36 @@
     Span maxReplicaWait,
     Span maxWorkWait) {
 
-  /** Whether anything is to be done at present. */
+  /** Declared state of a plan. */
   public enum Status {
     RUNNING,
     PAUSED,
     ENDED
   }
 
-  /** What becomes of a machine's place. */
+  /** What happens to the capacity of a drained machine. */
   public enum DrainMode {
-    /** Another machine is rented for it, and machines rented later are left alone. */
+    /** A replacement is rented; machines rented after the plan was stored are not drained. */
     REPLACE,
-    /** None is rented where the plan selects, and all machines there go. */
+    /** All matching machines are returned, and none that match are rented. */
     RETURN
   }
 
-  /** Whether it is about a machine, whenever that was rented. */
+  /** Returns whether the plan matches a machine, regardless of when that was rented. */
   public boolean selects(Machine machine) {
     return matches(machine.zone(), machine.type().name(), machine.spot())
         && (machines.isEmpty() || machines.contains(machine.id().value()));
   }
 
   /**
-   * Whether it is about a machine, if a plan that replaces only wants those named up to {@code
-   * newest}: the cloud names machines in the order in which it created them.
+   * Returns whether the plan matches a machine. A plan that replaces machines matches only ids up
+   * to {@code newest}: the cloud assigns ids in order of creation.
    */
   public boolean selects(Machine machine, MachineId newest) {
     return selects(machine) && (mode == DrainMode.RETURN || machine.id().compareTo(newest) <= 0);
   }
 
-  /** Whether machines of this sort are not to be rented while it runs. */
+  /** Returns whether the plan currently forbids renting machines of a pool. */
   public boolean forbidsRenting(String zone, String type, boolean spot) {
     return status == Status.RUNNING
         && mode == DrainMode.RETURN
@@ -80,10 +80,10 @@
         && (spotFilter.isEmpty() || spotFilter.get() == spot);
   }
 
-  /** How many machines may be on their way out at once, of so many. */
+  /** Maximum number of machines being drained at the same time, out of {@code selected}. */
   int maxInProgress(int selected) {
-    int atOnce =
+    int limit =
         concurrency < 1 ? (int) Math.max(1, Math.floor(concurrency * selected)) : (int) concurrency;
-    return Math.min(atOnce, surge);
+    return Math.min(limit, surge);
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/DrainPlanRegistry.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainPlanRegistry.java
@@ -22,9 +22,10 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The plans in force: those in the store. A plan in this node's file is stored if its version is
- * higher, together with the newest machine's name, which is all that tells what has been done:
- * machines rented later have later names. Of two nodes with unlike files the higher version wins.
+ * The drain plans in force, which are those in the state store. A plan declared in this node's
+ * policy file is stored if its version is higher than the stored one. The id of the newest machine
+ * is stored with it and suffices to determine the plan's progress: machines rented later have
+ * higher ids. If nodes have different files, the highest version applies.
  */
 public final class DrainPlanRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(DrainPlanRegistry.class);
@@ -49,17 +50,19 @@
     this.declared = declared;
   }
 
-  /** The plans in force, whatever their status. */
+  /** Returns the plans in force, regardless of their status. */
   Collection<StoredValue.DrainRecord> plans() {
     return view.drainPlans().all();
   }
 
-  /** Whether there is nothing to follow, now or later. */
+  /** Returns whether no plan is declared or stored. */
   boolean isEmpty() {
     return declared.isEmpty() && view.drainPlans().all().isEmpty();
   }
 
-  /** Stores what this node's file has newly; to be called once the fleet is known. */
+  /**
+   * Stores plans that are new in this node's file; call only once the fleet is completely known.
+   */
   void tick(Moment now) {
     if (writeInFlight || nextAttemptAt.isAfter(now)) {
       return;
@@ -68,17 +71,20 @@
       Optional<StoredValue.DrainRecord> stored = view.drainPlans().find(plan.name());
       if (view.drainPlans().isUnreadable(plan.name())) {
         warnOnce(
-            plan.name() + " unreadable", "drain {}: the stored plan can't be read", plan.name());
+            plan.name() + " unreadable", "drain {}: the stored plan is unreadable", plan.name());
       } else if (stored.isEmpty() || stored.get().plan().version() < plan.version()) {
         if (view.drainPlans().all().size() < MAX_PLANS || stored.isPresent()) {
           store(plan, now);
           return;
         }
-        warnOnce(plan.name() + " many", "drain {}: too many plans are stored", plan.name());
+        warnOnce(
+            plan.name() + " many",
+            "drain {}: not stored because the store already holds the maximum number of plans",
+            plan.name());
       } else if (!stored.get().plan().equals(plan)) {
         warnOnce(
             plan.name() + stored.get().plan().version(),
-            "drain {}: version {} is stored and counts, the file has another {}",
+            "drain {}: stored version {} applies; the file has a different plan with version {}",
             plan.name(),
             stored.get().plan().version(),
             plan.version());
@@ -86,9 +92,9 @@
     }
   }
 
-  private void warnOnce(String about, String format, Object... words) {
-    if (loggedWarnings.add(about)) {
-      LOG.warn(format, words);
+  private void warnOnce(String key, String format, Object... arguments) {
+    if (loggedWarnings.add(key)) {
+      LOG.warn(format, arguments);
     }
   }
 
@@ -103,7 +109,7 @@
     }
     for (String name : plan.machines()) {
       if (fleet.find(new MachineId(name)).isEmpty()) {
-        LOG.warn("drain {}: there is no machine {}", plan.name(), name);
+        LOG.warn("drain {}: unknown machine {}", plan.name(), name);
       }
     }
     StoredValue.DrainRecord record = new StoredValue.DrainRecord(plan, newest, selected);
@@ -117,7 +123,7 @@
           writeInFlight = false;
           if (answer instanceof Answer.Committed) {
             LOG.info(
-                "drain {} version {} {}: {} machines, up to {}",
+                "drain {} version {} stored with status {}: {} machines selected, newest id {}",
                 plan.name(),
                 plan.version(),
                 plan.status(),
--- a/src/main/java/org/oakwalk/core/drain/DrainPolicy.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainPolicy.java
@@ -4,19 +4,19 @@
 import java.util.Collection;
 import java.util.List;
 
-/** What operators declare about machines that are to go, and about what that may cost. */
+/** Drain plans and disruption budgets that operators have declared. */
 public record DrainPolicy(List<DrainPlan> plans, List<DisruptionBudget> budgets) {
   public static final DrainPolicy NONE = new DrainPolicy(List.of(), List.of());
 
-  /** Stands for every team that has no budget of its own. */
+  /** Team name of a budget that applies to each team without a budget of its own. */
   public static final String EVERY_TEAM = "*";
 
-  /** The budgets, with one for each team in place of one for every team. */
+  /** Returns the budgets, with each {@link #EVERY_TEAM} budget expanded to one budget per team. */
   public List<DisruptionBudget> budgetsFor(Collection<String> teams) {
-    List<DisruptionBudget> each = new ArrayList<>();
+    List<DisruptionBudget> expanded = new ArrayList<>();
     for (DisruptionBudget budget : budgets) {
       if (!budget.team().equals(EVERY_TEAM)) {
-        each.add(budget);
+        expanded.add(budget);
         continue;
       }
       for (String team : teams) {
@@ -24,10 +24,10 @@
             new DisruptionBudget(
                 team, budget.jobClass(), budget.maxDown(), budget.maxStopsPerHour());
         if (budgets.stream().noneMatch(other -> other.name().equals(own.name()))) {
-          each.add(own);
+          expanded.add(own);
         }
       }
     }
-    return each;
+    return expanded;
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/DrainSafetyCheck.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainSafetyCheck.java
@@ -14,42 +14,48 @@
 import org.oakwalk.core.store.StoreView;
 
 /**
- * Why plans had better wait. A reason counts for a while after it has passed, so that a plan does
- * not go on and stop again with each report.
+ * Determines whether drains have to pause. A reason applies for a while after it was last observed,
+ * so that drains do not resume and pause again with each report.
  */
 final class DrainSafetyCheck {
   private static final Span REASON_HOLD_TIME = Span.seconds(10);
 
-  /** A watch may be held for a second and has to be answered. */
+  /**
+   * Time without a confirmation after which the state service counts as unreachable. It answers a
+   * watch request after at most one second.
+   */
   private static final Span STORE_TIMEOUT = Span.seconds(5);
 
+  /** Age up to which an unfit machine indicates a problem with new machines. */
   private static final Span NEW_MACHINE_AGE = Span.seconds(120);
+
   private static final int MIN_UNFIT_MACHINES = 2;
 
   private final Fleet fleet;
   private final StoreView view;
   private final Autoscaler autoscaler;
   private final JobBook jobs;
-  private final ReplicaMover mover;
+  private final ReplicaMover replicaMover;
   private String lastReason = "";
   private Moment lastSeen = new Moment(Long.MIN_VALUE / 2);
 
   DrainSafetyCheck(
-      Fleet fleet, StoreView view, Autoscaler capacity, JobBook jobs, ReplicaMover mover) {
+      Fleet fleet, StoreView view, Autoscaler autoscaler, JobBook jobs, ReplicaMover replicaMover) {
     this.fleet = fleet;
     this.view = view;
-    this.autoscaler = capacity;
+    this.autoscaler = autoscaler;
     this.jobs = jobs;
-    this.mover = mover;
+    this.replicaMover = replicaMover;
   }
 
   /**
-   * Why nothing should be drained now by these plans, if there is a reason; the strictest counts.
+   * Returns the reason why drains have to pause, if there is one. Of several plans the shortest
+   * permitted waits apply.
    */
   Optional<String> pauseReason(Collection<DrainPlan> plans, Moment now) {
-    Optional<String> present = currentReason(plans, now);
-    if (present.isPresent()) {
-      lastReason = present.get();
+    Optional<String> current = currentReason(plans, now);
+    if (current.isPresent()) {
+      lastReason = current.get();
       lastSeen = now;
     }
     return now.past(lastSeen, REASON_HOLD_TIME) ? Optional.empty() : Optional.of(lastReason);
@@ -57,16 +63,16 @@
 
   private Optional<String> currentReason(Collection<DrainPlan> plans, Moment now) {
     if (now.past(view.lastConfirmed(), STORE_TIMEOUT)) {
-      return Optional.of("the state service is out of reach");
+      return Optional.of("the state service is unreachable");
     }
     if (!autoscaler.failureDetector().isSilenceReliable(now)) {
-      return Optional.of("many machines were silent together");
+      return Optional.of("many machines were silent at the same time");
     }
     if (autoscaler.isCloudUnavailable()) {
       return Optional.of("the cloud does not answer");
     }
     if (autoscaler.anyPoolFailing(now)) {
-      return Optional.of("new machines don't come up");
+      return Optional.of("new machines fail to boot");
     }
     if (newMachinesFail(now)) {
       return Optional.of("new machines fail their tasks or are slow");
@@ -78,13 +84,15 @@
     }
     for (Job job : jobs.all()) {
       if (waitsTooLong(job, job.spec().service() ? replica.get() : work.get(), now)) {
-        return Optional.of("work of class " + job.spec().jobClass() + " waits for room");
+        return Optional.of("tasks of class " + job.spec().jobClass() + " wait for capacity");
       }
     }
     return Optional.empty();
   }
 
-  /** Whether several machines that plans would leave alone were left out soon after they came. */
+  /**
+   * Returns whether several recently rented machines that no plan removes have been marked unfit.
+   */
   private boolean newMachinesFail(Moment now) {
     return fleet.machines().stream()
             .filter(machine -> machine.duty() == Duty.UNFIT && !machine.leavesSoon())
@@ -93,7 +101,11 @@
         >= MIN_UNFIT_MACHINES;
   }
 
-  private boolean waitsTooLong(Job job, Span mayWait, Moment now) {
+  /**
+   * Returns whether a job has a pending task that is not being moved and has waited too long.
+   * Suspect and low-priority jobs don't count.
+   */
+  private boolean waitsTooLong(Job job, Span maxWait, Moment now) {
     if (!job.open()
         || job.pendingCount() <= 0
         || job.suspect()
@@ -102,7 +114,7 @@
     }
     int next = job.nextPending(0, now);
     return next >= 0
-        && now.past(job.waitingSince(), mayWait)
-        && !mover.isMoving(new TaskId(job.id(), next));
+        && now.past(job.waitingSince(), maxWait)
+        && !replicaMover.isMoving(new TaskId(job.id(), next));
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/Evictor.java
+++ b/src/main/java/org/oakwalk/core/drain/Evictor.java
@@ -13,54 +13,56 @@
 import org.oakwalk.core.job.Job;
 
 /**
- * Empties one machine with little harm: replicas move, work that ends soon runs out, and what is
- * left when patience is over is stopped, first what saves its progress and last what loses most.
+ * Removes the tasks of a machine that is drained, with little loss of work. Replicas are moved;
+ * other tasks may finish until the drain timeout. The remaining tasks are stopped, those that lose
+ * the least work first; tasks with checkpoints lose none.
  */
 final class Evictor {
   private final Fleet fleet;
   private final DisruptionLimiter disruptionLimiter;
   private final ReplicaMover replicaMover;
 
-  Evictor(Fleet fleet, DisruptionLimiter gate, ReplicaMover mover) {
+  Evictor(Fleet fleet, DisruptionLimiter disruptionLimiter, ReplicaMover replicaMover) {
     this.fleet = fleet;
-    this.disruptionLimiter = gate;
-    this.replicaMover = mover;
+    this.disruptionLimiter = disruptionLimiter;
+    this.replicaMover = replicaMover;
   }
 
   /**
-   * Does what can be done now.
+   * Moves and stops tasks as far as is possible now.
    *
-   * @param impatient whether work has had its time to run out
-   * @return why not all that is due could be done, if so
+   * @param timedOut whether the drain timeout has passed
+   * @return why some tasks that are due could not be moved or stopped, if that is so
    */
-  Optional<String> evictTasks(Machine machine, boolean impatient, Moment now) {
-    Optional<String> held = Optional.empty();
-    List<Placement> left = new ArrayList<>(machine.placements());
-    left.removeIf(Placement::halting);
-    left.sort(Comparator.comparingDouble(placement -> lostSeconds(placement, now)));
-    for (Placement placement : left) {
+  Optional<String> evictTasks(Machine machine, boolean timedOut, Moment now) {
+    Optional<String> blockedBy = Optional.empty();
+    List<Placement> remaining = new ArrayList<>(machine.placements());
+    remaining.removeIf(Placement::halting);
+    remaining.sort(Comparator.comparingDouble(placement -> lostSeconds(placement, now)));
+    for (Placement placement : remaining) {
       if (placement.halting()) {
         continue;
       }
       if (placement.job().spec().gang()) {
-        Optional<String> why = impatient ? stopGang(placement.job()) : Optional.empty();
-        held = held.or(() -> why);
+        Optional<String> reason = timedOut ? stopGang(placement.job()) : Optional.empty();
+        blockedBy = blockedBy.or(() -> reason);
       } else if (placement.job().spec().service()) {
-        if (!replicaMover.tryMove(placement, impatient, now)) {
-          held = Optional.of("replicas of " + placement.job().spec().team() + " have to stay yet");
+        if (!replicaMover.tryMove(placement, timedOut, now)) {
+          blockedBy =
+              Optional.of("no target or budget for replicas of " + placement.job().spec().team());
         }
-      } else if (impatient) {
+      } else if (timedOut) {
         if (disruptionLimiter.allows(List.of(placement))) {
           fleet.halt(placement, placement.job().spec().saveTime(), Fleet.Why.DRAINED);
         } else {
-          held = Optional.of("budget of " + placement.job().spec().team());
+          blockedBy = Optional.of("budget of " + placement.job().spec().team());
         }
       }
     }
-    return held;
+    return blockedBy;
   }
 
-  /** Seconds of work that a stop would lose; what saves loses none. */
+  /** Seconds of work that a stop would lose; none for tasks with checkpoints. */
   private static double lostSeconds(Placement placement, Moment now) {
     if (placement.job().spec().checkpointEvery().millis() > 0) {
       return 0;
@@ -69,18 +71,20 @@
     return running == null ? 0 : now.since(running).asSeconds();
   }
 
-  /** A gang moves whole or not at all: all its tasks stop together if there is room elsewhere. */
+  /**
+   * Stops all tasks of a gang together if the whole gang fits elsewhere; otherwise none of them.
+   */
   private Optional<String> stopGang(Job job) {
     List<Placement> tasks = fleet.placementsOf(job);
-    int room = 0;
+    int slots = 0;
     for (Machine machine : fleet.machines()) {
-      room += staysInUse(machine) ? replicaMover.unreserved(machine).count(job.spec().room()) : 0;
+      slots += staysInUse(machine) ? replicaMover.unreserved(machine).count(job.spec().room()) : 0;
     }
     for (Placement task : tasks) {
-      room += staysInUse(task.machine()) ? 1 : 0;
+      slots += staysInUse(task.machine()) ? 1 : 0;
     }
-    if (room < job.spec().tasks()) {
-      return Optional.of("no room for gang " + job.id());
+    if (slots < job.spec().tasks()) {
+      return Optional.of("no capacity for gang " + job.id());
     }
     if (!disruptionLimiter.allows(tasks)) {
       return Optional.of("budget of " + job.spec().team());
@@ -90,6 +94,7 @@
     return Optional.empty();
   }
 
+  /** Returns whether a machine is up and not about to be drained. */
   private static boolean staysInUse(Machine machine) {
     return machine.duty() == Duty.IN_USE && machine.state() == Machine.State.UP;
   }
--- a/src/main/java/org/oakwalk/core/drain/ReplicaMover.java
+++ b/src/main/java/org/oakwalk/core/drain/ReplicaMover.java
@@ -21,20 +21,20 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Moves replicas. A task runs in one place only, so there is a gap; to keep it short the next host
- * is chosen and its room kept before the stop, and the start is ordered as soon as it is certain
- * that the task is gone.
+ * Moves replicas between machines. A task runs on one machine at a time, so a move interrupts the
+ * replica. To keep the gap short, the target is selected and its resources reserved before the
+ * stop, and the start is ordered as soon as the old attempt has certainly ended.
  */
 public final class ReplicaMover {
   private static final Logger LOG = LoggerFactory.getLogger(ReplicaMover.class);
 
-  /** Life of a move. */
+  /** State of a move. */
   enum State {
-    /** The old place is told to stop; the new one keeps room. */
+    /** The old attempt has been told to stop; resources are reserved on the target. */
     STOPPING,
-    /** The new place fell out meanwhile; whoever places tasks finds another one. */
+    /** The target is no longer usable; the regular placement selects another machine. */
     TARGET_LOST,
-    /** It is ordered at the new place. */
+    /** The start on the target has been ordered. */
     STARTING
   }
 
@@ -44,13 +44,13 @@
     final Moment startedAt;
     State state = State.STOPPING;
 
-    ReplicaMove(Placement from, Machine to, Moment since) {
-      this.source = from;
-      this.target = to;
-      this.startedAt = since;
+    ReplicaMove(Placement source, Machine target, Moment startedAt) {
+      this.source = source;
+      this.target = target;
+      this.startedAt = startedAt;
     }
 
-    /** The one place where the state changes. */
+    /** Changes the state; all changes are made here. */
     void enter(State next) {
       if (state != State.STOPPING || next == State.STOPPING) {
         throw new IllegalStateException(
@@ -71,82 +71,88 @@
   public ReplicaMover(
       Fleet fleet,
       Quota quota,
-      DisruptionLimiter gate,
+      DisruptionLimiter disruptionLimiter,
       Outbox outbox,
       Span suspectAfter,
-      Reserve reserve) {
-    this.capacityReserve = reserve;
+      Reserve capacityReserve) {
+    this.capacityReserve = capacityReserve;
     this.fleet = fleet;
     this.quota = quota;
-    this.disruptionLimiter = gate;
+    this.disruptionLimiter = disruptionLimiter;
     this.outbox = outbox;
     this.suspectAfter = suspectAfter;
   }
 
-  /** How many replicas are on their way. */
+  /** Number of moves in progress. */
   int moveCount() {
     return movesByTask.size();
   }
 
-  /** Whether it has a task on its way, so that this task's wait is nobody else's matter. */
+  /** Returns whether a task is being moved; its wait then does not count as a lack of capacity. */
   boolean isMoving(TaskId task) {
     return movesByTask.containsKey(task);
   }
 
   /**
-   * Moves a replica if there is a place for it and budgets allow; false if not now.
+   * Starts to move a replica if there is a target and the budgets allow it. Returns false if the
+   * move is not possible now.
    *
-   * @param anywhere whether a host that will itself be emptied later is better than none
+   * @param allowRemovalPlanned whether a machine that will be drained later is acceptable as a
+   *     target
    */
-  boolean tryMove(Placement placement, boolean anywhere, Moment now) {
+  boolean tryMove(Placement placement, boolean allowRemovalPlanned, Moment now) {
     if (placement.halting() || movesByTask.containsKey(placement.task())) {
       return true;
     }
-    Machine to = findTarget(placement, anywhere, now);
-    if (to == null || !disruptionLimiter.allows(List.of(placement))) {
+    Machine target = findTarget(placement, allowRemovalPlanned, now);
+    if (target == null || !disruptionLimiter.allows(List.of(placement))) {
       return false;
     }
-    to.promise(placement.job().spec().room());
-    movesByTask.put(placement.task(), new ReplicaMove(placement, to, now));
-    LOG.info("task {} moves from {} to {}", placement.task(), placement.machine().id(), to.id());
+    target.promise(placement.job().spec().room());
+    movesByTask.put(placement.task(), new ReplicaMove(placement, target, now));
+    LOG.info(
+        "moving task {} from {} to {}", placement.task(), placement.machine().id(), target.id());
     fleet.halt(placement, placement.job().spec().saveTime(), Fleet.Why.MOVED);
     return true;
   }
 
   /**
-   * The best place: one that stays, where the image is, in the same zone, with most room left. A
-   * job whose tasks' zones matter stays in its zone.
+   * Returns the best target: preferably a machine that stays, has the image, is in the same zone
+   * and has the lowest utilization. Tasks of jobs with zone constraints stay in their zone.
    */
-  private Machine findTarget(Placement placement, boolean anywhere, Moment now) {
+  private Machine findTarget(Placement placement, boolean allowRemovalPlanned, Moment now) {
     JobSpec spec = placement.job().spec();
-    Machine from = placement.machine();
+    Machine source = placement.machine();
     return fleet.machines().stream()
-        .filter(machine -> machine != from && (anywhere || !machine.leavesSoon()))
+        .filter(machine -> machine != source && (allowRemovalPlanned || !machine.leavesSoon()))
         .filter(machine -> hasRoomFor(machine, spec, now))
         .filter(machine -> spec.allows(machine.type().name(), machine.zone(), machine.spot()))
-        .filter(machine -> machine.zone().equals(from.zone()) || !spec.oneZone() && !spec.spread())
+        .filter(
+            machine -> machine.zone().equals(source.zone()) || !spec.oneZone() && !spec.spread())
         .min(
             Comparator.comparingInt((Machine machine) -> machine.leavesSoon() ? 1 : 0)
                 .thenComparingInt(machine -> machine.hasImage(spec.image()) ? 0 : 1)
-                .thenComparingInt(machine -> machine.zone().equals(from.zone()) ? 0 : 1)
+                .thenComparingInt(machine -> machine.zone().equals(source.zone()) ? 0 : 1)
                 .thenComparingDouble(machine -> machine.used().share(machine.type().room()))
                 .thenComparing(Machine::id))
         .orElse(null);
   }
 
-  /** What is free on a machine for what is moved: nothing of what is kept for others. */
+  /** Resources of a machine that are free for moved tasks and not reserved for other jobs. */
   Room unreserved(Machine machine) {
     return capacityReserve.beyond(machine);
   }
 
-  /** Whether a machine that is not to be emptied has room for a task now. */
+  /** Returns whether a machine that is not being drained has room for a task now. */
   private boolean hasRoomFor(Machine machine, JobSpec spec, Moment now) {
     return machine.duty() == Duty.IN_USE
         && machine.takesTasks(now, suspectAfter)
         && spec.room().fits(unreserved(machine));
   }
 
-  /** An attempt is surely on its machine no more: if it is moved, it starts at its next host. */
+  /**
+   * Called when an attempt has certainly ended; a task that is being moved starts on its target.
+   */
   public void placementEnded(Placement placement, Moment now) {
     ReplicaMove move = movesByTask.get(placement.task());
     if (move == null || move.source != placement || move.state != State.STOPPING) {
@@ -154,14 +160,14 @@
     }
     JobSpec spec = placement.job().spec();
     move.target.promiseEnds(spec.room());
-    boolean starts =
+    boolean canStart =
         placement.job().open()
             && placement.job().isFree(placement.task().index())
             && hasRoomFor(move.target, spec, now)
             && !move.target.remembers(placement.task())
             && quota.allows(placement.job(), 1);
-    move.enter(starts ? State.STARTING : State.TARGET_LOST);
-    if (starts) {
+    move.enter(canStart ? State.STARTING : State.TARGET_LOST);
+    if (canStart) {
       fleet.place(
           placement.job(),
           placement.task().index(),
@@ -172,16 +178,17 @@
     }
   }
 
-  /** Looks which moves have come to an end, and which have lost their next host. */
+  /** Removes finished moves, and detects moves whose target is no longer usable. */
   void tick(Moment now) {
     movesByTask
         .values()
         .removeIf(
             move -> {
-              Placement at = fleet.placementOf(move.source.task()).orElse(null);
+              Placement current = fleet.placementOf(move.source.task()).orElse(null);
               if (move.state == State.STOPPING) {
-                if (at == move.source && !move.target.takesTasks(now, suspectAfter)) {
-                  // It hangs, died or is taken back: another place is found when the task is gone.
+                if (current == move.source && !move.target.takesTasks(now, suspectAfter)) {
+                  // The target is silent, failed or reclaimed: another one is selected once the
+                  // task has ended.
                   move.target.promiseEnds(move.source.job().spec().room());
                   move.enter(State.TARGET_LOST);
                 }
@@ -190,7 +197,9 @@
               if (!move.source.job().open()) {
                 return true;
               }
-              if (at != null && at != move.source && at.state() == Placement.State.RUNNING) {
+              if (current != null
+                  && current != move.source
+                  && current.state() == Placement.State.RUNNING) {
                 outbox.measured(Effect.Measure.REPLICA_GAP, now.since(move.startedAt));
                 return true;
               }
--- a/src/main/java/org/oakwalk/core/drain/StopGrants.java
+++ b/src/main/java/org/oakwalk/core/drain/StopGrants.java
@@ -19,14 +19,20 @@
 import org.oakwalk.core.store.StoredValue;
 
 /**
- * Stops that were granted within the last hour, in the store. They are written down a few at a time
- * before the first of them is made, under the guards of the leader key and of the record: so a
- * leader that ends, or wakes up late, has made no more stops than its successor knows of.
+ * Grants for voluntary stops under the disruption budgets, kept in the state store for an hour.
+ * Grants are stored in small batches before the first stop of a batch is made, guarded by the
+ * revisions of the leader key and of the record. A leader that fails, or resumes after a stall, has
+ * therefore made no more stops than its successor knows of.
  */
 public final class StopGrants {
   private static final long INTERVAL_MS = 300_000;
+
+  /** Twelve intervals are an hour; one more is kept since the current interval is incomplete. */
   private static final int INTERVALS_KEPT = 13;
+
+  /** Maximum number of stops granted to a budget in one write. */
   private static final int MAX_GRANT = 25;
+
   private static final Span RETRY_INTERVAL = Span.seconds(1);
 
   private final Outbox outbox;
@@ -37,32 +43,33 @@
   private final Map<String, Integer> inheritedNotRestarted = new HashMap<>();
   private Map<String, StoredValue.StopCounts> stored;
 
-  /** How the record was last written or found. */
+  /** Revision at which the record was last written or read. */
   private Revision revision;
 
   private boolean writeInFlight;
   private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
 
   /**
-   * A ledger that goes on from what older leaders have written.
+   * Creates the grants of a leader from those of earlier leaders.
    *
-   * @param guard that this leader leads
-   * @param latestRevision how the record stands as far as the copy of the store tells
+   * @param guard ensures that writes succeed only while this leader is in office
+   * @param older the stored record
+   * @param latestRevision returns the record's revision in the local copy of the store
    */
   public StopGrants(
       Outbox outbox,
       Guard guard,
       Optional<StoredValue.StopsRecord> older,
-      Supplier<Revision> seen) {
+      Supplier<Revision> latestRevision) {
     this.outbox = outbox;
     this.guard = guard;
-    this.latestRevision = seen;
-    this.revision = seen.get();
+    this.latestRevision = latestRevision;
+    this.revision = latestRevision.get();
     this.stored = older.map(StoredValue.StopsRecord::byBudget).orElse(Map.of());
     stored.forEach((budget, stops) -> inheritedNotRestarted.put(budget, stops.notRestarted()));
   }
 
-  /** Whether so many stops have been granted; if not, they are asked for. */
+  /** Returns whether {@code count} unused grants are available; if not, requests that many. */
   boolean checkOrRequest(DisruptionBudget budget, int count) {
     if (unusedGrants.getOrDefault(budget.name(), 0) >= count) {
       return true;
@@ -71,17 +78,17 @@
     return false;
   }
 
-  /** A granted stop is made. */
+  /** Uses up one grant. */
   void consume(DisruptionBudget budget) {
     unusedGrants.computeIfPresent(budget.name(), (name, left) -> Math.max(0, left - 1));
   }
 
-  /** Tasks that older leaders may have stopped and that may not run again yet. */
+  /** Tasks that earlier leaders may have stopped and that may not have been restarted yet. */
   int inheritedNotRestarted(DisruptionBudget budget) {
     return inheritedNotRestarted.getOrDefault(budget.name(), 0);
   }
 
-  /** Stops that may have been made within the last hour. */
+  /** Number of stops that may have been made within the last hour. */
   int grantedWithinHour(DisruptionBudget budget, WallTime wall) {
     StoredValue.StopCounts stops = stored.get(budget.name());
     return stops == null
@@ -91,52 +98,53 @@
             .sum();
   }
 
-  private static TreeMap<Long, Integer> recent(Map<Long, Integer> buckets, WallTime wall) {
+  private static TreeMap<Long, Integer> recent(Map<Long, Integer> intervals, WallTime wall) {
     long oldest = wall.millis() / INTERVAL_MS - INTERVALS_KEPT + 1;
-    TreeMap<Long, Integer> recent = new TreeMap<>(buckets);
+    TreeMap<Long, Integer> recent = new TreeMap<>(intervals);
     recent.headMap(oldest).clear();
     return recent;
   }
 
   /**
-   * Writes down what was asked for, as far as budgets allow.
+   * Stores new grants for the requested stops, as far as the budgets allow.
    *
-   * @param open for each budget, how many of its stopped tasks don't run again yet
+   * @param notRestarted for each budget, how many of its stopped tasks have not been restarted
    */
   void tick(
       List<DisruptionBudget> budgets,
-      Map<DisruptionBudget, Integer> open,
+      Map<DisruptionBudget, Integer> notRestarted,
       Moment now,
       WallTime wall) {
     if (writeInFlight || requested.isEmpty() || nextAttemptAt.isAfter(now)) {
       return;
     }
     Map<String, StoredValue.StopCounts> next = new TreeMap<>(stored);
-    Map<String, Integer> more = new HashMap<>();
+    Map<String, Integer> newGrants = new HashMap<>();
     for (DisruptionBudget budget : budgets) {
       int wanted = requested.getOrDefault(budget.name(), 0);
       if (wanted == 0) {
         continue;
       }
-      int left =
+      int remaining =
           budget
               .maxStopsPerHour()
-              .map(most -> most - grantedWithinHour(budget, wall))
+              .map(limit -> limit - grantedWithinHour(budget, wall))
               .orElse(MAX_GRANT);
-      int chunk = budget.maxStopsPerHour().map(most -> Math.max(1, most / 20)).orElse(MAX_GRANT);
-      int grant = Math.min(left, Math.min(MAX_GRANT, Math.max(wanted, chunk)));
+      int batch = budget.maxStopsPerHour().map(limit -> Math.max(1, limit / 20)).orElse(MAX_GRANT);
+      int grant = Math.min(remaining, Math.min(MAX_GRANT, Math.max(wanted, batch)));
       if (grant > 0) {
         StoredValue.StopCounts old =
             stored.getOrDefault(budget.name(), StoredValue.StopCounts.NONE);
-        TreeMap<Long, Integer> buckets = recent(old.grantedByInterval(), wall);
-        buckets.merge(wall.millis() / INTERVAL_MS, grant, Integer::sum);
-        int stopped = open.getOrDefault(budget, 0) + unusedGrants.getOrDefault(budget.name(), 0);
-        next.put(budget.name(), new StoredValue.StopCounts(stopped + grant, buckets));
-        more.put(budget.name(), grant);
+        TreeMap<Long, Integer> intervals = recent(old.grantedByInterval(), wall);
+        intervals.merge(wall.millis() / INTERVAL_MS, grant, Integer::sum);
+        int stopped =
+            notRestarted.getOrDefault(budget, 0) + unusedGrants.getOrDefault(budget.name(), 0);
+        next.put(budget.name(), new StoredValue.StopCounts(stopped + grant, intervals));
+        newGrants.put(budget.name(), grant);
       }
     }
     requested.clear();
-    if (more.isEmpty()) {
+    if (newGrants.isEmpty()) {
       return;
     }
     writeInFlight = true;
@@ -150,16 +158,17 @@
             Request.Urgency.REST),
         answer -> {
           writeInFlight = false;
-          // If the answer was lost it may be stored all the same, now or later; what is written
-          // next holds all that was granted, and what was not granted is made by nobody. Applied
-          // after that, it would take grants back that were made use of: so each is written only
-          // on condition that the record is as last seen.
+          // A write whose answer was lost may still be applied, now or later. The next write
+          // contains all grants in use, and without an answer no stop is made. If the lost write
+          // were applied after the next one, it would revoke grants that have been used; each
+          // write is therefore guarded by the revision last seen.
           if (answer instanceof Answer.Committed committed) {
             revision = committed.epoch();
             stored = next;
-            more.forEach((name, grant) -> unusedGrants.merge(name, grant, Integer::sum));
+            newGrants.forEach((name, grant) -> unusedGrants.merge(name, grant, Integer::sum));
           } else if (answer instanceof Answer.Conflict) {
-            // The copy of the store tells; if it does not yet, the next try fails as well.
+            // The local copy provides the new revision; if it is not up to date yet, the next write
+            // fails as well.
             revision = latestRevision.get();
           }
         });
--- a/src/test/java/org/oakwalk/core/capacity/MachineTypeWriterTest.java
+++ b/src/test/java/org/oakwalk/core/capacity/MachineTypeWriterTest.java
@@ -21,7 +21,10 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** The stored machine types are those that were written last, also if an older write is late. */
+/**
+ * Guards against outdated machine types in the store: a write without an answer may be applied
+ * after a newer one.
+ */
 class MachineTypeWriterTest {
   private final Outbox outbox = new Outbox();
   private final FaultyStore store = new FaultyStore();
@@ -59,15 +62,15 @@
     return types;
   }
 
-  private void tick(Map<String, MachineType> types, FaultyStore.CommitOutcome fate) {
+  private void tick(Map<String, MachineType> types, FaultyStore.CommitOutcome outcome) {
     for (int i = 0; i < 2; i++) {
       now = now.plus(Span.seconds(6));
       view.setTime(now);
       view.tick(now);
-      store.serve(outbox, commit -> fate);
+      store.serve(outbox, commit -> outcome);
     }
     writer.tick(types, now);
-    store.serve(outbox, commit -> fate);
+    store.serve(outbox, commit -> outcome);
   }
 
   private Map<String, MachineType> stored() {
--- a/src/test/java/org/oakwalk/core/drain/StopGrantsTest.java
+++ b/src/test/java/org/oakwalk/core/drain/StopGrantsTest.java
@@ -20,7 +20,10 @@
 import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 
-/** Stops that were made stand in the store, also if an older ledger is stored late. */
+/**
+ * Guards against stops that the store does not account for: a write of grants without an answer may
+ * be applied after a newer one.
+ */
 class StopGrantsTest {
   private static final DisruptionBudget ONE =
       new DisruptionBudget("one", Optional.empty(), 5, Optional.of(40));
@@ -48,10 +51,10 @@
         outbox, new Guard(StoreKeys.LEADER, token), record(), this::storedRevision);
   }
 
-  private void tick(StopGrants ledger, FaultyStore.CommitOutcome fate) {
+  private void tick(StopGrants grants, FaultyStore.CommitOutcome outcome) {
     now += 1100;
-    ledger.tick(List.of(ONE, TWO), Map.of(), new Moment(now), WALL);
-    store.serve(outbox, commit -> fate);
+    grants.tick(List.of(ONE, TWO), Map.of(), new Moment(now), WALL);
+    store.serve(outbox, commit -> outcome);
   }
 
   private int stored(DisruptionBudget budget) {
@@ -63,55 +66,55 @@
 
   @Test
   void delayedWriteDoesNotRevokeNewerGrants() {
-    StopGrants ledger = startTerm();
-    ledger.checkOrRequest(ONE, 1);
-    tick(ledger, FaultyStore.CommitOutcome.DELAYED);
-    ledger.checkOrRequest(TWO, 2);
-    tick(ledger, FaultyStore.CommitOutcome.APPLIED);
-    assertThat(ledger.checkOrRequest(TWO, 2)).isTrue();
+    StopGrants grants = startTerm();
+    grants.checkOrRequest(ONE, 1);
+    tick(grants, FaultyStore.CommitOutcome.DELAYED);
+    grants.checkOrRequest(TWO, 2);
+    tick(grants, FaultyStore.CommitOutcome.APPLIED);
+    assertThat(grants.checkOrRequest(TWO, 2)).isTrue();
     store.applyDelayed(0);
     assertThat(stored(TWO)).isGreaterThanOrEqualTo(2);
   }
 
-  /** It goes on after a write of which the answer was lost. */
+  /** After a lost answer the grants are requested again and become available. */
   @Test
   void grantsContinueAfterLostAnswer() {
-    StopGrants ledger = startTerm();
-    ledger.checkOrRequest(ONE, 1);
-    tick(ledger, FaultyStore.CommitOutcome.ANSWER_LOST);
+    StopGrants grants = startTerm();
+    grants.checkOrRequest(ONE, 1);
+    tick(grants, FaultyStore.CommitOutcome.ANSWER_LOST);
     for (int i = 0; i < 3; i++) {
-      ledger.checkOrRequest(ONE, 1);
-      tick(ledger, FaultyStore.CommitOutcome.APPLIED);
+      grants.checkOrRequest(ONE, 1);
+      tick(grants, FaultyStore.CommitOutcome.APPLIED);
     }
-    assertThat(ledger.checkOrRequest(ONE, 1)).isTrue();
+    assertThat(grants.checkOrRequest(ONE, 1)).isTrue();
   }
 
-  /** No leader has made more stops than are stored, whatever is lost or late. */
+  /** Leaders change and writes are lost or delayed; no more stops are made than are stored. */
   @Test
   void everyStopMadeIsStored() {
     for (long seed = 1; seed <= 200; seed++) {
       store = new FaultyStore();
       UniformRandomProvider chance = RandomSource.XO_SHI_RO_256_PP.create(seed);
       Map<DisruptionBudget, Integer> made = new HashMap<>(Map.of(ONE, 0, TWO, 0));
-      StopGrants ledger = startTerm();
+      StopGrants grants = startTerm();
       for (int step = 0; step < 100; step++) {
         if (chance.nextInt(20) == 0) {
-          ledger = startTerm();
+          grants = startTerm();
         }
         DisruptionBudget budget = chance.nextBoolean() ? ONE : TWO;
-        if (ledger.checkOrRequest(budget, 1)) {
-          ledger.consume(budget);
+        if (grants.checkOrRequest(budget, 1)) {
+          grants.consume(budget);
           made.merge(budget, 1, Integer::sum);
         }
-        FaultyStore.CommitOutcome[] fates = FaultyStore.CommitOutcome.values();
-        tick(ledger, fates[chance.nextInt(fates.length)]);
+        FaultyStore.CommitOutcome[] outcomes = FaultyStore.CommitOutcome.values();
+        tick(grants, outcomes[chance.nextInt(outcomes.length)]);
         if (store.delayedCount() > 0 && chance.nextInt(3) == 0) {
           store.applyDelayed(chance.nextInt(store.delayedCount()));
         }
         made.forEach(
-            (each, count) ->
-                assertThat(stored(each))
-                    .as("of %s, of which %d were made", each.name(), count)
+            (usedBudget, count) ->
+                assertThat(stored(usedBudget))
+                    .as("stored grants of %s, of which %d are used", usedBudget.name(), count)
                     .isGreaterThanOrEqualTo(count));
       }
     }
