--- a/src/main/java/org/oakwalk/core/capacity/Autoscaler.java
+++ b/src/main/java/org/oakwalk/core/capacity/Autoscaler.java
@@ -66,7 +66,7 @@
   private final Demand demand;
   private final BootTracker bootTracker;
   private final MachineFailureDetector failureDetector;
-  private final RentalRequester renter;
+  private final RentalRequester rentalRequester;
   private final ScaleDown scaleDown;
   private final ZoneBoundDemand zoneBoundDemand;
   private Supplier<List<JobSpec>> reservedSpecs = List::of;
@@ -117,7 +117,7 @@
     this.bootTracker = new BootTracker(policy.bootPatience());
     this.failureDetector = new MachineFailureDetector(fleet, bootTracker, policy, suspectAfter);
     this.scaleDown = new ScaleDown(fleet, policy, suspectAfter);
-    this.renter = new RentalRequester(outbox, fleet, bootTracker, isForbidden);
+    this.rentalRequester = new RentalRequester(outbox, fleet, bootTracker, isForbidden);
     this.demand = new Demand(settings.objectives(), runTimes, plannedDeadlines);
     this.zoneBoundDemand = new ZoneBoundDemand(fleet, jobs, demand, quotaRemaining);
   }
@@ -326,10 +326,10 @@
   private void provideMachines(BootTracker.MachinePool pool, int count, Moment now) {
     int left = count - scaleDown.reactivate(pool, count, now);
     if (left > 0 && pool.spot()) {
-      left -= renter.rent(pool, left, now);
+      left -= rentalRequester.rent(pool, left, now);
     }
     if (left > 0) {
-      renter.rent(new BootTracker.MachinePool(pool.type(), pool.zone(), false), left, now);
+      rentalRequester.rent(new BootTracker.MachinePool(pool.type(), pool.zone(), false), left, now);
     }
   }
 
@@ -383,12 +383,14 @@
       int wantedSpot = (int) Math.floor(flexible * policy.spotShare());
       int requestedSpot = Math.min(missing - missingOrdinary, Math.max(0, wantedSpot - spot));
       int left =
-          requestedSpot > 0 ? missing - renter.rent(type, true, requestedSpot, now) : missing;
+          requestedSpot > 0
+              ? missing - rentalRequester.rent(type, true, requestedSpot, now)
+              : missing;
       if (left > 0) {
-        left -= renter.rent(type, false, left, now);
+        left -= rentalRequester.rent(type, false, left, now);
       }
       if (left > 0 && flexible > spot) {
-        renter.rent(type, true, left, now);
+        rentalRequester.rent(type, true, left, now);
       }
     } else if (missing < 0) {
       scaleDown.retire(type, -missing, ordinary - wantedOrdinary, now);
