--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -190,7 +190,7 @@
             mover);
   }
 
-  private static boolean bars(StoreView view, BootTracker.MachinePool sort) {
+  private static boolean bars(StoreView view, BootTracker.RentalPool sort) {
     return view.drainPlans().all().stream()
         .anyMatch(drain -> drain.plan().forbidsRenting(sort.zone(), sort.type(), sort.spot()));
   }
--- a/src/main/java/org/oakwalk/core/capacity/Autoscaler.java
+++ b/src/main/java/org/oakwalk/core/capacity/Autoscaler.java
@@ -105,7 +105,7 @@
       RunTimes runTimes,
       Deadlines plannedDeadlines,
       Span suspectAfter,
-      Predicate<BootTracker.MachinePool> isForbidden,
+      Predicate<BootTracker.RentalPool> isForbidden,
       ToIntFunction<JobSpec> quotaRemaining) {
     this.outbox = outbox;
     this.fleet = fleet;
@@ -323,13 +323,13 @@
   /**
    * Provides machines in one pool regardless of those in other pools, which become surplus later.
    */
-  private void provideMachines(BootTracker.MachinePool pool, int count, Moment now) {
+  private void provideMachines(BootTracker.RentalPool pool, int count, Moment now) {
     int left = count - scaleDown.reactivate(pool, count, now);
     if (left > 0 && pool.spot()) {
       left -= rentalRequester.rent(pool, left, now);
     }
     if (left > 0) {
-      rentalRequester.rent(new BootTracker.MachinePool(pool.type(), pool.zone(), false), left, now);
+      rentalRequester.rent(new BootTracker.RentalPool(pool.type(), pool.zone(), false), left, now);
     }
   }
 
@@ -409,7 +409,7 @@
 
   /** Time within which a replacement for a machine comes up or is given up. */
   public Span bootTimeout(Machine machine) {
-    return bootTracker.bootTimeout(BootTracker.MachinePool.of(machine), machine.type());
+    return bootTracker.bootTimeout(BootTracker.RentalPool.of(machine), machine.type());
   }
 
   /** Returns whether consecutive boots have failed recently in any pool. */
@@ -446,7 +446,7 @@
       case BOOTING ->
           !now.past(
               machine.known(),
-              bootTracker.replacementDelay(BootTracker.MachinePool.of(machine), machine.type()));
+              bootTracker.replacementDelay(BootTracker.RentalPool.of(machine), machine.type()));
       case ENROLLING, UNCONFIRMED -> true;
       // Many machines that fall silent at once are unreachable for a while; replacing them all
       // would be waste.
--- a/src/main/java/org/oakwalk/core/capacity/BootTracker.java
+++ b/src/main/java/org/oakwalk/core/capacity/BootTracker.java
@@ -8,7 +8,7 @@
 import org.oakwalk.core.fleet.MachineType;
 
 /**
- * Tracks boot times and boot failures for each machine pool. Determines when a booting machine is
+ * Tracks boot times and boot failures for each rental pool. Determines when a booting machine is
  * replaced, when it is given up, and in which pools boots have failed recently.
  */
 public final class BootTracker {
@@ -41,9 +41,9 @@
   private static final Span FAILING_PERIOD = Span.seconds(90);
 
   /** Machines of one type and one kind (spot or ordinary) in one zone. */
-  public record MachinePool(String type, String zone, boolean spot) {
-    static MachinePool of(Machine machine) {
-      return new MachinePool(machine.type().name(), machine.zone(), machine.spot());
+  public record RentalPool(String type, String zone, boolean spot) {
+    static RentalPool of(Machine machine) {
+      return new RentalPool(machine.type().name(), machine.zone(), machine.spot());
     }
   }
 
@@ -55,7 +55,7 @@
   }
 
   private final Span configuredTimeout;
-  private final Map<MachinePool, BootStatistics> statistics = new HashMap<>();
+  private final Map<RentalPool, BootStatistics> statistics = new HashMap<>();
 
   /**
    * Creates a tracker without samples.
@@ -67,7 +67,7 @@
   }
 
   /** Records that a machine came up after the given boot time. */
-  void recordSuccess(MachinePool pool, MachineType type, Span bootTime) {
+  void recordSuccess(RentalPool pool, MachineType type, Span bootTime) {
     BootStatistics stats = statisticsOf(pool, type);
     double difference = bootTime.asSeconds() - stats.meanSeconds;
     stats.consecutiveFailures = 0;
@@ -79,7 +79,7 @@
    * Records that a machine was given up. Consecutive failures extend the timeout: if no machine
    * comes up, boots may be slow rather than failed, and only a longer wait can tell.
    */
-  void recordFailure(MachinePool pool, MachineType type, Moment now) {
+  void recordFailure(RentalPool pool, MachineType type, Moment now) {
     BootStatistics stats = statisticsOf(pool, type);
     stats.consecutiveFailures++;
     stats.lastFailure = now;
@@ -89,7 +89,7 @@
    * Returns whether several consecutive boots in the pool failed and the last failure was recent. A
    * single failure does not count, since occasional boot failures occur in every pool.
    */
-  boolean isFailing(MachinePool pool, Moment now) {
+  boolean isFailing(RentalPool pool, Moment now) {
     BootStatistics stats = statistics.get(pool);
     return failsRepeatedly(stats) && !now.past(stats.lastFailure, FAILING_PERIOD);
   }
@@ -104,12 +104,12 @@
   }
 
   /** Boot time after which a replacement is rented for a machine that is still booting. */
-  Span replacementDelay(MachinePool pool, MachineType type) {
+  Span replacementDelay(RentalPool pool, MachineType type) {
     return typicalBootTime(pool, type).times(REPLACEMENT_FACTOR);
   }
 
   /** Boot time after which a machine that is still booting is given up. */
-  Span bootTimeout(MachinePool pool, MachineType type) {
+  Span bootTimeout(RentalPool pool, MachineType type) {
     BootStatistics stats = statistics.get(pool);
     boolean failing = failsRepeatedly(stats);
     int countedFailures = failing ? Math.min(MAX_COUNTED_FAILURES, stats.consecutiveFailures) : 0;
@@ -125,13 +125,13 @@
   }
 
   /** Recent mean boot time plus its mean deviation, but at least the catalog's boot time. */
-  private Span typicalBootTime(MachinePool pool, MachineType type) {
+  private Span typicalBootTime(RentalPool pool, MachineType type) {
     BootStatistics stats = statistics.get(pool);
     double seconds = stats == null ? 0 : stats.meanSeconds + stats.meanDeviation;
     return Span.seconds(Math.max(type.boot().asSeconds(), seconds));
   }
 
-  private BootStatistics statisticsOf(MachinePool pool, MachineType type) {
+  private BootStatistics statisticsOf(RentalPool pool, MachineType type) {
     return statistics.computeIfAbsent(
         pool,
         p -> {
--- a/src/main/java/org/oakwalk/core/capacity/MachineFailureDetector.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineFailureDetector.java
@@ -98,17 +98,17 @@
           .ifPresent(
               bootTime ->
                   bootTracker.recordSuccess(
-                      BootTracker.MachinePool.of(machine), machine.type(), bootTime));
+                      BootTracker.RentalPool.of(machine), machine.type(), bootTime));
       switch (machine.state()) {
         case BOOTING -> {
           if (isSilenceReliable(now)
               && now.past(
                   machine.known(),
-                  bootTracker.bootTimeout(BootTracker.MachinePool.of(machine), machine.type()))) {
+                  bootTracker.bootTimeout(BootTracker.RentalPool.of(machine), machine.type()))) {
             LOG.info(
                 "machine {} did not come up within the boot timeout; releasing it", machine.id());
             if (!machine.listedAsUp()) {
-              bootTracker.recordFailure(BootTracker.MachinePool.of(machine), machine.type(), now);
+              bootTracker.recordFailure(BootTracker.RentalPool.of(machine), machine.type(), now);
             }
             returnMachine.accept(machine);
           }
--- a/src/main/java/org/oakwalk/core/capacity/RentalRequester.java
+++ b/src/main/java/org/oakwalk/core/capacity/RentalRequester.java
@@ -31,9 +31,9 @@
   private final Outbox outbox;
   private final Fleet fleet;
   private final BootTracker bootTracker;
-  private final Predicate<BootTracker.MachinePool> isForbidden;
-  private final Map<BootTracker.MachinePool, Moment> refusedUntil = new HashMap<>();
-  private final Set<BootTracker.MachinePool> requestsInFlight = new HashSet<>();
+  private final Predicate<BootTracker.RentalPool> isForbidden;
+  private final Map<BootTracker.RentalPool, Moment> refusedUntil = new HashMap<>();
+  private final Set<BootTracker.RentalPool> requestsInFlight = new HashSet<>();
   private Moment currentTime = new Moment(0);
   private long lastRequestNumber;
 
@@ -41,7 +41,7 @@
       Outbox outbox,
       Fleet fleet,
       BootTracker bootTracker,
-      Predicate<BootTracker.MachinePool> isForbidden) {
+      Predicate<BootTracker.RentalPool> isForbidden) {
     this.isForbidden = isForbidden;
     this.outbox = outbox;
     this.fleet = fleet;
@@ -64,11 +64,11 @@
       }
     }
     List<String> zones = new ArrayList<>(type.zones());
-    zones.removeIf(zone -> !canRequest(new BootTracker.MachinePool(type.name(), zone, spot), now));
-    zones.removeIf(zone -> isForbidden.test(new BootTracker.MachinePool(type.name(), zone, spot)));
+    zones.removeIf(zone -> !canRequest(new BootTracker.RentalPool(type.name(), zone, spot), now));
+    zones.removeIf(zone -> isForbidden.test(new BootTracker.RentalPool(type.name(), zone, spot)));
     List<String> healthy = new ArrayList<>(zones);
     healthy.removeIf(
-        zone -> bootTracker.isFailing(new BootTracker.MachinePool(type.name(), zone, spot), now));
+        zone -> bootTracker.isFailing(new BootTracker.RentalPool(type.name(), zone, spot), now));
     if (!healthy.isEmpty()) {
       zones = healthy;
     }
@@ -81,12 +81,12 @@
       int number = Math.min(share, MAX_MACHINES_PER_REQUEST);
       requested += number;
       sendRequest(
-          new BootTracker.MachinePool(type.name(), zones.get(i), spot),
+          new BootTracker.RentalPool(type.name(), zones.get(i), spot),
           AskId.of(fleet.token(), ++lastRequestNumber),
           number,
           5);
     }
-    for (BootTracker.MachinePool pool : requestsInFlight) {
+    for (BootTracker.RentalPool pool : requestsInFlight) {
       if (pool.type().equals(type.name()) && pool.spot() == spot && requested == 0) {
         // A request is still in flight; it may provide the missing machines.
         return count;
@@ -99,7 +99,7 @@
    * Requests machines in one pool, regardless of those in other pools. Returns the number
    * requested, or {@code count} if a request for the pool is in flight.
    */
-  int rent(BootTracker.MachinePool pool, int count, Moment now) {
+  int rent(BootTracker.RentalPool pool, int count, Moment now) {
     currentTime = now;
     if (requestsInFlight.contains(pool)) {
       // The request in flight may provide the missing machines.
@@ -118,13 +118,13 @@
     return machine.duty() == Duty.NEXT || machine.duty() == Duty.CORDONED;
   }
 
-  private boolean canRequest(BootTracker.MachinePool pool, Moment now) {
+  private boolean canRequest(BootTracker.RentalPool pool, Moment now) {
     Moment until = refusedUntil.get(pool);
     return !requestsInFlight.contains(pool) && (until == null || !until.isAfter(now));
   }
 
   /** Sends a request whose id is unique and is reused for retries until the cloud has answered. */
-  private void sendRequest(BootTracker.MachinePool pool, AskId id, int count, int attemptsLeft) {
+  private void sendRequest(BootTracker.RentalPool pool, AskId id, int count, int attemptsLeft) {
     requestsInFlight.add(pool);
     outbox.call(
         new Request.Rent(id, pool.type(), pool.zone(), pool.spot(), count),
--- a/src/main/java/org/oakwalk/core/capacity/ScaleDown.java
+++ b/src/main/java/org/oakwalk/core/capacity/ScaleDown.java
@@ -42,7 +42,7 @@
    * Same as {@link #reactivate(MachineType, int, Moment)}, for one pool; ordinary machines qualify
    * for a spot pool as well.
    */
-  int reactivate(BootTracker.MachinePool pool, int count, Moment now) {
+  int reactivate(BootTracker.RentalPool pool, int count, Moment now) {
     return fleet.machines().stream()
         .map(Machine::type)
         .filter(type -> type.name().equals(pool.type()))
--- a/src/main/java/org/oakwalk/core/capacity/ZoneBoundDemand.java
+++ b/src/main/java/org/oakwalk/core/capacity/ZoneBoundDemand.java
@@ -53,9 +53,9 @@
    * Returns the number of missing machines by pool, for zone-bound jobs that have waited long
    * enough. Free room and machines that are coming up are deducted.
    */
-  Map<BootTracker.MachinePool, Integer> missingMachines(
+  Map<BootTracker.RentalPool, Integer> missingMachines(
       Function<JobSpec, MachineType> cheapestType, Span suspectAfter, Moment now, WallTime wall) {
-    Map<BootTracker.MachinePool, Double> missingByPool = new LinkedHashMap<>();
+    Map<BootTracker.RentalPool, Double> missingByPool = new LinkedHashMap<>();
     Map<String, Integer> grantedByTeam = new HashMap<>();
     Map<String, Double> claimedByZone = new HashMap<>();
     Map<JobId, String> zoneByJob = null;
@@ -96,12 +96,12 @@
       claimedByZone.put(zone, claimedMachines + (double) found / perMachine);
       if (found < tasks) {
         missingByPool.merge(
-            new BootTracker.MachinePool(type.name(), zone, spec.spotAllowed()),
+            new BootTracker.RentalPool(type.name(), zone, spec.spotAllowed()),
             (double) (tasks - found) / perMachine,
             Double::sum);
       }
     }
-    Map<BootTracker.MachinePool, Integer> missing = new LinkedHashMap<>();
+    Map<BootTracker.RentalPool, Integer> missing = new LinkedHashMap<>();
     missingByPool.forEach((pool, machines) -> missing.put(pool, (int) Math.ceil(machines - 1e-6)));
     return missing;
   }
