--- a/src/main/java/org/oakwalk/core/CapacityProducts.java
+++ b/src/main/java/org/oakwalk/core/CapacityProducts.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.BiConsumer;
-import org.oakwalk.core.drain.Gate;
+import org.oakwalk.core.drain.DisruptionLimiter;
 import org.oakwalk.core.exchange.CapacityTransfer;
 import org.oakwalk.core.exchange.ExchangeController;
 import org.oakwalk.core.fleet.Fleet;
@@ -39,7 +39,7 @@
       Fleet fleet,
       JobRegistry jobs,
       Quota quota,
-      Gate gate,
+      DisruptionLimiter gate,
       RunTimeEstimates runTimes,
       Span suspectAfter,
       CapacityReserve reserve,
--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.oakwalk.core.capacity.Catalogue;
+import org.oakwalk.core.capacity.MachineTypeCatalog;
 import org.oakwalk.core.job.AdmissionControl;
 import org.oakwalk.core.job.PendingUserRequests;
 import org.oakwalk.core.job.UserRequestHandler;
@@ -61,7 +61,7 @@
   private final UserRequestHandler userRequests;
   private final WithdrawalHalts halts;
   private final PendingUserRequests pendingRequests = new PendingUserRequests();
-  private final Catalogue catalogue;
+  private final MachineTypeCatalog catalogue;
   private Optional<LeaderTerm> term = Optional.empty();
   private Moment nextDigest = new Moment(Long.MIN_VALUE / 2);
   private Optional<NodeId> digestSender = Optional.empty();
@@ -127,7 +127,7 @@
             view,
             settings.teams(),
             new AdmissionControl(settings.teams(), view, policy.maxOpenJobs()));
-    this.catalogue = new Catalogue(outbox);
+    this.catalogue = new MachineTypeCatalog(outbox);
     view.setListener(
         new StoreView.Listener() {
           @Override
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -9,14 +9,14 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import java.util.stream.Collectors;
-import org.oakwalk.core.capacity.Boots;
-import org.oakwalk.core.capacity.Capacity;
-import org.oakwalk.core.capacity.CatalogueKeeper;
-import org.oakwalk.core.drain.Drainer;
-import org.oakwalk.core.drain.Gate;
-import org.oakwalk.core.drain.Mover;
-import org.oakwalk.core.drain.PlanKeeper;
-import org.oakwalk.core.drain.StopLedger;
+import org.oakwalk.core.capacity.Autoscaler;
+import org.oakwalk.core.capacity.BootTracker;
+import org.oakwalk.core.capacity.MachineTypeWriter;
+import org.oakwalk.core.drain.DisruptionLimiter;
+import org.oakwalk.core.drain.DrainController;
+import org.oakwalk.core.drain.DrainPlanRegistry;
+import org.oakwalk.core.drain.ReplicaMover;
+import org.oakwalk.core.drain.StopGrants;
 import org.oakwalk.core.fleet.CommandDispatcher;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
@@ -67,11 +67,11 @@
   private final RunTimeEstimates runTimes = new RunTimeEstimates();
   private final SlowMachineDetector pace = new SlowMachineDetector(runTimes);
   private final Placer placer;
-  private final Capacity capacity;
-  private final Gate gate;
-  private final Mover mover;
-  private final Drainer drainer;
-  private final CatalogueKeeper catalogueKeeper;
+  private final Autoscaler capacity;
+  private final DisruptionLimiter gate;
+  private final ReplicaMover mover;
+  private final DrainController drainer;
+  private final MachineTypeWriter catalogueKeeper;
   private final CapacityProducts products;
   private final Planner planner;
   private boolean roundDue = true;
@@ -133,9 +133,9 @@
             graceLimit,
             now);
     this.gate =
-        new Gate(
-            policy.drains().budgetsOf(settings.teams().keySet()),
-            new StopLedger(outbox, guard, view.recentStops(), view::recentStopsRevision),
+        new DisruptionLimiter(
+            policy.drains().budgetsFor(settings.teams().keySet()),
+            new StopGrants(outbox, guard, view.recentStops(), view::recentStopsRevision),
             fleet,
             jobs,
             suspectAfter);
@@ -144,7 +144,7 @@
         new HeadroomController(fleet, jobs, quota, settings, gate::allows);
     this.planner =
         new Planner(fleet, jobs, settings, policy.scoring().minTimeLeft(), headroom::reservedSpecs);
-    this.mover = new Mover(fleet, quota, gate, outbox, suspectAfter, headroom);
+    this.mover = new ReplicaMover(fleet, quota, gate, outbox, suspectAfter, headroom);
     this.products =
         new CapacityProducts(
             policy.product(),
@@ -168,9 +168,9 @@
             gate::allows,
             headroom,
             products);
-    this.catalogueKeeper = new CatalogueKeeper(outbox, view, guard, settings.state());
+    this.catalogueKeeper = new MachineTypeWriter(outbox, view, guard, settings.state());
     this.capacity =
-        new Capacity(
+        new Autoscaler(
             outbox,
             fleet,
             jobs,
@@ -182,21 +182,21 @@
             suspectAfter,
             sort -> isExcludedByDrain(view, sort),
             spec -> quota.placesLeft(spec.team(), spec.resources()));
-    capacity.keeps(headroom::reservedSpecs);
+    capacity.setReservedSpecs(headroom::reservedSpecs);
     this.drainer =
-        new Drainer(
+        new DrainController(
             fleet,
             jobs,
             view,
             capacity,
-            new PlanKeeper(outbox, view, guard, fleet, policy.drains().plans()),
+            new DrainPlanRegistry(outbox, view, guard, fleet, policy.drains().plans()),
             gate,
             mover);
   }
 
-  private static boolean isExcludedByDrain(StoreView view, Boots.Sort sort) {
+  private static boolean isExcludedByDrain(StoreView view, BootTracker.RentalPool sort) {
     return view.drainPlans().all().stream()
-        .anyMatch(drain -> drain.plan().bars(sort.zone(), sort.type(), sort.spot()));
+        .anyMatch(drain -> drain.plan().forbidsRenting(sort.zone(), sort.type(), sort.spot()));
   }
 
   /**
@@ -294,12 +294,12 @@
 
   /** Whether machines exist but hardly any of them reaches this node. */
   boolean isCutOffFromWorkers(boolean followersForward, Moment now) {
-    return recovery.complete() && capacity.health().blind(followersForward, now);
+    return recovery.complete() && capacity.failureDetector().isCutOff(followersForward, now);
   }
 
   /** Records a stall of this process, so that machines silent until now do not count as lost. */
   void processStalled(Moment now) {
-    capacity.health().stoodStill(now);
+    capacity.failureDetector().processStalled(now);
   }
 
   /** Records that a peer no longer acts under any older token. */
@@ -458,12 +458,12 @@
 
   @Override
   public void stopRequested(Placement placement, Fleet.StopReason why) {
-    gate.stopped(placement, why);
+    gate.recordStop(placement, why);
   }
 
   @Override
   public void placementEnded(Placement placement, Moment now) {
-    mover.left(placement, now);
+    mover.placementEnded(placement, now);
   }
 
   @Override
--- a/src/main/java/org/oakwalk/core/Policy.java
+++ b/src/main/java/org/oakwalk/core/Policy.java
@@ -1,6 +1,6 @@
 package org.oakwalk.core;
 
-import org.oakwalk.core.drain.Drains;
+import org.oakwalk.core.drain.DrainPolicy;
 import org.oakwalk.core.product.ProductTerms;
 
 /** Scheduling policy set by the operators; docs/operations.md documents every default. */
@@ -10,7 +10,7 @@
     Span roundInterval,
     CapacityPolicy capacity,
     int maxOpenJobs,
-    Drains drains,
+    DrainPolicy drains,
     ProductTerms product) {
 
   /** Weights of the job score. */
@@ -48,7 +48,7 @@
         Span.seconds(2),
         new CapacityPolicy(0.15, 2, Span.seconds(40), 0.5, Span.seconds(5), Span.seconds(120)),
         10_000,
-        Drains.NONE,
+        DrainPolicy.NONE,
         ProductTerms.NONE);
   }
 }
--- a/src/main/java/org/oakwalk/core/capacity/Demand.java
+++ b/src/main/java/org/oakwalk/core/capacity/Demand.java
@@ -14,127 +14,143 @@
 import org.oakwalk.core.placement.PlannedDeadlines;
 import org.oakwalk.core.placement.RunTimeEstimates;
 
-/** How much room the open jobs need to be in time. */
+/** Computes the capacity that open jobs need to finish in time. */
 final class Demand {
-  private static final double SOONEST_BOOTS = 1.4;
+  /** Jobs with less slack than this multiple of the boot time need standby capacity. */
+  private static final double BOOT_TIME_MARGIN = 1.4;
+
+  /** Completion target of jobs without a deadline or a shorter objective. */
   private static final Span DEFAULT_TARGET = Span.seconds(120);
 
   /**
-   * Part of the time until dawn that is to be enough for what is known: machines cost the same
-   * whether they do it now or later, and what is still to come has the rest.
+   * Share of the time until the planned deadline within which the known work should finish.
+   * Machines cost the same whether they do it early or late; the rest of the time is left for work
+   * that is still to be submitted.
    */
-  private static final double EARLY = 0.5;
+  private static final double PLANNED_TIME_SHARE = 0.5;
 
-  private static final Span NEVER = Span.millis(Long.MAX_VALUE);
+  private static final Span NO_TARGET = Span.millis(Long.MAX_VALUE);
 
-  /** Over this time work is spread that nobody waits for. */
-  private static final Span IDLE_SPREAD = Span.seconds(600);
+  /** Period over which background work is spread. */
+  private static final Span BACKGROUND_PERIOD = Span.seconds(600);
 
   private final List<Settings.Objective> objectives;
   private final RunTimeEstimates runTimes;
-  private final PlannedDeadlines planned;
+  private final PlannedDeadlines plannedDeadlines;
 
-  Demand(List<Settings.Objective> objectives, RunTimeEstimates runTimes, PlannedDeadlines planned) {
+  Demand(
+      List<Settings.Objective> objectives,
+      RunTimeEstimates runTimes,
+      PlannedDeadlines plannedDeadlines) {
     this.objectives = objectives;
     this.runTimes = runTimes;
-    this.planned = planned;
+    this.plannedDeadlines = plannedDeadlines;
   }
 
   /**
-   * Tasks of a job that should be on machines at once. All replicas of a service; of an array so
-   * many that what is left ends in time, if each place is used again and again.
+   * Number of tasks of a job that should be placed at the same time. For a service or a gang these
+   * are all unfinished tasks; for an array, as many as are needed to finish the remaining tasks in
+   * time if each slot runs one task after another.
    */
-  double slots(Job job, MachineType type, WallTime now) {
+  double concurrentTasks(Job job, MachineType type, WallTime now) {
     JobSpec spec = job.spec();
-    int open = job.spec().tasks() - job.doneCount();
+    int unfinished = job.spec().tasks() - job.doneCount();
     if (spec.service() || spec.gang()) {
-      return open;
+      return unfinished;
     }
     if (job.isSuspect()) {
       return Math.max(1, job.assignedCount());
     }
-    double run = Math.max(1, runTimes.expected(spec).asSeconds());
-    Optional<Span> dawn = planned.timeToEnd(job, now);
-    if (dawn.isPresent() && !urgent(spec, now.since(job.acceptedAt()), dawn.get())) {
-      // All groups of a plan share the machines one after the other, so parts of places add up.
-      double time = dawn.get().minus(type.fetchTime(spec.imageGb())).asSeconds() * EARLY;
-      return open / Math.max(1, Math.floor(time / run));
+    double runSeconds = Math.max(1, runTimes.expected(spec).asSeconds());
+    Optional<Span> plannedEnd = plannedDeadlines.timeToEnd(job, now);
+    if (plannedEnd.isPresent()
+        && !hasEarlierTarget(spec, now.since(job.acceptedAt()), plannedEnd.get())) {
+      // Jobs of a plan use the machines one after the other, so fractions of slots are added up.
+      double time =
+          plannedEnd.get().minus(type.fetchTime(spec.imageGb())).asSeconds() * PLANNED_TIME_SHARE;
+      return unfinished / Math.max(1, Math.floor(time / runSeconds));
     }
-    if (idle(spec)) {
-      // It fills what is idle anyhow, so what it uses at present is no measure of what to rent.
-      return Math.min(open, Math.ceil(open * run / IDLE_SPREAD.asSeconds()));
+    if (isBackground(spec)) {
+      // Background jobs fill idle machines, so their current usage does not justify renting.
+      return Math.min(
+          unfinished, Math.ceil(unfinished * runSeconds / BACKGROUND_PERIOD.asSeconds()));
     }
-    double left = target(spec).minus(now.since(job.acceptedAt())).asSeconds() * 0.8;
+    double left = effectiveTarget(spec).minus(now.since(job.acceptedAt())).asSeconds() * 0.8;
     left -= type.fetchTime(spec.imageGb()).asSeconds();
-    double waves = Math.max(1, Math.floor(left / run));
-    return Math.min(open, Math.max(Math.ceil(open / waves), job.assignedCount()));
+    double waves = Math.max(1, Math.floor(left / runSeconds));
+    return Math.min(unfinished, Math.max(Math.ceil(unfinished / waves), job.assignedCount()));
   }
 
   /**
-   * Whether machines rented when a job of this kind comes would be too late for it, so that room
-   * for the next one has to stand ready.
+   * Returns whether machines rented only when such a job is submitted would be too late for it, so
+   * that capacity for the next one has to be kept ready.
    */
-  boolean tight(Job job, MachineType type, WallTime now) {
+  boolean needsStandbyCapacity(Job job, MachineType type, WallTime now) {
     JobSpec spec = job.spec();
     if (spec.service()) {
       return true;
     }
-    Optional<Span> dawn = planned.timeToEnd(job, now);
-    if (idle(spec) || dawn.isPresent() && !urgent(spec, now.since(job.acceptedAt()), dawn.get())) {
+    Optional<Span> plannedEnd = plannedDeadlines.timeToEnd(job, now);
+    if (isBackground(spec)
+        || plannedEnd.isPresent()
+            && !hasEarlierTarget(spec, now.since(job.acceptedAt()), plannedEnd.get())) {
       return false;
     }
-    Span slack = target(spec).minus(runTimes.expected(spec)).minus(type.fetchTime(spec.imageGb()));
-    return slack.compareTo(type.bootTime().times(SOONEST_BOOTS)) < 0;
+    Span slack =
+        effectiveTarget(spec).minus(runTimes.expected(spec)).minus(type.fetchTime(spec.imageGb()));
+    return slack.compareTo(type.bootTime().times(BOOT_TIME_MARGIN)) < 0;
   }
 
-  /** Whether nobody waits for the job: it is of the lowest priority, and no time is set for it. */
-  private boolean idle(JobSpec spec) {
+  /** Returns whether a job has the lowest priority and neither a deadline nor an objective. */
+  private boolean isBackground(JobSpec spec) {
     return spec.priority() == Priority.LOW
         && spec.deadline().isEmpty()
         && objectives.stream()
             .noneMatch(o -> o.kind().equals("finished") && o.jobClass().equals(spec.jobClass()));
   }
 
-  /** Whether a job's own target comes before what is planned for it. */
-  private boolean urgent(JobSpec spec, Span age, Span dawn) {
-    return own(spec).filter(due -> due.minus(age).compareTo(dawn) < 0).isPresent();
+  /** Returns whether a job's own target is earlier than its planned deadline. */
+  private boolean hasEarlierTarget(JobSpec spec, Span age, Span plannedEnd) {
+    return ownTarget(spec).filter(due -> due.minus(age).compareTo(plannedEnd) < 0).isPresent();
   }
 
-  private Span target(JobSpec spec) {
-    Span own = own(spec).orElse(DEFAULT_TARGET);
+  /** A job's own target, but at most the default unless the job has a deadline. */
+  private Span effectiveTarget(JobSpec spec) {
+    Span own = ownTarget(spec).orElse(DEFAULT_TARGET);
     return spec.deadline().isEmpty() && own.compareTo(DEFAULT_TARGET) > 0 ? DEFAULT_TARGET : own;
   }
 
-  private Optional<Span> own(JobSpec spec) {
-    Span target = spec.deadline().orElse(NEVER);
+  /** The earlier of a job's deadline and the objective of its class, if there is one. */
+  private Optional<Span> ownTarget(JobSpec spec) {
+    Span target = spec.deadline().orElse(NO_TARGET);
     for (Settings.Objective objective : objectives) {
       if (objective.jobClass().equals(spec.jobClass()) && objective.kind().equals("finished")) {
         Span within = Span.seconds(objective.withinSeconds());
         target = within.compareTo(target) < 0 ? within : target;
       }
     }
-    return target == NEVER ? Optional.empty() : Optional.of(target);
+    return target == NO_TARGET ? Optional.empty() : Optional.of(target);
   }
 
-  /** The type that costs least for one task. */
-  static MachineType cheapest(JobSpec spec, Collection<MachineType> types) {
+  /** Returns the machine type with the lowest price per task, or null if no type is suitable. */
+  static MachineType cheapestType(JobSpec spec, Collection<MachineType> types) {
     MachineType best = null;
     double least = Double.MAX_VALUE;
     for (MachineType type : types) {
       boolean allowed =
           type.zones().stream().anyMatch(zone -> spec.allows(type.name(), zone, false));
-      int each = type.room().capacityFor(spec.resources());
-      if (allowed && each > 0 && type.price() / each < least) {
-        least = type.price() / each;
+      int perMachine = type.room().capacityFor(spec.resources());
+      if (allowed && perMachine > 0 && type.price() / perMachine < least) {
+        least = type.price() / perMachine;
         best = type;
       }
     }
     return best;
   }
 
-  /** Room for that many tasks, as a number of machines of a type. */
-  static double machines(Resources task, double slots, MachineType type) {
-    int each = type.room().capacityFor(task);
-    return each <= 0 ? 0 : slots / each;
+  /** Converts a number of concurrent tasks into machines of a type. */
+  static double machineCount(Resources perTask, double tasks, MachineType type) {
+    int perMachine = type.room().capacityFor(perTask);
+    return perMachine <= 0 ? 0 : tasks / perMachine;
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/DrainPlan.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainPlan.java
@@ -7,19 +7,19 @@
 import org.oakwalk.core.fleet.Machine;
 
 /**
- * What operators want done with some of the machines. Empty sets select all.
+ * A drain that operators have declared for a set of machines. An empty set matches everything.
  *
- * @param name tells it from other plans; letters, digits, dashes
- * @param version the higher one of two plans of a name counts
- * @param kind spot or ordinary machines only, or both
- * @param step how many machines may be on their way out at once; a share of all that it selects if
- *     below one
- * @param surge how many machines may be held beyond what is wanted, while others are on their way
- *     out
- * @param pause time between two choices of machines
- * @param patience how long work may run out on a machine before it is stopped
- * @param replicaMayWait the plan waits as long as some replica has waited longer than this
- * @param workMayWait and as long as other work has waited longer than this
+ * @param name unique name; letters, digits, dashes
+ * @param version of two plans with the same name, the one with the higher version applies
+ * @param spotFilter true for spot machines only, false for ordinary ones only, empty for both
+ * @param mode what happens to the capacity of a drained machine
+ * @param concurrency maximum number of machines being drained at the same time; if below one, a
+ *     share of the selected machines
+ * @param surge maximum number of additional machines that may be held while others are drained
+ * @param selectionInterval minimum time between two selections of machines
+ * @param drainTimeout how long tasks may continue on a machine before they are stopped
+ * @param maxReplicaWait the plan is paused while any replica has waited longer than this
+ * @param maxWorkWait the plan is paused while any other task has waited longer than this
  */
 public record DrainPlan(
     String name,
@@ -27,62 +27,63 @@
     Status status,
     Set<String> zones,
     Set<String> types,
-    Optional<Boolean> kind,
+    Optional<Boolean> spotFilter,
     Set<String> machines,
-    Then then,
-    double step,
+    DrainMode mode,
+    double concurrency,
     int surge,
-    Span pause,
-    Span patience,
-    Span replicaMayWait,
-    Span workMayWait) {
+    Span selectionInterval,
+    Span drainTimeout,
+    Span maxReplicaWait,
+    Span maxWorkWait) {
 
-  /** Whether anything is to be done at present. */
+  /** Declared state of a plan. */
   public enum Status {
     RUNNING,
     PAUSED,
     ENDED
   }
 
-  /** What becomes of a machine's place. */
-  public enum Then {
-    /** Another machine is rented for it, and machines rented later are left alone. */
+  /** What happens to the capacity of a drained machine. */
+  public enum DrainMode {
+    /** A replacement is rented; machines rented after the plan was stored are not drained. */
     REPLACE,
-    /** None is rented where the plan selects, and all machines there go. */
+    /** All matching machines are returned, and none that match are rented. */
     RETURN
   }
 
-  /** Whether it is about a machine, whenever that was rented. */
+  /** Returns whether the plan matches a machine, regardless of when that was rented. */
   public boolean selects(Machine machine) {
-    return about(machine.zone(), machine.type().name(), machine.spot())
+    return matches(machine.zone(), machine.type().name(), machine.spot())
         && (machines.isEmpty() || machines.contains(machine.id().value()));
   }
 
   /**
-   * Whether it is about a machine, if a plan that replaces only wants those named up to {@code
-   * newest}: the cloud names machines in the order in which it created them.
+   * Returns whether the plan matches a machine. A plan that replaces machines matches only ids up
+   * to {@code newest}: the cloud assigns ids in order of creation.
    */
   public boolean selects(Machine machine, MachineId newest) {
-    return selects(machine) && (then == Then.RETURN || machine.id().compareTo(newest) <= 0);
+    return selects(machine) && (mode == DrainMode.RETURN || machine.id().compareTo(newest) <= 0);
   }
 
-  /** Whether machines of this sort are not to be rented while it runs. */
-  public boolean bars(String zone, String type, boolean spot) {
+  /** Returns whether the plan currently forbids renting machines of a pool. */
+  public boolean forbidsRenting(String zone, String type, boolean spot) {
     return status == Status.RUNNING
-        && then == Then.RETURN
+        && mode == DrainMode.RETURN
         && machines.isEmpty()
-        && about(zone, type, spot);
+        && matches(zone, type, spot);
   }
 
-  private boolean about(String zone, String type, boolean spot) {
+  private boolean matches(String zone, String type, boolean spot) {
     return (zones.isEmpty() || zones.contains(zone))
         && (types.isEmpty() || types.contains(type))
-        && (kind.isEmpty() || kind.get() == spot);
+        && (spotFilter.isEmpty() || spotFilter.get() == spot);
   }
 
-  /** How many machines may be on their way out at once, of so many. */
-  int most(int selected) {
-    int atOnce = step < 1 ? (int) Math.max(1, Math.floor(step * selected)) : (int) step;
-    return Math.min(atOnce, surge);
+  /** Maximum number of machines being drained at the same time, out of {@code selected}. */
+  int maxInProgress(int selected) {
+    int limit =
+        concurrency < 1 ? (int) Math.max(1, Math.floor(concurrency * selected)) : (int) concurrency;
+    return Math.min(limit, surge);
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/PlanKeeper.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainPlanRegistry.java
@@ -22,25 +22,26 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * The plans in force: those in the store. A plan in this node's file is stored if its version is
- * higher, together with the newest machine's name, which is all that tells what has been done:
- * machines rented later have later names. Of two nodes with unlike files the higher version wins.
+ * The drain plans in force, which are those in the state store. A plan declared in this node's
+ * policy file is stored if its version is higher than the stored one. The id of the newest machine
+ * is stored with it and suffices to determine the plan's progress: machines rented later have
+ * higher ids. If nodes have different files, the highest version applies.
  */
-public final class PlanKeeper {
-  private static final Logger LOG = LoggerFactory.getLogger(PlanKeeper.class);
-  private static final Span RETRY = Span.seconds(5);
-  private static final int MOST_PLANS = 32;
+public final class DrainPlanRegistry {
+  private static final Logger LOG = LoggerFactory.getLogger(DrainPlanRegistry.class);
+  private static final Span RETRY_INTERVAL = Span.seconds(5);
+  private static final int MAX_PLANS = 32;
 
   private final Outbox outbox;
   private final StoreView view;
   private final Guard guard;
   private final Fleet fleet;
   private final List<DrainPlan> declared;
-  private final Set<String> told = new HashSet<>();
-  private boolean writing;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private final Set<String> loggedWarnings = new HashSet<>();
+  private boolean writeInFlight;
+  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
 
-  public PlanKeeper(
+  public DrainPlanRegistry(
       Outbox outbox, StoreView view, Guard guard, Fleet fleet, List<DrainPlan> declared) {
     this.outbox = outbox;
     this.view = view;
@@ -49,35 +50,41 @@
     this.declared = declared;
   }
 
-  /** The plans in force, whatever their status. */
+  /** Returns the plans in force, regardless of their status. */
   Collection<StoredValue.DrainRecord> plans() {
     return view.drainPlans().all();
   }
 
-  /** Whether there is nothing to follow, now or later. */
-  boolean idle() {
+  /** Returns whether no plan is declared or stored. */
+  boolean isEmpty() {
     return declared.isEmpty() && view.drainPlans().all().isEmpty();
   }
 
-  /** Stores what this node's file has newly; to be called once the fleet is known. */
+  /**
+   * Stores plans that are new in this node's file; call only once the fleet is completely known.
+   */
   void tick(Moment now) {
-    if (writing || nextTry.isAfter(now)) {
+    if (writeInFlight || nextAttemptAt.isAfter(now)) {
       return;
     }
     for (DrainPlan plan : declared) {
       Optional<StoredValue.DrainRecord> stored = view.drainPlans().find(plan.name());
       if (view.drainPlans().isUnreadable(plan.name())) {
-        once(plan.name() + " unreadable", "drain {}: the stored plan can't be read", plan.name());
+        warnOnce(
+            plan.name() + " unreadable", "drain {}: the stored plan is unreadable", plan.name());
       } else if (stored.isEmpty() || stored.get().plan().version() < plan.version()) {
-        if (view.drainPlans().all().size() < MOST_PLANS || stored.isPresent()) {
+        if (view.drainPlans().all().size() < MAX_PLANS || stored.isPresent()) {
           store(plan, now);
           return;
         }
-        once(plan.name() + " many", "drain {}: too many plans are stored", plan.name());
+        warnOnce(
+            plan.name() + " many",
+            "drain {}: not stored because the store already holds the maximum number of plans",
+            plan.name());
       } else if (!stored.get().plan().equals(plan)) {
-        once(
+        warnOnce(
             plan.name() + stored.get().plan().version(),
-            "drain {}: version {} is stored and counts, the file has another {}",
+            "drain {}: stored version {} applies; the file has a different plan with version {}",
             plan.name(),
             stored.get().plan().version(),
             plan.version());
@@ -85,15 +92,15 @@
     }
   }
 
-  private void once(String about, String format, Object... words) {
-    if (told.add(about)) {
-      LOG.warn(format, words);
+  private void warnOnce(String key, String format, Object... arguments) {
+    if (loggedWarnings.add(key)) {
+      LOG.warn(format, arguments);
     }
   }
 
   private void store(DrainPlan plan, Moment now) {
-    writing = true;
-    nextTry = now.plus(RETRY);
+    writeInFlight = true;
+    nextAttemptAt = now.plus(RETRY_INTERVAL);
     MachineId newest = new MachineId("");
     int selected = 0;
     for (Machine machine : fleet.machines()) {
@@ -102,7 +109,7 @@
     }
     for (String name : plan.machines()) {
       if (fleet.find(new MachineId(name)).isEmpty()) {
-        LOG.warn("drain {}: there is no machine {}", plan.name(), name);
+        LOG.warn("drain {}: unknown machine {}", plan.name(), name);
       }
     }
     StoredValue.DrainRecord record = new StoredValue.DrainRecord(plan, newest, selected);
@@ -113,10 +120,10 @@
             List.of(new Change.Put(key, record, Optional.empty())),
             Request.Urgency.ROUTINE),
         answer -> {
-          writing = false;
+          writeInFlight = false;
           if (answer instanceof Answer.Committed) {
             LOG.info(
-                "drain {} version {} {}: {} machines, up to {}",
+                "drain {} version {} stored with status {}: {} machines selected, newest id {}",
                 plan.name(),
                 plan.version(),
                 plan.status(),
--- a/src/main/java/org/oakwalk/core/exchange/ExchangeController.java
+++ b/src/main/java/org/oakwalk/core/exchange/ExchangeController.java
@@ -9,7 +9,7 @@
 import org.oakwalk.core.Span;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
-import org.oakwalk.core.drain.Gate;
+import org.oakwalk.core.drain.DisruptionLimiter;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
@@ -42,7 +42,7 @@
   private final Fleet fleet;
   private final JobRegistry jobs;
   private final Quota quota;
-  private final Gate disruptionLimiter;
+  private final DisruptionLimiter disruptionLimiter;
   private final Token token;
   private final Span suspectAfter;
   private final TaskStarter starter;
@@ -63,7 +63,7 @@
       Fleet fleet,
       JobRegistry jobs,
       Quota quota,
-      Gate disruptionLimiter,
+      DisruptionLimiter disruptionLimiter,
       RunTimeEstimates runTimes,
       Span suspectAfter,
       CapacityReserve reserve,
--- a/src/test/java/org/oakwalk/core/capacity/CatalogueKeeperTest.java
+++ b/src/test/java/org/oakwalk/core/capacity/MachineTypeWriterTest.java
@@ -21,16 +21,19 @@
 import org.oakwalk.core.store.StoreView;
 import org.oakwalk.core.store.StoredValue;
 
-/** The stored machine types are those that were written last, also if an older write is late. */
-class CatalogueKeeperTest {
+/**
+ * Guards against outdated machine types in the store: a write without an answer may be applied
+ * after a newer one.
+ */
+class MachineTypeWriterTest {
   private final Outbox outbox = new Outbox();
   private final FaultyStore store = new FaultyStore();
   private final StoreView view = new StoreView(outbox, 200, 1);
-  private CatalogueKeeper keeper;
+  private MachineTypeWriter writer;
   private Moment now = new Moment(0);
 
   @BeforeEach
-  void leads() {
+  void startTerm() {
     Revision token =
         store.put(StoreKeys.LEADER, new StoredValue.LeaderRecord(new NodeId("n"), "a", "life"));
     view.setListener(
@@ -41,8 +44,8 @@
           @Override
           public void jobChanged(KnownJob known, Moment at) {}
         });
-    keeper =
-        new CatalogueKeeper(
+    writer =
+        new MachineTypeWriter(
             outbox,
             view,
             new Guard(StoreKeys.LEADER, token),
@@ -60,15 +63,15 @@
     return types;
   }
 
-  private void tick(Map<String, MachineType> types, FaultyStore.CommitOutcome fate) {
+  private void tick(Map<String, MachineType> types, FaultyStore.CommitOutcome outcome) {
     for (int i = 0; i < 2; i++) {
       now = now.plus(Span.seconds(6));
       view.setTime(now);
       view.tick(now);
-      store.serve(outbox, commit -> fate);
+      store.serve(outbox, commit -> outcome);
     }
-    keeper.tick(types, now);
-    store.serve(outbox, commit -> fate);
+    writer.tick(types, now);
+    store.serve(outbox, commit -> outcome);
   }
 
   private Map<String, MachineType> stored() {
@@ -78,7 +81,7 @@
   }
 
   @Test
-  void olderTypesThatAreLateDoNotComeBack() {
+  void delayedWriteDoesNotOverwriteNewerTypes() {
     tick(types("m"), FaultyStore.CommitOutcome.DELAYED);
     tick(types("m", "n"), FaultyStore.CommitOutcome.APPLIED);
     store.applyDelayed(0);
@@ -86,7 +89,7 @@
   }
 
   @Test
-  void aLostAnswerHoldsNothingUp() {
+  void lostAnswerDoesNotBlockLaterWrites() {
     tick(types("m"), FaultyStore.CommitOutcome.ANSWER_LOST);
     tick(types("m", "n"), FaultyStore.CommitOutcome.APPLIED);
     tick(types("m", "n"), FaultyStore.CommitOutcome.APPLIED);
