--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -33,7 +33,7 @@
 import org.oakwalk.core.placement.Quota;
 import org.oakwalk.core.placement.RunTimes;
 import org.oakwalk.core.placement.Targets;
-import org.oakwalk.core.planner.Planner;
+import org.oakwalk.core.planner.DeadlinePlanner;
 import org.oakwalk.core.port.Effect;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.PeerMessage;
@@ -71,7 +71,7 @@
   private final Drainer drainer;
   private final CatalogueKeeper keeper;
   private final Products products;
-  private final Planner planner;
+  private final DeadlinePlanner planner;
   private boolean roundDue = true;
   private Moment nextRegular;
   private Moment lastRound = new Moment(Long.MIN_VALUE / 2);
@@ -139,7 +139,8 @@
             suspectAfter);
     Quota quota = new Quota(settings.teams(), fleet);
     Headroom headroom = new Headroom(fleet, jobs, quota, settings, gate::allows);
-    this.planner = new Planner(fleet, jobs, settings, policy.scoring().floor(), headroom::kept);
+    this.planner =
+        new DeadlinePlanner(fleet, jobs, settings, policy.scoring().floor(), headroom::kept);
     this.mover = new Mover(fleet, quota, gate, outbox, suspectAfter, headroom);
     this.products =
         new Products(
@@ -430,7 +431,7 @@
       runTimes.learn(placement.job(), ran);
       if (placement.attempt().token().equals(token)) {
         // What an older leader started has run for longer than this one has seen.
-        planner.completed(placement.job(), ran);
+        planner.taskCompleted(placement.job(), ran);
       }
     }
   }
--- a/src/main/java/org/oakwalk/core/Products.java
+++ b/src/main/java/org/oakwalk/core/Products.java
@@ -18,8 +18,8 @@
 import org.oakwalk.core.placement.Reserve;
 import org.oakwalk.core.placement.RunTimes;
 import org.oakwalk.core.placement.Takes;
+import org.oakwalk.core.planner.DeadlinePlanner;
 import org.oakwalk.core.planner.PlanRow;
-import org.oakwalk.core.planner.Planner;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.product.ProductKeeper;
 import org.oakwalk.core.product.ProductTerms;
@@ -48,7 +48,7 @@
   private final Outbox outbox;
   private final Guard leader;
   private final Settings settings;
-  private final Planner planner;
+  private final DeadlinePlanner planner;
   private final Headroom headroom;
   private final Ground ground;
   private Optional<SharedRecords> shared = Optional.empty();
@@ -62,7 +62,7 @@
       Guard leader,
       Settings settings,
       Headroom headroom,
-      Planner planner,
+      DeadlinePlanner planner,
       Ground ground) {
     this.headroom = headroom;
     this.planner = planner;
@@ -95,7 +95,7 @@
     ProductTerms terms = keeper.inForce();
     if (terms.none()) {
       headroom.off();
-      planner.off();
+      planner.disable();
       return;
     }
     if (!keeper.settled()) {
@@ -115,7 +115,7 @@
   private void begin(ProductTerms terms) {
     SharedRecords state = new SharedRecords(outbox, leader, settings.state());
     headroom.share(state);
-    plans = state.declare(Planner.RECORD, PlanRow.class);
+    plans = state.declare(DeadlinePlanner.RECORD_NAME, PlanRow.class);
     shared = Optional.of(state);
     if (!terms.exchanges().isEmpty()) {
       exchange =
--- a/src/main/java/org/oakwalk/core/cells/LoanOut.java
+++ b/src/main/java/org/oakwalk/core/cells/HomeLoan.java
@@ -12,9 +12,9 @@
  * before home places any of its tasks. Immutable; each step gives the next one.
  *
  * @param state how far it is
- * @param lastLeave the latest moment at which a leave may have been given; empty if none can have
+ * @param lastPermit the latest moment at which a leave may have been given; empty if none can have
  */
-public record LoanOut(State state, Optional<Moment> lastLeave) {
+public record HomeLoan(State state, Optional<Moment> lastPermit) {
   /** Who may have the tasks. */
   public enum State {
     /** Offered; the guest may take them as soon as it asks for leave. */
@@ -27,18 +27,18 @@
     SETTLED
   }
 
-  private static final Map<State, Set<State>> LEGAL = new EnumMap<>(State.class);
+  private static final Map<State, Set<State>> TRANSITIONS = new EnumMap<>(State.class);
 
   static {
-    LEGAL.put(State.OFFERED, EnumSet.of(State.LENT, State.RECALLED, State.SETTLED));
-    LEGAL.put(State.LENT, EnumSet.of(State.RECALLED, State.SETTLED));
-    LEGAL.put(State.RECALLED, EnumSet.of(State.SETTLED));
-    LEGAL.put(State.SETTLED, EnumSet.noneOf(State.class));
+    TRANSITIONS.put(State.OFFERED, EnumSet.of(State.LENT, State.RECALLED, State.SETTLED));
+    TRANSITIONS.put(State.LENT, EnumSet.of(State.RECALLED, State.SETTLED));
+    TRANSITIONS.put(State.RECALLED, EnumSet.of(State.SETTLED));
+    TRANSITIONS.put(State.SETTLED, EnumSet.noneOf(State.class));
   }
 
   /** A loan that has just been stored. */
-  public static LoanOut offered() {
-    return new LoanOut(State.OFFERED, Optional.empty());
+  public static HomeLoan offered() {
+    return new HomeLoan(State.OFFERED, Optional.empty());
   }
 
   /**
@@ -46,57 +46,57 @@
    *
    * @param olderUntil until when an older leader may still have given leave
    */
-  public static LoanOut found(Moment olderUntil) {
-    return new LoanOut(State.LENT, Optional.of(olderUntil));
+  public static HomeLoan recovered(Moment olderUntil) {
+    return new HomeLoan(State.LENT, Optional.of(olderUntil));
   }
 
   /** Whether the guest may have leave now. */
-  public boolean givesLeave() {
+  public boolean grantsPermits() {
     return state == State.OFFERED || state == State.LENT;
   }
 
   /**
    * The guest has asked, which also tells that it has stored the loan; leave is given if it may.
    */
-  public LoanOut asked(Moment now) {
-    if (!givesLeave()) {
+  public HomeLoan permitRequested(Moment now) {
+    if (!grantsPermits()) {
       return this;
     }
-    Moment latest = lastLeave.filter(last -> last.isAfter(now)).orElse(now);
+    Moment latest = lastPermit.filter(last -> last.isAfter(now)).orElse(now);
     return enter(State.LENT, Optional.of(latest));
   }
 
   /** The guest has accepted, or says so once more. */
-  public LoanOut accepted() {
-    return state == State.OFFERED ? enter(State.LENT, lastLeave) : this;
+  public HomeLoan accepted() {
+    return state == State.OFFERED ? enter(State.LENT, lastPermit) : this;
   }
 
   /** Home wants the tasks back, their job is withdrawn, or the guest has refused. */
-  public LoanOut recalled() {
-    return givesLeave() ? enter(State.RECALLED, lastLeave) : this;
+  public HomeLoan recalled() {
+    return grantsPermits() ? enter(State.RECALLED, lastPermit) : this;
   }
 
   /** The guest has stored that it has nothing of it and never will. */
-  public LoanOut closed() {
-    return state == State.SETTLED ? this : enter(State.SETTLED, lastLeave);
+  public HomeLoan closed() {
+    return state == State.SETTLED ? this : enter(State.SETTLED, lastPermit);
   }
 
   /** Whether what is recalled has provably run out. */
-  public boolean over(LoanTerms terms, Moment now) {
+  public boolean permitsExpired(LoanTerms terms, Moment now) {
     return state == State.RECALLED
-        && lastLeave.map(last -> now.past(last, terms.lastsAtMost())).orElse(true);
+        && lastPermit.map(last -> now.past(last, terms.maxTaskLifetime())).orElse(true);
   }
 
   /** Takes over that it is over, once that is stored. */
-  public LoanOut settled(LoanTerms terms, Moment now) {
-    return over(terms, now) ? enter(State.SETTLED, lastLeave) : this;
+  public HomeLoan settleIfExpired(LoanTerms terms, Moment now) {
+    return permitsExpired(terms, now) ? enter(State.SETTLED, lastPermit) : this;
   }
 
   /** The one place where the state changes. */
-  private LoanOut enter(State next, Optional<Moment> leave) {
-    if (next != state && !LEGAL.get(state).contains(next)) {
+  private HomeLoan enter(State next, Optional<Moment> leave) {
+    if (next != state && !TRANSITIONS.get(state).contains(next)) {
       throw new IllegalStateException("loan from " + state + " to " + next);
     }
-    return new LoanOut(next, leave);
+    return new HomeLoan(next, leave);
   }
 }
--- /dev/null
+++ b/src/main/java/org/oakwalk/core/planner/DeadlinePlanner.java
@@ -0,0 +1,443 @@
+package org.oakwalk.core.planner;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.LinkedHashMap;
+import java.util.LinkedHashSet;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import java.util.Set;
+import java.util.function.Supplier;
+import org.oakwalk.core.Moment;
+import org.oakwalk.core.Settings;
+import org.oakwalk.core.Span;
+import org.oakwalk.core.WallTime;
+import org.oakwalk.core.fleet.Fleet;
+import org.oakwalk.core.fleet.MachineType;
+import org.oakwalk.core.job.Job;
+import org.oakwalk.core.job.JobBook;
+import org.oakwalk.core.job.JobSpec;
+import org.oakwalk.core.placement.Deadlines;
+import org.oakwalk.core.product.DawnTerms;
+import org.oakwalk.core.shared.SharedRecord;
+import org.slf4j.Logger;
+import org.slf4j.LoggerFactory;
+
+/**
+ * Plans the work of the nights: in which order its groups go, so that all is done by dawn, or in
+ * equal shares if that can't be. What is stored of it counts, and nothing else; it speaks to the
+ * queue through the deadlines of jobs alone.
+ */
+public final class DeadlinePlanner implements Deadlines {
+  private static final Logger LOG = LoggerFactory.getLogger(DeadlinePlanner.class);
+
+  /** Name of its record. */
+  public static final String RECORD_NAME = "dawn";
+
+  private static final Span OBSERVE_INTERVAL = Span.seconds(5);
+  private static final Span MIN_PLANNING_INTERVAL = Span.seconds(2);
+  private static final Span MAX_PLANNING_INTERVAL = Span.seconds(30);
+  private final Fleet fleet;
+  private final JobBook jobs;
+  private final Settings settings;
+  private final Span minTimeLeft;
+  private final DraftBuilder draftBuilder;
+  private final PlanningStatistics statistics = new PlanningStatistics();
+  private final Map<GroupKey, Integer> acceptedEarlier = new HashMap<>();
+  private final Set<Job> changedJobs = new LinkedHashSet<>();
+  private final Map<String, WallTime> reportedEnds = new HashMap<>();
+  private JobGroups groups = new JobGroups();
+  private List<DawnTerms> dawns = List.of();
+  private Map<String, PlanningWindow> openWindows = Map.of();
+  private ActivePlan activePlan = ActivePlan.NONE;
+  private boolean restored;
+  private long recordRevision = -1;
+  private long requestedRevision;
+  private boolean infeasibleBefore;
+  private Moment termStart;
+  private Moment nextPlanning = new Moment(Long.MIN_VALUE / 2);
+  private Moment nextObservation = new Moment(Long.MIN_VALUE / 2);
+  private WallTime wallTime = new WallTime(0);
+
+  /**
+   * A planner without terms.
+   *
+   * @param minTimeLeft the least time that a deadline's distance counts in the score
+   * @param kept what room is kept for beside the open jobs
+   */
+  public DeadlinePlanner(
+      Fleet fleet, JobBook jobs, Settings settings, Span floor, Supplier<List<JobSpec>> kept) {
+    this.fleet = fleet;
+    this.jobs = jobs;
+    this.settings = settings;
+    this.minTimeLeft = floor;
+    this.draftBuilder = new DraftBuilder(settings, statistics, kept);
+  }
+
+  /** Follows the nights that are declared; nothing is planned before it is known what runs. */
+  public void tick(
+      List<DawnTerms> terms,
+      SharedRecord<PlanRow> record,
+      Map<String, MachineType> types,
+      boolean recovered,
+      Moment now,
+      WallTime dayTime) {
+    wallTime = dayTime;
+    if (!terms.equals(dawns)) {
+      setTerms(terms);
+    }
+    if (dawns.isEmpty() || !record.isLoaded() || record.isUnusable()) {
+      disable();
+      return;
+    }
+    if (!currentWindows().equals(openWindows)) {
+      openWindows = currentWindows();
+      groups.all().forEach(this::applyPlan);
+    }
+    if (!restored) {
+      restore(record.storedRows());
+      termStart = now;
+    }
+    if (record.revision() != recordRevision) {
+      recordRevision = record.revision();
+      adopt(new ActivePlan(record.storedRows()));
+    }
+    if (!nextObservation.isAfter(now)) {
+      nextObservation = now.plus(OBSERVE_INTERVAL);
+      statistics.capacity.observe(fleet.machines(), now);
+      groups.all().forEach(this::applyPlan);
+    }
+    if (recovered) {
+      closeEndedWindows(record);
+      if (!nextPlanning.isAfter(now) && !openWindows.isEmpty() && !types.isEmpty()) {
+        plan(record, types, now);
+      }
+    }
+  }
+
+  /** Nothing is planned any more, and nothing that was planned counts. */
+  public void disable() {
+    if (!openWindows.isEmpty() || activePlan != ActivePlan.NONE) {
+      openWindows = Map.of();
+      adopt(ActivePlan.NONE);
+    }
+  }
+
+  /** Takes over what counts for a group at present. */
+  private void applyPlan(JobGroups.JobGroup group) {
+    Optional<DawnTerms> dawn = dawnOf(group.representative);
+    group.active = activeGroup(group.representative).orElse(null);
+    group.finishBy = dawn.map(terms -> openWindows.get(terms.name()).finishBy()).orElse(null);
+    String name = group.representative.jobClass();
+    group.runTimeSpread =
+        dawn.map(
+                terms ->
+                    statistics.runTimes.quantileRatio(name, terms.quantile())
+                        - statistics.runTimes.meanRatio(name))
+            .orElse(0.0);
+  }
+
+  private Map<String, PlanningWindow> currentWindows() {
+    Map<String, PlanningWindow> found = new LinkedHashMap<>();
+    for (DawnTerms dawn : dawns) {
+      PlanningWindow.current(dawn, wallTime, settings.clockOff())
+          .ifPresent(window -> found.put(dawn.name(), window));
+    }
+    return found;
+  }
+
+  /** Takes up other terms: what they cover is counted anew. */
+  private void setTerms(List<DawnTerms> terms) {
+    dawns = List.copyOf(terms);
+    groups = new JobGroups();
+    statistics.setTerms(dawns);
+    jobs.all().forEach(job -> groups.jobChanged(job, covered(job.spec())));
+    jobs.follow(this::jobChanged);
+    changedJobs.addAll(jobs.all());
+  }
+
+  private boolean covered(JobSpec spec) {
+    return dawns.stream().anyMatch(dawn -> dawn.covers(spec));
+  }
+
+  private void jobChanged(Job job) {
+    statistics.jobChanged(job, wallTime);
+    JobGroups.JobGroup group = groups.jobChanged(job, covered(job.spec()));
+    if (group != null) {
+      if (group.jobs.size() == 1) {
+        applyPlan(group);
+      }
+      if (group.active != null
+          && group.active.isPartial()
+          && isPromiseServed(group.active, group) != group.promiseServed) {
+        group.promiseServed = !group.promiseServed;
+        changedJobs.addAll(group.jobs);
+      }
+    }
+  }
+
+  /** A task of a job has completed after running this long. */
+  public void taskCompleted(Job job, Span ran) {
+    if (!dawns.isEmpty() && covered(job.spec())) {
+      statistics.taskCompleted(job, ran);
+    }
+  }
+
+  /** Takes over what earlier leaders learned and planned. */
+  private void restore(List<PlanRow> rows) {
+    restored = true;
+    statistics.restore(rows);
+    ActivePlan found = new ActivePlan(rows);
+    for (ActivePlan.ActiveGroup entry : found.all()) {
+      JobGroups.JobGroup group = groups.find(entry.group().key());
+      int counted = group == null ? 0 : JobGroups.acceptedBy(group, entry.window().revisedAt());
+      acceptedEarlier.put(
+          entry.group().key(), Math.max(0, entry.group().acceptedTasks() - counted));
+    }
+    for (DawnTerms dawn : dawns) {
+      found
+          .window(dawn.name())
+          .filter(night -> night.deadline().millis() > wallTime.millis())
+          .ifPresent(
+              night ->
+                  LOG.info(
+                      "dawn {}: goes on with the plan of an earlier leader, revision {} of the window, share {}",
+                      dawn.name(),
+                      night.revisionCount(),
+                      night.share()));
+    }
+  }
+
+  private void adopt(ActivePlan next) {
+    ActivePlan before = activePlan;
+    activePlan = next;
+    for (JobGroups.JobGroup group : groups.all()) {
+      Optional<ActivePlan.ActiveGroup> was = before.find(group.key);
+      applyPlan(group);
+      Optional<ActivePlan.ActiveGroup> is = Optional.ofNullable(group.active);
+      boolean beyond = is.isPresent() && isPromiseServed(is.get(), group);
+      if (was.isPresent() != is.isPresent()
+          || beyond != group.promiseServed
+          || is.isPresent() && was.isPresent() && startChanged(was.get(), is.get())) {
+        changedJobs.addAll(group.jobs);
+      }
+      group.promiseServed = beyond;
+    }
+  }
+
+  private boolean startChanged(ActivePlan.ActiveGroup was, ActivePlan.ActiveGroup is) {
+    double left = Math.max(1, is.group().startBy().since(wallTime).millis());
+    double by = Math.abs(is.group().startBy().since(was.group().startBy()).millis());
+    return by > PlanRevisionPolicy.NOTABLE_FRACTION * left
+        || Math.abs(is.rank() - was.rank()) > PlanRevisionPolicy.NOTABLE_FRACTION;
+  }
+
+  /** Says what came of nights that are over, and stores what was learned in them. */
+  private void closeEndedWindows(SharedRecord<PlanRow> record) {
+    for (DawnTerms dawn : dawns) {
+      Optional<PlanRow.WindowRow> night = activePlan.window(dawn.name());
+      if (night.isEmpty()
+          || night.get().deadline().millis() > wallTime.millis()
+          || night.get().deadline().equals(reportedEnds.put(dawn.name(), night.get().deadline()))) {
+        continue;
+      }
+      int late = 0;
+      for (ActivePlan.ActiveGroup entry : activePlan.all()) {
+        JobGroups.JobGroup group = groups.find(entry.group().key());
+        if (group != null && entry.group().dawnName().equals(dawn.name())) {
+          late += group.openTasks;
+          changedJobs.addAll(group.jobs);
+        }
+      }
+      LOG.info(
+          "dawn {} is over after {} revisions: {} tasks are late and go on",
+          dawn.name(),
+          night.get().revisionCount(),
+          late);
+      requestedRevision = record.requestWrite(rows(Map.of()));
+    }
+  }
+
+  private void plan(SharedRecord<PlanRow> record, Map<String, MachineType> types, Moment now) {
+    Span shortest =
+        openWindows.values().stream()
+            .map(PlanningWindow::length)
+            .min(Span::compareTo)
+            .orElseThrow();
+    nextPlanning =
+        now.plus(
+            PlanRevisionPolicy.clamp(
+                shortest.times(0.01), MIN_PLANNING_INTERVAL, MAX_PLANNING_INTERVAL));
+    if (record.revision() < requestedRevision) {
+      return;
+    }
+    for (DawnTerms dawn : dawns) {
+      PlanningWindow window = openWindows.get(dawn.name());
+      if (window != null && activePlan.window(dawn.name(), window).isEmpty()) {
+        beginWindow(dawn);
+      }
+    }
+    groups.removeUnused(activePlan.upcomingKeys(wallTime));
+    Optional<PlanDraft> made = draftBuilder.draft(planInputs(), fleet, types, now, wallTime);
+    if (made.isEmpty()) {
+      return;
+    }
+    PlanDraft draft = made.get();
+    boolean first =
+        openWindows.keySet().stream()
+            .anyMatch(d -> activePlan.window(d, openWindows.get(d)).isEmpty());
+    if (first && draft.groups().isEmpty()) {
+      return;
+    }
+    boolean infeasible = draft.isPartial();
+    if (infeasible && !infeasibleBefore && (!first || mayStillBoot(shortest, types, now))) {
+      // What one look shows may be a machine that is about to come, or an answer that is late.
+      infeasibleBefore = !first;
+      if (!isAlreadyPartial()) {
+        return;
+      }
+    }
+    infeasibleBefore = infeasible;
+    revise(record, draft);
+  }
+
+  private boolean isAlreadyPartial() {
+    return openWindows.entrySet().stream()
+        .anyMatch(
+            e ->
+                activePlan.window(e.getKey(), e.getValue()).filter(n -> n.share() < 1).isPresent());
+  }
+
+  /** Whether what is asked for at the beginning of a window can't have come yet. */
+  private boolean mayStillBoot(Span shortest, Map<String, MachineType> types, Moment now) {
+    Span boot =
+        types.values().stream().map(MachineType::boot).max(Span::compareTo).orElse(Span.seconds(0));
+    Span since =
+        openWindows.values().stream()
+            .map(window -> wallTime.since(window.opensAt()))
+            .min(Span::compareTo)
+            .orElseThrow();
+    Span here = now.since(termStart);
+    Span wait = PlanRevisionPolicy.clamp(boot.times(2.5), Span.seconds(0), shortest.times(0.1));
+    return (since.compareTo(here) < 0 ? since : here).compareTo(wait) < 0;
+  }
+
+  private void beginWindow(DawnTerms dawn) {
+    for (JobGroups.JobGroup group : groups.all()) {
+      if (dawnOf(group.representative).filter(dawn::equals).isPresent()
+          && activePlan
+              .find(group.key)
+              .filter(e -> e.window().deadline().millis() > wallTime.millis())
+              .isEmpty()) {
+        groups.beginWindow(group);
+        acceptedEarlier.remove(group.key);
+      }
+    }
+  }
+
+  private void revise(SharedRecord<PlanRow> record, PlanDraft draft) {
+    Optional<String> reason =
+        PlanRevisionPolicy.revisionReason(draft, activePlan, openWindows, wallTime);
+    if (reason.isEmpty()) {
+      return;
+    }
+    Map<String, List<PlanRow>> fresh = draft.rows(openWindows, activePlan, wallTime);
+    requestedRevision = record.requestWrite(rows(fresh));
+    LOG.info("dawn plan revised ({}): {}", reason.get(), draft.summary());
+    fresh.values().stream()
+        .flatMap(List::stream)
+        .filter(PlanRow.GroupRow.class::isInstance)
+        .map(PlanRow.GroupRow.class::cast)
+        .forEach(
+            group ->
+                LOG.debug(
+                    "dawn {}: {} has {} of {} promised, starts in {}, ends in {}",
+                    group.dawnName(),
+                    group.key(),
+                    group.promisedTasks(),
+                    group.acceptedTasks(),
+                    group.startBy().since(wallTime),
+                    group.endBy().since(wallTime)));
+    if (draft.isPartial()) {
+      LOG.warn("{}", draft.warning());
+    }
+  }
+
+  /** All rows: fresh ones of some dawns, of the others what is in force, and what was learned. */
+  private List<PlanRow> rows(Map<String, List<PlanRow>> fresh) {
+    List<PlanRow> rows = new ArrayList<>();
+    for (DawnTerms dawn : dawns) {
+      rows.addAll(
+          fresh.containsKey(dawn.name()) ? fresh.get(dawn.name()) : activePlan.rows(dawn.name()));
+    }
+    rows.addAll(statistics.rows());
+    return rows;
+  }
+
+  private DraftBuilder.PlanInputs planInputs() {
+    return new DraftBuilder.PlanInputs(
+        groups, dawns, openWindows, statistics, activePlan, acceptedEarlier);
+  }
+
+  private Optional<DawnTerms> dawnOf(JobSpec spec) {
+    return planInputs().dawnOf(spec);
+  }
+
+  private Optional<ActivePlan.ActiveGroup> activeGroup(JobSpec spec) {
+    return activePlan
+        .find(GroupKey.of(spec))
+        .or(() -> activePlan.find(GroupKey.OTHERS))
+        .filter(entry -> entry.window().deadline().millis() > wallTime.millis())
+        .filter(
+            entry ->
+                dawns.stream()
+                    .anyMatch(
+                        dawn -> dawn.name().equals(entry.group().dawnName()) && dawn.covers(spec)));
+  }
+
+  private boolean isPromiseServed(ActivePlan.ActiveGroup entry, JobGroups.JobGroup group) {
+    int served = acceptedEarlier.getOrDefault(group.key, 0) + group.servedTasks();
+    return entry.isPartial()
+        && !entry.group().key().equals(GroupKey.OTHERS)
+        && served >= entry.group().promisedTasks();
+  }
+
+  @Override
+  public Optional<Left> left(Job job, WallTime now) {
+    JobGroups.JobGroup group = dawns.isEmpty() ? null : groups.groupOf(job);
+    // What is beyond a group's share goes as if there were no plan.
+    if (group == null
+        || group.active == null
+        || group.promiseServed
+        || group.active.window().deadline().millis() <= now.millis()) {
+      return Optional.empty();
+    }
+    Span least = minTimeLeft.times(1 + group.active.rank());
+    Span left = group.active.group().startBy().since(now);
+    // Where there is too little time for all, none is left to wait for a turn.
+    boolean due = group.active.isPartial() || left.compareTo(least) <= 0;
+    return Optional.of(due ? new Left(least, true) : new Left(left, false));
+  }
+
+  @Override
+  public Optional<Span> ends(Job job, WallTime now) {
+    JobGroups.JobGroup group = openWindows.isEmpty() ? null : groups.groupOf(job);
+    if (group == null || group.finishBy == null) {
+      return Optional.empty();
+    }
+    return Optional.of(
+            group.finishBy.since(now).minus(job.spec().guess().times(group.runTimeSpread)))
+        .filter(left -> left.millis() > 0);
+  }
+
+  @Override
+  public List<Job> takeMoved() {
+    if (changedJobs.isEmpty()) {
+      return List.of();
+    }
+    List<Job> taken = List.copyOf(changedJobs);
+    changedJobs.clear();
+    return taken;
+  }
+}
--- a/src/main/java/org/oakwalk/core/planner/Groups.java
+++ b/src/main/java/org/oakwalk/core/planner/JobGroups.java
@@ -16,98 +16,98 @@
  * Sums of the open jobs by group, kept up to date with each change of a job, so that a plan looks
  * at groups alone.
  */
-final class Groups {
+final class JobGroups {
   /** Open jobs of one group. */
-  static final class Group {
+  static final class JobGroup {
     final GroupKey key;
     final Set<Job> jobs = new LinkedHashSet<>();
 
     /** A job that stands for them. */
-    JobSpec sample;
+    JobSpec representative;
 
     /** Tasks of all jobs that came since it is known, done ones too, less what was withdrawn. */
-    int came;
+    int acceptedTasks;
 
-    int open;
-    int waiting;
+    int openTasks;
+    int waitingTasks;
 
     /** Guessed seconds of the tasks that are open. */
-    double seconds;
+    double openSeconds;
 
-    int widest = 1;
+    int maxGangWidth = 1;
 
     /** What is in force for it, and by when it should be done; null if nothing is. */
-    PlanInForce.Entry entry;
+    ActivePlan.ActiveGroup active;
 
-    WallTime ends;
+    WallTime finishBy;
 
     /** By how much of their guesses tasks may take longer than on an average. */
-    double strays;
+    double runTimeSpread;
 
     /** Whether its share has been served. */
-    boolean beyond;
+    boolean promiseServed;
 
     /** Guess of the longest task that was in it. */
-    double longest;
+    double longestEstimate;
 
-    Group(GroupKey key, JobSpec sample) {
+    JobGroup(GroupKey key, JobSpec sample) {
       this.key = key;
-      this.sample = sample;
+      this.representative = sample;
     }
 
-    double guess() {
-      return open <= 0 ? sample.guess().asSeconds() : seconds / open;
+    double meanEstimate() {
+      return openTasks <= 0 ? representative.guess().asSeconds() : openSeconds / openTasks;
     }
 
-    int done() {
-      return came - open;
+    int doneTasks() {
+      return acceptedTasks - openTasks;
     }
 
-    int served() {
-      return came - waiting;
+    int servedTasks() {
+      return acceptedTasks - waitingTasks;
     }
   }
 
   /** What a job adds. */
-  private static final class Part {
-    Group group;
-    int open;
-    int waiting;
-    Room other = Room.NONE;
+  private static final class CountedJob {
+    JobGroup group;
+    int openTasks;
+    int waitingTasks;
+    Room otherDemand = Room.NONE;
 
     /** Tasks that were done before the window opened. */
-    int before;
+    int doneBefore;
 
-    int came;
+    int acceptedTasks;
   }
 
-  private final Map<GroupKey, Group> groups = new LinkedHashMap<>();
-  private final Map<Job, Part> parts = new IdentityHashMap<>();
-  private final Map<String, Room> others = new HashMap<>();
-  private Room services = Room.NONE;
+  private final Map<GroupKey, JobGroup> groups = new LinkedHashMap<>();
+  private final Map<Job, CountedJob> countedJobs = new IdentityHashMap<>();
+  private final Map<String, Room> otherDemand = new HashMap<>();
+  private Room serviceDemand = Room.NONE;
 
-  Collection<Group> all() {
+  Collection<JobGroup> all() {
     return groups.values();
   }
 
-  Group find(GroupKey key) {
+  JobGroup find(GroupKey key) {
     return groups.get(key);
   }
 
   /** The group of an open job; null if no dawn is set for it. */
-  Group of(Job job) {
-    Part part = parts.get(job);
+  JobGroup groupOf(Job job) {
+    CountedJob part = countedJobs.get(job);
     return part == null ? null : part.group;
   }
 
   /** Room that open services ask for and have not got. */
-  Room servicesWaiting() {
-    return services;
+  Room serviceDemand() {
+    return serviceDemand;
   }
 
   /** Room that a team's other work, which no dawn is set for, asks for. */
-  Room others(String team) {
-    return others.getOrDefault(team, Room.NONE);
+  Room otherDemand(String team) {
+    return otherDemand.getOrDefault(team, Room.NONE);
   }
 
   /**
@@ -116,76 +116,78 @@
    * @param covered whether a dawn is set for it
    * @return the group whose sums it has changed, or null
    */
-  Group touched(Job job, boolean covered) {
-    Part part = parts.get(job);
+  JobGroup jobChanged(Job job, boolean covered) {
+    CountedJob part = countedJobs.get(job);
     if (part == null) {
       if (job.over()) {
         return null;
       }
-      part = new Part();
-      parts.put(job, part);
+      part = new CountedJob();
+      countedJobs.put(job, part);
       if (covered) {
         GroupKey key = GroupKey.of(job.spec());
-        part.group = groups.computeIfAbsent(key, k -> new Group(k, job.spec()));
+        part.group = groups.computeIfAbsent(key, k -> new JobGroup(k, job.spec()));
         part.group.jobs.add(job);
-        part.group.sample = job.spec();
-        part.group.longest = Math.max(part.group.longest, job.spec().guess().asSeconds());
-        part.group.widest = Math.max(part.group.widest, job.spec().gang() ? job.spec().tasks() : 1);
+        part.group.representative = job.spec();
+        part.group.longestEstimate =
+            Math.max(part.group.longestEstimate, job.spec().guess().asSeconds());
+        part.group.maxGangWidth =
+            Math.max(part.group.maxGangWidth, job.spec().gang() ? job.spec().tasks() : 1);
       }
     }
     if (part.group == null) {
-      other(job, part);
+      updateOtherDemand(job, part);
       return null;
     }
-    Group group = part.group;
+    JobGroup group = part.group;
     // What fails everywhere is no measure of the night, and nothing is promised for it.
     boolean counts = job.open() && !job.suspect();
     int open = counts ? job.spec().tasks() - job.doneCount() : 0;
     int waiting = counts ? job.pendingCount() : 0;
-    group.open += open - part.open;
-    group.waiting += waiting - part.waiting;
-    group.seconds += (open - part.open) * job.spec().guess().asSeconds();
-    part.open = open;
-    part.waiting = waiting;
+    group.openTasks += open - part.openTasks;
+    group.waitingTasks += waiting - part.waitingTasks;
+    group.openSeconds += (open - part.openTasks) * job.spec().guess().asSeconds();
+    part.openTasks = open;
+    part.waitingTasks = waiting;
     boolean lost = job.state() == Job.State.WITHDRAWN || job.suspect();
-    int came = (lost ? job.doneCount() : job.spec().tasks()) - part.before;
-    group.came += came - part.came;
-    part.came = came;
+    int came = (lost ? job.doneCount() : job.spec().tasks()) - part.doneBefore;
+    group.acceptedTasks += came - part.acceptedTasks;
+    part.acceptedTasks = came;
     if (job.over()) {
-      parts.remove(job);
+      countedJobs.remove(job);
       group.jobs.remove(job);
     }
     return group;
   }
 
-  private void other(Job job, Part part) {
+  private void updateOtherDemand(Job job, CountedJob part) {
     JobSpec spec = job.spec();
     int tasks = spec.service() ? job.pendingCount() : spec.tasks() - job.doneCount();
     Room asked = job.open() ? spec.room().times(tasks) : Room.NONE;
     if (spec.service()) {
-      services = services.plus(asked).minus(part.other);
+      serviceDemand = serviceDemand.plus(asked).minus(part.otherDemand);
     } else {
-      others.merge(spec.team(), asked.minus(part.other), Room::plus);
+      otherDemand.merge(spec.team(), asked.minus(part.otherDemand), Room::plus);
     }
-    part.other = asked;
+    part.otherDemand = asked;
     if (job.over()) {
-      parts.remove(job);
+      countedJobs.remove(job);
     }
   }
 
   /** A new window: only what is open counts from now on. */
-  void begin(Group group) {
-    group.came = 0;
+  void beginWindow(JobGroup group) {
+    group.acceptedTasks = 0;
     for (Job job : group.jobs) {
-      Part part = parts.get(job);
-      part.before = job.doneCount();
-      part.came = 0;
-      touched(job, true);
+      CountedJob part = countedJobs.get(job);
+      part.doneBefore = job.doneCount();
+      part.acceptedTasks = 0;
+      jobChanged(job, true);
     }
   }
 
   /** Tasks of a group's open jobs that were accepted by then. */
-  static int acceptedBy(Group group, WallTime by) {
+  static int acceptedBy(JobGroup group, WallTime by) {
     int tasks = 0;
     for (Job job : group.jobs) {
       tasks += job.accepted().millis() <= by.millis() ? job.spec().tasks() : 0;
@@ -194,7 +196,7 @@
   }
 
   /** Drops groups that have neither open jobs nor a place in a plan. */
-  void sweep(Set<GroupKey> planned) {
+  void removeUnused(Set<GroupKey> planned) {
     groups.values().removeIf(group -> group.jobs.isEmpty() && !planned.contains(group.key));
   }
 }
--- a/src/main/java/org/oakwalk/core/planner/PlanRow.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanRow.java
@@ -8,10 +8,10 @@
 /** A line of the record that leaders keep of their plans and of what these rest on. */
 public sealed interface PlanRow extends SharedRow {
   /** Digits of a number in a list, with its comma. */
-  int NUMBER = 20;
+  int MAX_NUMBER_BYTES = 20;
 
   /** Bytes of text as JSON at most. */
-  private static int text(String text) {
+  private static int maxTextBytes(String text) {
     return 6 * text.length();
   }
 
@@ -24,20 +24,20 @@
    * @param missing what is missing, in hours of a whole machine
    * @param machines so many more machines would mend it, for {@code seconds}
    */
-  record Night(
-      String dawn,
-      WallTime opens,
-      WallTime dawnAt,
-      WallTime revised,
-      int revisions,
+  record WindowRow(
+      String dawnName,
+      WallTime opensAt,
+      WallTime deadline,
+      WallTime revisedAt,
+      int revisionCount,
       double share,
-      double missing,
-      int machines,
-      long seconds)
+      double missingMachineHours,
+      int missingMachines,
+      long extraMachineSeconds)
       implements PlanRow {
     @Override
     public int maxJsonBytes() {
-      return SHORT_ROW_BYTES + text(dawn);
+      return SHORT_ROW_BYTES + maxTextBytes(dawnName);
     }
   }
 
@@ -51,19 +51,19 @@
    * @param lastStart when the last of them has to be started to be done by dawn
    * @param missing what is missing for all of them, in hours of a whole machine
    */
-  record Group(
-      String dawn,
+  record GroupRow(
+      String dawnName,
       GroupKey key,
-      int seen,
-      int promised,
+      int acceptedTasks,
+      int promisedTasks,
       WallTime startBy,
       WallTime endBy,
-      WallTime lastStart,
-      double missing)
+      WallTime latestStart,
+      double missingMachineHours)
       implements PlanRow {
     @Override
     public int maxJsonBytes() {
-      return SHORT_ROW_BYTES + text(dawn + key.team() + key.jobClass());
+      return SHORT_ROW_BYTES + maxTextBytes(dawnName + key.team() + key.jobClass());
     }
   }
 
@@ -72,10 +72,10 @@
    *
    * @param counts hundredths of the guess, and how many tasks took that long, by turns
    */
-  record Runs(String jobClass, List<Long> counts) implements PlanRow {
+  record RunTimeRow(String jobClass, List<Long> histogram) implements PlanRow {
     @Override
     public int maxJsonBytes() {
-      return SHORT_ROW_BYTES + text(jobClass) + NUMBER * counts.size();
+      return SHORT_ROW_BYTES + maxTextBytes(jobClass) + MAX_NUMBER_BYTES * histogram.size();
     }
   }
 
@@ -88,19 +88,21 @@
    * @param room of a task
    * @param bySlice seconds of tasks by parts of the time; -1 where nothing is known
    */
-  record Coming(
-      String dawn,
+  record ArrivalRow(
+      String dawnName,
       String team,
       String jobClass,
-      long slice,
-      long sum,
-      double run,
-      Room room,
-      List<Long> bySlice)
+      long currentSlice,
+      long currentSeconds,
+      double meanEstimate,
+      Room resources,
+      List<Long> secondsBySlice)
       implements PlanRow {
     @Override
     public int maxJsonBytes() {
-      return SHORT_ROW_BYTES + text(dawn + team + jobClass) + NUMBER * bySlice.size();
+      return SHORT_ROW_BYTES
+          + maxTextBytes(dawnName + team + jobClass)
+          + MAX_NUMBER_BYTES * secondsBySlice.size();
     }
   }
 
@@ -111,11 +113,17 @@
    * @param hours hours of machines that were watched, fading
    * @param losses machines that were taken back in them
    */
-  record Reach(String type, String zone, boolean spot, double most, double hours, double losses)
+  record CapacityRow(
+      String type,
+      String zone,
+      boolean spot,
+      double recentPeak,
+      double observedHours,
+      double reclaims)
       implements PlanRow {
     @Override
     public int maxJsonBytes() {
-      return SHORT_ROW_BYTES + text(type + zone);
+      return SHORT_ROW_BYTES + maxTextBytes(type + zone);
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/planner/Window.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanningWindow.java
@@ -11,59 +11,66 @@
 /**
  * The time before one dawn in which work is planned.
  *
- * @param opens when it opens
- * @param dawn when it is over
- * @param ends by when all should be done: the margin, and what this clock may be late, before that
+ * @param opensAt when it opens
+ * @param deadline when it is over
+ * @param finishBy by when all should be done: the margin, and what this clock may be late, before
+ *     that
  */
-public record Window(WallTime opens, WallTime dawn, WallTime ends) {
+public record PlanningWindow(WallTime opensAt, WallTime deadline, WallTime finishBy) {
   /** Learned amounts are kept by such parts of the time from one dawn to the next. */
-  static final int SLICES = 24;
+  static final int SLICES_PER_PERIOD = 24;
 
   /**
    * The window that is open.
    *
    * @param clockOff by how much this clock may be off; taken to be late, so that work ends early
    */
-  public static Optional<Window> open(DawnTerms terms, WallTime now, Span clockOff) {
-    Optional<Window> next = next(terms, now, clockOff);
-    return next.filter(window -> window.opens().millis() <= now.millis());
+  public static Optional<PlanningWindow> current(DawnTerms terms, WallTime now, Span clockOff) {
+    Optional<PlanningWindow> next = next(terms, now, clockOff);
+    return next.filter(window -> window.opensAt().millis() <= now.millis());
   }
 
   /** The window of the next dawn, open or not. */
-  public static Optional<Window> next(DawnTerms terms, WallTime now, Span clockOff) {
+  public static Optional<PlanningWindow> next(DawnTerms terms, WallTime now, Span clockOff) {
     if (terms.daily().isPresent()) {
-      return Optional.of(daily(terms, terms.daily().get(), now, clockOff));
+      return Optional.of(nextDaily(terms, terms.daily().get(), now, clockOff));
     }
     return terms
         .every()
         .map(
             every -> {
               long dawn = (Math.floorDiv(now.millis(), every.millis()) + 1) * every.millis();
-              return of(dawn - terms.lasts().millis(), dawn, terms, clockOff);
+              return ofDeadline(dawn - terms.lasts().millis(), dawn, terms, clockOff);
             });
   }
 
-  private static Window of(long opens, long dawn, DawnTerms terms, Span clockOff) {
+  private static PlanningWindow ofDeadline(long opens, long dawn, DawnTerms terms, Span clockOff) {
     long ends = dawn - terms.margin().millis() - clockOff.millis();
-    return new Window(new WallTime(opens), new WallTime(dawn), new WallTime(Math.max(opens, ends)));
+    return new PlanningWindow(
+        new WallTime(opens), new WallTime(dawn), new WallTime(Math.max(opens, ends)));
   }
 
   /**
    * Where a local time comes twice, its first counts; where it is left out, the moment of the jump.
    * So no night's dawn is later than its clock face says.
    */
-  private static Window daily(DawnTerms terms, DawnTerms.Daily daily, WallTime now, Span clockOff) {
+  private static PlanningWindow nextDaily(
+      DawnTerms terms, DawnTerms.Daily daily, WallTime now, Span clockOff) {
     LocalDate today = Instant.ofEpochMilli(now.millis()).atZone(daily.zone()).toLocalDate();
     LocalDate date = today.minusDays(1);
-    while (instant(date, daily, daily.by()) <= now.millis()) {
+    while (toEpochMillis(date, daily, daily.by()) <= now.millis()) {
       date = date.plusDays(1);
     }
     LocalDate evening = daily.opens().isBefore(daily.by()) ? date : date.minusDays(1);
-    return of(
-        instant(evening, daily, daily.opens()), instant(date, daily, daily.by()), terms, clockOff);
+    return ofDeadline(
+        toEpochMillis(evening, daily, daily.opens()),
+        toEpochMillis(date, daily, daily.by()),
+        terms,
+        clockOff);
   }
 
-  private static long instant(LocalDate date, DawnTerms.Daily daily, java.time.LocalTime time) {
+  private static long toEpochMillis(
+      LocalDate date, DawnTerms.Daily daily, java.time.LocalTime time) {
     ZonedDateTime at = date.atTime(time).atZone(daily.zone());
     if (!at.toLocalTime().equals(time)) {
       return daily.zone().getRules().getTransition(date.atTime(time)).getInstant().toEpochMilli();
@@ -72,27 +79,27 @@
   }
 
   /** Which part of the time between two dawns this is: the hour of the day, or like that. */
-  static int slice(DawnTerms terms, WallTime now) {
+  static int sliceOf(DawnTerms terms, WallTime now) {
     if (terms.daily().isPresent()) {
       return Instant.ofEpochMilli(now.millis()).atZone(terms.daily().get().zone()).getHour();
     }
     long every = terms.every().map(Span::millis).orElse(1L);
-    return (int) (Math.floorMod(now.millis(), every) * SLICES / every);
+    return (int) (Math.floorMod(now.millis(), every) * SLICES_PER_PERIOD / every);
   }
 
   /** How long such a part is. */
   static Span sliceLength(DawnTerms terms) {
     return terms.daily().isPresent()
         ? Span.seconds(3600)
-        : Span.millis(terms.every().map(Span::millis).orElse(1L) / SLICES);
+        : Span.millis(terms.every().map(Span::millis).orElse(1L) / SLICES_PER_PERIOD);
   }
 
   /** The time until all should be done; negative once that has passed. */
-  Span left(WallTime now) {
-    return ends.since(now);
+  Span timeLeft(WallTime now) {
+    return finishBy.since(now);
   }
 
   Span length() {
-    return dawn.since(opens);
+    return deadline.since(opensAt);
   }
 }
--- a/src/main/java/org/oakwalk/core/planner/RunSpread.java
+++ b/src/main/java/org/oakwalk/core/planner/RunTimeDistribution.java
@@ -15,44 +15,45 @@
  * How run times compare with their guesses, by class, with their spread. A plan at the mean would
  * miss every other night.
  */
-final class RunSpread {
-  private static final long MOST = 1000;
-  private static final long LEAST = 5;
+final class RunTimeDistribution {
+  private static final long MAX_HUNDREDTHS = 1000;
+  private static final long MIN_HUNDREDTHS = 5;
 
   /** Beyond so many, all are halved, so that what is new counts. */
-  private static final int FULL = 400;
+  private static final int MAX_SAMPLES = 400;
 
   /** More of one job tell nothing about the others of its class. */
-  private static final int OF_A_JOB = 8;
+  private static final int MAX_SAMPLES_PER_JOB = 8;
 
-  private static final int ENOUGH = 5;
+  private static final int MIN_SAMPLES = 5;
 
   /** What is added as long as nothing is known. */
-  private static final double UNKNOWN = 1.3;
+  private static final double DEFAULT_QUANTILE = 1.3;
 
-  private static final int MOST_PAIRS = 20;
+  private static final int MAX_PAIRS = 20;
   private static final int MOST_CLASSES = 64;
 
   private final Map<String, Histogram> byClass = new TreeMap<>();
-  private final Map<JobId, Integer> counted = new HashMap<>();
+  private final Map<JobId, Integer> samplesByJob = new HashMap<>();
 
   /** A task of this job took this long. */
-  void learn(Job job, Span ran) {
+  void taskCompleted(Job job, Span ran) {
     double guess = job.spec().guess().asSeconds();
-    if (guess <= 0 || counted.merge(job.id(), 1, Integer::sum) > OF_A_JOB) {
+    if (guess <= 0 || samplesByJob.merge(job.id(), 1, Integer::sum) > MAX_SAMPLES_PER_JOB) {
       return;
     }
-    record(job.spec().jobClass(), Math.round(100 * ran.asSeconds() / guess), 1);
+    addSamples(job.spec().jobClass(), Math.round(100 * ran.asSeconds() / guess), 1);
   }
 
-  private void record(String jobClass, long hundredths, long count) {
+  private void addSamples(String jobClass, long hundredths, long count) {
     if (!byClass.containsKey(jobClass) && byClass.size() >= MOST_CLASSES) {
       return;
     }
-    Histogram runs = byClass.computeIfAbsent(jobClass, name -> new Histogram(MOST, 1));
-    runs.recordValueWithCount(Math.min(MOST, Math.max(LEAST, hundredths)), count);
-    if (runs.getTotalCount() > FULL) {
-      Histogram half = new Histogram(MOST, 1);
+    Histogram runs = byClass.computeIfAbsent(jobClass, name -> new Histogram(MAX_HUNDREDTHS, 1));
+    runs.recordValueWithCount(
+        Math.min(MAX_HUNDREDTHS, Math.max(MIN_HUNDREDTHS, hundredths)), count);
+    if (runs.getTotalCount() > MAX_SAMPLES) {
+      Histogram half = new Histogram(MAX_HUNDREDTHS, 1);
       for (HistogramIterationValue value : runs.recordedValues()) {
         half.recordValueWithCount(
             value.getValueIteratedTo(), (value.getCountAtValueIteratedTo() + 1) / 2);
@@ -61,38 +62,38 @@
     }
   }
 
-  void forget(JobId job) {
-    counted.remove(job);
+  void forgetJob(JobId job) {
+    samplesByJob.remove(job);
   }
 
   /** The mean part of its guess that a task takes. */
-  double mean(String jobClass) {
+  double meanRatio(String jobClass) {
     Histogram runs = byClass.get(jobClass);
-    return runs == null || runs.getTotalCount() < ENOUGH ? 1 : runs.getMean() / 100;
+    return runs == null || runs.getTotalCount() < MIN_SAMPLES ? 1 : runs.getMean() / 100;
   }
 
   /** The part of its guess within which so many tasks end. */
-  double quantile(String jobClass, double share) {
+  double quantileRatio(String jobClass, double share) {
     Histogram runs = byClass.get(jobClass);
-    return runs == null || runs.getTotalCount() < ENOUGH
-        ? UNKNOWN
-        : Math.max(mean(jobClass), runs.getValueAtPercentile(share * 100) / 100.0);
+    return runs == null || runs.getTotalCount() < MIN_SAMPLES
+        ? DEFAULT_QUANTILE
+        : Math.max(meanRatio(jobClass), runs.getValueAtPercentile(share * 100) / 100.0);
   }
 
   List<PlanRow> rows() {
     List<PlanRow> rows = new ArrayList<>();
-    byClass.forEach((name, runs) -> rows.add(new PlanRow.Runs(name, pairs(runs))));
+    byClass.forEach((name, runs) -> rows.add(new PlanRow.RunTimeRow(name, histogramPairs(runs))));
     return rows;
   }
 
   /** Neighbours are put together where there are too many: the longer of them counts. */
-  private static List<Long> pairs(Histogram runs) {
+  private static List<Long> histogramPairs(Histogram runs) {
     List<Long> pairs = new ArrayList<>();
     int values = 0;
     for (HistogramIterationValue value : runs.recordedValues()) {
       values += value.getCountAtValueIteratedTo() > 0 ? 1 : 0;
     }
-    int each = Math.max(1, (values + MOST_PAIRS - 1) / MOST_PAIRS);
+    int each = Math.max(1, (values + MAX_PAIRS - 1) / MAX_PAIRS);
     long sum = 0;
     int taken = 0;
     for (HistogramIterationValue value : runs.recordedValues()) {
@@ -107,9 +108,9 @@
     return pairs;
   }
 
-  void restore(PlanRow.Runs row) {
-    for (int i = 0; i + 1 < row.counts().size(); i += 2) {
-      record(row.jobClass(), row.counts().get(i), row.counts().get(i + 1));
+  void restore(PlanRow.RunTimeRow row) {
+    for (int i = 0; i + 1 < row.histogram().size(); i += 2) {
+      addSamples(row.jobClass(), row.histogram().get(i), row.histogram().get(i + 1));
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/planner/Schedule.java
+++ b/src/main/java/org/oakwalk/core/planner/Schedule.java
@@ -19,9 +19,9 @@
   static final int SLOTS = 96;
 
   /** So small a part of a group's tasks may be late without calling a night infeasible. */
-  private static final double TOLERATED = 0.002;
+  private static final double TOLERATED_LATE_FRACTION = 0.002;
 
-  private static final double NONE = 1e-9;
+  private static final double EPSILON = 1e-9;
 
   /**
    * Machines of one sort.
@@ -29,7 +29,7 @@
    * @param held machines that are free by slot, as held at present
    * @param more machines that could be had beside them, by slot
    */
-  record Pool(String name, double[] held, double[] more) {}
+  record MachinePool(String name, double[] freeHeld, double[] obtainable) {}
 
   /**
    * Tasks of one group.
@@ -42,22 +42,22 @@
    * @param width tasks that start together
    * @param ofLimit part of its team's limit that a task takes; zero if there is none
    */
-  record Work(
+  record GroupWork(
       String name,
-      double[] released,
-      double run,
-      double tail,
-      double due,
-      double[] use,
-      int width,
+      double[] releasedBySlot,
+      double runSeconds,
+      double tailSeconds,
+      double dueSeconds,
+      double[] machineFraction,
+      int gangWidth,
       String team,
-      double ofLimit) {
+      double limitFraction) {
     double tasks() {
-      return released[SLOTS - 1];
+      return releasedBySlot[SLOTS - 1];
     }
 
     double latestStart() {
-      return due - tail;
+      return dueSeconds - tailSeconds;
     }
   }
 
@@ -66,39 +66,42 @@
    *
    * @param late tasks that can't be done in time
    */
-  record Times(double start, double lastStart, double end, double late) {}
+  record GroupTimes(double start, double lastStart, double end, double lateTasks) {}
 
-  private final List<Pool> pools;
-  private final Map<String, Double> limits;
-  private final double slot;
+  private final List<MachinePool> pools;
+  private final Map<String, Double> limitFractions;
+  private final double slotSeconds;
 
   /**
    * A schedule that has not been laid out.
    *
    * @param seconds the time that is divided
-   * @param limits parts of their limits that teams may use
+   * @param limitFractions parts of their limits that teams may use
    */
-  Schedule(List<Pool> pools, Map<String, Double> limits, double seconds) {
+  Schedule(List<MachinePool> pools, Map<String, Double> limits, double seconds) {
     this.pools = pools;
-    this.limits = limits;
-    this.slot = Math.max(0.001, seconds / SLOTS);
+    this.limitFractions = limits;
+    this.slotSeconds = Math.max(0.001, seconds / SLOTS);
   }
 
   double slotSeconds() {
-    return slot;
+    return slotSeconds;
   }
 
   /** The order in which groups go. */
-  static Comparator<Work> order() {
-    return Comparator.comparingDouble(Work::latestStart)
-        .thenComparing(Comparator.comparingDouble(Work::tasks).reversed())
-        .thenComparing(Work::name);
+  static Comparator<GroupWork> latestStartFirst() {
+    return Comparator.comparingDouble(GroupWork::latestStart)
+        .thenComparing(Comparator.comparingDouble(GroupWork::tasks).reversed())
+        .thenComparing(GroupWork::name);
   }
 
   /** Whether nothing is late that is not late by a trifle. */
-  static boolean feasible(Map<Work, Times> times) {
+  static boolean isFeasible(Map<GroupWork, GroupTimes> times) {
     return times.entrySet().stream()
-        .allMatch(entry -> entry.getValue().late() <= TOLERATED * entry.getKey().tasks() + NONE);
+        .allMatch(
+            entry ->
+                entry.getValue().lateTasks()
+                    <= TOLERATED_LATE_FRACTION * entry.getKey().tasks() + EPSILON);
   }
 
   /**
@@ -108,62 +111,66 @@
    * @param level part of what could be had beside what is held
    * @param after seconds during which nothing is started
    */
-  Map<Work, Times> layOut(List<Work> works, double level, double after) {
+  Map<GroupWork, GroupTimes> layOut(List<GroupWork> works, double level, double after) {
     double[][] free = new double[pools.size()][SLOTS];
     for (int p = 0; p < pools.size(); p++) {
       for (int k = 0; k < SLOTS; k++) {
-        free[p][k] = pools.get(p).held()[k] + level * pools.get(p).more()[k];
+        free[p][k] = pools.get(p).freeHeld()[k] + level * pools.get(p).obtainable()[k];
       }
     }
     Map<String, double[]> inUse = new HashMap<>();
     double[] started = new double[works.size()];
     double[][] times = new double[works.size()][];
     double[] late = new double[works.size()];
-    for (int k = (int) Math.ceil(after / slot); k < SLOTS; k++) {
+    for (int k = (int) Math.ceil(after / slotSeconds); k < SLOTS; k++) {
       for (int w = 0; w < works.size(); w++) {
-        Work work = works.get(w);
-        double waiting = work.released()[k] - started[w];
-        if (waiting <= NONE) {
+        GroupWork work = works.get(w);
+        double waiting = work.releasedBySlot()[k] - started[w];
+        if (waiting <= EPSILON) {
           continue;
         }
-        double starts = start(work, waiting, k, free, inUse);
-        if (starts > NONE) {
+        double starts = startTasks(work, waiting, k, free, inUse);
+        if (starts > EPSILON) {
           started[w] += starts;
           // What is shorter than a slot is spread over it.
-          double from = k * slot;
-          double last = from + Math.max(0, slot - work.run()) * Math.min(1, starts / waiting);
+          double from = k * slotSeconds;
+          double last =
+              from + Math.max(0, slotSeconds - work.runSeconds()) * Math.min(1, starts / waiting);
           times[w] = new double[] {times[w] == null ? from : times[w][0], last};
-          late[w] += last > work.latestStart() + NONE ? starts : 0;
+          late[w] += last > work.latestStart() + EPSILON ? starts : 0;
         }
       }
     }
-    Map<Work, Times> result = new HashMap<>();
+    Map<GroupWork, GroupTimes> result = new HashMap<>();
     for (int w = 0; w < works.size(); w++) {
-      Work work = works.get(w);
-      double end = SLOTS * slot;
+      GroupWork work = works.get(w);
+      double end = SLOTS * slotSeconds;
       double first = times[w] == null ? end : times[w][0];
       double last = times[w] == null ? end : times[w][1];
       double left = Math.max(0, work.tasks() - started[w]);
       result.put(
-          work, new Times(first, left > NONE ? end : last, last + work.tail(), late[w] + left));
+          work,
+          new GroupTimes(
+              first, left > EPSILON ? end : last, last + work.tailSeconds(), late[w] + left));
     }
     return result;
   }
 
-  private double start(
-      Work work, double waiting, int k, double[][] free, Map<String, double[]> inUse) {
-    double part = Math.min(1, work.run() / slot);
-    double most = Math.min(waiting, underLimit(work, k, inUse) / part);
+  private double startTasks(
+      GroupWork work, double waiting, int k, double[][] free, Map<String, double[]> inUse) {
+    double part = Math.min(1, work.runSeconds() / slotSeconds);
+    double most = Math.min(waiting, placesUnderLimit(work, k, inUse) / part);
     double[] places = new double[pools.size()];
     double sum = 0;
     for (int p = 0; p < places.length && sum < most; p++) {
-      if (work.use()[p] > 0) {
-        places[p] = Math.min(most - sum, Math.max(0, free[p][k]) / (work.use()[p] * part));
+      if (work.machineFraction()[p] > 0) {
+        places[p] =
+            Math.min(most - sum, Math.max(0, free[p][k]) / (work.machineFraction()[p] * part));
         sum += places[p];
       }
     }
-    if (work.width() > 1) {
-      double whole = Math.floor(sum / work.width() + NONE) * work.width();
+    if (work.gangWidth() > 1) {
+      double whole = Math.floor(sum / work.gangWidth() + EPSILON) * work.gangWidth();
       for (int p = places.length - 1; p >= 0 && sum > whole; p--) {
         double less = Math.min(places[p], sum - whole);
         places[p] -= less;
@@ -172,31 +179,31 @@
     }
     for (int p = 0; p < places.length; p++) {
       if (places[p] > 0) {
-        occupy(free[p], k, work.run(), -places[p] * work.use()[p]);
+        occupy(free[p], k, work.runSeconds(), -places[p] * work.machineFraction()[p]);
       }
     }
-    if (limits.containsKey(work.team()) && sum > 0) {
+    if (limitFractions.containsKey(work.team()) && sum > 0) {
       occupy(
           inUse.computeIfAbsent(work.team(), team -> new double[SLOTS]),
           k,
-          work.run(),
-          sum * work.ofLimit());
+          work.runSeconds(),
+          sum * work.limitFraction());
     }
     return sum;
   }
 
-  private double underLimit(Work work, int k, Map<String, double[]> inUse) {
-    Double limit = limits.get(work.team());
-    if (limit == null || work.ofLimit() <= 0) {
+  private double placesUnderLimit(GroupWork work, int k, Map<String, double[]> inUse) {
+    Double limit = limitFractions.get(work.team());
+    if (limit == null || work.limitFraction() <= 0) {
       return Double.MAX_VALUE;
     }
     double used = inUse.containsKey(work.team()) ? inUse.get(work.team())[k] : 0;
-    return Math.max(0, limit - used) / work.ofLimit();
+    return Math.max(0, limit - used) / work.limitFraction();
   }
 
   private void occupy(double[] slots, int from, double seconds, double amount) {
     for (int k = from; k < SLOTS; k++) {
-      double part = Math.min(1, seconds / slot - (k - from));
+      double part = Math.min(1, seconds / slotSeconds - (k - from));
       if (part <= 0) {
         return;
       }
--- a/src/main/java/org/oakwalk/model/Nights.java
+++ b/src/main/java/org/oakwalk/model/Nights.java
@@ -13,10 +13,10 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.JobSpec;
+import org.oakwalk.core.planner.DeadlinePlanner;
 import org.oakwalk.core.planner.GroupKey;
 import org.oakwalk.core.planner.PlanRow;
-import org.oakwalk.core.planner.Planner;
-import org.oakwalk.core.planner.Window;
+import org.oakwalk.core.planner.PlanningWindow;
 import org.oakwalk.core.product.DawnTerms;
 import org.oakwalk.core.shared.SharedRow;
 import org.oakwalk.core.store.StoreKeys;
@@ -41,7 +41,7 @@
   private final List<DawnTerms> dawns;
   private final Map<String, Map<JobId, Integer>> before = new HashMap<>();
   private final Map<String, List<Night>> nights = new TreeMap<>();
-  private final Map<String, PlanRow.Group> last = new HashMap<>();
+  private final Map<String, PlanRow.GroupRow> last = new HashMap<>();
   private long revision = -1;
 
   Nights(World world, List<DawnTerms> dawns) {
@@ -52,13 +52,14 @@
   /** Sets out to look at each dawn that comes before the scenario is over. */
   void begin(double end) {
     for (DawnTerms dawn : dawns) {
-      Optional<Window> window = Window.next(dawn, world.wall(), world.settings.clockOff());
-      while (window.isPresent() && seconds(window.get().dawn()) <= end) {
-        Window night = window.get();
-        world.time.at(Math.max(0, seconds(night.opens())), () -> opens(dawn));
-        world.time.at(seconds(night.dawn()) - 0.001, () -> ends(dawn, night));
-        WallTime next = new WallTime(night.dawn().millis() + 1);
-        window = Window.next(dawn, next, world.settings.clockOff());
+      Optional<PlanningWindow> window =
+          PlanningWindow.next(dawn, world.wall(), world.settings.clockOff());
+      while (window.isPresent() && seconds(window.get().deadline()) <= end) {
+        PlanningWindow night = window.get();
+        world.time.at(Math.max(0, seconds(night.opensAt())), () -> opens(dawn));
+        world.time.at(seconds(night.deadline()) - 0.001, () -> ends(dawn, night));
+        WallTime next = new WallTime(night.deadline().millis() + 1);
+        window = PlanningWindow.next(dawn, next, world.settings.clockOff());
       }
     }
   }
@@ -71,8 +72,9 @@
   Optional<Span> due(JobSpec spec) {
     return dawns.stream()
         .filter(dawn -> dawn.covers(spec))
-        .flatMap(dawn -> Window.next(dawn, world.wall(), world.settings.clockOff()).stream())
-        .map(window -> window.ends().since(world.wall()))
+        .flatMap(
+            dawn -> PlanningWindow.next(dawn, world.wall(), world.settings.clockOff()).stream())
+        .map(window -> window.finishBy().since(world.wall()))
         .filter(left -> left.millis() > 0)
         .min(Span::compareTo);
   }
@@ -95,7 +97,7 @@
     before.put(dawn.name(), counts);
   }
 
-  private void ends(DawnTerms dawn, Window window) {
+  private void ends(DawnTerms dawn, PlanningWindow window) {
     Map<GroupKey, Group> groups = new TreeMap<>((a, b) -> a.toString().compareTo(b.toString()));
     Map<JobId, Integer> earlier = before.getOrDefault(dawn.name(), Map.of());
     for (JobSpec spec : world.specs.values()) {
@@ -115,19 +117,19 @@
     int revisions = 0;
     double share = 1;
     for (PlanRow row : stored()) {
-      if (row instanceof PlanRow.Night night
-          && night.dawn().equals(dawn.name())
-          && night.dawnAt().equals(window.dawn())) {
-        revisions = night.revisions();
+      if (row instanceof PlanRow.WindowRow night
+          && night.dawnName().equals(dawn.name())
+          && night.deadline().equals(window.deadline())) {
+        revisions = night.revisionCount();
         share = night.share();
       }
     }
     if (revisions > 0) {
       for (PlanRow row : stored()) {
-        if (row instanceof PlanRow.Group planned
-            && planned.dawn().equals(dawn.name())
+        if (row instanceof PlanRow.GroupRow planned
+            && planned.dawnName().equals(dawn.name())
             && groups.containsKey(planned.key())) {
-          groups.get(planned.key()).promised = planned.promised();
+          groups.get(planned.key()).promised = planned.promisedTasks();
         }
       }
     }
@@ -148,11 +150,14 @@
 
   private List<PlanRow> stored() {
     List<SharedRow> rows = new ArrayList<>();
-    if (world.state.value(StoreKeys.sharedHead(Planner.RECORD)).orElse(null)
+    if (world.state.value(StoreKeys.sharedHead(DeadlinePlanner.RECORD_NAME)).orElse(null)
         instanceof StoredValue.SharedHead head) {
       rows.addAll(head.rows());
       for (int i = 0; i < head.partCount(); i++) {
-        if (world.state.value(StoreKeys.sharedPart(Planner.RECORD, head.slot(), i)).orElse(null)
+        if (world
+                .state
+                .value(StoreKeys.sharedPart(DeadlinePlanner.RECORD_NAME, head.slot(), i))
+                .orElse(null)
             instanceof StoredValue.SharedPart part) {
           rows.addAll(part.rows());
         }
@@ -164,7 +169,7 @@
   /** Looks whether a promise was taken back; to be called now and then. */
   Optional<String> tick() {
     if (dawns.isEmpty()
-        || !(world.state.value(StoreKeys.sharedHead(Planner.RECORD)).orElse(null)
+        || !(world.state.value(StoreKeys.sharedHead(DeadlinePlanner.RECORD_NAME)).orElse(null)
             instanceof StoredValue.SharedHead head)
         || head.revision() == revision) {
       return Optional.empty();
@@ -173,18 +178,21 @@
     List<PlanRow> rows = stored();
     Map<String, WallTime> dawnAt = new HashMap<>();
     for (PlanRow row : rows) {
-      if (row instanceof PlanRow.Night night) {
-        dawnAt.put(night.dawn(), night.dawnAt());
+      if (row instanceof PlanRow.WindowRow night) {
+        dawnAt.put(night.dawnName(), night.deadline());
       }
     }
     Optional<String> broken = Optional.empty();
     for (PlanRow row : rows) {
-      if (row instanceof PlanRow.Group group && dawnAt.containsKey(group.dawn())) {
-        String name = group.dawn() + dawnAt.get(group.dawn()) + group.key();
-        PlanRow.Group old = last.put(name, group);
-        if (old != null && group.promised() < old.promised() && group.seen() >= old.seen()) {
+      if (row instanceof PlanRow.GroupRow group && dawnAt.containsKey(group.dawnName())) {
+        String name = group.dawnName() + dawnAt.get(group.dawnName()) + group.key();
+        PlanRow.GroupRow old = last.put(name, group);
+        if (old != null
+            && group.promisedTasks() < old.promisedTasks()
+            && group.acceptedTasks() >= old.acceptedTasks()) {
           broken =
-              Optional.of(group.key() + " was " + old.promised() + " and is " + group.promised());
+              Optional.of(
+                  group.key() + " was " + old.promisedTasks() + " and is " + group.promisedTasks());
         }
         if (old != null && group.startBy().millis() > old.startBy().millis()) {
           broken = Optional.of(group.key() + " was to start earlier");
--- a/src/main/java/org/oakwalk/wire/PlanCodec.java
+++ b/src/main/java/org/oakwalk/wire/PlanCodec.java
@@ -26,54 +26,54 @@
 
   @Override
   public void encode(PlanRow row, ObjectNode map) {
-    if (row instanceof PlanRow.Night night) {
+    if (row instanceof PlanRow.WindowRow night) {
       map.put("k", "night");
-      map.put("dawn", night.dawn());
-      map.put("opens", night.opens().millis());
-      map.put("at", night.dawnAt().millis());
-      map.put("revised", night.revised().millis());
-      map.put("revisions", night.revisions());
+      map.put("dawn", night.dawnName());
+      map.put("opens", night.opensAt().millis());
+      map.put("at", night.deadline().millis());
+      map.put("revised", night.revisedAt().millis());
+      map.put("revisions", night.revisionCount());
       map.put("share", night.share());
-      map.put("missing", night.missing());
-      map.put("machines", night.machines());
-      map.put("for_s", night.seconds());
-    } else if (row instanceof PlanRow.Group group) {
+      map.put("missing", night.missingMachineHours());
+      map.put("machines", night.missingMachines());
+      map.put("for_s", night.extraMachineSeconds());
+    } else if (row instanceof PlanRow.GroupRow group) {
       map.put("k", "group");
-      map.put("dawn", group.dawn());
+      map.put("dawn", group.dawnName());
       map.put("team", group.key().team());
       map.put("class", group.key().jobClass());
-      map.put("length", group.key().length());
-      map.put("size", group.key().size());
-      map.put("seen", group.seen());
-      map.put("promised", group.promised());
+      map.put("length", group.key().runTimeBand());
+      map.put("size", group.key().taskCountBand());
+      map.put("seen", group.acceptedTasks());
+      map.put("promised", group.promisedTasks());
       map.put("start", group.startBy().millis());
       map.put("end", group.endBy().millis());
-      map.put("last", group.lastStart().millis());
-      map.put("missing", group.missing());
-    } else if (row instanceof PlanRow.Runs runs) {
+      map.put("last", group.latestStart().millis());
+      map.put("missing", group.missingMachineHours());
+    } else if (row instanceof PlanRow.RunTimeRow runs) {
       map.put("k", "runs");
       map.put("class", runs.jobClass());
-      numbers(map.putArray("counts"), runs.counts());
-    } else if (row instanceof PlanRow.Coming coming) {
+      numbers(map.putArray("counts"), runs.histogram());
+    } else if (row instanceof PlanRow.ArrivalRow coming) {
       map.put("k", "coming");
-      map.put("dawn", coming.dawn());
+      map.put("dawn", coming.dawnName());
       map.put("team", coming.team());
       map.put("class", coming.jobClass());
-      map.put("slice", coming.slice());
-      map.put("sum", coming.sum());
-      map.put("run", coming.run());
-      map.put("cpus", coming.room().cpus());
-      map.put("gpus", coming.room().gpus());
-      map.put("mem", coming.room().memoryGb());
-      numbers(map.putArray("slices"), coming.bySlice());
-    } else if (row instanceof PlanRow.Reach reach) {
+      map.put("slice", coming.currentSlice());
+      map.put("sum", coming.currentSeconds());
+      map.put("run", coming.meanEstimate());
+      map.put("cpus", coming.resources().cpus());
+      map.put("gpus", coming.resources().gpus());
+      map.put("mem", coming.resources().memoryGb());
+      numbers(map.putArray("slices"), coming.secondsBySlice());
+    } else if (row instanceof PlanRow.CapacityRow reach) {
       map.put("k", "reach");
       map.put("type", reach.type());
       map.put("zone", reach.zone());
       map.put("spot", reach.spot());
-      map.put("most", reach.most());
-      map.put("hours", reach.hours());
-      map.put("losses", reach.losses());
+      map.put("most", reach.recentPeak());
+      map.put("hours", reach.observedHours());
+      map.put("losses", reach.reclaims());
     }
   }
 
@@ -86,7 +86,7 @@
     String kind = map.text("k");
     return switch (kind) {
       case "night" ->
-          new PlanRow.Night(
+          new PlanRow.WindowRow(
               map.text("dawn"),
               time(map, "opens"),
               time(map, "at"),
@@ -97,7 +97,7 @@
               (int) map.count("machines", 0, MOST),
               map.count("for_s"));
       case "group" ->
-          new PlanRow.Group(
+          new PlanRow.GroupRow(
               map.text("dawn"),
               new GroupKey(
                   map.text("team"),
@@ -110,9 +110,9 @@
               time(map, "end"),
               time(map, "last"),
               map.amount("missing"));
-      case "runs" -> new PlanRow.Runs(map.text("class"), numbers(map, "counts"));
+      case "runs" -> new PlanRow.RunTimeRow(map.text("class"), numbers(map, "counts"));
       case "coming" ->
-          new PlanRow.Coming(
+          new PlanRow.ArrivalRow(
               map.text("dawn"),
               map.text("team"),
               map.text("class"),
@@ -122,7 +122,7 @@
               new Room(map.amount("cpus"), map.amount("gpus"), map.amount("mem")),
               numbers(map, "slices"));
       case "reach" ->
-          new PlanRow.Reach(
+          new PlanRow.CapacityRow(
               map.text("type"),
               map.text("zone"),
               map.flag("spot"),
--- a/src/test/java/org/oakwalk/core/cells/LoanExplorationTest.java
+++ b/src/test/java/org/oakwalk/core/cells/LoanExplorationTest.java
@@ -23,72 +23,85 @@
 class LoanExplorationTest {
   private static final Span TICK = Span.seconds(10);
   private static final Moment NOW = new Moment(1_000_000);
-  private static final int LEAVE_TICKS = 2;
+  private static final int PERMIT_TICKS = 2;
   private static final int LEASE_TICKS = 1;
   private static final int OLDER_LEADER_TICKS = 1;
 
   /** What is older can't matter any more. */
-  private static final Moment OLDEST = new Moment(NOW.millis() - 6 * TICK.millis());
+  private static final Moment OLDEST_MOMENT = new Moment(NOW.millis() - 6 * TICK.millis());
 
   private static final LoanTerms TERMS =
       new LoanTerms(
-          Span.millis(LEAVE_TICKS * TICK.millis()),
+          Span.millis(PERMIT_TICKS * TICK.millis()),
           Span.millis(LEASE_TICKS * TICK.millis()),
           Span.seconds(1000));
 
   /** How much may happen between one tick and the next is not bounded; ticks are. */
-  private static final int DEPTH = 5;
+  private static final int MAX_TICKS = 5;
 
-  private static final int FEWEST_STATES = 500_000;
+  private static final int MIN_STATES = 500_000;
 
   /**
    * A message on its way, or on its way once more; asks and leaves with when they were asked for.
    */
-  private record Message(String kind, Optional<Moment> asked) implements Comparable<Message> {
+  private record Message(String kind, Optional<Moment> requestedAt) implements Comparable<Message> {
     @Override
     public int compareTo(Message other) {
       int byKind = kind.compareTo(other.kind);
       return byKind != 0
           ? byKind
           : Long.compare(
-              asked.map(Moment::millis).orElse(0L), other.asked.map(Moment::millis).orElse(0L));
+              requestedAt.map(Moment::millis).orElse(0L),
+              other.requestedAt.map(Moment::millis).orElse(0L));
     }
   }
 
   /**
    * All there is.
    *
-   * @param older ticks for which an older home leader may still give leave
+   * @param agedByOneTick ticks for which an older home leader may still give leave
    * @param kept what the guest has stored: nothing, the loan, or that it is closed
    * @param lease ticks that the guest's worker lives without an answer; the task is on it if not -1
    */
-  private record World(
-      LoanOut home,
-      int older,
+  private record ExploredState(
+      HomeLoan home,
+      int olderLeaderTicks,
       boolean runsAtHome,
-      LoanIn guest,
-      String kept,
+      GuestLoan guest,
+      String guestStored,
       boolean onGuest,
-      int lease,
+      int leaseTicks,
       Set<Message> channel,
       int ticks) {
 
-    World send(String kind, Optional<Moment> asked) {
+    ExploredState send(String kind, Optional<Moment> asked) {
       Set<Message> more = new TreeSet<>(channel);
       more.add(new Message(kind, asked));
-      return new World(home, older, runsAtHome, guest, kept, onGuest, lease, more, ticks);
+      return new ExploredState(
+          home, olderLeaderTicks, runsAtHome, guest, guestStored, onGuest, leaseTicks, more, ticks);
     }
 
-    World home(LoanOut next) {
-      return new World(next, older, runsAtHome, guest, kept, onGuest, lease, channel, ticks);
+    ExploredState home(HomeLoan next) {
+      return new ExploredState(
+          next,
+          olderLeaderTicks,
+          runsAtHome,
+          guest,
+          guestStored,
+          onGuest,
+          leaseTicks,
+          channel,
+          ticks);
     }
 
-    World guest(LoanIn next, String stored) {
-      return new World(home, older, runsAtHome, next, stored, onGuest, lease, channel, ticks);
+    ExploredState guest(GuestLoan next, String stored) {
+      return new ExploredState(
+          home, olderLeaderTicks, runsAtHome, next, stored, onGuest, leaseTicks, channel, ticks);
     }
 
-    World worker(boolean on) {
-      return new World(home, older, runsAtHome, guest, kept, on, LEASE_TICKS, channel, ticks);
+    ExploredState worker(boolean on) {
+      return new ExploredState(
+          home, olderLeaderTicks, runsAtHome, guest, guestStored, on, LEASE_TICKS, channel, ticks);
     }
   }
 
@@ -96,124 +109,138 @@
   private enum Fault {
     NONE,
     /** The guest's leave does not run out. */
-    ENDLESS_LEAVE,
+    ENDLESS_PERMIT,
     /** Home takes the task back without proof. */
     RETURN_BEFORE_PROOF,
     /** A new home leader does not wait for what an older one gave. */
-    FORGETS_OLDER_LEADER,
+    IGNORES_OLDER_LEADER,
     /** The guest counts a leave from when it comes rather than from when it was asked for. */
     COUNTS_FROM_ARRIVAL
   }
 
   private Fault fault = Fault.NONE;
 
-  private static Moment older(Moment moment) {
+  private static Moment agedByOneTick(Moment moment) {
     Moment aged = new Moment(moment.millis() - TICK.millis());
-    return aged.isAfter(OLDEST) ? aged : OLDEST;
+    return aged.isAfter(OLDEST_MOMENT) ? aged : OLDEST_MOMENT;
   }
 
-  private World tick(World w) {
-    LoanOut home = new LoanOut(w.home.state(), w.home.lastLeave().map(LoanExplorationTest::older));
-    LoanIn guest = w.guest;
+  private ExploredState tick(ExploredState w) {
+    HomeLoan home =
+        new HomeLoan(w.home.state(), w.home.lastPermit().map(LoanExplorationTest::agedByOneTick));
+    GuestLoan guest = w.guest;
     if (guest != null) {
       Optional<Moment> until =
-          fault == Fault.ENDLESS_LEAVE
-              ? guest.until()
-              : guest.until().map(LoanExplorationTest::older);
+          fault == Fault.ENDLESS_PERMIT
+              ? guest.permitExpiry()
+              : guest.permitExpiry().map(LoanExplorationTest::agedByOneTick);
       guest =
-          new LoanIn(
-              guest.state(), guest.asked().map(LoanExplorationTest::older), until, guest.absent());
+          new GuestLoan(
+              guest.state(),
+              guest.requestedAt().map(LoanExplorationTest::agedByOneTick),
+              until,
+              guest.tasksAbsent());
     }
     Set<Message> channel = new TreeSet<>();
     w.channel.forEach(
-        m -> channel.add(new Message(m.kind(), m.asked().map(LoanExplorationTest::older))));
-    boolean ends = w.onGuest && w.lease == 0;
-    return new World(
+        m ->
+            channel.add(
+                new Message(m.kind(), m.requestedAt().map(LoanExplorationTest::agedByOneTick))));
+    boolean ends = w.onGuest && w.leaseTicks == 0;
+    return new ExploredState(
         home,
-        Math.max(0, w.older - 1),
+        Math.max(0, w.olderLeaderTicks - 1),
         w.runsAtHome,
         guest,
-        w.kept,
+        w.guestStored,
         w.onGuest && !ends,
-        Math.max(0, w.lease - 1),
+        Math.max(0, w.leaseTicks - 1),
         channel,
         w.ticks + 1);
   }
 
   /** Everything that can happen next. */
-  private void next(World w, Consumer<World> to) {
-    if (w.ticks < DEPTH) {
+  private void successors(ExploredState w, Consumer<ExploredState> to) {
+    if (w.ticks < MAX_TICKS) {
       to.accept(tick(w));
     }
-    homeActs(w, to);
+    homeSteps(w, to);
     if (w.guest != null) {
-      guestActs(w, to);
+      guestSteps(w, to);
     }
     for (Message message : w.channel) {
       // It stays on its way, so it may come again and again, at any time, or never.
-      arrives(w, message, to);
+      deliver(w, message, to);
     }
     // A leader ends, and its successor knows what is stored.
-    if (w.home.state() != LoanOut.State.SETTLED) {
+    if (w.home.state() != HomeLoan.State.SETTLED) {
       Moment until = new Moment(NOW.millis() + OLDER_LEADER_TICKS * TICK.millis());
-      LoanOut found =
-          fault == Fault.FORGETS_OLDER_LEADER ? LoanOut.offered() : LoanOut.found(until);
+      HomeLoan found =
+          fault == Fault.IGNORES_OLDER_LEADER ? HomeLoan.offered() : HomeLoan.recovered(until);
       to.accept(
-          new World(
+          new ExploredState(
               found,
               OLDER_LEADER_TICKS,
               w.runsAtHome,
               w.guest,
-              w.kept,
+              w.guestStored,
               w.onGuest,
-              w.lease,
+              w.leaseTicks,
               w.channel,
               w.ticks));
     }
-    if (w.kept.equals("loan")) {
-      to.accept(w.guest(LoanIn.found(), w.kept));
+    if (w.guestStored.equals("loan")) {
+      to.accept(w.guest(GuestLoan.recovered(), w.guestStored));
     }
   }
 
-  private void homeActs(World w, Consumer<World> to) {
-    if (w.home.givesLeave()) {
+  private void homeSteps(ExploredState w, Consumer<ExploredState> to) {
+    if (w.home.grantsPermits()) {
       to.accept(w.send("offer", Optional.empty()));
     }
     to.accept(w.home(w.home.recalled()).send("recall", Optional.empty()));
-    boolean proof = fault == Fault.RETURN_BEFORE_PROOF || w.home.over(TERMS, NOW);
-    if (w.home.state() == LoanOut.State.RECALLED && proof) {
+    boolean proof = fault == Fault.RETURN_BEFORE_PROOF || w.home.permitsExpired(TERMS, NOW);
+    if (w.home.state() == HomeLoan.State.RECALLED && proof) {
       to.accept(w.home(w.home.closed()));
     }
-    if (w.home.state() == LoanOut.State.SETTLED) {
+    if (w.home.state() == HomeLoan.State.SETTLED) {
       to.accept(
-          new World(
-              w.home, w.older, true, w.guest, w.kept, w.onGuest, w.lease, w.channel, w.ticks));
+          new ExploredState(
+              w.home,
+              w.olderLeaderTicks,
+              true,
+              w.guest,
+              w.guestStored,
+              w.onGuest,
+              w.leaseTicks,
+              w.channel,
+              w.ticks));
     }
   }
 
-  private void guestActs(World w, Consumer<World> to) {
-    LoanIn guest = w.guest;
-    if (guest.wantsLeave()) {
-      to.accept(w.guest(guest.ask(NOW), w.kept).send("ask", Optional.of(NOW)));
+  private void guestSteps(ExploredState w, Consumer<ExploredState> to) {
+    GuestLoan guest = w.guest;
+    if (guest.needsPermit()) {
+      to.accept(w.guest(guest.requestPermit(NOW), w.guestStored).send("ask", Optional.of(NOW)));
     }
     // It answers its worker: with leave the task starts or goes on, without it ends.
     if (guest.mayRun(NOW)) {
-      to.accept(w.guest(guest.started(NOW), w.kept).worker(true));
+      to.accept(w.guest(guest.taskStarted(NOW), w.guestStored).worker(true));
     } else {
-      to.accept(w.guest(guest.confirmedAbsent(NOW), w.kept).worker(false));
+      to.accept(w.guest(guest.confirmTasksAbsent(NOW), w.guestStored).worker(false));
     }
     if (guest.mayClose()) {
       to.accept(w.guest(guest.closed(), "closed").send("closed", Optional.empty()));
     }
   }
 
-  private void arrives(World w, Message message, Consumer<World> to) {
+  private void deliver(ExploredState w, Message message, Consumer<ExploredState> to) {
     switch (message.kind()) {
       case "offer" -> {
-        if (w.kept.equals("nothing")) {
-          to.accept(w.guest(LoanIn.kept(), "loan").send("accept", Optional.empty()));
+        if (w.guestStored.equals("nothing")) {
+          to.accept(w.guest(GuestLoan.stored(), "loan").send("accept", Optional.empty()));
           to.accept(w.send("refuse", Optional.empty()));
-        } else if (w.kept.equals("closed")) {
+        } else if (w.guestStored.equals("closed")) {
           to.accept(w.send("closed", Optional.empty()));
         }
       }
@@ -222,30 +249,30 @@
       case "closed" -> to.accept(w.home(w.home.closed()));
       case "recall" -> {
         if (w.guest != null) {
-          to.accept(w.guest(w.guest.recalled(), w.kept));
+          to.accept(w.guest(w.guest.recalled(), w.guestStored));
         }
       }
       case "ask" -> {
-        if (w.home.givesLeave()) {
-          to.accept(w.home(w.home.asked(NOW)).send("leave", message.asked()));
+        if (w.home.grantsPermits()) {
+          to.accept(w.home(w.home.permitRequested(NOW)).send("leave", message.requestedAt()));
         }
-        if (w.older > 0) {
+        if (w.olderLeaderTicks > 0) {
           // The older leader answers, and the present one does not know.
-          to.accept(w.send("leave", message.asked()));
+          to.accept(w.send("leave", message.requestedAt()));
         }
       }
       case "leave" -> {
-        if (w.guest != null && message.asked().isPresent()) {
-          LoanIn next = w.guest.leave(message.asked().get(), TERMS);
+        if (w.guest != null && message.requestedAt().isPresent()) {
+          GuestLoan next = w.guest.permitGranted(message.requestedAt().get(), TERMS);
           if (fault == Fault.COUNTS_FROM_ARRIVAL && next != w.guest) {
             next =
-                new LoanIn(
+                new GuestLoan(
                     next.state(),
-                    next.asked(),
-                    Optional.of(NOW.plus(TERMS.leave().surelyNotPassed())),
-                    next.absent());
+                    next.requestedAt(),
+                    Optional.of(NOW.plus(TERMS.permitDuration().surelyNotPassed())),
+                    next.tasksAbsent());
           }
-          to.accept(w.guest(next, w.kept));
+          to.accept(w.guest(next, w.guestStored));
         }
       }
       default -> throw new IllegalStateException(message.kind());
@@ -254,14 +281,14 @@
 
   /** Returns how many states there are, or none if one of them has two owners. */
   private Optional<Integer> explore() {
-    World first =
-        new World(
-            LoanOut.offered(), 0, false, null, "nothing", false, LEASE_TICKS, new TreeSet<>(), 0);
-    Set<World> seen = new HashSet<>(Set.of(first));
-    Deque<World> open = new ArrayDeque<>(Set.of(first));
+    ExploredState first =
+        new ExploredState(
+            HomeLoan.offered(), 0, false, null, "nothing", false, LEASE_TICKS, new TreeSet<>(), 0);
+    Set<ExploredState> seen = new HashSet<>(Set.of(first));
+    Deque<ExploredState> open = new ArrayDeque<>(Set.of(first));
     boolean[] broken = new boolean[1];
     while (!open.isEmpty() && !broken[0]) {
-      next(
+      successors(
           open.poll(),
           world -> {
             broken[0] |= world.runsAtHome() && world.onGuest();
@@ -274,15 +301,15 @@
   }
 
   @Test
-  void aTaskHasOneOwner() {
+  void taskNeverRunsInBothCells() {
     Optional<Integer> states = explore();
     assertThat(states).as("a task is on machines in both cells").isPresent();
     System.out.println("states of a loan visited: " + states.get());
-    assertThat(states.get()).isGreaterThan(FEWEST_STATES);
+    assertThat(states.get()).isGreaterThan(MIN_STATES);
   }
 
   @Test
-  void findsWhatIsWrong() {
+  void explorationDetectsEveryInjectedFault() {
     for (Fault each : Fault.values()) {
       if (each != Fault.NONE) {
         LoanExplorationTest faulty = new LoanExplorationTest();
--- a/src/test/java/org/oakwalk/core/cells/LoanTermsTest.java
+++ b/src/test/java/org/oakwalk/core/cells/LoanTermsTest.java
@@ -19,23 +19,24 @@
     "25, 22,    47,    false",
     "30, 15.25, 45.25, false"
   })
-  void leaveAndLeaseMustEndBeforeACancellationDoes(
+  void permitAndLeaseMustEndBeforeTheCancelDeadline(
       double leave, double lease, double cancel, boolean possible) {
     LoanTerms terms = new LoanTerms(Span.seconds(leave), Span.seconds(lease), Span.seconds(cancel));
-    assertThat(terms.impossible().isEmpty()).isEqualTo(possible);
-    terms.impossible().ifPresent(why -> assertThat(why).contains("leave", "lease", "cancel"));
+    assertThat(terms.findProblem().isEmpty()).isEqualTo(possible);
+    terms.findProblem().ifPresent(why -> assertThat(why).contains("leave", "lease", "cancel"));
   }
 
   @Test
-  void nothingStartsWithoutLeave() {
+  void tasksDoNotStartWithoutAValidPermit() {
     LoanTerms terms = new LoanTerms(Span.seconds(15), Span.seconds(22), Span.seconds(47));
     Moment now = new Moment(1_000_000);
-    assertThatThrownBy(() -> LoanIn.kept().started(now)).isInstanceOf(IllegalStateException.class);
-    LoanIn runs = LoanIn.kept().ask(now).leave(now, terms);
+    assertThatThrownBy(() -> GuestLoan.stored().taskStarted(now))
+        .isInstanceOf(IllegalStateException.class);
+    GuestLoan runs = GuestLoan.stored().requestPermit(now).permitGranted(now, terms);
     assertThat(runs.mayRun(now)).isTrue();
     assertThat(runs.mayRun(now.plus(Span.seconds(15)))).isFalse();
     assertThat(runs.recalled().mayRun(now)).isFalse();
-    assertThat(runs.started(now).recalled().mayClose()).isFalse();
-    assertThat(LoanOut.offered().recalled().asked(now).lastLeave()).isEmpty();
+    assertThat(runs.taskStarted(now).recalled().mayClose()).isFalse();
+    assertThat(HomeLoan.offered().recalled().permitRequested(now).lastPermit()).isEmpty();
   }
 }
--- a/src/test/java/org/oakwalk/core/planner/PlanMakerTest.java
+++ b/src/test/java/org/oakwalk/core/planner/PlanSolverTest.java
@@ -9,7 +9,7 @@
 import org.junit.jupiter.api.Test;
 
 /** Plans of small nights, of which it is plain what they have to be. */
-class PlanMakerTest {
+class PlanSolverTest {
   private static final double NIGHT = 960;
 
   private static double[] all(double value) {
@@ -18,30 +18,32 @@
     return values;
   }
 
-  private static PlanMaker.Load load(
+  private static PlanSolver.GroupLoad load(
       String name, int tasks, double run, double tail, int promised, int width) {
-    return new PlanMaker.Load(
-        new Schedule.Work(
+    return new PlanSolver.GroupLoad(
+        new Schedule.GroupWork(
             name, all(tasks), run, tail, NIGHT, new double[] {0.25}, width, "crew", 0.05),
         tasks,
         0,
         promised);
   }
 
-  private static PlanMaker.Plan plan(
-      double held, double more, double limit, PlanMaker.Load... loads) {
+  private static PlanSolver.Solution plan(
+      double held, double more, double limit, PlanSolver.GroupLoad... loads) {
     Schedule schedule =
         new Schedule(
-            List.of(new Schedule.Pool("m", all(held), all(more))), Map.of("crew", limit), NIGHT);
-    return new PlanMaker(schedule, NIGHT).make(new ArrayList<>(List.of(loads)), false);
+            List.of(new Schedule.MachinePool("m", all(held), all(more))),
+            Map.of("crew", limit),
+            NIGHT);
+    return new PlanSolver(schedule, NIGHT).solve(new ArrayList<>(List.of(loads)), false);
   }
 
   @Test
-  void theLongestGoesFirstAndNothingIsHurriedEarly() {
-    PlanMaker.Plan plan =
+  void longestTasksStartFirstAndNotEarlierThanNeeded() {
+    PlanSolver.Solution plan =
         plan(2, 0, 1, load("short", 200, 10, 12, 0, 1), load("long", 4, 300, 360, 0, 1));
     assertThat(plan.share()).isEqualTo(1);
-    Schedule.Times first = plan.times().get("long");
+    Schedule.GroupTimes first = plan.times().get("long");
     assertThat(first.start()).isLessThanOrEqualTo(plan.times().get("short").start());
     assertThat(first.start()).isBetween(100.0, NIGHT - 360);
     assertThat(plan.times().get("short").end()).isLessThanOrEqualTo(NIGHT);
@@ -49,41 +51,41 @@
 
   /** At the median it would fit: four waves of 230 s. At the quantile it does not. */
   @Test
-  void theSpreadOfRunTimesDecides() {
+  void feasibilityDependsOnTheRunTimeQuantile() {
     assertThat(plan(1, 0, 1, load("w", 16, 230, 230, 0, 1)).share()).isEqualTo(1);
     assertThat(plan(1, 0, 1, load("w", 16, 230, 300, 0, 1)).share()).isLessThan(1);
   }
 
   @Test
-  void asFewMachinesMoreAsWillDo() {
-    PlanMaker.Load load = load("w", 160, 60, 60, 0, 1);
-    assertThat(plan(10, 10, 1, load).level()).isZero();
+  void usesTheFewestExtraMachines() {
+    PlanSolver.GroupLoad load = load("w", 160, 60, 60, 0, 1);
+    assertThat(plan(10, 10, 1, load).extraMachineFraction()).isZero();
     // 160 minutes on places of 4 a machine: nearly one more does it.
-    assertThat(plan(2, 10, 1, load).level()).isBetween(0.05, 0.15);
+    assertThat(plan(2, 10, 1, load).extraMachineFraction()).isBetween(0.05, 0.15);
     assertThat(plan(0, 2, 1, load).share()).isLessThan(1);
   }
 
   @Test
-  void whatCannotBeMetIsServedInShares() {
-    PlanMaker.Plan plan =
+  void infeasibleWorkIsReducedToEqualShares() {
+    PlanSolver.Solution plan =
         plan(1, 0, 1, load("a", 100, 30, 30, 0, 1), load("b", 20, 150, 150, 0, 1));
     // 6,000 s on four places for 960 s.
     assertThat(plan.share()).isBetween(0.5, 0.6);
-    assertThat(plan.missingSum()).isBetween(0.1, 0.25);
+    assertThat(plan.totalMissingMachineHours()).isBetween(0.1, 0.25);
     assertThat(plan.times()).containsOnlyKeys("a", "b");
   }
 
   @Test
-  void whatWasPromisedIsKeptInAShare() {
-    PlanMaker.Load promised = load("b", 10, 200, 200, 10, 1);
-    assertThat(promised.share(0.5).work().tasks()).isEqualTo(10);
-    assertThat(load("b", 10, 200, 200, 0, 1).share(0.5).work().tasks()).isEqualTo(5);
+  void sharesDoNotReducePromisedTasks() {
+    PlanSolver.GroupLoad promised = load("b", 10, 200, 200, 10, 1);
+    assertThat(promised.withShare(0.5).work().tasks()).isEqualTo(10);
+    assertThat(load("b", 10, 200, 200, 0, 1).withShare(0.5).work().tasks()).isEqualTo(5);
   }
 
   @Test
-  void gangsStartWholeAndLimitsHold() {
+  void gangsStartTogetherAndTeamLimitsHold() {
     assertThat(plan(2, 0, 1, load("g", 6, 300, 300, 0, 6)).share()).isEqualTo(1);
-    assertThat(plan(1, 0, 1, load("g", 6, 300, 300, 0, 6)).missingSum()).isPositive();
+    assertThat(plan(1, 0, 1, load("g", 6, 300, 300, 0, 6)).totalMissingMachineHours()).isPositive();
     // A twentieth of the limit a task, of which a tenth is left: two at a time.
     assertThat(plan(4, 0, 0.1, load("w", 8, 200, 200, 0, 1)).share()).isEqualTo(1);
     assertThat(plan(4, 0, 0.1, load("w", 12, 200, 200, 0, 1)).share()).isLessThan(1);
--- a/src/test/java/org/oakwalk/core/planner/WindowTest.java
+++ b/src/test/java/org/oakwalk/core/planner/PlanningWindowTest.java
@@ -14,7 +14,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.product.DawnTerms;
 
-class WindowTest {
+class PlanningWindowTest {
   private static final Span EXACT = Span.millis(0);
 
   private static DawnTerms daily(String opens, String by, double margin) {
@@ -52,31 +52,36 @@
     "02:30, 06:00, 2026-03-29T01:00+01:00, 2026-03-29T03:00+02:00, 2026-03-29T06:00+02:00",
     "01:00, 06:00, 2026-12-01T12:00+01:00, 2026-12-02T01:00+01:00, 2026-12-02T06:00+01:00",
   })
-  void localTimes(String opens, String by, String now, String from, String dawn) {
-    Window window = Window.next(daily(opens, by, 0), at(now), EXACT).orElseThrow();
-    assertThat(window.opens()).isEqualTo(at(from));
-    assertThat(window.dawn()).isEqualTo(at(dawn));
+  void nextWindowHandlesDaylightSavingChanges(
+      String opens, String by, String now, String from, String dawn) {
+    PlanningWindow window = PlanningWindow.next(daily(opens, by, 0), at(now), EXACT).orElseThrow();
+    assertThat(window.opensAt()).isEqualTo(at(from));
+    assertThat(window.deadline()).isEqualTo(at(dawn));
     boolean open = at(from).millis() <= at(now).millis();
-    assertThat(Window.open(daily(opens, by, 0), at(now), EXACT).isPresent()).isEqualTo(open);
+    assertThat(PlanningWindow.current(daily(opens, by, 0), at(now), EXACT).isPresent())
+        .isEqualTo(open);
   }
 
   @Test
-  void theClockIsTakenToBeLate() {
+  void clockErrorMovesTheTargetEarlier() {
     WallTime now = at("2026-12-01T01:00+01:00");
-    Window window = Window.next(daily("20:00", "06:00", 600), now, Span.millis(250)).orElseThrow();
-    assertThat(window.ends().millis()).isEqualTo(at("2026-12-01T05:50+01:00").millis() - 250);
+    PlanningWindow window =
+        PlanningWindow.next(daily("20:00", "06:00", 600), now, Span.millis(250)).orElseThrow();
+    assertThat(window.finishBy().millis()).isEqualTo(at("2026-12-01T05:50+01:00").millis() - 250);
   }
 
   @Test
-  void everySoManySeconds() {
+  void windowsRepeatAtAFixedInterval() {
     DawnTerms terms = terms(Optional.empty(), Optional.of(Span.seconds(300)), 20);
-    Window window = Window.next(terms, new WallTime(1_000_000), EXACT).orElseThrow();
+    PlanningWindow window =
+        PlanningWindow.next(terms, new WallTime(1_000_000), EXACT).orElseThrow();
     assertThat(window)
         .isEqualTo(
-            new Window(new WallTime(1_100_000), new WallTime(1_200_000), new WallTime(1_180_000)));
-    assertThat(Window.open(terms, new WallTime(1_099_999), EXACT)).isEmpty();
-    assertThat(Window.open(terms, new WallTime(1_100_000), EXACT)).contains(window);
-    assertThat(Window.next(terms, new WallTime(1_200_000), EXACT).orElseThrow().dawn())
+            new PlanningWindow(
+                new WallTime(1_100_000), new WallTime(1_200_000), new WallTime(1_180_000)));
+    assertThat(PlanningWindow.current(terms, new WallTime(1_099_999), EXACT)).isEmpty();
+    assertThat(PlanningWindow.current(terms, new WallTime(1_100_000), EXACT)).contains(window);
+    assertThat(PlanningWindow.next(terms, new WallTime(1_200_000), EXACT).orElseThrow().deadline())
         .isEqualTo(new WallTime(1_500_000));
   }
 }
--- a/src/test/java/org/oakwalk/wire/PlanCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/PlanCodecTest.java
@@ -19,8 +19,8 @@
   static List<PlanRow> rows() {
     WallTime time = new WallTime(LATE);
     return List.of(
-        new PlanRow.Night(NAME, time, time, time, 40, 0.55, 1.0 / 3, 12_345, 36_000),
-        new PlanRow.Group(
+        new PlanRow.WindowRow(NAME, time, time, time, 40, 0.55, 1.0 / 3, 12_345, 36_000),
+        new PlanRow.GroupRow(
             NAME,
             new GroupKey(NAME, NAME, -1, 9),
             999_999_999,
@@ -29,8 +29,8 @@
             time,
             time,
             2e-3),
-        new PlanRow.Runs(NAME, Collections.nCopies(40, 999L)),
-        new PlanRow.Coming(
+        new PlanRow.RunTimeRow(NAME, Collections.nCopies(40, 999L)),
+        new PlanRow.ArrivalRow(
             NAME,
             NAME,
             NAME,
@@ -39,7 +39,7 @@
             1.0 / 3,
             new Room(1.0 / 3, 1.0 / 3, 1.0 / 3),
             Collections.nCopies(24, LATE)),
-        new PlanRow.Reach(NAME, NAME, true, 1.0 / 3, 1.0 / 3, 1.0 / 3));
+        new PlanRow.CapacityRow(NAME, NAME, true, 1.0 / 3, 1.0 / 3, 1.0 / 3));
   }
 
   @ParameterizedTest
