--- a/src/main/java/org/oakwalk/core/cells/GuestLoan.java
+++ b/src/main/java/org/oakwalk/core/cells/GuestLoan.java
@@ -8,28 +8,30 @@
 import org.oakwalk.core.Moment;
 
 /**
- * A loan as the guest cell's leader has it. It is stored before its first task starts, and stored
- * as closed before home is told so. Its tasks are started by answers to reports alone, never by
- * command, since an answer that is late is dropped; and each answer without a valid leave ends what
- * is there of it. Immutable; each step gives the next one.
+ * The guest cell's view of a loan: tasks that the home cell lends to the guest cell to run. The
+ * loan is stored before its first task starts, and stored as closed before the home cell is
+ * notified. Tasks run only under a permit, a time-limited grant by the home cell. They are started
+ * only by responses to worker reports, never by command, because workers drop late responses; each
+ * response without a valid permit ends the loan's tasks on that worker. Immutable; each transition
+ * returns a new loan.
  *
- * @param state how far it is
- * @param requestedAt when the last leave was asked for that no answer has come to
- * @param permitExpiry when the last leave runs out
- * @param tasksAbsent whether each machine has confirmed, since the last start could have been
- *     ordered, that nothing of it is there
+ * @param state current state
+ * @param requestedAt when the latest permit was requested; empty if no request is unanswered
+ * @param permitExpiry when the latest permit expires
+ * @param tasksAbsent whether every machine has confirmed, since the last possible start, that it
+ *     has no tasks of the loan
  */
 public record GuestLoan(
     State state, Optional<Moment> requestedAt, Optional<Moment> permitExpiry, boolean tasksAbsent) {
-  /** What may be done with the tasks. */
+  /** States of a loan in the guest cell. */
   public enum State {
-    /** Stored; nothing may start as long as there is no leave. */
+    /** Stored, without a permit: no task may start. */
     STORED,
-    /** There has been leave: tasks may run while it lasts. */
+    /** A permit was granted: tasks may run until it expires. */
     RUNNING,
-    /** Home wants it back: everything ends. */
+    /** Recalled by the home cell: all tasks are being ended. */
     STOPPING,
-    /** Stored as over; it stays so for whoever comes late. */
+    /** Stored as closed; the record stays, so that late messages are answered correctly. */
     CLOSED
   }
 
@@ -42,78 +44,81 @@
     TRANSITIONS.put(State.CLOSED, EnumSet.noneOf(State.class));
   }
 
-  /** A loan that has just been stored. */
+  /** Returns a loan that has just been stored. */
   public static GuestLoan stored() {
     return new GuestLoan(State.STORED, Optional.empty(), Optional.empty(), true);
   }
 
-  /** A loan that a new leader finds in the store; what an older one started is not known. */
+  /** Returns a loan loaded by a new leader, which does not know what older leaders started. */
   public static GuestLoan recovered() {
     return new GuestLoan(State.STORED, Optional.empty(), Optional.empty(), false);
   }
 
-  /** Whether leave is of any use. */
+  /** Returns whether a permit could be used in this state. */
   public boolean needsPermit() {
     return state == State.STORED || state == State.RUNNING;
   }
 
-  /** Leave is asked for; its time counts from here, however long the answer takes. */
+  /** Requests a permit. Its duration counts from the request, however long the response takes. */
   public GuestLoan requestPermit(Moment now) {
     return needsPermit() ? new GuestLoan(state, Optional.of(now), permitExpiry, tasksAbsent) : this;
   }
 
-  /** The answer to what was asked at that moment has come; older ones tell nothing. */
-  public GuestLoan permitGranted(Moment askedAt, LoanTerms terms) {
-    if (!needsPermit() || !requestedAt.equals(Optional.of(askedAt))) {
+  /** Applies a granted permit; responses to older requests are ignored. */
+  public GuestLoan permitGranted(Moment requestTime, LoanTerms terms) {
+    if (!needsPermit() || !requestedAt.equals(Optional.of(requestTime))) {
       return this;
     }
-    Moment end = askedAt.plus(terms.permitDuration().surelyNotPassed());
-    Moment latest = permitExpiry.filter(old -> old.isAfter(end)).orElse(end);
+    Moment end = requestTime.plus(terms.permitDuration().surelyNotPassed());
+    Moment latest = permitExpiry.filter(previous -> previous.isAfter(end)).orElse(end);
     return enter(State.RUNNING, Optional.empty(), Optional.of(latest), tasksAbsent);
   }
 
-  /** Whether tasks may be started, and workers that hold some be answered without ending them. */
+  /** Returns whether tasks may be started, and running ones continued. */
   public boolean mayRun(Moment now) {
-    return state == State.RUNNING && permitExpiry.filter(end -> end.isAfter(now)).isPresent();
+    return state == State.RUNNING && permitExpiry.filter(expiry -> expiry.isAfter(now)).isPresent();
   }
 
-  /** A start is ordered. */
+  /** Records that a task start is ordered. */
   public GuestLoan taskStarted(Moment now) {
     if (!mayRun(now)) {
-      throw new IllegalStateException("start without leave");
+      throw new IllegalStateException("task start without a valid permit");
     }
     return new GuestLoan(state, requestedAt, permitExpiry, false);
   }
 
-  /** Home wants it back, or says so once more. */
+  /** Applies a recall by the home cell; repeated recalls have no effect. */
   public GuestLoan recalled() {
     return needsPermit()
         ? enter(State.STOPPING, Optional.empty(), permitExpiry, tasksAbsent)
         : this;
   }
 
-  /** Every machine has confirmed, under this leader's token, that nothing of it is there. */
+  /**
+   * Records that every machine has confirmed, under this leader's token, to have no tasks of it.
+   */
   public GuestLoan confirmTasksAbsent(Moment now) {
     return mayRun(now) ? this : new GuestLoan(state, requestedAt, permitExpiry, true);
   }
 
-  /** Whether it may be stored as closed, so that home can be told. */
+  /** Returns whether it may be stored as closed, after which the home cell is notified. */
   public boolean mayClose() {
     return state == State.STOPPING && tasksAbsent;
   }
 
-  /** It is stored as closed. */
+  /** Records that it is stored as closed. */
   public GuestLoan closed() {
     return state == State.CLOSED
         ? this
         : enter(State.CLOSED, Optional.empty(), permitExpiry, tasksAbsent);
   }
 
-  /** The one place where the state changes. */
-  private GuestLoan enter(State next, Optional<Moment> ask, Optional<Moment> end, boolean gone) {
+  /** The only place where the state changes; rejects illegal transitions. */
+  private GuestLoan enter(
+      State next, Optional<Moment> request, Optional<Moment> expiry, boolean absent) {
     if (next != state && !TRANSITIONS.get(state).contains(next)) {
-      throw new IllegalStateException("loan from " + state + " to " + next);
+      throw new IllegalStateException("illegal loan transition from " + state + " to " + next);
     }
-    return new GuestLoan(next, ask, end, gone);
+    return new GuestLoan(next, request, expiry, absent);
   }
 }
--- a/src/main/java/org/oakwalk/core/cells/HomeLoan.java
+++ b/src/main/java/org/oakwalk/core/cells/HomeLoan.java
@@ -8,22 +8,23 @@
 import org.oakwalk.core.Moment;
 
 /**
- * A loan as the home cell's leader has it. It is stored before it is offered, and stored as settled
- * before home places any of its tasks. Immutable; each step gives the next one.
+ * The home cell's view of a loan: tasks of the home cell that it lends to a guest cell to run. The
+ * loan is stored before it is offered, and stored as settled before the home cell places any of its
+ * tasks again. Immutable; each transition returns a new loan.
  *
- * @param state how far it is
- * @param lastPermit the latest moment at which a leave may have been given; empty if none can have
+ * @param state current state
+ * @param lastPermit the latest moment at which a permit may have been granted; empty if none was
  */
 public record HomeLoan(State state, Optional<Moment> lastPermit) {
-  /** Who may have the tasks. */
+  /** States of a loan in the home cell. */
   public enum State {
-    /** Offered; the guest may take them as soon as it asks for leave. */
+    /** Offered; the guest may run the tasks once it has requested a permit. */
     OFFERED,
-    /** The guest has them. */
+    /** The guest may be running the tasks. */
     LENT,
-    /** Home wants them back and gives no more leave. */
+    /** Recalled; no more permits are granted. */
     RECALLED,
-    /** They are home's again, or done: no leave is valid any more, and none will be given. */
+    /** Returned to the home cell, or done: no permit is valid, and none will be granted. */
     SETTLED
   }
 
@@ -36,27 +37,28 @@
     TRANSITIONS.put(State.SETTLED, EnumSet.noneOf(State.class));
   }
 
-  /** A loan that has just been stored. */
+  /** Returns a loan that has just been stored. */
   public static HomeLoan offered() {
     return new HomeLoan(State.OFFERED, Optional.empty());
   }
 
   /**
-   * A loan that a new leader finds in the store, not settled.
+   * Returns an unsettled loan loaded by a new leader.
    *
-   * @param olderUntil until when an older leader may still have given leave
+   * @param olderUntil until when an older leader may still have granted permits
    */
   public static HomeLoan recovered(Moment olderUntil) {
     return new HomeLoan(State.LENT, Optional.of(olderUntil));
   }
 
-  /** Whether the guest may have leave now. */
+  /** Returns whether permits may be granted in this state. */
   public boolean grantsPermits() {
     return state == State.OFFERED || state == State.LENT;
   }
 
   /**
-   * The guest has asked, which also tells that it has stored the loan; leave is given if it may.
+   * Applies a permit request, which also shows that the guest has stored the loan; the permit is
+   * granted if the state allows it.
    */
   public HomeLoan permitRequested(Moment now) {
     if (!grantsPermits()) {
@@ -66,37 +68,37 @@
     return enter(State.LENT, Optional.of(latest));
   }
 
-  /** The guest has accepted, or says so once more. */
+  /** Applies the acceptance by the guest; repeated ones have no effect. */
   public HomeLoan accepted() {
     return state == State.OFFERED ? enter(State.LENT, lastPermit) : this;
   }
 
-  /** Home wants the tasks back, their job is withdrawn, or the guest has refused. */
+  /** Recalls the loan: the home cell needs it, its job is withdrawn, or the guest has refused. */
   public HomeLoan recalled() {
     return grantsPermits() ? enter(State.RECALLED, lastPermit) : this;
   }
 
-  /** The guest has stored that it has nothing of it and never will. */
+  /** Records that the guest has stored the loan as closed, and will never run its tasks again. */
   public HomeLoan closed() {
     return state == State.SETTLED ? this : enter(State.SETTLED, lastPermit);
   }
 
-  /** Whether what is recalled has provably run out. */
+  /** Returns whether the loan is recalled and every permit has provably expired. */
   public boolean permitsExpired(LoanTerms terms, Moment now) {
     return state == State.RECALLED
         && lastPermit.map(last -> now.past(last, terms.maxTaskLifetime())).orElse(true);
   }
 
-  /** Takes over that it is over, once that is stored. */
+  /** Settles the loan if its permits have expired; to be called once that is stored. */
   public HomeLoan settleIfExpired(LoanTerms terms, Moment now) {
     return permitsExpired(terms, now) ? enter(State.SETTLED, lastPermit) : this;
   }
 
-  /** The one place where the state changes. */
-  private HomeLoan enter(State next, Optional<Moment> leave) {
+  /** The only place where the state changes; rejects illegal transitions. */
+  private HomeLoan enter(State next, Optional<Moment> permit) {
     if (next != state && !TRANSITIONS.get(state).contains(next)) {
-      throw new IllegalStateException("loan from " + state + " to " + next);
+      throw new IllegalStateException("illegal loan transition from " + state + " to " + next);
     }
-    return new HomeLoan(next, leave);
+    return new HomeLoan(next, permit);
   }
 }
--- a/src/main/java/org/oakwalk/core/cells/LoanTerms.java
+++ b/src/main/java/org/oakwalk/core/cells/LoanTerms.java
@@ -4,34 +4,36 @@
 import org.oakwalk.core.Span;
 
 /**
- * What a pair of cells has agreed on for loans from one to the other.
+ * The terms that two cells have agreed on for loans from one to the other.
  *
- * @param permitDuration for how long a leave counts, from when it was asked for
- * @param guestLease how long a worker of the guest cell lives without an answer
- * @param homeCancelDeadline within what time a withdrawn task must be gone in the home cell
+ * @param permitDuration how long a permit is valid, counted from its request
+ * @param guestLease lease of a worker in the guest cell: how long it runs without a response
+ * @param homeCancelDeadline time within which a withdrawn task must have ended in the home cell
  */
 public record LoanTerms(Span permitDuration, Span guestLease, Span homeCancelDeadline) {
-  /** For steps of timers on the way. */
+  /** Allowance for timer granularity. */
   private static final Span TIMER_MARGIN = Span.millis(500);
 
   /**
-   * For how long after a leave was given its tasks may be on machines: the guest's leader renews no
-   * lease under a leave that has run out, and a worker's last one ends a lease later.
+   * Returns for how long after a permit was granted its tasks may be on machines: the guest's
+   * leader renews no lease under an expired permit, and a worker's last lease ends one lease
+   * duration later.
    */
   public Span maxTaskLifetime() {
     return permitDuration.plus(guestLease).surelyPassed().plus(TIMER_MARGIN);
   }
 
   /**
-   * Why these can't be lived by, if so: home tells a user at once that a job is withdrawn, so what
-   * runs elsewhere has to be over within the same time without a message.
+   * Returns why these terms can't be met; empty if they can. The home cell confirms a withdrawal to
+   * the user at once, so tasks in the guest cell have to end within the home cell's deadline even
+   * if no message arrives.
    */
   public Optional<String> findProblem() {
     if (maxTaskLifetime().compareTo(homeCancelDeadline) < 0) {
       return Optional.empty();
     }
     return Optional.of(
-        "leave "
+        "permit "
             + permitDuration
             + " + lease "
             + guestLease
--- a/src/main/java/org/oakwalk/core/planner/ActivePlan.java
+++ b/src/main/java/org/oakwalk/core/planner/ActivePlan.java
@@ -10,17 +10,17 @@
 import java.util.Set;
 import org.oakwalk.core.WallTime;
 
-/** A stored revision of the plan, as it is looked up. */
+/** The stored plan that is in effect, with an index by group and by dawn. */
 final class ActivePlan {
   static final ActivePlan NONE = new ActivePlan(List.of());
 
   /**
-   * A group's line.
+   * A group's entry.
    *
-   * @param rank its place in the order of the latest starts, from 0 to 1
+   * @param rank position in the order of latest starts, from 0 to 1
    */
   record ActiveGroup(PlanRow.GroupRow group, PlanRow.WindowRow window, double rank) {
-    /** Whether only a part of the group is promised. */
+    /** Returns whether only a part of the group is promised. */
     boolean isPartial() {
       return window.share() < 1;
     }
@@ -32,8 +32,8 @@
   ActivePlan(List<PlanRow> rows) {
     List<PlanRow.GroupRow> groups = new ArrayList<>();
     for (PlanRow row : rows) {
-      if (row instanceof PlanRow.WindowRow night) {
-        windows.put(night.dawnName(), night);
+      if (row instanceof PlanRow.WindowRow windowRow) {
+        windows.put(windowRow.dawnName(), windowRow);
       } else if (row instanceof PlanRow.GroupRow group) {
         groups.add(group);
       }
@@ -42,10 +42,11 @@
         Comparator.comparingLong((PlanRow.GroupRow group) -> group.latestStart().millis())
             .thenComparing(group -> group.key().toString()));
     for (int i = 0; i < groups.size(); i++) {
-      PlanRow.WindowRow night = windows.get(groups.get(i).dawnName());
-      if (night != null) {
+      PlanRow.WindowRow windowRow = windows.get(groups.get(i).dawnName());
+      if (windowRow != null) {
         activeGroups.put(
-            groups.get(i).key(), new ActiveGroup(groups.get(i), night, i / (double) groups.size()));
+            groups.get(i).key(),
+            new ActiveGroup(groups.get(i), windowRow, i / (double) groups.size()));
       }
     }
   }
@@ -58,43 +59,43 @@
     return activeGroups.values();
   }
 
-  Optional<PlanRow.WindowRow> window(String dawn) {
-    return Optional.ofNullable(windows.get(dawn));
+  Optional<PlanRow.WindowRow> window(String dawnName) {
+    return Optional.ofNullable(windows.get(dawnName));
   }
 
-  /** The plan of exactly this window, if there is one. */
-  Optional<PlanRow.WindowRow> window(String dawn, PlanningWindow window) {
-    return window(dawn).filter(night -> night.deadline().equals(window.deadline()));
+  /** Returns the plan for exactly this window, if there is one. */
+  Optional<PlanRow.WindowRow> window(String dawnName, PlanningWindow window) {
+    return window(dawnName).filter(row -> row.deadline().equals(window.deadline()));
   }
 
-  /** Groups that are planned for a dawn that is yet to come. */
+  /** Returns the groups that are planned for a deadline in the future. */
   Set<GroupKey> upcomingKeys(WallTime now) {
     Set<GroupKey> keys = new HashSet<>();
     activeGroups.forEach(
-        (key, entry) -> {
-          if (entry.window().deadline().millis() > now.millis()) {
+        (key, active) -> {
+          if (active.window().deadline().millis() > now.millis()) {
             keys.add(key);
           }
         });
     return keys;
   }
 
-  /** The groups of exactly this window. */
-  List<PlanRow.GroupRow> rows(String dawn, PlanningWindow window) {
+  /** Returns the groups planned for exactly this window. */
+  List<PlanRow.GroupRow> rows(String dawnName, PlanningWindow window) {
     return activeGroups.values().stream()
-        .filter(entry -> entry.group().dawnName().equals(dawn))
-        .filter(entry -> entry.window().deadline().equals(window.deadline()))
+        .filter(active -> active.group().dawnName().equals(dawnName))
+        .filter(active -> active.window().deadline().equals(window.deadline()))
         .map(ActiveGroup::group)
         .sorted(Comparator.comparing(group -> group.key().toString()))
         .toList();
   }
 
-  /** The lines of a dawn, as they are stored. */
-  List<PlanRow> rows(String dawn) {
+  /** Returns the rows of a dawn as they are stored. */
+  List<PlanRow> rows(String dawnName) {
     List<PlanRow> rows = new ArrayList<>();
-    window(dawn).ifPresent(rows::add);
+    window(dawnName).ifPresent(rows::add);
     activeGroups.values().stream()
-        .filter(entry -> entry.group().dawnName().equals(dawn))
+        .filter(active -> active.group().dawnName().equals(dawnName))
         .map(ActiveGroup::group)
         .sorted(Comparator.comparing(group -> group.key().toString()))
         .forEach(rows::add);
--- a/src/main/java/org/oakwalk/core/planner/ArrivalForecast.java
+++ b/src/main/java/org/oakwalk/core/planner/ArrivalForecast.java
@@ -10,8 +10,9 @@
 import org.oakwalk.core.product.DawnTerms;
 
 /**
- * What work comes, by team, class and part of the time between two dawns. What was learned fades by
- * half from one dawn to the next; where nothing was seen, nothing is expected.
+ * Forecast of the work that will be submitted before a dawn (a recurring deadline), by team, job
+ * class and slice of the period between two deadlines. From one period to the next the history of a
+ * slice counts half; for a slice without history, no work is expected.
  */
 final class ArrivalForecast {
   private static final int MAX_SOURCES = 64;
@@ -20,7 +21,13 @@
 
   record Source(String team, String jobClass) {}
 
-  /** Work that is expected: so many tasks a slice from this one on. */
+  /**
+   * Work that is expected to be submitted.
+   *
+   * @param resources of one task
+   * @param runSeconds estimated run time of one task
+   * @param tasksBySlice number of tasks by slice; 0 is the current slice
+   */
   record ExpectedArrivals(
       Source source, Room resources, double runSeconds, Map<Integer, Double> tasksBySlice) {}
 
@@ -35,22 +42,22 @@
       java.util.Arrays.fill(secondsBySlice, -1);
     }
 
-    /** Closes the parts of the time that are over. */
+    /** Adds the slices that have ended to the history. */
     void roll(DawnTerms terms, WallTime time) {
       long length = PlanningWindow.sliceLength(terms).millis();
-      long now = Math.floorDiv(time.millis(), length);
+      long slice = Math.floorDiv(time.millis(), length);
       if (currentSlice < 0) {
-        currentSlice = now;
+        currentSlice = slice;
       }
-      // After as long as this nothing is left of what was learned anyhow.
-      currentSlice = Math.max(currentSlice, now - MAX_ROLLED_SLICES);
-      while (currentSlice < now) {
+      // After this many slices, the history has decayed to nothing.
+      currentSlice = Math.max(currentSlice, slice - MAX_ROLLED_SLICES);
+      while (currentSlice < slice) {
         int index = PlanningWindow.sliceOf(terms, new WallTime(currentSlice * length));
-        long known = secondsBySlice[index];
+        long previous = secondsBySlice[index];
         secondsBySlice[index] =
-            known < 0
+            previous < 0
                 ? currentSeconds
-                : Math.round(HISTORY_WEIGHT * known + (1 - HISTORY_WEIGHT) * currentSeconds);
+                : Math.round(HISTORY_WEIGHT * previous + (1 - HISTORY_WEIGHT) * currentSeconds);
         currentSeconds = 0;
         currentSlice++;
       }
@@ -61,79 +68,79 @@
   private final Map<Source, ArrivalTally> tallies =
       new TreeMap<>(java.util.Comparator.comparing(Source::team).thenComparing(Source::jobClass));
 
-  ArrivalForecast(String dawn) {
-    this.dawnName = dawn;
+  ArrivalForecast(String dawnName) {
+    this.dawnName = dawnName;
   }
 
-  /** A job that has just been accepted. */
+  /** Counts a job that has just been accepted. */
   void jobAccepted(JobSpec spec, DawnTerms terms, WallTime now) {
     Source source = new Source(spec.team(), spec.jobClass());
     if (!tallies.containsKey(source) && tallies.size() >= MAX_SOURCES) {
       return;
     }
-    ArrivalTally account = tallies.computeIfAbsent(source, key -> new ArrivalTally());
-    account.roll(terms, now);
+    ArrivalTally tally = tallies.computeIfAbsent(source, key -> new ArrivalTally());
+    tally.roll(terms, now);
     double run = spec.guess().asSeconds();
-    account.currentSeconds += Math.round(run * spec.tasks());
-    account.meanEstimate += (account.meanEstimate == 0 ? 1 : 0.1) * (run - account.meanEstimate);
-    account.resources = spec.room();
+    tally.currentSeconds += Math.round(run * spec.tasks());
+    tally.meanEstimate += (tally.meanEstimate == 0 ? 1 : 0.1) * (run - tally.meanEstimate);
+    tally.resources = spec.room();
   }
 
-  /** What is still to come in the parts of the time that lie ahead, this one's rest included. */
+  /** Returns the work expected from now until a time, the rest of the current slice included. */
   List<ExpectedArrivals> expected(DawnTerms terms, WallTime now, WallTime until) {
-    List<ExpectedArrivals> all = new ArrayList<>();
+    List<ExpectedArrivals> arrivals = new ArrayList<>();
     long length = PlanningWindow.sliceLength(terms).millis();
-    int ahead =
+    int lastSlice =
         (int)
             Math.min(
                 PlanningWindow.SLICES_PER_PERIOD - 1, (until.millis() - now.millis()) / length);
     tallies.forEach(
-        (source, account) -> {
-          account.roll(terms, now);
+        (source, tally) -> {
+          tally.roll(terms, now);
           Map<Integer, Double> tasks = new TreeMap<>();
-          for (int i = 0; i <= ahead; i++) {
-            WallTime then = new WallTime((account.currentSlice + i) * length);
-            double known = account.secondsBySlice[PlanningWindow.sliceOf(terms, then)];
-            double rest = i == 0 ? known - account.currentSeconds : known;
-            if (rest > 0 && account.meanEstimate > 0) {
-              tasks.put(i, rest / account.meanEstimate);
+          for (int i = 0; i <= lastSlice; i++) {
+            WallTime sliceStart = new WallTime((tally.currentSlice + i) * length);
+            double usual = tally.secondsBySlice[PlanningWindow.sliceOf(terms, sliceStart)];
+            double remaining = i == 0 ? usual - tally.currentSeconds : usual;
+            if (remaining > 0 && tally.meanEstimate > 0) {
+              tasks.put(i, remaining / tally.meanEstimate);
             }
           }
           if (!tasks.isEmpty()) {
-            all.add(new ExpectedArrivals(source, account.resources, account.meanEstimate, tasks));
+            arrivals.add(new ExpectedArrivals(source, tally.resources, tally.meanEstimate, tasks));
           }
         });
-    return all;
+    return arrivals;
   }
 
   List<PlanRow> rows() {
     List<PlanRow> rows = new ArrayList<>();
     tallies.forEach(
-        (source, account) ->
+        (source, tally) ->
             rows.add(
                 new PlanRow.ArrivalRow(
                     dawnName,
                     source.team(),
                     source.jobClass(),
-                    account.currentSlice,
-                    account.currentSeconds,
-                    account.meanEstimate,
-                    account.resources,
-                    java.util.Arrays.stream(account.secondsBySlice).boxed().toList())));
+                    tally.currentSlice,
+                    tally.currentSeconds,
+                    tally.meanEstimate,
+                    tally.resources,
+                    java.util.Arrays.stream(tally.secondsBySlice).boxed().toList())));
     return rows;
   }
 
   void restore(PlanRow.ArrivalRow row) {
-    ArrivalTally account = new ArrivalTally();
+    ArrivalTally tally = new ArrivalTally();
     for (int i = 0;
         i < Math.min(PlanningWindow.SLICES_PER_PERIOD, row.secondsBySlice().size());
         i++) {
-      account.secondsBySlice[i] = row.secondsBySlice().get(i);
+      tally.secondsBySlice[i] = row.secondsBySlice().get(i);
     }
-    account.currentSlice = row.currentSlice();
-    account.currentSeconds = row.currentSeconds();
-    account.meanEstimate = row.meanEstimate();
-    account.resources = row.resources();
-    tallies.put(new Source(row.team(), row.jobClass()), account);
+    tally.currentSlice = row.currentSlice();
+    tally.currentSeconds = row.currentSeconds();
+    tally.meanEstimate = row.meanEstimate();
+    tally.resources = row.resources();
+    tallies.put(new Source(row.team(), row.jobClass()), tally);
   }
 }
--- a/src/main/java/org/oakwalk/core/planner/CapacityForecast.java
+++ b/src/main/java/org/oakwalk/core/planner/CapacityForecast.java
@@ -17,21 +17,22 @@
 import org.oakwalk.core.job.Room;
 
 /**
- * What room there will be until dawn, by sort of machine: what is held, less what runs there; what
- * boots; and what could be had beside, as far as so many were held of late. How often machines are
- * taken back is learned as well.
+ * Forecast of the machine capacity until the deadline, by machine pool: held machines less their
+ * running tasks, booting machines, and machines that could be rented in addition, up to the number
+ * held recently. It also learns how often machines are reclaimed.
  */
 final class CapacityForecast {
   private static final int MAX_POOLS = 64;
 
-  /** Boots take up to so much more than the type's own time without being late. */
+  /** A boot may take this multiple of its type's boot time without being late. */
   private static final double BOOT_TIME_FACTOR = 1.6;
 
-  /** After so many hours half of what was learned is forgotten. */
+  /** Half-life of the learned figures, in hours. */
   private static final double HALF_LIFE_HOURS = 24;
 
   private static final double SECONDS_PER_HOUR = 3600;
 
+  /** Identifies a pool of interchangeable machines. */
   record MachinePoolKey(String type, String zone, boolean spot) {
     static MachinePoolKey of(Machine machine) {
       return new MachinePoolKey(machine.type().name(), machine.zone(), machine.spot());
@@ -49,7 +50,7 @@
     double reclaims;
   }
 
-  /** A sort of machines, as far as it can be foreseen. */
+  /** The forecast for one pool. */
   record PoolForecast(MachinePoolKey key, MachineType type, Schedule.MachinePool pool) {}
 
   private static final Comparator<MachinePoolKey> ORDER =
@@ -61,12 +62,12 @@
   private final Set<MachineId> countedReclaims = new HashSet<>();
   private Moment lastObserved;
 
-  /** Looks at what is held; to be called now and then. */
+  /** Updates the learned figures from the machines that are held; called periodically. */
   void observe(Iterable<Machine> machines, Moment now) {
     double hours =
         lastObserved == null ? 0 : now.since(lastObserved).asSeconds() / SECONDS_PER_HOUR;
     lastObserved = now;
-    double keep = Math.pow(0.5, hours / HALF_LIFE_HOURS);
+    double decay = Math.pow(0.5, hours / HALF_LIFE_HOURS);
     Map<MachinePoolKey, Integer> up = new TreeMap<>(ORDER);
     Set<MachineId> present = new HashSet<>();
     for (Machine machine : machines) {
@@ -80,24 +81,24 @@
     }
     countedReclaims.retainAll(present);
     histories.forEach(
-        (sort, account) -> {
-          account.recentPeak *= keep;
-          account.observedHours *= keep;
-          account.reclaims *= keep;
+        (key, history) -> {
+          history.recentPeak *= decay;
+          history.observedHours *= decay;
+          history.reclaims *= decay;
         });
     up.forEach(
-        (sort, count) -> {
-          PoolHistory account = history(sort);
-          account.recentPeak = Math.max(account.recentPeak, count);
-          account.observedHours += hours * count;
+        (key, count) -> {
+          PoolHistory history = history(key);
+          history.recentPeak = Math.max(history.recentPeak, count);
+          history.observedHours += hours * count;
         });
   }
 
-  private PoolHistory history(MachinePoolKey sort) {
-    if (!histories.containsKey(sort) && histories.size() >= MAX_POOLS) {
+  private PoolHistory history(MachinePoolKey key) {
+    if (!histories.containsKey(key) && histories.size() >= MAX_POOLS) {
       return new PoolHistory();
     }
-    return histories.computeIfAbsent(sort, s -> new PoolHistory());
+    return histories.computeIfAbsent(key, k -> new PoolHistory());
   }
 
   private static boolean isUsable(Machine machine) {
@@ -109,9 +110,9 @@
   }
 
   /**
-   * What can be counted on.
+   * Forecasts the capacity that a plan can rely on.
    *
-   * @param waiting room that others will take: services, headroom, guarantees
+   * @param waiting resources that other work will take: services, headroom, guarantees
    */
   List<PoolForecast> forecast(
       Iterable<Machine> machines,
@@ -119,20 +120,20 @@
       Room waiting,
       Span until,
       Moment now) {
-    double slot = until.asSeconds() / Schedule.SLOTS;
+    double slotSeconds = until.asSeconds() / Schedule.SLOTS;
     Map<MachinePoolKey, double[]> held = new TreeMap<>(ORDER);
     Map<MachinePoolKey, Integer> counts = new TreeMap<>(ORDER);
-    histories.keySet().forEach(sort -> held.put(sort, new double[Schedule.SLOTS]));
+    histories.keySet().forEach(key -> held.put(key, new double[Schedule.SLOTS]));
     for (Machine machine : machines) {
-      boolean boots = machine.state() == Machine.State.BOOTING;
-      if (!types.containsKey(machine.type().name()) || !(boots || isUsable(machine))) {
+      boolean booting = machine.state() == Machine.State.BOOTING;
+      if (!types.containsKey(machine.type().name()) || !(booting || isUsable(machine))) {
         continue;
       }
-      MachinePoolKey sort = MachinePoolKey.of(machine);
-      double[] free = held.computeIfAbsent(sort, s -> new double[Schedule.SLOTS]);
-      counts.merge(sort, 1, Integer::sum);
-      double up =
-          boots
+      MachinePoolKey key = MachinePoolKey.of(machine);
+      double[] free = held.computeIfAbsent(key, k -> new double[Schedule.SLOTS]);
+      counts.merge(key, 1, Integer::sum);
+      double availableFrom =
+          booting
               ? Math.max(
                   0,
                   machine
@@ -142,57 +143,66 @@
                       .minus(now.since(machine.known()))
                       .asSeconds())
               : 0;
-      addOverSlots(free, up, until.asSeconds(), slot, 1);
+      addOverSlots(free, availableFrom, until.asSeconds(), slotSeconds, 1);
       for (Placement placement : machine.placements()) {
         double end =
             placement.endsBy() == null
                 ? until.asSeconds()
-                : Math.max(slot, placement.endsBy().since(now).asSeconds());
+                : Math.max(slotSeconds, placement.endsBy().since(now).asSeconds());
         addOverSlots(
-            free, 0, end, slot, -placement.job().spec().room().share(machine.type().room()));
+            free, 0, end, slotSeconds, -placement.job().spec().room().share(machine.type().room()));
       }
     }
-    List<PoolForecast> outlooks = new ArrayList<>();
+    List<PoolForecast> forecasts = new ArrayList<>();
     held.forEach(
-        (sort, free) -> {
-          MachineType type = types.get(sort.type());
+        (key, free) -> {
+          MachineType type = types.get(key.type());
           if (type != null) {
-            outlooks.add(forecast(sort, type, free, counts.getOrDefault(sort, 0), until, slot));
+            forecasts.add(
+                forecast(key, type, free, counts.getOrDefault(key, 0), until, slotSeconds));
           }
         });
-    subtractWaiting(outlooks, waiting);
-    return outlooks;
+    subtractWaiting(forecasts, waiting);
+    return forecasts;
   }
 
   private PoolForecast forecast(
-      MachinePoolKey sort, MachineType type, double[] free, int count, Span until, double slot) {
-    PoolHistory account = histories.getOrDefault(sort, new PoolHistory());
-    double boot = type.boot().asSeconds() * BOOT_TIME_FACTOR;
-    double perHour = account.observedHours <= 0 ? 0 : account.reclaims / account.observedHours;
-    // What is taken back is gone for a boot; what it was working on is lost as well.
-    double there = 1 / (1 + perHour * 2 * boot / SECONDS_PER_HOUR);
+      MachinePoolKey key,
+      MachineType type,
+      double[] free,
+      int count,
+      Span until,
+      double slotSeconds) {
+    PoolHistory history = histories.getOrDefault(key, new PoolHistory());
+    double bootSeconds = type.boot().asSeconds() * BOOT_TIME_FACTOR;
+    double reclaimsPerHour =
+        history.observedHours <= 0 ? 0 : history.reclaims / history.observedHours;
+    // A reclaimed machine is missing for one boot time, and the work on it is lost as well: about
+    // as
+    // much again.
+    double availability = 1 / (1 + reclaimsPerHour * 2 * bootSeconds / SECONDS_PER_HOUR);
     for (int k = 0; k < free.length; k++) {
-      free[k] *= there;
+      free[k] *= availability;
     }
-    double[] more = new double[Schedule.SLOTS];
+    double[] obtainable = new double[Schedule.SLOTS];
     addOverSlots(
-        more,
-        boot,
+        obtainable,
+        bootSeconds,
         until.asSeconds(),
-        slot,
-        Math.max(0, Math.floor(account.recentPeak) - count) * there);
-    return new PoolForecast(sort, type, new Schedule.MachinePool(sort.toString(), free, more));
+        slotSeconds,
+        Math.max(0, Math.floor(history.recentPeak) - count) * availability);
+    return new PoolForecast(key, type, new Schedule.MachinePool(key.toString(), free, obtainable));
   }
 
-  /** Spreads what others will take over all machines alike. */
-  private static void subtractWaiting(List<PoolForecast> outlooks, Room waiting) {
+  /** Subtracts the resources that other work will take, spread evenly over all machines. */
+  private static void subtractWaiting(List<PoolForecast> forecasts, Room waiting) {
     double cpus =
-        outlooks.stream().mapToDouble(o -> o.pool().freeHeld()[0] * o.type().room().cpus()).sum();
-    for (PoolForecast outlook : outlooks) {
-      double[] free = outlook.pool().freeHeld();
+        forecasts.stream().mapToDouble(f -> f.pool().freeHeld()[0] * f.type().room().cpus()).sum();
+    for (PoolForecast forecast : forecasts) {
+      double[] free = forecast.pool().freeHeld();
       double part =
-          cpus <= 0 ? 0 : Math.min(1, Math.max(0, free[0]) * outlook.type().room().cpus() / cpus);
-      double taken = waiting.times(part).share(outlook.type().room());
+          cpus <= 0 ? 0 : Math.min(1, Math.max(0, free[0]) * forecast.type().room().cpus() / cpus);
+      double taken = waiting.times(part).share(forecast.type().room());
       for (int k = 0; k < free.length; k++) {
         free[k] -= taken;
       }
@@ -200,11 +210,11 @@
   }
 
   private static void addOverSlots(
-      double[] slots, double from, double to, double slot, double amount) {
+      double[] slots, double from, double to, double slotSeconds, double amount) {
     for (int k = 0; k < slots.length; k++) {
-      double covered = Math.min(to, (k + 1) * slot) - Math.max(from, k * slot);
+      double covered = Math.min(to, (k + 1) * slotSeconds) - Math.max(from, k * slotSeconds);
       if (covered > 0) {
-        slots[k] += amount * Math.min(1, covered / slot);
+        slots[k] += amount * Math.min(1, covered / slotSeconds);
       }
     }
   }
@@ -212,22 +222,22 @@
   List<PlanRow> rows() {
     List<PlanRow> rows = new ArrayList<>();
     histories.forEach(
-        (sort, account) ->
+        (key, history) ->
             rows.add(
                 new PlanRow.CapacityRow(
-                    sort.type(),
-                    sort.zone(),
-                    sort.spot(),
-                    account.recentPeak,
-                    account.observedHours,
-                    account.reclaims)));
+                    key.type(),
+                    key.zone(),
+                    key.spot(),
+                    history.recentPeak,
+                    history.observedHours,
+                    history.reclaims)));
     return rows;
   }
 
   void restore(PlanRow.CapacityRow row) {
-    PoolHistory account = history(new MachinePoolKey(row.type(), row.zone(), row.spot()));
-    account.recentPeak = row.recentPeak();
-    account.observedHours = row.observedHours();
-    account.reclaims = row.reclaims();
+    PoolHistory history = history(new MachinePoolKey(row.type(), row.zone(), row.spot()));
+    history.recentPeak = row.recentPeak();
+    history.observedHours = row.observedHours();
+    history.reclaims = row.reclaims();
   }
 }
--- a/src/main/java/org/oakwalk/core/planner/DeadlinePlanner.java
+++ b/src/main/java/org/oakwalk/core/planner/DeadlinePlanner.java
@@ -25,14 +25,14 @@
 import org.slf4j.LoggerFactory;
 
 /**
- * Plans the work of the nights: in which order its groups go, so that all is done by dawn, or in
- * equal shares if that can't be. What is stored of it counts, and nothing else; it speaks to the
- * queue through the deadlines of jobs alone.
+ * Plans batch work for recurring deadlines ("dawns"): orders the groups of jobs so that all work
+ * completes by the deadline, or gives equal shares to all groups if it can't. Only the stored plan
+ * takes effect, and it influences the queue only through the deadlines of jobs.
  */
 public final class DeadlinePlanner implements Deadlines {
   private static final Logger LOG = LoggerFactory.getLogger(DeadlinePlanner.class);
 
-  /** Name of its record. */
+  /** Name of the shared record that stores the plan. */
   public static final String RECORD_NAME = "dawn";
 
   private static final Span OBSERVE_INTERVAL = Span.seconds(5);
@@ -61,29 +61,36 @@
   private WallTime wallTime = new WallTime(0);
 
   /**
-   * A planner without terms.
+   * Creates a planner without any dawns.
    *
-   * @param minTimeLeft the least time that a deadline's distance counts in the score
-   * @param kept what room is kept for beside the open jobs
+   * @param minTimeLeft lower bound of the time to a deadline in the job score
+   * @param reservedFor work that room is reserved for in addition to the open jobs
    */
   public DeadlinePlanner(
-      Fleet fleet, JobBook jobs, Settings settings, Span floor, Supplier<List<JobSpec>> kept) {
+      Fleet fleet,
+      JobBook jobs,
+      Settings settings,
+      Span minTimeLeft,
+      Supplier<List<JobSpec>> reservedFor) {
     this.fleet = fleet;
     this.jobs = jobs;
     this.settings = settings;
-    this.minTimeLeft = floor;
-    this.draftBuilder = new DraftBuilder(settings, statistics, kept);
+    this.minTimeLeft = minTimeLeft;
+    this.draftBuilder = new DraftBuilder(settings, statistics, reservedFor);
   }
 
-  /** Follows the nights that are declared; nothing is planned before it is known what runs. */
+  /**
+   * Updates the plan for the configured dawns. No plan is made before recovery is complete, because
+   * the running tasks are not known until then.
+   */
   public void tick(
       List<DawnTerms> terms,
       SharedRecord<PlanRow> record,
       Map<String, MachineType> types,
       boolean recovered,
       Moment now,
-      WallTime dayTime) {
-    wallTime = dayTime;
+      WallTime wallTimeNow) {
+    wallTime = wallTimeNow;
     if (!terms.equals(dawns)) {
       setTerms(terms);
     }
@@ -116,7 +123,7 @@
     }
   }
 
-  /** Nothing is planned any more, and nothing that was planned counts. */
+  /** Stops planning and drops the active plan. */
   public void disable() {
     if (!openWindows.isEmpty() || activePlan != ActivePlan.NONE) {
       openWindows = Map.of();
@@ -124,7 +131,7 @@
     }
   }
 
-  /** Takes over what counts for a group at present. */
+  /** Updates a group's entry in the active plan, its deadline and its run time spread. */
   private void applyPlan(JobGroups.JobGroup group) {
     Optional<DawnTerms> dawn = dawnOf(group.representative);
     group.active = activeGroup(group.representative).orElse(null);
@@ -139,15 +146,15 @@
   }
 
   private Map<String, PlanningWindow> currentWindows() {
-    Map<String, PlanningWindow> found = new LinkedHashMap<>();
+    Map<String, PlanningWindow> windows = new LinkedHashMap<>();
     for (DawnTerms dawn : dawns) {
       PlanningWindow.current(dawn, wallTime, settings.clockOff())
-          .ifPresent(window -> found.put(dawn.name(), window));
+          .ifPresent(window -> windows.put(dawn.name(), window));
     }
-    return found;
+    return windows;
   }
 
-  /** Takes up other terms: what they cover is counted anew. */
+  /** Takes new terms and recounts the jobs that they cover. */
   private void setTerms(List<DawnTerms> terms) {
     dawns = List.copyOf(terms);
     groups = new JobGroups();
@@ -177,35 +184,35 @@
     }
   }
 
-  /** A task of a job has completed after running this long. */
+  /** Records the run time of a completed task. */
   public void taskCompleted(Job job, Span ran) {
     if (!dawns.isEmpty() && covered(job.spec())) {
       statistics.taskCompleted(job, ran);
     }
   }
 
-  /** Takes over what earlier leaders learned and planned. */
+  /** Restores the statistics and the plan that earlier leaders stored. */
   private void restore(List<PlanRow> rows) {
     restored = true;
     statistics.restore(rows);
-    ActivePlan found = new ActivePlan(rows);
-    for (ActivePlan.ActiveGroup entry : found.all()) {
-      JobGroups.JobGroup group = groups.find(entry.group().key());
-      int counted = group == null ? 0 : JobGroups.acceptedBy(group, entry.window().revisedAt());
+    ActivePlan storedPlan = new ActivePlan(rows);
+    for (ActivePlan.ActiveGroup active : storedPlan.all()) {
+      JobGroups.JobGroup group = groups.find(active.group().key());
+      int counted = group == null ? 0 : JobGroups.acceptedBy(group, active.window().revisedAt());
       acceptedEarlier.put(
-          entry.group().key(), Math.max(0, entry.group().acceptedTasks() - counted));
+          active.group().key(), Math.max(0, active.group().acceptedTasks() - counted));
     }
     for (DawnTerms dawn : dawns) {
-      found
+      storedPlan
           .window(dawn.name())
-          .filter(night -> night.deadline().millis() > wallTime.millis())
+          .filter(window -> window.deadline().millis() > wallTime.millis())
           .ifPresent(
-              night ->
+              window ->
                   LOG.info(
-                      "dawn {}: goes on with the plan of an earlier leader, revision {} of the window, share {}",
+                      "dawn {}: continuing with the plan of an earlier leader, revision {} of the window, share {}",
                       dawn.name(),
-                      night.revisionCount(),
-                      night.share()));
+                      window.revisionCount(),
+                      window.share()));
     }
   }
 
@@ -216,13 +223,13 @@
       Optional<ActivePlan.ActiveGroup> was = before.find(group.key);
       applyPlan(group);
       Optional<ActivePlan.ActiveGroup> is = Optional.ofNullable(group.active);
-      boolean beyond = is.isPresent() && isPromiseServed(is.get(), group);
+      boolean served = is.isPresent() && isPromiseServed(is.get(), group);
       if (was.isPresent() != is.isPresent()
-          || beyond != group.promiseServed
+          || served != group.promiseServed
           || is.isPresent() && was.isPresent() && startChanged(was.get(), is.get())) {
         changedJobs.addAll(group.jobs);
       }
-      group.promiseServed = beyond;
+      group.promiseServed = served;
     }
   }
 
@@ -233,27 +240,30 @@
         || Math.abs(is.rank() - was.rank()) > PlanRevisionPolicy.NOTABLE_FRACTION;
   }
 
-  /** Says what came of nights that are over, and stores what was learned in them. */
+  /** Logs the outcome of windows that have ended, and stores the statistics. */
   private void closeEndedWindows(SharedRecord<PlanRow> record) {
     for (DawnTerms dawn : dawns) {
-      Optional<PlanRow.WindowRow> night = activePlan.window(dawn.name());
-      if (night.isEmpty()
-          || night.get().deadline().millis() > wallTime.millis()
-          || night.get().deadline().equals(reportedEnds.put(dawn.name(), night.get().deadline()))) {
+      Optional<PlanRow.WindowRow> window = activePlan.window(dawn.name());
+      if (window.isEmpty()
+          || window.get().deadline().millis() > wallTime.millis()
+          || window
+              .get()
+              .deadline()
+              .equals(reportedEnds.put(dawn.name(), window.get().deadline()))) {
         continue;
       }
       int late = 0;
-      for (ActivePlan.ActiveGroup entry : activePlan.all()) {
-        JobGroups.JobGroup group = groups.find(entry.group().key());
-        if (group != null && entry.group().dawnName().equals(dawn.name())) {
+      for (ActivePlan.ActiveGroup active : activePlan.all()) {
+        JobGroups.JobGroup group = groups.find(active.group().key());
+        if (group != null && active.group().dawnName().equals(dawn.name())) {
           late += group.openTasks;
           changedJobs.addAll(group.jobs);
         }
       }
       LOG.info(
-          "dawn {} is over after {} revisions: {} tasks are late and go on",
+          "dawn {}: window ended after {} revisions; {} tasks are late and continue",
           dawn.name(),
-          night.get().revisionCount(),
+          window.get().revisionCount(),
           late);
       requestedRevision = record.requestWrite(rows(Map.of()));
     }
@@ -279,20 +289,20 @@
       }
     }
     groups.removeUnused(activePlan.upcomingKeys(wallTime));
-    Optional<PlanDraft> made = draftBuilder.draft(planInputs(), fleet, types, now, wallTime);
-    if (made.isEmpty()) {
+    Optional<PlanDraft> drafted = draftBuilder.draft(planInputs(), fleet, types, now, wallTime);
+    if (drafted.isEmpty()) {
       return;
     }
-    PlanDraft draft = made.get();
+    PlanDraft draft = drafted.get();
     boolean first =
         openWindows.keySet().stream()
-            .anyMatch(d -> activePlan.window(d, openWindows.get(d)).isEmpty());
+            .anyMatch(dawnName -> activePlan.window(dawnName, openWindows.get(dawnName)).isEmpty());
     if (first && draft.groups().isEmpty()) {
       return;
     }
     boolean infeasible = draft.isPartial();
     if (infeasible && !infeasibleBefore && (!first || mayStillBoot(shortest, types, now))) {
-      // What one look shows may be a machine that is about to come, or an answer that is late.
+      // A single infeasible draft may be due to a machine that is about to boot or a late response.
       infeasibleBefore = !first;
       if (!isAlreadyPartial()) {
         return;
@@ -309,18 +319,20 @@
                 activePlan.window(e.getKey(), e.getValue()).filter(n -> n.share() < 1).isPresent());
   }
 
-  /** Whether what is asked for at the beginning of a window can't have come yet. */
+  /** Returns whether machines requested at the beginning of the window may still be booting. */
   private boolean mayStillBoot(Span shortest, Map<String, MachineType> types, Moment now) {
     Span boot =
         types.values().stream().map(MachineType::boot).max(Span::compareTo).orElse(Span.seconds(0));
-    Span since =
+    Span sinceOpening =
         openWindows.values().stream()
             .map(window -> wallTime.since(window.opensAt()))
             .min(Span::compareTo)
             .orElseThrow();
-    Span here = now.since(termStart);
-    Span wait = PlanRevisionPolicy.clamp(boot.times(2.5), Span.seconds(0), shortest.times(0.1));
-    return (since.compareTo(here) < 0 ? since : here).compareTo(wait) < 0;
+    Span inTerm = now.since(termStart);
+    Span bootAllowance =
+        PlanRevisionPolicy.clamp(boot.times(2.5), Span.seconds(0), shortest.times(0.1));
+    return (sinceOpening.compareTo(inTerm) < 0 ? sinceOpening : inTerm).compareTo(bootAllowance)
+        < 0;
   }
 
   private void beginWindow(DawnTerms dawn) {
@@ -342,17 +354,17 @@
     if (reason.isEmpty()) {
       return;
     }
-    Map<String, List<PlanRow>> fresh = draft.rows(openWindows, activePlan, wallTime);
-    requestedRevision = record.requestWrite(rows(fresh));
-    LOG.info("dawn plan revised ({}): {}", reason.get(), draft.summary());
-    fresh.values().stream()
+    Map<String, List<PlanRow>> newRows = draft.rows(openWindows, activePlan, wallTime);
+    requestedRevision = record.requestWrite(rows(newRows));
+    LOG.info("deadline plan revised ({}): {}", reason.get(), draft.summary());
+    newRows.values().stream()
         .flatMap(List::stream)
         .filter(PlanRow.GroupRow.class::isInstance)
         .map(PlanRow.GroupRow.class::cast)
         .forEach(
             group ->
                 LOG.debug(
-                    "dawn {}: {} has {} of {} promised, starts in {}, ends in {}",
+                    "dawn {}: group {}: {} of {} tasks promised, starts in {}, ends in {}",
                     group.dawnName(),
                     group.key(),
                     group.promisedTasks(),
@@ -364,12 +376,14 @@
     }
   }
 
-  /** All rows: fresh ones of some dawns, of the others what is in force, and what was learned. */
-  private List<PlanRow> rows(Map<String, List<PlanRow>> fresh) {
+  /** Returns all rows: new ones for some dawns, the active plan of the others, and statistics. */
+  private List<PlanRow> rows(Map<String, List<PlanRow>> newRows) {
     List<PlanRow> rows = new ArrayList<>();
     for (DawnTerms dawn : dawns) {
       rows.addAll(
-          fresh.containsKey(dawn.name()) ? fresh.get(dawn.name()) : activePlan.rows(dawn.name()));
+          newRows.containsKey(dawn.name())
+              ? newRows.get(dawn.name())
+              : activePlan.rows(dawn.name()));
     }
     rows.addAll(statistics.rows());
     return rows;
@@ -388,36 +402,37 @@
     return activePlan
         .find(GroupKey.of(spec))
         .or(() -> activePlan.find(GroupKey.OTHERS))
-        .filter(entry -> entry.window().deadline().millis() > wallTime.millis())
+        .filter(active -> active.window().deadline().millis() > wallTime.millis())
         .filter(
-            entry ->
+            active ->
                 dawns.stream()
                     .anyMatch(
-                        dawn -> dawn.name().equals(entry.group().dawnName()) && dawn.covers(spec)));
+                        dawn ->
+                            dawn.name().equals(active.group().dawnName()) && dawn.covers(spec)));
   }
 
-  private boolean isPromiseServed(ActivePlan.ActiveGroup entry, JobGroups.JobGroup group) {
+  private boolean isPromiseServed(ActivePlan.ActiveGroup active, JobGroups.JobGroup group) {
     int served = acceptedEarlier.getOrDefault(group.key, 0) + group.servedTasks();
-    return entry.isPartial()
-        && !entry.group().key().equals(GroupKey.OTHERS)
-        && served >= entry.group().promisedTasks();
+    return active.isPartial()
+        && !active.group().key().equals(GroupKey.OTHERS)
+        && served >= active.group().promisedTasks();
   }
 
   @Override
   public Optional<Left> left(Job job, WallTime now) {
     JobGroups.JobGroup group = dawns.isEmpty() ? null : groups.groupOf(job);
-    // What is beyond a group's share goes as if there were no plan.
+    // Once a group's promise is served, its jobs are scheduled as if there were no plan.
     if (group == null
         || group.active == null
         || group.promiseServed
         || group.active.window().deadline().millis() <= now.millis()) {
       return Optional.empty();
     }
-    Span least = minTimeLeft.times(1 + group.active.rank());
+    Span minimum = minTimeLeft.times(1 + group.active.rank());
     Span left = group.active.group().startBy().since(now);
-    // Where there is too little time for all, none is left to wait for a turn.
-    boolean due = group.active.isPartial() || left.compareTo(least) <= 0;
-    return Optional.of(due ? new Left(least, true) : new Left(left, false));
+    // If there is too little time for all groups, none of them waits for its planned start.
+    boolean due = group.active.isPartial() || left.compareTo(minimum) <= 0;
+    return Optional.of(due ? new Left(minimum, true) : new Left(left, false));
   }
 
   @Override
--- a/src/main/java/org/oakwalk/core/planner/DraftBuilder.java
+++ b/src/main/java/org/oakwalk/core/planner/DraftBuilder.java
@@ -19,9 +19,12 @@
 import org.oakwalk.core.job.Room;
 import org.oakwalk.core.product.DawnTerms;
 
-/** Puts together what is to be done by dawn and what room there is, and has a plan made of it. */
+/**
+ * Drafts a plan: collects the work to complete by the deadline and the capacity available until
+ * then, and passes both to the solver.
+ */
 final class DraftBuilder {
-  /** Groups that a plan may have; those with the least work are planned as one. */
+  /** Maximum number of groups in a plan; the ones with the least work are combined. */
   static final int MAX_GROUPS = 64;
 
   private final Settings settings;
@@ -29,14 +32,15 @@
   private final RunTimeDistribution runTimes;
   private final CapacityForecast capacity;
 
-  DraftBuilder(Settings settings, PlanningStatistics learned, Supplier<List<JobSpec>> kept) {
-    this.reservedFor = kept;
+  DraftBuilder(
+      Settings settings, PlanningStatistics statistics, Supplier<List<JobSpec>> reservedFor) {
+    this.reservedFor = reservedFor;
     this.settings = settings;
-    this.runTimes = learned.runTimes;
-    this.capacity = learned.capacity;
+    this.runTimes = statistics.runTimes;
+    this.capacity = statistics.capacity;
   }
 
-  /** What a plan is made from, beside what was learned. */
+  /** The planner's state that a draft is based on. */
   record PlanInputs(
       JobGroups groups,
       List<DawnTerms> dawns,
@@ -45,7 +49,7 @@
       ActivePlan activePlan,
       Map<GroupKey, Integer> acceptedEarlier) {
 
-    /** The dawn by which a job is to be done: of the open ones that cover it, the next one. */
+    /** Returns the dawn with the earliest deadline among those that are open and cover a job. */
     Optional<DawnTerms> dawnOf(JobSpec spec) {
       return dawns.stream()
           .filter(dawn -> openWindows.containsKey(dawn.name()) && dawn.covers(spec))
@@ -53,79 +57,90 @@
     }
   }
 
-  /** One group of the plan, with the dawn that counts for it. */
+  /** A group of the plan and the dawn that covers it. */
   private record PlannedGroup(
       GroupKey key,
       DawnTerms dawn,
-      JobGroups.JobGroup group,
+      JobGroups.JobGroup jobGroup,
       int acceptedTasks,
       int promisedTasks) {
     double waitingSeconds() {
-      return group.waitingTasks * group.meanEstimate();
+      return jobGroup.waitingTasks * jobGroup.meanEstimate();
     }
   }
 
-  /** Makes a plan for the open windows; empty if there is no time left in any. */
+  /** Drafts a plan for the open windows; empty if no window has time left. */
   Optional<PlanDraft> draft(
-      PlanInputs night, Fleet fleet, Map<String, MachineType> types, Moment now, WallTime wall) {
+      PlanInputs inputs,
+      Fleet fleet,
+      Map<String, MachineType> types,
+      Moment now,
+      WallTime wallTime) {
     double seconds =
-        night.openWindows().values().stream()
-            .mapToDouble(window -> window.timeLeft(wall).asSeconds())
+        inputs.openWindows().values().stream()
+            .mapToDouble(window -> window.timeLeft(wallTime).asSeconds())
             .max()
             .orElse(0);
     if (seconds < 1) {
       return Optional.empty();
     }
-    List<CapacityForecast.PoolForecast> sorts =
+    List<CapacityForecast.PoolForecast> pools =
         capacity.forecast(
-            fleet.machines(), types, demandOfOthers(night, fleet), Span.seconds(seconds), now);
-    List<PlannedGroup> parts = plannedGroups(night);
+            fleet.machines(), types, demandOfOthers(inputs, fleet), Span.seconds(seconds), now);
+    List<PlannedGroup> planned = plannedGroups(inputs);
     List<PlanSolver.GroupLoad> loads = new ArrayList<>();
     double longest =
-        parts.stream()
-            .mapToDouble(part -> part.group().waitingTasks > 0 ? longestRun(part) : 0)
+        planned.stream()
+            .mapToDouble(group -> group.jobGroup().waitingTasks > 0 ? longestRun(group) : 0)
             .max()
             .orElse(0);
-    for (PlannedGroup part : parts) {
-      double gathers = gangWaitSeconds(part, longest, fleet);
-      loads.add(load(part, night, sorts, gathers, wall));
+    for (PlannedGroup group : planned) {
+      double gangWait = gangWaitSeconds(group, longest, fleet);
+      loads.add(load(group, inputs, pools, gangWait, wallTime));
     }
-    for (DawnTerms dawn : night.dawns()) {
-      if (night.openWindows().containsKey(dawn.name())) {
-        loads.addAll(expected(dawn, night, sorts, seconds, wall));
+    for (DawnTerms dawn : inputs.dawns()) {
+      if (inputs.openWindows().containsKey(dawn.name())) {
+        loads.addAll(expected(dawn, inputs, pools, seconds, wallTime));
       }
     }
     Schedule schedule =
         new Schedule(
-            sorts.stream().map(CapacityForecast.PoolForecast::pool).toList(),
+            pools.stream().map(CapacityForecast.PoolForecast::pool).toList(),
             limitFractionsLeft(fleet),
             seconds);
-    boolean doubtful =
-        night.dawns().stream()
+    boolean wasInfeasible =
+        inputs.dawns().stream()
             .anyMatch(
                 dawn ->
-                    night.activePlan().window(dawn.name()).filter(n -> n.share() < 1).isPresent());
-    PlanSolver.Solution plan = new PlanSolver(schedule, seconds).solve(loads, doubtful);
-    List<PlanDraft.DraftGroup> lines = new ArrayList<>();
-    for (int i = 0; i < parts.size(); i++) {
-      PlannedGroup part = parts.get(i);
-      lines.add(
+                    inputs.activePlan().window(dawn.name()).filter(n -> n.share() < 1).isPresent());
+    PlanSolver.Solution solution = new PlanSolver(schedule, seconds).solve(loads, wasInfeasible);
+    List<PlanDraft.DraftGroup> draftGroups = new ArrayList<>();
+    for (int i = 0; i < planned.size(); i++) {
+      PlannedGroup group = planned.get(i);
+      draftGroups.add(
           new PlanDraft.DraftGroup(
-              part.key(),
-              part.dawn().name(),
-              part.acceptedTasks(),
-              part.promisedTasks(),
-              part.group().waitingTasks,
+              group.key(),
+              group.dawn().name(),
+              group.acceptedTasks(),
+              group.promisedTasks(),
+              group.jobGroup().waitingTasks,
               loads.get(i).work().runSeconds(),
               loads.get(i).work().tailSeconds(),
-              plan.times().get(part.key().toString()),
-              plan.missingMachineHours().getOrDefault(part.key().toString(), 0.0)));
+              solution.times().get(group.key().toString()),
+              solution.missingMachineHours().getOrDefault(group.key().toString(), 0.0)));
     }
-    double boot =
+    double bootSeconds =
         types.values().stream().mapToDouble(type -> type.boot().asSeconds()).max().orElse(0);
-    double free = sorts.stream().mapToDouble(sort -> average(sort.pool().freeHeld())).sum();
-    double more = sorts.stream().mapToDouble(sort -> average(sort.pool().obtainable())).sum();
-    return Optional.of(new PlanDraft(plan, lines, Math.max(1, seconds - boot), free, more));
+    double averageFree = pools.stream().mapToDouble(pool -> average(pool.pool().freeHeld())).sum();
+    double averageObtainable =
+        pools.stream().mapToDouble(pool -> average(pool.pool().obtainable())).sum();
+    return Optional.of(
+        new PlanDraft(
+            solution,
+            draftGroups,
+            Math.max(1, seconds - bootSeconds),
+            averageFree,
+            averageObtainable));
   }
 
   private static double average(double[] values) {
@@ -133,25 +148,25 @@
   }
 
   /**
-   * Services that wait, headroom, and what teams without a part in the night are guaranteed and ask
-   * for.
+   * Returns the resources that other work will take: waiting services, headroom, and the guaranteed
+   * part of what teams request for jobs that no dawn covers.
    */
-  private Room demandOfOthers(PlanInputs night, Fleet fleet) {
-    Room waiting = night.groups().serviceDemand();
+  private Room demandOfOthers(PlanInputs inputs, Fleet fleet) {
+    Room waiting = inputs.groups().serviceDemand();
     for (JobSpec spec : reservedFor.get()) {
       waiting = waiting.plus(spec.room().times(spec.tasks()));
     }
     for (Settings.Team team : settings.teams().values()) {
-      Room asked = night.groups().otherDemand(team.name());
-      Room use = fleet.use(team.name());
-      double cpus = Math.min(team.cpus(), asked.cpus()) - use.cpus();
-      double gpus = Math.min(team.gpus(), asked.gpus()) - use.gpus();
+      Room demand = inputs.groups().otherDemand(team.name());
+      Room usage = fleet.use(team.name());
+      double cpus = Math.min(team.cpus(), demand.cpus()) - usage.cpus();
+      double gpus = Math.min(team.gpus(), demand.gpus()) - usage.gpus();
       waiting = waiting.plus(new Room(Math.max(0, cpus), Math.max(0, gpus), 0));
     }
     return waiting;
   }
 
-  /** Parts of teams' limits that are left beside what runs of them and has no end. */
+  /** Returns the fraction of each team's limit that its running tasks without an end leave free. */
   private Map<String, Double> limitFractionsLeft(Fleet fleet) {
     Map<String, Double> left = new HashMap<>();
     settings.teams().keySet().forEach(team -> left.put(team, 1.0));
@@ -166,185 +181,196 @@
     return left;
   }
 
-  /** What part of its team's limit a task takes; zero if there is none. */
-  private double limitFraction(String name, Room room) {
-    Settings.Team team = settings.teams().get(name);
-    if (team == null) {
+  /** Returns the fraction of its team's limit that a task takes; zero if there is no limit. */
+  private double limitFraction(String team, Room room) {
+    Settings.Team limits = settings.teams().get(team);
+    if (limits == null) {
       return 0;
     }
-    double cpus = team.cpusMax() > 0 ? room.cpus() / team.cpusMax() : 0;
-    double gpus = team.gpusMax() > 0 ? room.gpus() / team.gpusMax() : 0;
+    double cpus = limits.cpusMax() > 0 ? room.cpus() / limits.cpusMax() : 0;
+    double gpus = limits.gpusMax() > 0 ? room.gpus() / limits.gpusMax() : 0;
     return Math.max(cpus, gpus);
   }
 
-  private List<PlannedGroup> plannedGroups(PlanInputs night) {
-    List<PlannedGroup> parts = new ArrayList<>();
-    for (JobGroups.JobGroup group : night.groups().all()) {
-      Optional<DawnTerms> dawn = night.dawnOf(group.representative);
+  private List<PlannedGroup> plannedGroups(PlanInputs inputs) {
+    List<PlannedGroup> planned = new ArrayList<>();
+    for (JobGroups.JobGroup group : inputs.groups().all()) {
+      Optional<DawnTerms> dawn = inputs.dawnOf(group.representative);
       if (dawn.isPresent()) {
-        int seen = night.acceptedEarlier().getOrDefault(group.key, 0) + group.acceptedTasks;
-        PlanningWindow window = night.openWindows().get(dawn.get().name());
+        int seen = inputs.acceptedEarlier().getOrDefault(group.key, 0) + group.acceptedTasks;
+        PlanningWindow window = inputs.openWindows().get(dawn.get().name());
         int promised =
-            night
+            inputs
                 .activePlan()
                 .find(group.key)
                 .filter(entry -> entry.window().deadline().equals(window.deadline()))
                 .map(entry -> Math.min(seen, entry.group().promisedTasks()))
                 .orElse(0);
         if (seen > 0) {
-          parts.add(new PlannedGroup(group.key, dawn.get(), group, seen, promised));
+          planned.add(new PlannedGroup(group.key, dawn.get(), group, seen, promised));
         }
       }
     }
-    parts.sort(
+    planned.sort(
         Comparator.comparingDouble(PlannedGroup::waitingSeconds)
             .reversed()
-            .thenComparing(part -> part.key().toString()));
-    return parts.size() <= MAX_GROUPS ? parts : merged(parts);
+            .thenComparing(group -> group.key().toString()));
+    return planned.size() <= MAX_GROUPS ? planned : merged(planned);
   }
 
-  /** Those with the least work become one: as long as its longest, and as early as its first. */
-  private static List<PlannedGroup> merged(List<PlannedGroup> parts) {
-    List<PlannedGroup> kept = new ArrayList<>(parts.subList(0, MAX_GROUPS - 1));
-    List<PlannedGroup> small = parts.subList(MAX_GROUPS - 1, parts.size());
-    JobGroups.JobGroup sum =
-        new JobGroups.JobGroup(GroupKey.OTHERS, small.get(0).group().representative);
+  /**
+   * Combines the groups with the least work into one, which is planned with the longest of their
+   * run times and with the dawn of the first of them.
+   */
+  private static List<PlannedGroup> merged(List<PlannedGroup> planned) {
+    List<PlannedGroup> largest = new ArrayList<>(planned.subList(0, MAX_GROUPS - 1));
+    List<PlannedGroup> smallest = planned.subList(MAX_GROUPS - 1, planned.size());
+    JobGroups.JobGroup combined =
+        new JobGroups.JobGroup(GroupKey.OTHERS, smallest.get(0).jobGroup().representative);
     int seen = 0;
     int promised = 0;
-    for (PlannedGroup part : small) {
-      sum.openTasks += part.group().openTasks;
-      sum.waitingTasks += part.group().waitingTasks;
-      sum.openSeconds += part.group().openSeconds;
-      sum.longestEstimate = Math.max(sum.longestEstimate, part.group().longestEstimate);
-      sum.jobs.addAll(part.group().jobs);
-      seen += part.acceptedTasks();
-      promised += part.promisedTasks();
+    for (PlannedGroup group : smallest) {
+      combined.openTasks += group.jobGroup().openTasks;
+      combined.waitingTasks += group.jobGroup().waitingTasks;
+      combined.openSeconds += group.jobGroup().openSeconds;
+      combined.longestEstimate =
+          Math.max(combined.longestEstimate, group.jobGroup().longestEstimate);
+      combined.jobs.addAll(group.jobGroup().jobs);
+      seen += group.acceptedTasks();
+      promised += group.promisedTasks();
     }
-    kept.add(new PlannedGroup(GroupKey.OTHERS, small.get(0).dawn(), sum, seen, promised));
-    return kept;
+    largest.add(
+        new PlannedGroup(GroupKey.OTHERS, smallest.get(0).dawn(), combined, seen, promised));
+    return largest;
   }
 
-  private double longestRun(PlannedGroup part) {
-    return part.group().longestEstimate
-        * runTimes.quantileRatio(part.group().representative.jobClass(), part.dawn().quantile());
+  private double longestRun(PlannedGroup group) {
+    return group.jobGroup().longestEstimate
+        * runTimes.quantileRatio(
+            group.jobGroup().representative.jobClass(), group.dawn().quantile());
   }
 
   /**
-   * How long a gang waits for its places: they come free one after the other, as what runs there
-   * ends, and the more of all it needs, the longer the last of them takes.
+   * Returns how long a gang waits until enough room is free for all its tasks. Room is released one
+   * task at a time as running tasks end, so a gang that needs a larger part of all room waits
+   * longer.
    */
-  private static double gangWaitSeconds(PlannedGroup part, double longest, Fleet fleet) {
-    int width = part.group().maxGangWidth;
+  private static double gangWaitSeconds(PlannedGroup group, double longest, Fleet fleet) {
+    int width = group.jobGroup().maxGangWidth;
     double places = 0;
     for (Machine machine : fleet.machines()) {
       places +=
           machine.state() == Machine.State.UP
-              ? machine.type().room().count(part.group().representative.room())
+              ? machine.type().room().count(group.jobGroup().representative.room())
               : 0;
     }
     return width <= 1 || places <= 0 ? 0 : longest * Math.min(1, 4 * width / places);
   }
 
   private PlanSolver.GroupLoad load(
-      PlannedGroup part,
-      PlanInputs night,
-      List<CapacityForecast.PoolForecast> sorts,
-      double gathers,
-      WallTime wall) {
-    JobSpec sample = part.group().representative;
+      PlannedGroup group,
+      PlanInputs inputs,
+      List<CapacityForecast.PoolForecast> pools,
+      double gangWait,
+      WallTime wallTime) {
+    JobSpec sample = group.jobGroup().representative;
     double mean = runTimes.meanRatio(sample.jobClass());
-    double most = runTimes.quantileRatio(sample.jobClass(), part.dawn().quantile());
-    // The more jobs there are, the less their sum strays; the last of them may still take long.
-    double strays = (most - mean) / Math.sqrt(Math.max(1, part.group().jobs.size()));
-    double run = Math.max(0.1, part.group().meanEstimate() * (mean + strays));
-    double fetch =
-        sorts.stream()
-            .mapToDouble(sort -> sort.type().fetch(sample.imageGb()).asSeconds())
+    double atQuantile = runTimes.quantileRatio(sample.jobClass(), group.dawn().quantile());
+    // The total run time of many jobs varies less than that of one, but the last task may still
+    // take
+    // long.
+    double spread = (atQuantile - mean) / Math.sqrt(Math.max(1, group.jobGroup().jobs.size()));
+    double run = Math.max(0.1, group.jobGroup().meanEstimate() * (mean + spread));
+    double fetchSeconds =
+        pools.stream()
+            .mapToDouble(pool -> pool.type().fetch(sample.imageGb()).asSeconds())
             .max()
             .orElse(0);
-    double tail = Math.max(run, longestRun(part)) + fetch + gathers;
-    double[] released = new double[Schedule.SLOTS];
-    java.util.Arrays.fill(released, part.group().waitingTasks);
-    double due = night.openWindows().get(part.dawn().name()).timeLeft(wall).asSeconds();
+    double tail = Math.max(run, longestRun(group)) + fetchSeconds + gangWait;
+    double[] releasedBySlot = new double[Schedule.SLOTS];
+    java.util.Arrays.fill(releasedBySlot, group.jobGroup().waitingTasks);
+    double dueSeconds =
+        inputs.openWindows().get(group.dawn().name()).timeLeft(wallTime).asSeconds();
     Schedule.GroupWork work =
         new Schedule.GroupWork(
-            part.key().toString(),
-            released,
+            group.key().toString(),
+            releasedBySlot,
             run,
             tail,
-            due,
-            machineFractions(sample, sorts),
-            part.group().maxGangWidth,
+            dueSeconds,
+            machineFractions(sample, pools),
+            group.jobGroup().maxGangWidth,
             sample.team(),
             limitFraction(sample.team(), sample.room()));
     return new PlanSolver.GroupLoad(
         work,
-        part.acceptedTasks(),
-        part.acceptedTasks() - part.group().waitingTasks,
-        part.promisedTasks());
+        group.acceptedTasks(),
+        group.acceptedTasks() - group.jobGroup().waitingTasks,
+        group.promisedTasks());
   }
 
-  /** Parts of machines that a task takes, by sort; zero where the job may not run. */
+  /** Returns the fraction of a machine that a task takes, by pool; zero where it may not run. */
   private static double[] machineFractions(
-      JobSpec spec, List<CapacityForecast.PoolForecast> sorts) {
-    double[] use = new double[sorts.size()];
+      JobSpec spec, List<CapacityForecast.PoolForecast> pools) {
+    double[] use = new double[pools.size()];
     for (int i = 0; i < use.length; i++) {
-      CapacityForecast.MachinePoolKey sort = sorts.get(i).key();
+      CapacityForecast.MachinePoolKey key = pools.get(i).key();
       use[i] =
-          spec.allows(sort.type(), sort.zone(), sort.spot())
-              ? machineFraction(spec.room(), sorts.get(i).type())
+          spec.allows(key.type(), key.zone(), key.spot())
+              ? machineFraction(spec.room(), pools.get(i).type())
               : 0;
     }
     return use;
   }
 
   private static double machineFraction(Room room, MachineType type) {
-    int each = type.room().count(room);
-    return each <= 0 ? 0 : 1.0 / each;
+    int perMachine = type.room().count(room);
+    return perMachine <= 0 ? 0 : 1.0 / perMachine;
   }
 
-  /** What usually comes until dawn, as far as it can be done then. */
+  /** Returns the work expected to arrive before the deadline that can still be completed by it. */
   private List<PlanSolver.GroupLoad> expected(
       DawnTerms dawn,
-      PlanInputs night,
-      List<CapacityForecast.PoolForecast> sorts,
+      PlanInputs inputs,
+      List<CapacityForecast.PoolForecast> pools,
       double seconds,
-      WallTime wall) {
-    PlanningWindow window = night.openWindows().get(dawn.name());
-    double due = window.timeLeft(wall).asSeconds();
-    double slice = PlanningWindow.sliceLength(dawn).asSeconds();
+      WallTime wallTime) {
+    PlanningWindow window = inputs.openWindows().get(dawn.name());
+    double dueSeconds = window.timeLeft(wallTime).asSeconds();
+    double sliceSeconds = PlanningWindow.sliceLength(dawn).asSeconds();
     List<PlanSolver.GroupLoad> loads = new ArrayList<>();
     for (ArrivalForecast.ExpectedArrivals expected :
-        night.statistics().arrivals(dawn.name()).expected(dawn, wall, window.finishBy())) {
+        inputs.statistics().arrivals(dawn.name()).expected(dawn, wallTime, window.finishBy())) {
       String jobClass = expected.source().jobClass();
       double run = Math.max(0.1, expected.runSeconds() * runTimes.meanRatio(jobClass));
       double tail =
           Math.max(run, expected.runSeconds() * runTimes.quantileRatio(jobClass, dawn.quantile()));
-      double[] released = new double[Schedule.SLOTS];
+      double[] releasedBySlot = new double[Schedule.SLOTS];
       expected
           .tasksBySlice()
           .forEach(
-              (ahead, tasks) -> {
-                double at = ahead * slice;
-                if (at + tail < due) {
-                  int from = (int) Math.min(Schedule.SLOTS - 1, at * Schedule.SLOTS / seconds);
-                  for (int k = from; k < released.length; k++) {
-                    released[k] += tasks;
+              (slice, tasks) -> {
+                double arrival = slice * sliceSeconds;
+                if (arrival + tail < dueSeconds) {
+                  int firstSlot =
+                      (int) Math.min(Schedule.SLOTS - 1, arrival * Schedule.SLOTS / seconds);
+                  for (int k = firstSlot; k < releasedBySlot.length; k++) {
+                    releasedBySlot[k] += tasks;
                   }
                 }
               });
-      double[] use = new double[sorts.size()];
+      double[] use = new double[pools.size()];
       for (int i = 0; i < use.length; i++) {
-        use[i] = machineFraction(expected.resources(), sorts.get(i).type());
+        use[i] = machineFraction(expected.resources(), pools.get(i).type());
       }
       loads.add(
           new PlanSolver.GroupLoad(
               new Schedule.GroupWork(
                   "coming " + dawn.name() + " " + expected.source(),
-                  released,
+                  releasedBySlot,
                   run,
                   tail,
-                  due,
+                  dueSeconds,
                   use,
                   1,
                   expected.source().team(),
--- a/src/main/java/org/oakwalk/core/planner/GroupKey.java
+++ b/src/main/java/org/oakwalk/core/planner/GroupKey.java
@@ -3,14 +3,17 @@
 import org.oakwalk.core.job.JobSpec;
 
 /**
- * What is planned as one: a team's jobs of a class that are alike in length and size.
+ * Identifies a group of jobs that are planned together: jobs of one team and class that are similar
+ * in run time and number of tasks.
  *
  * @param runTimeBand band of the guessed run time of a task: each is four times as long as the one
  *     below
  * @param taskCountBand band of the number of tasks: each is ten times as large as the one below
  */
 public record GroupKey(String team, String jobClass, int runTimeBand, int taskCountBand) {
-  /** Stands for what is left over once there are as many groups as a plan may have. */
+  /**
+   * Key of the group that combines the smallest groups when there are more than a plan may have.
+   */
   static final GroupKey OTHERS = new GroupKey("", "", -1, -1);
 
   private static final int MAX_BAND = 9;
--- a/src/main/java/org/oakwalk/core/planner/JobGroups.java
+++ b/src/main/java/org/oakwalk/core/planner/JobGroups.java
@@ -13,41 +13,45 @@
 import org.oakwalk.core.job.Room;
 
 /**
- * Sums of the open jobs by group, kept up to date with each change of a job, so that a plan looks
- * at groups alone.
+ * Totals of the open jobs by group, updated incrementally on each change of a job, so that planning
+ * looks at groups instead of single jobs.
  */
 final class JobGroups {
-  /** Open jobs of one group. */
+  /** The open jobs of one group and their totals. */
   static final class JobGroup {
     final GroupKey key;
     final Set<Job> jobs = new LinkedHashSet<>();
 
-    /** A job that stands for them. */
+    /** The spec of the newest job, used for the whole group. */
     JobSpec representative;
 
-    /** Tasks of all jobs that came since it is known, done ones too, less what was withdrawn. */
+    /**
+     * Tasks that were open at the start of the window or accepted since, done ones included; of
+     * withdrawn or suspect jobs, only the done ones.
+     */
     int acceptedTasks;
 
     int openTasks;
     int waitingTasks;
 
-    /** Guessed seconds of the tasks that are open. */
+    /** Estimated run time of the open tasks together. */
     double openSeconds;
 
     int maxGangWidth = 1;
 
-    /** What is in force for it, and by when it should be done; null if nothing is. */
+    /** The group's entry in the active plan; null if there is none. */
     ActivePlan.ActiveGroup active;
 
+    /** When the group should be done; null if no window is open for it. */
     WallTime finishBy;
 
-    /** By how much of their guesses tasks may take longer than on an average. */
+    /** How much longer than the mean tasks may run, as a fraction of their estimates. */
     double runTimeSpread;
 
-    /** Whether its share has been served. */
+    /** Whether all promised tasks of a partial plan have been started. */
     boolean promiseServed;
 
-    /** Guess of the longest task that was in it. */
+    /** The longest estimated run time of a task that was in the group, in seconds. */
     double longestEstimate;
 
     JobGroup(GroupKey key, JobSpec sample) {
@@ -68,14 +72,14 @@
     }
   }
 
-  /** What a job adds. */
+  /** What a job contributes to the totals. */
   private static final class CountedJob {
     JobGroup group;
     int openTasks;
     int waitingTasks;
     Room otherDemand = Room.NONE;
 
-    /** Tasks that were done before the window opened. */
+    /** Tasks that had completed before the window opened. */
     int doneBefore;
 
     int acceptedTasks;
@@ -94,65 +98,66 @@
     return groups.get(key);
   }
 
-  /** The group of an open job; null if no dawn is set for it. */
+  /** Returns the group of an open job; null if no dawn covers the job. */
   JobGroup groupOf(Job job) {
-    CountedJob part = countedJobs.get(job);
-    return part == null ? null : part.group;
+    CountedJob counted = countedJobs.get(job);
+    return counted == null ? null : counted.group;
   }
 
-  /** Room that open services ask for and have not got. */
+  /** Returns the resources of open services' replicas that have not been placed. */
   Room serviceDemand() {
     return serviceDemand;
   }
 
-  /** Room that a team's other work, which no dawn is set for, asks for. */
+  /** Returns the resources requested by a team's jobs that no dawn covers. */
   Room otherDemand(String team) {
     return otherDemand.getOrDefault(team, Room.NONE);
   }
 
   /**
-   * A job has come or changed.
+   * Updates the totals for a new or changed job.
    *
-   * @param covered whether a dawn is set for it
-   * @return the group whose sums it has changed, or null
+   * @param covered whether a dawn covers the job
+   * @return the group whose totals have changed, or null
    */
   JobGroup jobChanged(Job job, boolean covered) {
-    CountedJob part = countedJobs.get(job);
-    if (part == null) {
+    CountedJob counted = countedJobs.get(job);
+    if (counted == null) {
       if (job.over()) {
         return null;
       }
-      part = new CountedJob();
-      countedJobs.put(job, part);
+      counted = new CountedJob();
+      countedJobs.put(job, counted);
       if (covered) {
         GroupKey key = GroupKey.of(job.spec());
-        part.group = groups.computeIfAbsent(key, k -> new JobGroup(k, job.spec()));
-        part.group.jobs.add(job);
-        part.group.representative = job.spec();
-        part.group.longestEstimate =
-            Math.max(part.group.longestEstimate, job.spec().guess().asSeconds());
-        part.group.maxGangWidth =
-            Math.max(part.group.maxGangWidth, job.spec().gang() ? job.spec().tasks() : 1);
+        counted.group = groups.computeIfAbsent(key, k -> new JobGroup(k, job.spec()));
+        counted.group.jobs.add(job);
+        counted.group.representative = job.spec();
+        counted.group.longestEstimate =
+            Math.max(counted.group.longestEstimate, job.spec().guess().asSeconds());
+        counted.group.maxGangWidth =
+            Math.max(counted.group.maxGangWidth, job.spec().gang() ? job.spec().tasks() : 1);
       }
     }
-    if (part.group == null) {
-      updateOtherDemand(job, part);
+    if (counted.group == null) {
+      updateOtherDemand(job, counted);
       return null;
     }
-    JobGroup group = part.group;
-    // What fails everywhere is no measure of the night, and nothing is promised for it.
+    JobGroup group = counted.group;
+    // Jobs whose tasks fail on every machine would distort the plan, and nothing is promised for
+    // them.
     boolean counts = job.open() && !job.suspect();
     int open = counts ? job.spec().tasks() - job.doneCount() : 0;
     int waiting = counts ? job.pendingCount() : 0;
-    group.openTasks += open - part.openTasks;
-    group.waitingTasks += waiting - part.waitingTasks;
-    group.openSeconds += (open - part.openTasks) * job.spec().guess().asSeconds();
-    part.openTasks = open;
-    part.waitingTasks = waiting;
-    boolean lost = job.state() == Job.State.WITHDRAWN || job.suspect();
-    int came = (lost ? job.doneCount() : job.spec().tasks()) - part.doneBefore;
-    group.acceptedTasks += came - part.acceptedTasks;
-    part.acceptedTasks = came;
+    group.openTasks += open - counted.openTasks;
+    group.waitingTasks += waiting - counted.waitingTasks;
+    group.openSeconds += (open - counted.openTasks) * job.spec().guess().asSeconds();
+    counted.openTasks = open;
+    counted.waitingTasks = waiting;
+    boolean dropped = job.state() == Job.State.WITHDRAWN || job.suspect();
+    int accepted = (dropped ? job.doneCount() : job.spec().tasks()) - counted.doneBefore;
+    group.acceptedTasks += accepted - counted.acceptedTasks;
+    counted.acceptedTasks = accepted;
     if (job.over()) {
       countedJobs.remove(job);
       group.jobs.remove(job);
@@ -160,33 +165,33 @@
     return group;
   }
 
-  private void updateOtherDemand(Job job, CountedJob part) {
+  private void updateOtherDemand(Job job, CountedJob counted) {
     JobSpec spec = job.spec();
     int tasks = spec.service() ? job.pendingCount() : spec.tasks() - job.doneCount();
-    Room asked = job.open() ? spec.room().times(tasks) : Room.NONE;
+    Room demand = job.open() ? spec.room().times(tasks) : Room.NONE;
     if (spec.service()) {
-      serviceDemand = serviceDemand.plus(asked).minus(part.otherDemand);
+      serviceDemand = serviceDemand.plus(demand).minus(counted.otherDemand);
     } else {
-      otherDemand.merge(spec.team(), asked.minus(part.otherDemand), Room::plus);
+      otherDemand.merge(spec.team(), demand.minus(counted.otherDemand), Room::plus);
     }
-    part.otherDemand = asked;
+    counted.otherDemand = demand;
     if (job.over()) {
       countedJobs.remove(job);
     }
   }
 
-  /** A new window: only what is open counts from now on. */
+  /** Begins a new window: from now on, only tasks that are still open count as accepted. */
   void beginWindow(JobGroup group) {
     group.acceptedTasks = 0;
     for (Job job : group.jobs) {
-      CountedJob part = countedJobs.get(job);
-      part.doneBefore = job.doneCount();
-      part.acceptedTasks = 0;
+      CountedJob counted = countedJobs.get(job);
+      counted.doneBefore = job.doneCount();
+      counted.acceptedTasks = 0;
       jobChanged(job, true);
     }
   }
 
-  /** Tasks of a group's open jobs that were accepted by then. */
+  /** Returns the number of tasks in a group's open jobs that were accepted by a time. */
   static int acceptedBy(JobGroup group, WallTime by) {
     int tasks = 0;
     for (Job job : group.jobs) {
@@ -195,7 +200,7 @@
     return tasks;
   }
 
-  /** Drops groups that have neither open jobs nor a place in a plan. */
+  /** Removes groups that have no open jobs and are not in a plan. */
   void removeUnused(Set<GroupKey> planned) {
     groups.values().removeIf(group -> group.jobs.isEmpty() && !planned.contains(group.key));
   }
--- a/src/main/java/org/oakwalk/core/planner/PlanDraft.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanDraft.java
@@ -11,12 +11,12 @@
 import org.oakwalk.core.WallTime;
 
 /**
- * A plan that has been made and may be stored.
+ * A computed plan that has not been stored yet.
  *
- * @param extraMachineSeconds for which machines would have to be had beside, to mend what is
- *     missing
- * @param averageFree machines that are free on an average until dawn, of those that are held
- * @param averageObtainable machines that can be had beside, on an average
+ * @param extraMachineSeconds for how long additional machines would have to run to supply the
+ *     missing capacity
+ * @param averageFree average number of held machines that are free until the deadline
+ * @param averageObtainable average number of machines that could be rented in addition
  */
 record PlanDraft(
     PlanSolver.Solution solution,
@@ -24,17 +24,19 @@
     double extraMachineSeconds,
     double averageFree,
     double averageObtainable) {
-  /** A new group with so much of the work is planned at once. */
+  /** A new group with more than this fraction of all work is planned without delay. */
   private static final double NEW_GROUP_FRACTION = 0.01;
 
   /**
-   * A group of it.
+   * A group of jobs in the plan.
    *
-   * @param promised tasks that were promised before
-   * @param run seconds that a task takes, as it counts for the work
-   * @param tail seconds that its last tasks may take
-   * @param times when it should go; null if nothing of it waits or has a share
-   * @param missing hours of machines that are missing for all of it
+   * @param acceptedTasks tasks accepted for the window
+   * @param promisedTasks tasks that earlier revisions promised to complete
+   * @param waitingTasks tasks that have not been placed
+   * @param runSeconds planned run time of a task
+   * @param tailSeconds time that the last tasks may take
+   * @param times planned start and end; null if no task of the group has to be placed
+   * @param missingMachineHours machine hours missing to complete the whole group
    */
   record DraftGroup(
       GroupKey key,
@@ -47,140 +49,159 @@
       Schedule.GroupTimes times,
       double missingMachineHours) {}
 
-  /** So many machines more would mend it. */
+  /** Returns how many additional machines would supply the missing capacity. */
   private int missingMachines() {
     return (int) Math.ceil(solution.totalMissingMachineHours() * 3600 / extraMachineSeconds - 1e-9);
   }
 
-  /** Whether not all of the open windows' work can be done. */
+  /** Returns whether only a part of the work in the open windows can be completed. */
   boolean isPartial() {
     return solution.share() < 1;
   }
 
-  /** The rows that are to be stored, by dawn. */
+  /** Returns the rows to store, by dawn. */
   Map<String, List<PlanRow>> rows(
-      Map<String, PlanningWindow> open, ActivePlan inForce, WallTime now) {
+      Map<String, PlanningWindow> open, ActivePlan activePlan, WallTime now) {
     Map<String, List<PlanRow>> rows = new HashMap<>();
     open.forEach(
-        (dawn, window) -> {
-          List<PlanRow> of = new ArrayList<>();
-          of.add(
+        (dawnName, window) -> {
+          List<PlanRow> ofDawn = new ArrayList<>();
+          ofDawn.add(
               new PlanRow.WindowRow(
-                  dawn,
+                  dawnName,
                   window.opensAt(),
                   window.deadline(),
                   now,
-                  inForce.window(dawn, window).map(PlanRow.WindowRow::revisionCount).orElse(0) + 1,
-                  share(inForce, dawn, window),
+                  activePlan
+                          .window(dawnName, window)
+                          .map(PlanRow.WindowRow::revisionCount)
+                          .orElse(0)
+                      + 1,
+                  share(activePlan, dawnName, window),
                   solution.totalMissingMachineHours(),
                   missingMachines(),
                   isPartial() ? Math.round(extraMachineSeconds) : 0));
           groups.stream()
-              .filter(line -> line.dawnName().equals(dawn))
-              .map(line -> groupRow(line, window, inForce, now))
-              .forEach(of::add);
-          // What is done and gone was promised all the same.
-          inForce.rows(dawn, window).stream()
-              .filter(group -> groups.stream().noneMatch(line -> line.key().equals(group.key())))
-              .forEach(of::add);
-          rows.put(dawn, of);
+              .filter(draftGroup -> draftGroup.dawnName().equals(dawnName))
+              .map(draftGroup -> groupRow(draftGroup, window, activePlan, now))
+              .forEach(ofDawn::add);
+          // Groups without open jobs keep their promises in the record.
+          activePlan.rows(dawnName, window).stream()
+              .filter(
+                  group ->
+                      groups.stream().noneMatch(draftGroup -> draftGroup.key().equals(group.key())))
+              .forEach(ofDawn::add);
+          rows.put(dawnName, ofDawn);
         });
     return rows;
   }
 
-  /** A share that was planned once is not lowered in the same window. */
-  private double share(ActivePlan inForce, String dawn, PlanningWindow window) {
+  /** Returns the share to store: within a window, a share below 1 is never lowered. */
+  private double share(ActivePlan activePlan, String dawnName, PlanningWindow window) {
     double before =
-        inForce
-            .window(dawn, window)
+        activePlan
+            .window(dawnName, window)
             .map(PlanRow.WindowRow::share)
             .filter(share -> share < 1)
             .orElse(0.0);
     return Math.max(before, solution.share());
   }
 
-  /** A start that was planned once in a window never moves back in it. */
+  /** Returns a group's row. Within a window, a planned start never becomes later. */
   private PlanRow.GroupRow groupRow(
-      DraftGroup line, PlanningWindow window, ActivePlan inForce, WallTime now) {
-    WallTime ends = window.finishBy();
-    WallTime start = line.times() == null ? now : capped(now, line.times().start(), ends);
-    WallTime end = line.times() == null ? ends : capped(now, line.times().end(), ends);
+      DraftGroup draftGroup, PlanningWindow window, ActivePlan activePlan, WallTime now) {
+    WallTime finishBy = window.finishBy();
+    WallTime start =
+        draftGroup.times() == null ? now : capped(now, draftGroup.times().start(), finishBy);
+    WallTime end =
+        draftGroup.times() == null ? finishBy : capped(now, draftGroup.times().end(), finishBy);
     Optional<WallTime> before =
-        inForce
-            .find(line.key())
-            .filter(entry -> entry.window().deadline().equals(window.deadline()))
-            .map(entry -> entry.group().startBy());
+        activePlan
+            .find(draftGroup.key())
+            .filter(active -> active.window().deadline().equals(window.deadline()))
+            .map(active -> active.group().startBy());
     if (before.isPresent() && before.get().millis() < start.millis()) {
       start = before.get();
     }
     int quota =
         isPartial()
             ? (int)
-                Math.min(line.acceptedTasks(), Math.ceil(solution.share() * line.acceptedTasks()))
-            : line.acceptedTasks();
+                Math.min(
+                    draftGroup.acceptedTasks(),
+                    Math.ceil(solution.share() * draftGroup.acceptedTasks()))
+            : draftGroup.acceptedTasks();
     return new PlanRow.GroupRow(
-        line.dawnName(),
-        line.key(),
-        line.acceptedTasks(),
-        Math.max(line.promisedTasks(), quota),
+        draftGroup.dawnName(),
+        draftGroup.key(),
+        draftGroup.acceptedTasks(),
+        Math.max(draftGroup.promisedTasks(), quota),
         start,
         end,
-        new WallTime(ends.millis() - Span.seconds(line.tailSeconds()).millis()),
-        line.missingMachineHours());
+        new WallTime(finishBy.millis() - Span.seconds(draftGroup.tailSeconds()).millis()),
+        draftGroup.missingMachineHours());
   }
 
-  private static WallTime capped(WallTime now, double seconds, WallTime most) {
-    return new WallTime(Math.min(most.millis(), now.millis() + Span.seconds(seconds).millis()));
+  private static WallTime capped(WallTime now, double seconds, WallTime latest) {
+    return new WallTime(Math.min(latest.millis(), now.millis() + Span.seconds(seconds).millis()));
   }
 
   /**
-   * Why a plan does not do any more.
+   * Why the active plan has to be revised.
    *
-   * @param patient whether it can wait for longer than other reasons
+   * @param deferrable whether the revision can wait longer than one for other reasons
    */
   record RevisionReason(String reason, boolean deferrable) {}
 
-  /** What differs notably from the plan in force; empty if nothing does. */
+  /**
+   * Returns the first significant difference from the active plan; empty if there is none.
+   *
+   * @param notable fraction of the time left or of the work that counts as significant
+   */
   Optional<RevisionReason> significantChange(
-      ActivePlan inForce, Map<String, PlanningWindow> open, WallTime now, double notable) {
-    double all =
-        groups.stream().mapToDouble(line -> line.acceptedTasks() * line.runSeconds()).sum();
-    double fresh = 0;
-    for (DraftGroup line : groups) {
-      PlanningWindow window = open.get(line.dawnName());
-      Optional<ActivePlan.ActiveGroup> entry =
-          inForce.find(line.key()).filter(e -> e.window().deadline().equals(window.deadline()));
-      if (entry.isEmpty()) {
-        if (line.waitingTasks() * line.runSeconds() > NEW_GROUP_FRACTION * all) {
-          return Optional.of(new RevisionReason(line.key() + " is new", false));
+      ActivePlan activePlan, Map<String, PlanningWindow> open, WallTime now, double significant) {
+    double allWork =
+        groups.stream()
+            .mapToDouble(draftGroup -> draftGroup.acceptedTasks() * draftGroup.runSeconds())
+            .sum();
+    double addedWork = 0;
+    for (DraftGroup draftGroup : groups) {
+      PlanningWindow window = open.get(draftGroup.dawnName());
+      Optional<ActivePlan.ActiveGroup> active =
+          activePlan
+              .find(draftGroup.key())
+              .filter(a -> a.window().deadline().equals(window.deadline()));
+      if (active.isEmpty()) {
+        if (draftGroup.waitingTasks() * draftGroup.runSeconds() > NEW_GROUP_FRACTION * allWork) {
+          return Optional.of(new RevisionReason(draftGroup.key() + " is new", false));
         }
-        fresh += line.waitingTasks() * line.runSeconds();
+        addedWork += draftGroup.waitingTasks() * draftGroup.runSeconds();
         continue;
       }
-      fresh +=
-          Math.max(0, line.acceptedTasks() - entry.get().group().acceptedTasks())
-              * line.runSeconds();
-      if (line.times() != null && line.waitingTasks() > 0 && !isPartial()) {
-        double left = entry.get().group().startBy().since(now).asSeconds();
-        if (left > 0 && line.times().start() < left - notable * window.timeLeft(now).asSeconds()) {
-          return Optional.of(new RevisionReason(line.key() + " has to start earlier", false));
+      addedWork +=
+          Math.max(0, draftGroup.acceptedTasks() - active.get().group().acceptedTasks())
+              * draftGroup.runSeconds();
+      if (draftGroup.times() != null && draftGroup.waitingTasks() > 0 && !isPartial()) {
+        double left = active.get().group().startBy().since(now).asSeconds();
+        if (left > 0
+            && draftGroup.times().start() < left - significant * window.timeLeft(now).asSeconds()) {
+          return Optional.of(new RevisionReason(draftGroup.key() + " has to start earlier", false));
         }
       }
     }
-    return fresh > notable * all
+    return addedWork > significant * allWork
         ? Optional.of(
             new RevisionReason(
-                String.format(Locale.ROOT, "%.1f h of work more", fresh / 3600), true))
+                String.format(Locale.ROOT, "%.1f h of additional work", addedWork / 3600), true))
         : Optional.empty();
   }
 
-  /** One line on it, for the log. */
+  /** Returns a one-line summary for the log. */
   String summary() {
     int waiting = groups.stream().mapToInt(DraftGroup::waitingTasks).sum();
     return String.format(
         Locale.ROOT,
-        "%d groups, %d tasks wait, share %.2f, %.0f s to spare with %.1f machines and %.0f%% of %.1f that"
-            + " can be had beside",
+        "%d groups, %d tasks waiting, share %.2f, %.0f s to spare with %.1f free machines and %.0f%% of"
+            + " %.1f obtainable ones",
         groups.size(),
         waiting,
         solution.share(),
@@ -190,14 +211,14 @@
         averageObtainable);
   }
 
-  /** One line on what can't be done, and what would mend it. */
+  /** Returns one line on the work that can't be completed, and the capacity it would need. */
   String warning() {
     Map<String, Double> byClass = new TreeMap<>();
-    for (DraftGroup line : groups) {
-      if (line.missingMachineHours() > 0) {
+    for (DraftGroup draftGroup : groups) {
+      if (draftGroup.missingMachineHours() > 0) {
         byClass.merge(
-            line.key().team() + "/" + line.key().jobClass(),
-            line.missingMachineHours(),
+            draftGroup.key().team() + "/" + draftGroup.key().jobClass(),
+            draftGroup.missingMachineHours(),
             Double::sum);
       }
     }
@@ -206,8 +227,8 @@
         (name, hours) -> classes.append(String.format(Locale.ROOT, " %s %.2f h;", name, hours)));
     return String.format(
         Locale.ROOT,
-        "dawn can't be met: hours of machines are missing for%s %d more machines for %.0f s would"
-            + " mend it; all are served in shares of %.2f, the rest goes on after dawn",
+        "deadline can't be met: missing machine hours:%s %d more machines for %.0f s would suffice;"
+            + " each group gets a share of %.2f, the rest runs after the deadline",
         classes,
         missingMachines(),
         extraMachineSeconds,
--- a/src/main/java/org/oakwalk/core/planner/PlanRow.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanRow.java
@@ -5,24 +5,28 @@
 import org.oakwalk.core.job.Room;
 import org.oakwalk.core.shared.SharedRow;
 
-/** A line of the record that leaders keep of their plans and of what these rest on. */
+/** A row of the stored record of plans and of the statistics that they are based on. */
 public sealed interface PlanRow extends SharedRow {
-  /** Digits of a number in a list, with its comma. */
+  /** Maximum length of a number in a JSON list, with its comma. */
   int MAX_NUMBER_BYTES = 20;
 
-  /** Bytes of text as JSON at most. */
+  /** Returns the maximum length of a text as JSON, where each character may be escaped. */
   private static int maxTextBytes(String text) {
     return 6 * text.length();
   }
 
   /**
-   * A dawn's window, as it was planned last.
+   * The window of a dawn (a recurring deadline), as it was last planned.
    *
-   * @param revised when
-   * @param revisions how many times since it opened
-   * @param share the part of each group's work that is planned to be done; 1 if all of it is
-   * @param missing what is missing, in hours of a whole machine
-   * @param machines so many more machines would mend it, for {@code seconds}
+   * @param dawnName name of the dawn
+   * @param opensAt start of the window
+   * @param deadline end of the window
+   * @param revisedAt time of the last revision
+   * @param revisionCount number of revisions since the window opened
+   * @param share planned fraction of each group's work; 1 if all of it will be completed
+   * @param missingMachineHours missing capacity in machine hours
+   * @param missingMachines number of additional machines that would supply the missing capacity
+   * @param extraMachineSeconds for how long these machines would have to run; 0 if none is missing
    */
   record WindowRow(
       String dawnName,
@@ -42,14 +46,14 @@
   }
 
   /**
-   * A group of jobs in that window.
+   * A group of jobs in a window.
    *
-   * @param seen tasks that have been accepted for it, done ones of the window included
-   * @param promised so many of them will be done by dawn
-   * @param startBy by when all of them should have been started
-   * @param endBy by when they should be done
-   * @param lastStart when the last of them has to be started to be done by dawn
-   * @param missing what is missing for all of them, in hours of a whole machine
+   * @param acceptedTasks tasks accepted for the window, including those completed in it
+   * @param promisedTasks number of these that will be completed by the deadline
+   * @param startBy planned start of the group
+   * @param endBy planned end of the group
+   * @param latestStart when its last task has to start to be done by the deadline
+   * @param missingMachineHours capacity missing to complete all of them, in machine hours
    */
   record GroupRow(
       String dawnName,
@@ -68,9 +72,9 @@
   }
 
   /**
-   * How run times of a class compare with their guesses.
+   * Run times of a job class relative to their estimates.
    *
-   * @param counts hundredths of the guess, and how many tasks took that long, by turns
+   * @param histogram alternating values: run time in hundredths of the estimate, number of tasks
    */
   record RunTimeRow(String jobClass, List<Long> histogram) implements PlanRow {
     @Override
@@ -80,13 +84,13 @@
   }
 
   /**
-   * What comes of a team's class from one dawn to the next.
+   * Arrivals of a team's job class between two deadlines.
    *
-   * @param slice the part of the time that is under way, counted from the epoch
-   * @param sum seconds of tasks that have come in it so far
-   * @param run usual run time of a task in seconds, as guessed
-   * @param room of a task
-   * @param bySlice seconds of tasks by parts of the time; -1 where nothing is known
+   * @param currentSlice number of the current slice, counted from the epoch
+   * @param currentSeconds estimated task seconds that have arrived in it so far
+   * @param meanEstimate moving average of the estimated run time of a task, in seconds
+   * @param resources of one task
+   * @param secondsBySlice usual task seconds by slice of the period; -1 where nothing is known
    */
   record ArrivalRow(
       String dawnName,
@@ -107,11 +111,11 @@
   }
 
   /**
-   * What could be had of a sort of machines.
+   * Obtainable machines and reclaim rate of a machine pool.
    *
-   * @param most most machines of it that were up at once of late
-   * @param hours hours of machines that were watched, fading
-   * @param losses machines that were taken back in them
+   * @param recentPeak decaying maximum of the machines that were up at once
+   * @param observedHours machine hours observed, with exponential decay
+   * @param reclaims machines that the cloud reclaimed in these hours, with the same decay
    */
   record CapacityRow(
       String type,
--- a/src/main/java/org/oakwalk/core/planner/PlanSolver.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanSolver.java
@@ -6,15 +6,19 @@
 import java.util.Map;
 
 /**
- * Finds a plan for a night: with as few machines beside those that are held as leave some time
- * over, and begun early enough that half of that time is left. If there is none, the largest share
- * of all groups that can be done.
+ * Finds a plan for the time until the deadline that uses as few additional machines as possible
+ * while leaving some spare time, and that starts early enough to keep half of the spare time at the
+ * end. If no such plan exists, it finds the largest equal share of all groups that can be
+ * completed.
  */
 final class PlanSolver {
-  /** Part of the time that a plan should leave over, if machines can be had. */
+  /** Fraction of the time that a plan should keep spare, if machines can be rented. */
   private static final double SPARE_FRACTION = 0.1;
 
-  /** So much has to be left over before a night that could not be met counts as one that can. */
+  /**
+   * Fraction of the time that has to be spare before an infeasible plan counts as feasible again;
+   * hysteresis against alternating plans.
+   */
   private static final double RECOVERY_FRACTION = 0.05;
 
   private static final int BISECTION_STEPS = 6;
@@ -22,15 +26,15 @@
   static final double MIN_SHARE = 0.5;
 
   /**
-   * Work of a group.
+   * The work of a group.
    *
-   * @param seen tasks accepted for the window; zero if the work is only expected
-   * @param served tasks of these that are done or on machines
-   * @param promised tasks of these that were promised before
+   * @param acceptedTasks tasks accepted for the window; zero if the work is only expected
+   * @param servedTasks accepted tasks that are done or placed
+   * @param promisedTasks accepted tasks that earlier plans promised to complete
    */
   record GroupLoad(Schedule.GroupWork work, int acceptedTasks, int servedTasks, int promisedTasks) {
 
-    /** What is left of it if only a share is to be done, but no less than was promised. */
+    /** Returns the work that is left for a share of the group, but at least what was promised. */
     GroupLoad withShare(double share) {
       double quota = Math.max(promisedTasks, Math.ceil(share * acceptedTasks));
       double left = Math.min(work.tasks(), Math.max(0, quota - servedTasks));
@@ -38,7 +42,7 @@
       for (int k = 0; k < released.length; k++) {
         released[k] = acceptedTasks == 0 ? share * released[k] : Math.min(left, released[k]);
       }
-      Schedule.GroupWork less =
+      Schedule.GroupWork reduced =
           new Schedule.GroupWork(
               work.name(),
               released,
@@ -49,18 +53,18 @@
               work.gangWidth(),
               work.team(),
               work.limitFraction());
-      return new GroupLoad(less, acceptedTasks, servedTasks, promisedTasks);
+      return new GroupLoad(reduced, acceptedTasks, servedTasks, promisedTasks);
     }
   }
 
   /**
-   * A plan.
+   * The resulting plan.
    *
-   * @param share part of all groups that is done; 1 if all
-   * @param level part that is counted on of the machines that could be had beside those held
-   * @param largestSpare seconds that are left over in it
-   * @param times of the groups, by name
-   * @param missing hours of machines that are missing, by name of the group
+   * @param share fraction of each group that will be completed; 1 if all of it
+   * @param extraMachineFraction fraction used of the machines that could be rented in addition
+   * @param spareSeconds time that is left before the deadline
+   * @param times planned times by group name
+   * @param missingMachineHours machine hours that are missing, by group name
    */
   record Solution(
       double share,
@@ -82,66 +86,71 @@
   }
 
   /**
-   * Makes a plan.
+   * Finds a plan.
    *
-   * @param doubtful whether the last plan said that not all can be done
+   * @param wasInfeasible whether the previous plan was only partial
    */
-  Solution solve(List<GroupLoad> loads, boolean doubtful) {
+  Solution solve(List<GroupLoad> loads, boolean wasInfeasible) {
     List<Schedule.GroupWork> works = ordered(loads);
-    double sure = doubtful ? RECOVERY_FRACTION * seconds : 0;
-    if (!fits(works, 1, sure)) {
+    double requiredSpare = wasInfeasible ? RECOVERY_FRACTION * seconds : 0;
+    if (!fits(works, 1, requiredSpare)) {
       return partialSolution(loads, works);
     }
-    double level = fits(works, 1, SPARE_FRACTION * seconds) ? smallestExtraFraction(works) : 1;
-    double spare = largestSpare(works, level);
+    double extraFraction =
+        fits(works, 1, SPARE_FRACTION * seconds) ? smallestExtraFraction(works) : 1;
+    double spare = largestSpare(works, extraFraction);
     return new Solution(
-        1, level, spare, byName(schedule.layOut(works, level, spare / 2)), Map.of());
+        1,
+        extraFraction,
+        spare,
+        byName(schedule.layOut(works, extraFraction, spare / 2)),
+        Map.of());
   }
 
   private static List<Schedule.GroupWork> ordered(List<GroupLoad> loads) {
     return loads.stream()
         .map(GroupLoad::work)
         .filter(work -> work.tasks() > 0)
-        .sorted(Schedule.latestStartFirst())
+        .sorted(Schedule.byLatestStart())
         .toList();
   }
 
-  private boolean fits(List<Schedule.GroupWork> works, double level, double after) {
-    return Schedule.isFeasible(schedule.layOut(works, level, after));
+  private boolean fits(List<Schedule.GroupWork> works, double extraFraction, double delay) {
+    return Schedule.isFeasible(schedule.layOut(works, extraFraction, delay));
   }
 
   private double smallestExtraFraction(List<Schedule.GroupWork> works) {
     if (fits(works, 0, SPARE_FRACTION * seconds)) {
       return 0;
     }
-    double no = 0;
-    double yes = 1;
+    double infeasible = 0;
+    double feasible = 1;
     for (int i = 0; i < BISECTION_STEPS; i++) {
-      double middle = (no + yes) / 2;
+      double middle = (infeasible + feasible) / 2;
       if (fits(works, middle, SPARE_FRACTION * seconds)) {
-        yes = middle;
+        feasible = middle;
       } else {
-        no = middle;
+        infeasible = middle;
       }
     }
-    return yes;
+    return feasible;
   }
 
-  private double largestSpare(List<Schedule.GroupWork> works, double level) {
-    double yes = 0;
-    double no = seconds;
+  private double largestSpare(List<Schedule.GroupWork> works, double extraFraction) {
+    double feasible = 0;
+    double infeasible = seconds;
     for (int i = 0; i < BISECTION_STEPS; i++) {
-      double middle = (no + yes) / 2;
-      if (fits(works, level, middle)) {
-        yes = middle;
+      double middle = (infeasible + feasible) / 2;
+      if (fits(works, extraFraction, middle)) {
+        feasible = middle;
       } else {
-        no = middle;
+        infeasible = middle;
       }
     }
-    return yes;
+    return feasible;
   }
 
-  /** All in equal shares: no group is left out for the sake of others. */
+  /** Gives all groups equal shares, so that no group starves in favour of others. */
   private Solution partialSolution(List<GroupLoad> loads, List<Schedule.GroupWork> works) {
     Map<String, Double> missing = new HashMap<>();
     schedule
@@ -161,21 +170,21 @@
     Map<Schedule.GroupWork, Schedule.GroupTimes> times;
     do {
       share = Math.max(MIN_SHARE, share - SHARE_STEP);
-      List<GroupLoad> part = new ArrayList<>();
+      List<GroupLoad> reduced = new ArrayList<>();
       for (GroupLoad load : loads) {
-        part.add(load.withShare(share));
+        reduced.add(load.withShare(share));
       }
-      times = schedule.layOut(ordered(part), 1, SPARE_FRACTION * seconds);
+      times = schedule.layOut(ordered(reduced), 1, SPARE_FRACTION * seconds);
     } while (share > MIN_SHARE && !Schedule.isFeasible(times));
     return new Solution(share, 1, 0, byName(times), missing);
   }
 
-  private static double smallestFraction(double[] use) {
-    double least = 1;
-    for (double part : use) {
-      least = part > 0 ? Math.min(least, part) : least;
+  private static double smallestFraction(double[] machineFractions) {
+    double smallest = 1;
+    for (double fraction : machineFractions) {
+      smallest = fraction > 0 ? Math.min(smallest, fraction) : smallest;
     }
-    return least;
+    return smallest;
   }
 
   private static Map<String, Schedule.GroupTimes> byName(
--- a/src/main/java/org/oakwalk/core/planner/PlanningStatistics.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanningStatistics.java
@@ -12,7 +12,10 @@
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.product.DawnTerms;
 
-/** What leaders learn for their plans and hand on: run times, what comes when, what can be had. */
+/**
+ * Statistics that plans are based on: run times, arrivals of work, and obtainable capacity. They
+ * are stored with the plan, so that a new leader continues with them.
+ */
 final class PlanningStatistics {
   final RunTimeDistribution runTimes = new RunTimeDistribution();
   final CapacityForecast capacity = new CapacityForecast();
@@ -20,21 +23,21 @@
   private final Set<JobId> countedJobs = new HashSet<>();
   private List<DawnTerms> dawns = List.of();
 
-  /** Other terms are in force: what was learned of dawns that are no more is dropped. */
+  /** Takes new terms; statistics on dawns that no longer exist are dropped. */
   void setTerms(List<DawnTerms> terms) {
     dawns = terms;
     arrivals.keySet().retainAll(terms.stream().map(DawnTerms::name).toList());
     terms.forEach(dawn -> arrivals.computeIfAbsent(dawn.name(), ArrivalForecast::new));
   }
 
-  ArrivalForecast arrivals(String dawn) {
-    return arrivals.get(dawn);
+  ArrivalForecast arrivals(String dawnName) {
+    return arrivals.get(dawnName);
   }
 
-  /** A job has changed; one that this leader saw come counts once. */
+  /** Counts a changed job as an arrival, once, if it was accepted in this leader's term. */
   void jobChanged(Job job, WallTime now) {
-    boolean fresh = job.open() && !job.inherited() && job.doneCount() + job.activeCount() == 0;
-    if (fresh && countedJobs.add(job.id())) {
+    boolean isNew = job.open() && !job.inherited() && job.doneCount() + job.activeCount() == 0;
+    if (isNew && countedJobs.add(job.id())) {
       for (DawnTerms dawn : dawns) {
         if (dawn.covers(job.spec())) {
           arrivals.get(dawn.name()).jobAccepted(job.spec(), dawn, now);
@@ -47,27 +50,27 @@
     }
   }
 
-  /** A task of a job has completed after running this long. */
+  /** Records the run time of a completed task. */
   void taskCompleted(Job job, Span ran) {
     runTimes.taskCompleted(job, ran);
   }
 
   void restore(List<PlanRow> rows) {
     for (PlanRow row : rows) {
-      if (row instanceof PlanRow.RunTimeRow learned) {
-        runTimes.restore(learned);
-      } else if (row instanceof PlanRow.ArrivalRow learned
-          && arrivals.containsKey(learned.dawnName())) {
-        arrivals.get(learned.dawnName()).restore(learned);
-      } else if (row instanceof PlanRow.CapacityRow learned) {
-        capacity.restore(learned);
+      if (row instanceof PlanRow.RunTimeRow stored) {
+        runTimes.restore(stored);
+      } else if (row instanceof PlanRow.ArrivalRow stored
+          && arrivals.containsKey(stored.dawnName())) {
+        arrivals.get(stored.dawnName()).restore(stored);
+      } else if (row instanceof PlanRow.CapacityRow stored) {
+        capacity.restore(stored);
       }
     }
   }
 
   List<PlanRow> rows() {
     List<PlanRow> rows = new ArrayList<>(runTimes.rows());
-    arrivals.values().forEach(one -> rows.addAll(one.rows()));
+    arrivals.values().forEach(forecast -> rows.addAll(forecast.rows()));
     rows.addAll(capacity.rows());
     return rows;
   }
--- a/src/main/java/org/oakwalk/core/planner/PlanningWindow.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanningWindow.java
@@ -9,76 +9,80 @@
 import org.oakwalk.core.product.DawnTerms;
 
 /**
- * The time before one dawn in which work is planned.
+ * The period before one deadline of a dawn (a recurring deadline) in which work is planned.
  *
- * @param opensAt when it opens
- * @param deadline when it is over
- * @param finishBy by when all should be done: the margin, and what this clock may be late, before
- *     that
+ * @param opensAt start of the window
+ * @param deadline end of the window
+ * @param finishBy when all work should be done: earlier than the deadline by the configured margin
+ *     and the maximum clock error
  */
 public record PlanningWindow(WallTime opensAt, WallTime deadline, WallTime finishBy) {
-  /** Learned amounts are kept by such parts of the time from one dawn to the next. */
+  /** Number of slices of the period between two deadlines; arrival statistics are kept by slice. */
   static final int SLICES_PER_PERIOD = 24;
 
   /**
-   * The window that is open.
+   * Returns the window that is open.
    *
-   * @param clockOff by how much this clock may be off; taken to be late, so that work ends early
+   * @param maxClockError how far this clock may be off; it is assumed to be slow, so that work ends
+   *     early
    */
-  public static Optional<PlanningWindow> current(DawnTerms terms, WallTime now, Span clockOff) {
-    Optional<PlanningWindow> next = next(terms, now, clockOff);
+  public static Optional<PlanningWindow> current(
+      DawnTerms terms, WallTime now, Span maxClockError) {
+    Optional<PlanningWindow> next = next(terms, now, maxClockError);
     return next.filter(window -> window.opensAt().millis() <= now.millis());
   }
 
-  /** The window of the next dawn, open or not. */
-  public static Optional<PlanningWindow> next(DawnTerms terms, WallTime now, Span clockOff) {
+  /** Returns the window of the next deadline, open or not. */
+  public static Optional<PlanningWindow> next(DawnTerms terms, WallTime now, Span maxClockError) {
     if (terms.daily().isPresent()) {
-      return Optional.of(nextDaily(terms, terms.daily().get(), now, clockOff));
+      return Optional.of(nextDaily(terms, terms.daily().get(), now, maxClockError));
     }
     return terms
         .every()
         .map(
             every -> {
-              long dawn = (Math.floorDiv(now.millis(), every.millis()) + 1) * every.millis();
-              return ofDeadline(dawn - terms.lasts().millis(), dawn, terms, clockOff);
+              long deadline = (Math.floorDiv(now.millis(), every.millis()) + 1) * every.millis();
+              return ofDeadline(deadline - terms.lasts().millis(), deadline, terms, maxClockError);
             });
   }
 
-  private static PlanningWindow ofDeadline(long opens, long dawn, DawnTerms terms, Span clockOff) {
-    long ends = dawn - terms.margin().millis() - clockOff.millis();
+  private static PlanningWindow ofDeadline(
+      long opens, long deadline, DawnTerms terms, Span maxClockError) {
+    long finishBy = deadline - terms.margin().millis() - maxClockError.millis();
     return new PlanningWindow(
-        new WallTime(opens), new WallTime(dawn), new WallTime(Math.max(opens, ends)));
+        new WallTime(opens), new WallTime(deadline), new WallTime(Math.max(opens, finishBy)));
   }
 
   /**
-   * Where a local time comes twice, its first counts; where it is left out, the moment of the jump.
-   * So no night's dawn is later than its clock face says.
+   * Returns the next daily window. Of a local time that occurs twice, the first occurrence counts;
+   * for a local time that is skipped, the moment of the clock change does. So a deadline is never
+   * later than its local time says.
    */
   private static PlanningWindow nextDaily(
-      DawnTerms terms, DawnTerms.Daily daily, WallTime now, Span clockOff) {
+      DawnTerms terms, DawnTerms.Daily daily, WallTime now, Span maxClockError) {
     LocalDate today = Instant.ofEpochMilli(now.millis()).atZone(daily.zone()).toLocalDate();
     LocalDate date = today.minusDays(1);
     while (toEpochMillis(date, daily, daily.by()) <= now.millis()) {
       date = date.plusDays(1);
     }
-    LocalDate evening = daily.opens().isBefore(daily.by()) ? date : date.minusDays(1);
+    LocalDate openingDate = daily.opens().isBefore(daily.by()) ? date : date.minusDays(1);
     return ofDeadline(
-        toEpochMillis(evening, daily, daily.opens()),
+        toEpochMillis(openingDate, daily, daily.opens()),
         toEpochMillis(date, daily, daily.by()),
         terms,
-        clockOff);
+        maxClockError);
   }
 
   private static long toEpochMillis(
       LocalDate date, DawnTerms.Daily daily, java.time.LocalTime time) {
-    ZonedDateTime at = date.atTime(time).atZone(daily.zone());
-    if (!at.toLocalTime().equals(time)) {
+    ZonedDateTime zoned = date.atTime(time).atZone(daily.zone());
+    if (!zoned.toLocalTime().equals(time)) {
       return daily.zone().getRules().getTransition(date.atTime(time)).getInstant().toEpochMilli();
     }
-    return at.toInstant().toEpochMilli();
+    return zoned.toInstant().toEpochMilli();
   }
 
-  /** Which part of the time between two dawns this is: the hour of the day, or like that. */
+  /** Returns the slice of the period between two deadlines: for daily ones, the hour of day. */
   static int sliceOf(DawnTerms terms, WallTime now) {
     if (terms.daily().isPresent()) {
       return Instant.ofEpochMilli(now.millis()).atZone(terms.daily().get().zone()).getHour();
@@ -87,14 +91,14 @@
     return (int) (Math.floorMod(now.millis(), every) * SLICES_PER_PERIOD / every);
   }
 
-  /** How long such a part is. */
+  /** Returns the length of a slice. */
   static Span sliceLength(DawnTerms terms) {
     return terms.daily().isPresent()
         ? Span.seconds(3600)
         : Span.millis(terms.every().map(Span::millis).orElse(1L) / SLICES_PER_PERIOD);
   }
 
-  /** The time until all should be done; negative once that has passed. */
+  /** Returns the time until all work should be done; negative once that has passed. */
   Span timeLeft(WallTime now) {
     return finishBy.since(now);
   }
--- a/src/main/java/org/oakwalk/core/planner/RunTimeDistribution.java
+++ b/src/main/java/org/oakwalk/core/planner/RunTimeDistribution.java
@@ -12,22 +12,22 @@
 import org.oakwalk.core.job.Job;
 
 /**
- * How run times compare with their guesses, by class, with their spread. A plan at the mean would
- * miss every other night.
+ * Distribution of run times relative to their estimates, by job class. Plans use a quantile,
+ * because a plan based on the mean would miss every second deadline.
  */
 final class RunTimeDistribution {
   private static final long MAX_HUNDREDTHS = 1000;
   private static final long MIN_HUNDREDTHS = 5;
 
-  /** Beyond so many, all are halved, so that what is new counts. */
+  /** Above this total, all counts are halved, so that recent samples have weight. */
   private static final int MAX_SAMPLES = 400;
 
-  /** More of one job tell nothing about the others of its class. */
+  /** Further tasks of the same job say nothing about other jobs of the class. */
   private static final int MAX_SAMPLES_PER_JOB = 8;
 
   private static final int MIN_SAMPLES = 5;
 
-  /** What is added as long as nothing is known. */
+  /** Quantile ratio assumed until a class has enough samples. */
   private static final double DEFAULT_QUANTILE = 1.3;
 
   private static final int MAX_PAIRS = 20;
@@ -36,13 +36,13 @@
   private final Map<String, Histogram> byClass = new TreeMap<>();
   private final Map<JobId, Integer> samplesByJob = new HashMap<>();
 
-  /** A task of this job took this long. */
+  /** Records the run time of a completed task. */
   void taskCompleted(Job job, Span ran) {
-    double guess = job.spec().guess().asSeconds();
-    if (guess <= 0 || samplesByJob.merge(job.id(), 1, Integer::sum) > MAX_SAMPLES_PER_JOB) {
+    double estimate = job.spec().guess().asSeconds();
+    if (estimate <= 0 || samplesByJob.merge(job.id(), 1, Integer::sum) > MAX_SAMPLES_PER_JOB) {
       return;
     }
-    addSamples(job.spec().jobClass(), Math.round(100 * ran.asSeconds() / guess), 1);
+    addSamples(job.spec().jobClass(), Math.round(100 * ran.asSeconds() / estimate), 1);
   }
 
   private void addSamples(String jobClass, long hundredths, long count) {
@@ -53,12 +53,12 @@
     runs.recordValueWithCount(
         Math.min(MAX_HUNDREDTHS, Math.max(MIN_HUNDREDTHS, hundredths)), count);
     if (runs.getTotalCount() > MAX_SAMPLES) {
-      Histogram half = new Histogram(MAX_HUNDREDTHS, 1);
+      Histogram halved = new Histogram(MAX_HUNDREDTHS, 1);
       for (HistogramIterationValue value : runs.recordedValues()) {
-        half.recordValueWithCount(
+        halved.recordValueWithCount(
             value.getValueIteratedTo(), (value.getCountAtValueIteratedTo() + 1) / 2);
       }
-      byClass.put(jobClass, half);
+      byClass.put(jobClass, halved);
     }
   }
 
@@ -66,13 +66,13 @@
     samplesByJob.remove(job);
   }
 
-  /** The mean part of its guess that a task takes. */
+  /** Returns the mean ratio of run time to estimate. */
   double meanRatio(String jobClass) {
     Histogram runs = byClass.get(jobClass);
     return runs == null || runs.getTotalCount() < MIN_SAMPLES ? 1 : runs.getMean() / 100;
   }
 
-  /** The part of its guess within which so many tasks end. */
+  /** Returns the ratio of run time to estimate that a share of the tasks does not exceed. */
   double quantileRatio(String jobClass, double share) {
     Histogram runs = byClass.get(jobClass);
     return runs == null || runs.getTotalCount() < MIN_SAMPLES
@@ -86,20 +86,20 @@
     return rows;
   }
 
-  /** Neighbours are put together where there are too many: the longer of them counts. */
+  /** Returns value and count pairs; if there are too many, neighbours merge into the longer one. */
   private static List<Long> histogramPairs(Histogram runs) {
     List<Long> pairs = new ArrayList<>();
     int values = 0;
     for (HistogramIterationValue value : runs.recordedValues()) {
       values += value.getCountAtValueIteratedTo() > 0 ? 1 : 0;
     }
-    int each = Math.max(1, (values + MAX_PAIRS - 1) / MAX_PAIRS);
+    int perPair = Math.max(1, (values + MAX_PAIRS - 1) / MAX_PAIRS);
     long sum = 0;
     int taken = 0;
     for (HistogramIterationValue value : runs.recordedValues()) {
       sum += value.getCountAtValueIteratedTo();
       taken++;
-      if (taken % each == 0 || taken == values) {
+      if (taken % perPair == 0 || taken == values) {
         pairs.add(value.getValueIteratedTo());
         pairs.add(sum);
         sum = 0;
--- a/src/main/java/org/oakwalk/core/planner/Schedule.java
+++ b/src/main/java/org/oakwalk/core/planner/Schedule.java
@@ -6,41 +6,42 @@
 import java.util.Map;
 
 /**
- * Lays groups of tasks out over the time until dawn: at each moment, of those that have come, the
- * one with the least time until it must have been started goes first. Of groups that are due at the
- * same time the one with the longest tasks does, so that what is short is left for the end. Work is
- * taken as fluid, in parts of whole machines, but a gang starts whole.
+ * Schedules groups of tasks over the time until the deadline: in each slot, among the groups whose
+ * work has arrived, the one with the earliest latest-start time goes first. Of groups with the same
+ * due time, this is the one with the longest tasks, so that short tasks fill the end. Work is
+ * modelled as a fluid, in fractions of machines, but a gang starts as a whole.
  *
- * <p>The rule is "latest start first", known from the theory of schedules for its small lateness;
- * with one due time it is "longest processing time first" (R. L. Graham, 1969).
+ * <p>Ordering by latest start time is known from scheduling theory to keep the maximum lateness
+ * small; with a single due time it is "longest processing time first" (R. L. Graham, 1969).
  */
 final class Schedule {
-  /** Parts into which the time is divided. */
+  /** Number of slots into which the time is divided. */
   static final int SLOTS = 96;
 
-  /** So small a part of a group's tasks may be late without calling a night infeasible. */
+  /** Fraction of a group's tasks that may be late in a feasible schedule. */
   private static final double TOLERATED_LATE_FRACTION = 0.002;
 
   private static final double EPSILON = 1e-9;
 
   /**
-   * Machines of one sort.
+   * A pool of interchangeable machines.
    *
-   * @param held machines that are free by slot, as held at present
-   * @param more machines that could be had beside them, by slot
+   * @param freeHeld number of free machines by slot, among those held at present
+   * @param obtainable number of machines by slot that could be rented in addition
    */
   record MachinePool(String name, double[] freeHeld, double[] obtainable) {}
 
   /**
    * Tasks of one group.
    *
-   * @param released tasks that have come by each slot
-   * @param run seconds of a task, as it counts for the work
-   * @param tail seconds that the last ones may take
-   * @param due seconds until all must be done
-   * @param use part of a machine that a task takes, by pool; zero where it may not run
-   * @param width tasks that start together
-   * @param ofLimit part of its team's limit that a task takes; zero if there is none
+   * @param releasedBySlot cumulative number of tasks that have arrived by each slot
+   * @param runSeconds planned run time of a task
+   * @param tailSeconds time that the last tasks may take
+   * @param dueSeconds time until all tasks must be done
+   * @param machineFraction fraction of a machine that a task takes, by pool; zero where it may not
+   *     run
+   * @param gangWidth number of tasks that start together
+   * @param limitFraction fraction of its team's limit that a task takes; zero if there is no limit
    */
   record GroupWork(
       String name,
@@ -62,9 +63,12 @@
   }
 
   /**
-   * When a group's tasks are started.
+   * The scheduled times of a group, in seconds from now.
    *
-   * @param late tasks that can't be done in time
+   * @param start start of its first task
+   * @param lastStart start of its last task
+   * @param end latest end of its last task
+   * @param lateTasks number of tasks that can't complete in time
    */
   record GroupTimes(double start, double lastStart, double end, double lateTasks) {}
 
@@ -73,14 +77,14 @@
   private final double slotSeconds;
 
   /**
-   * A schedule that has not been laid out.
+   * Creates an empty schedule.
    *
-   * @param seconds the time that is divided
-   * @param limitFractions parts of their limits that teams may use
+   * @param limitFractions fraction of its limit that each team may use
+   * @param seconds length of the scheduled time
    */
-  Schedule(List<MachinePool> pools, Map<String, Double> limits, double seconds) {
+  Schedule(List<MachinePool> pools, Map<String, Double> limitFractions, double seconds) {
     this.pools = pools;
-    this.limitFractions = limits;
+    this.limitFractions = limitFractions;
     this.slotSeconds = Math.max(0.001, seconds / SLOTS);
   }
 
@@ -88,14 +92,14 @@
     return slotSeconds;
   }
 
-  /** The order in which groups go. */
-  static Comparator<GroupWork> latestStartFirst() {
+  /** Orders groups by latest start; ties by number of tasks, larger first, then by name. */
+  static Comparator<GroupWork> byLatestStart() {
     return Comparator.comparingDouble(GroupWork::latestStart)
         .thenComparing(Comparator.comparingDouble(GroupWork::tasks).reversed())
         .thenComparing(GroupWork::name);
   }
 
-  /** Whether nothing is late that is not late by a trifle. */
+  /** Returns whether at most the tolerated fraction of each group is late. */
   static boolean isFeasible(Map<GroupWork, GroupTimes> times) {
     return times.entrySet().stream()
         .allMatch(
@@ -105,39 +109,41 @@
   }
 
   /**
-   * Lays out.
+   * Schedules the work of the groups.
    *
-   * @param works in the order in which they go
-   * @param level part of what could be had beside what is held
-   * @param after seconds during which nothing is started
+   * @param works groups in the order in which they are served
+   * @param extraMachineFraction fraction used of the obtainable machines
+   * @param delay seconds from now before which no task starts
    */
-  Map<GroupWork, GroupTimes> layOut(List<GroupWork> works, double level, double after) {
+  Map<GroupWork, GroupTimes> layOut(
+      List<GroupWork> works, double extraMachineFraction, double delay) {
     double[][] free = new double[pools.size()][SLOTS];
     for (int p = 0; p < pools.size(); p++) {
       for (int k = 0; k < SLOTS; k++) {
-        free[p][k] = pools.get(p).freeHeld()[k] + level * pools.get(p).obtainable()[k];
+        free[p][k] =
+            pools.get(p).freeHeld()[k] + extraMachineFraction * pools.get(p).obtainable()[k];
       }
     }
     Map<String, double[]> inUse = new HashMap<>();
     double[] started = new double[works.size()];
     double[][] times = new double[works.size()][];
     double[] late = new double[works.size()];
-    for (int k = (int) Math.ceil(after / slotSeconds); k < SLOTS; k++) {
+    for (int k = (int) Math.ceil(delay / slotSeconds); k < SLOTS; k++) {
       for (int w = 0; w < works.size(); w++) {
         GroupWork work = works.get(w);
         double waiting = work.releasedBySlot()[k] - started[w];
         if (waiting <= EPSILON) {
           continue;
         }
-        double starts = startTasks(work, waiting, k, free, inUse);
-        if (starts > EPSILON) {
-          started[w] += starts;
-          // What is shorter than a slot is spread over it.
+        double starting = startTasks(work, waiting, k, free, inUse);
+        if (starting > EPSILON) {
+          started[w] += starting;
+          // Starts of tasks shorter than a slot are spread over the slot.
           double from = k * slotSeconds;
           double last =
-              from + Math.max(0, slotSeconds - work.runSeconds()) * Math.min(1, starts / waiting);
+              from + Math.max(0, slotSeconds - work.runSeconds()) * Math.min(1, starting / waiting);
           times[w] = new double[] {times[w] == null ? from : times[w][0], last};
-          late[w] += last > work.latestStart() + EPSILON ? starts : 0;
+          late[w] += last > work.latestStart() + EPSILON ? starting : 0;
         }
       }
     }
@@ -158,28 +164,29 @@
 
   private double startTasks(
       GroupWork work, double waiting, int k, double[][] free, Map<String, double[]> inUse) {
-    double part = Math.min(1, work.runSeconds() / slotSeconds);
-    double most = Math.min(waiting, placesUnderLimit(work, k, inUse) / part);
-    double[] places = new double[pools.size()];
+    double fraction = Math.min(1, work.runSeconds() / slotSeconds);
+    double maxTasks = Math.min(waiting, tasksUnderLimit(work, k, inUse) / fraction);
+    double[] tasks = new double[pools.size()];
     double sum = 0;
-    for (int p = 0; p < places.length && sum < most; p++) {
+    for (int p = 0; p < tasks.length && sum < maxTasks; p++) {
       if (work.machineFraction()[p] > 0) {
-        places[p] =
-            Math.min(most - sum, Math.max(0, free[p][k]) / (work.machineFraction()[p] * part));
-        sum += places[p];
+        tasks[p] =
+            Math.min(
+                maxTasks - sum, Math.max(0, free[p][k]) / (work.machineFraction()[p] * fraction));
+        sum += tasks[p];
       }
     }
     if (work.gangWidth() > 1) {
-      double whole = Math.floor(sum / work.gangWidth() + EPSILON) * work.gangWidth();
-      for (int p = places.length - 1; p >= 0 && sum > whole; p--) {
-        double less = Math.min(places[p], sum - whole);
-        places[p] -= less;
-        sum -= less;
+      double wholeGangs = Math.floor(sum / work.gangWidth() + EPSILON) * work.gangWidth();
+      for (int p = tasks.length - 1; p >= 0 && sum > wholeGangs; p--) {
+        double excess = Math.min(tasks[p], sum - wholeGangs);
+        tasks[p] -= excess;
+        sum -= excess;
       }
     }
-    for (int p = 0; p < places.length; p++) {
-      if (places[p] > 0) {
-        occupy(free[p], k, work.runSeconds(), -places[p] * work.machineFraction()[p]);
+    for (int p = 0; p < tasks.length; p++) {
+      if (tasks[p] > 0) {
+        occupy(free[p], k, work.runSeconds(), -tasks[p] * work.machineFraction()[p]);
       }
     }
     if (limitFractions.containsKey(work.team()) && sum > 0) {
@@ -192,7 +199,7 @@
     return sum;
   }
 
-  private double placesUnderLimit(GroupWork work, int k, Map<String, double[]> inUse) {
+  private double tasksUnderLimit(GroupWork work, int k, Map<String, double[]> inUse) {
     Double limit = limitFractions.get(work.team());
     if (limit == null || work.limitFraction() <= 0) {
       return Double.MAX_VALUE;
@@ -203,11 +210,11 @@
 
   private void occupy(double[] slots, int from, double seconds, double amount) {
     for (int k = from; k < SLOTS; k++) {
-      double part = Math.min(1, seconds / slotSeconds - (k - from));
-      if (part <= 0) {
+      double fraction = Math.min(1, seconds / slotSeconds - (k - from));
+      if (fraction <= 0) {
         return;
       }
-      slots[k] += amount * part;
+      slots[k] += amount * fraction;
     }
   }
 }
