--- a/src/main/java/org/oakwalk/core/planner/ArrivalForecast.java
+++ b/src/main/java/org/oakwalk/core/planner/ArrivalForecast.java
@@ -19,6 +19,7 @@
   private static final double HISTORY_WEIGHT = 0.5;
   private static final int MAX_ROLLED_SLICES = 20 * PlanningWindow.SLICES_PER_PERIOD;
 
+  /** The origin of work: a team and a job class. */
   record Source(String team, String jobClass) {}
 
   /**
--- a/src/main/java/org/oakwalk/core/planner/CapacityForecast.java
+++ b/src/main/java/org/oakwalk/core/planner/CapacityForecast.java
@@ -177,9 +177,8 @@
     double bootSeconds = type.boot().asSeconds() * BOOT_TIME_FACTOR;
     double reclaimsPerHour =
         history.observedHours <= 0 ? 0 : history.reclaims / history.observedHours;
-    // A reclaimed machine is missing for one boot time, and the work on it is lost as well: about
-    // as
-    // much again.
+    // A reclaimed machine is missing for one boot time, and the work on it is lost as well, which
+    // counts as much again.
     double availability = 1 / (1 + reclaimsPerHour * 2 * bootSeconds / SECONDS_PER_HOUR);
     for (int k = 0; k < free.length; k++) {
       free[k] *= availability;
--- a/src/main/java/org/oakwalk/core/planner/DeadlinePlanner.java
+++ b/src/main/java/org/oakwalk/core/planner/DeadlinePlanner.java
@@ -44,9 +44,16 @@
   private final Span minTimeLeft;
   private final DraftBuilder draftBuilder;
   private final PlanningStatistics statistics = new PlanningStatistics();
+
+  /** By group, tasks of the window whose jobs ended before this leader's term. */
   private final Map<GroupKey, Integer> acceptedEarlier = new HashMap<>();
+
+  /** Jobs whose deadline may have changed since the queue last took them. */
   private final Set<Job> changedJobs = new LinkedHashSet<>();
+
+  /** By dawn, the last deadline whose outcome was logged. */
   private final Map<String, WallTime> reportedEnds = new HashMap<>();
+
   private JobGroups groups = new JobGroups();
   private List<DawnTerms> dawns = List.of();
   private Map<String, PlanningWindow> openWindows = Map.of();
@@ -159,18 +166,18 @@
     dawns = List.copyOf(terms);
     groups = new JobGroups();
     statistics.setTerms(dawns);
-    jobs.all().forEach(job -> groups.jobChanged(job, covered(job.spec())));
+    jobs.all().forEach(job -> groups.jobChanged(job, isCovered(job.spec())));
     jobs.follow(this::jobChanged);
     changedJobs.addAll(jobs.all());
   }
 
-  private boolean covered(JobSpec spec) {
+  private boolean isCovered(JobSpec spec) {
     return dawns.stream().anyMatch(dawn -> dawn.covers(spec));
   }
 
   private void jobChanged(Job job) {
     statistics.jobChanged(job, wallTime);
-    JobGroups.JobGroup group = groups.jobChanged(job, covered(job.spec()));
+    JobGroups.JobGroup group = groups.jobChanged(job, isCovered(job.spec()));
     if (group != null) {
       if (group.jobs.size() == 1) {
         applyPlan(group);
@@ -186,7 +193,7 @@
 
   /** Records the run time of a completed task. */
   public void taskCompleted(Job job, Span ran) {
-    if (!dawns.isEmpty() && covered(job.spec())) {
+    if (!dawns.isEmpty() && isCovered(job.spec())) {
       statistics.taskCompleted(job, ran);
     }
   }
@@ -216,28 +223,30 @@
     }
   }
 
-  private void adopt(ActivePlan next) {
+  private void adopt(ActivePlan newPlan) {
     ActivePlan before = activePlan;
-    activePlan = next;
+    activePlan = newPlan;
     for (JobGroups.JobGroup group : groups.all()) {
-      Optional<ActivePlan.ActiveGroup> was = before.find(group.key);
+      Optional<ActivePlan.ActiveGroup> previous = before.find(group.key);
       applyPlan(group);
-      Optional<ActivePlan.ActiveGroup> is = Optional.ofNullable(group.active);
-      boolean served = is.isPresent() && isPromiseServed(is.get(), group);
-      if (was.isPresent() != is.isPresent()
+      Optional<ActivePlan.ActiveGroup> current = Optional.ofNullable(group.active);
+      boolean served = current.isPresent() && isPromiseServed(current.get(), group);
+      if (previous.isPresent() != current.isPresent()
           || served != group.promiseServed
-          || is.isPresent() && was.isPresent() && startChanged(was.get(), is.get())) {
+          || current.isPresent()
+              && previous.isPresent()
+              && startChanged(previous.get(), current.get())) {
         changedJobs.addAll(group.jobs);
       }
       group.promiseServed = served;
     }
   }
 
-  private boolean startChanged(ActivePlan.ActiveGroup was, ActivePlan.ActiveGroup is) {
-    double left = Math.max(1, is.group().startBy().since(wallTime).millis());
-    double by = Math.abs(is.group().startBy().since(was.group().startBy()).millis());
-    return by > PlanRevisionPolicy.NOTABLE_FRACTION * left
-        || Math.abs(is.rank() - was.rank()) > PlanRevisionPolicy.NOTABLE_FRACTION;
+  private boolean startChanged(ActivePlan.ActiveGroup previous, ActivePlan.ActiveGroup current) {
+    double left = Math.max(1, current.group().startBy().since(wallTime).millis());
+    double by = Math.abs(current.group().startBy().since(previous.group().startBy()).millis());
+    return by > PlanRevisionPolicy.SIGNIFICANT_FRACTION * left
+        || Math.abs(current.rank() - previous.rank()) > PlanRevisionPolicy.SIGNIFICANT_FRACTION;
   }
 
   /** Logs the outcome of windows that have ended, and stores the statistics. */
@@ -315,8 +324,11 @@
   private boolean isAlreadyPartial() {
     return openWindows.entrySet().stream()
         .anyMatch(
-            e ->
-                activePlan.window(e.getKey(), e.getValue()).filter(n -> n.share() < 1).isPresent());
+            entry ->
+                activePlan
+                    .window(entry.getKey(), entry.getValue())
+                    .filter(row -> row.share() < 1)
+                    .isPresent());
   }
 
   /** Returns whether machines requested at the beginning of the window may still be booting. */
@@ -340,7 +352,7 @@
       if (dawnOf(group.representative).filter(dawn::equals).isPresent()
           && activePlan
               .find(group.key)
-              .filter(e -> e.window().deadline().millis() > wallTime.millis())
+              .filter(active -> active.window().deadline().millis() > wallTime.millis())
               .isEmpty()) {
         groups.beginWindow(group);
         acceptedEarlier.remove(group.key);
--- a/src/main/java/org/oakwalk/core/planner/DraftBuilder.java
+++ b/src/main/java/org/oakwalk/core/planner/DraftBuilder.java
@@ -40,7 +40,12 @@
     this.capacity = statistics.capacity;
   }
 
-  /** The planner's state that a draft is based on. */
+  /**
+   * The planner's state that a draft is based on.
+   *
+   * @param acceptedEarlier by group, tasks accepted for the window that this leader can't count
+   *     itself, because their jobs ended before its term
+   */
   record PlanInputs(
       JobGroups groups,
       List<DawnTerms> dawns,
@@ -112,7 +117,11 @@
         inputs.dawns().stream()
             .anyMatch(
                 dawn ->
-                    inputs.activePlan().window(dawn.name()).filter(n -> n.share() < 1).isPresent());
+                    inputs
+                        .activePlan()
+                        .window(dawn.name())
+                        .filter(row -> row.share() < 1)
+                        .isPresent());
     PlanSolver.Solution solution = new PlanSolver(schedule, seconds).solve(loads, wasInfeasible);
     List<PlanDraft.DraftGroup> draftGroups = new ArrayList<>();
     for (int i = 0; i < planned.size(); i++) {
@@ -197,17 +206,17 @@
     for (JobGroups.JobGroup group : inputs.groups().all()) {
       Optional<DawnTerms> dawn = inputs.dawnOf(group.representative);
       if (dawn.isPresent()) {
-        int seen = inputs.acceptedEarlier().getOrDefault(group.key, 0) + group.acceptedTasks;
+        int accepted = inputs.acceptedEarlier().getOrDefault(group.key, 0) + group.acceptedTasks;
         PlanningWindow window = inputs.openWindows().get(dawn.get().name());
         int promised =
             inputs
                 .activePlan()
                 .find(group.key)
-                .filter(entry -> entry.window().deadline().equals(window.deadline()))
-                .map(entry -> Math.min(seen, entry.group().promisedTasks()))
+                .filter(active -> active.window().deadline().equals(window.deadline()))
+                .map(active -> Math.min(accepted, active.group().promisedTasks()))
                 .orElse(0);
-        if (seen > 0) {
-          planned.add(new PlannedGroup(group.key, dawn.get(), group, seen, promised));
+        if (accepted > 0) {
+          planned.add(new PlannedGroup(group.key, dawn.get(), group, accepted, promised));
         }
       }
     }
@@ -227,7 +236,7 @@
     List<PlannedGroup> smallest = planned.subList(MAX_GROUPS - 1, planned.size());
     JobGroups.JobGroup combined =
         new JobGroups.JobGroup(GroupKey.OTHERS, smallest.get(0).jobGroup().representative);
-    int seen = 0;
+    int accepted = 0;
     int promised = 0;
     for (PlannedGroup group : smallest) {
       combined.openTasks += group.jobGroup().openTasks;
@@ -236,11 +245,11 @@
       combined.longestEstimate =
           Math.max(combined.longestEstimate, group.jobGroup().longestEstimate);
       combined.jobs.addAll(group.jobGroup().jobs);
-      seen += group.acceptedTasks();
+      accepted += group.acceptedTasks();
       promised += group.promisedTasks();
     }
     largest.add(
-        new PlannedGroup(GroupKey.OTHERS, smallest.get(0).dawn(), combined, seen, promised));
+        new PlannedGroup(GroupKey.OTHERS, smallest.get(0).dawn(), combined, accepted, promised));
     return largest;
   }
 
@@ -273,17 +282,16 @@
       List<CapacityForecast.PoolForecast> pools,
       double gangWait,
       WallTime wallTime) {
-    JobSpec sample = group.jobGroup().representative;
-    double mean = runTimes.meanRatio(sample.jobClass());
-    double atQuantile = runTimes.quantileRatio(sample.jobClass(), group.dawn().quantile());
-    // The total run time of many jobs varies less than that of one, but the last task may still
-    // take
-    // long.
+    JobSpec spec = group.jobGroup().representative;
+    double mean = runTimes.meanRatio(spec.jobClass());
+    double atQuantile = runTimes.quantileRatio(spec.jobClass(), group.dawn().quantile());
+    // The total run time of many jobs varies less than that of one, but the last of them may still
+    // take long.
     double spread = (atQuantile - mean) / Math.sqrt(Math.max(1, group.jobGroup().jobs.size()));
     double run = Math.max(0.1, group.jobGroup().meanEstimate() * (mean + spread));
     double fetchSeconds =
         pools.stream()
-            .mapToDouble(pool -> pool.type().fetch(sample.imageGb()).asSeconds())
+            .mapToDouble(pool -> pool.type().fetch(spec.imageGb()).asSeconds())
             .max()
             .orElse(0);
     double tail = Math.max(run, longestRun(group)) + fetchSeconds + gangWait;
@@ -298,10 +306,10 @@
             run,
             tail,
             dueSeconds,
-            machineFractions(sample, pools),
+            machineFractions(spec, pools),
             group.jobGroup().maxGangWidth,
-            sample.team(),
-            limitFraction(sample.team(), sample.room()));
+            spec.team(),
+            limitFraction(spec.team(), spec.room()));
     return new PlanSolver.GroupLoad(
         work,
         group.acceptedTasks(),
@@ -312,15 +320,15 @@
   /** Returns the fraction of a machine that a task takes, by pool; zero where it may not run. */
   private static double[] machineFractions(
       JobSpec spec, List<CapacityForecast.PoolForecast> pools) {
-    double[] use = new double[pools.size()];
-    for (int i = 0; i < use.length; i++) {
+    double[] fractions = new double[pools.size()];
+    for (int i = 0; i < fractions.length; i++) {
       CapacityForecast.MachinePoolKey key = pools.get(i).key();
-      use[i] =
+      fractions[i] =
           spec.allows(key.type(), key.zone(), key.spot())
               ? machineFraction(spec.room(), pools.get(i).type())
               : 0;
     }
-    return use;
+    return fractions;
   }
 
   private static double machineFraction(Room room, MachineType type) {
@@ -359,9 +367,9 @@
                   }
                 }
               });
-      double[] use = new double[pools.size()];
-      for (int i = 0; i < use.length; i++) {
-        use[i] = machineFraction(expected.resources(), pools.get(i).type());
+      double[] fractions = new double[pools.size()];
+      for (int i = 0; i < fractions.length; i++) {
+        fractions[i] = machineFraction(expected.resources(), pools.get(i).type());
       }
       loads.add(
           new PlanSolver.GroupLoad(
@@ -371,7 +379,7 @@
                   run,
                   tail,
                   dueSeconds,
-                  use,
+                  fractions,
                   1,
                   expected.source().team(),
                   limitFraction(expected.source().team(), expected.resources())),
--- a/src/main/java/org/oakwalk/core/planner/GroupKey.java
+++ b/src/main/java/org/oakwalk/core/planner/GroupKey.java
@@ -6,8 +6,8 @@
  * Identifies a group of jobs that are planned together: jobs of one team and class that are similar
  * in run time and number of tasks.
  *
- * @param runTimeBand band of the guessed run time of a task: each is four times as long as the one
- *     below
+ * @param runTimeBand band of the estimated run time of a task: each is four times as long as the
+ *     one below
  * @param taskCountBand band of the number of tasks: each is ten times as large as the one below
  */
 public record GroupKey(String team, String jobClass, int runTimeBand, int taskCountBand) {
--- a/src/main/java/org/oakwalk/core/planner/JobGroups.java
+++ b/src/main/java/org/oakwalk/core/planner/JobGroups.java
@@ -34,7 +34,7 @@
     int openTasks;
     int waitingTasks;
 
-    /** Estimated run time of the open tasks together. */
+    /** Total estimated run time of the open tasks, in seconds. */
     double openSeconds;
 
     int maxGangWidth = 1;
@@ -54,9 +54,9 @@
     /** The longest estimated run time of a task that was in the group, in seconds. */
     double longestEstimate;
 
-    JobGroup(GroupKey key, JobSpec sample) {
+    JobGroup(GroupKey key, JobSpec representative) {
       this.key = key;
-      this.representative = sample;
+      this.representative = representative;
     }
 
     double meanEstimate() {
--- a/src/main/java/org/oakwalk/core/planner/PlanDraft.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanDraft.java
@@ -155,7 +155,7 @@
   /**
    * Returns the first significant difference from the active plan; empty if there is none.
    *
-   * @param notable fraction of the time left or of the work that counts as significant
+   * @param significant fraction of the time left or of the work that counts as significant
    */
   Optional<RevisionReason> significantChange(
       ActivePlan activePlan, Map<String, PlanningWindow> open, WallTime now, double significant) {
--- a/src/main/java/org/oakwalk/core/planner/PlanRevisionPolicy.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanRevisionPolicy.java
@@ -21,7 +21,7 @@
   private static final double DEFERRABLE_SPACING_FACTOR = 3;
 
   /** Fraction of the time left or of the work by which a draft has to differ to be significant. */
-  static final double NOTABLE_FRACTION = 0.1;
+  static final double SIGNIFICANT_FRACTION = 0.1;
 
   /** The missing hours must exceed the stored ones by this factor, plus MISSING_GROWTH_HOURS. */
   private static final double MISSING_GROWTH_FACTOR = 1.5;
@@ -64,7 +64,7 @@
       double newShare = draft.solution().share();
       // A promised share is not lowered; a growing shortage is stored and logged.
       boolean feasibilityChanged = (oldShare == 1) != (newShare == 1);
-      if (feasibilityChanged || newShare > oldShare + NOTABLE_FRACTION) {
+      if (feasibilityChanged || newShare > oldShare + SIGNIFICANT_FRACTION) {
         return Optional.of(
             new PlanDraft.RevisionReason(
                 String.format(
@@ -81,7 +81,7 @@
         return Optional.of(new PlanDraft.RevisionReason("more machine hours are missing", true));
       }
     }
-    return draft.significantChange(activePlan, open, now, NOTABLE_FRACTION);
+    return draft.significantChange(activePlan, open, now, SIGNIFICANT_FRACTION);
   }
 
   /** Limits a span to bounds; the lower one takes precedence. */
--- a/src/main/java/org/oakwalk/core/planner/PlanSolver.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanSolver.java
@@ -103,7 +103,7 @@
         1,
         extraFraction,
         spare,
-        byName(schedule.layOut(works, extraFraction, spare / 2)),
+        byName(schedule.compute(works, extraFraction, spare / 2)),
         Map.of());
   }
 
@@ -116,7 +116,7 @@
   }
 
   private boolean fits(List<Schedule.GroupWork> works, double extraFraction, double delay) {
-    return Schedule.isFeasible(schedule.layOut(works, extraFraction, delay));
+    return Schedule.isFeasible(schedule.compute(works, extraFraction, delay));
   }
 
   private double smallestExtraFraction(List<Schedule.GroupWork> works) {
@@ -154,7 +154,7 @@
   private Solution partialSolution(List<GroupLoad> loads, List<Schedule.GroupWork> works) {
     Map<String, Double> missing = new HashMap<>();
     schedule
-        .layOut(works, 1, 0)
+        .compute(works, 1, 0)
         .forEach(
             (work, times) -> {
               if (times.lateTasks() > 0) {
@@ -174,7 +174,7 @@
       for (GroupLoad load : loads) {
         reduced.add(load.withShare(share));
       }
-      times = schedule.layOut(ordered(reduced), 1, SPARE_FRACTION * seconds);
+      times = schedule.compute(ordered(reduced), 1, SPARE_FRACTION * seconds);
     } while (share > MIN_SHARE && !Schedule.isFeasible(times));
     return new Solution(share, 1, 0, byName(times), missing);
   }
--- a/src/main/java/org/oakwalk/core/planner/RunTimeDistribution.java
+++ b/src/main/java/org/oakwalk/core/planner/RunTimeDistribution.java
@@ -28,10 +28,10 @@
   private static final int MIN_SAMPLES = 5;
 
   /** Quantile ratio assumed until a class has enough samples. */
-  private static final double DEFAULT_QUANTILE = 1.3;
+  private static final double DEFAULT_QUANTILE_RATIO = 1.3;
 
   private static final int MAX_PAIRS = 20;
-  private static final int MOST_CLASSES = 64;
+  private static final int MAX_CLASSES = 64;
 
   private final Map<String, Histogram> byClass = new TreeMap<>();
   private final Map<JobId, Integer> samplesByJob = new HashMap<>();
@@ -46,7 +46,7 @@
   }
 
   private void addSamples(String jobClass, long hundredths, long count) {
-    if (!byClass.containsKey(jobClass) && byClass.size() >= MOST_CLASSES) {
+    if (!byClass.containsKey(jobClass) && byClass.size() >= MAX_CLASSES) {
       return;
     }
     Histogram runs = byClass.computeIfAbsent(jobClass, name -> new Histogram(MAX_HUNDREDTHS, 1));
@@ -76,7 +76,7 @@
   double quantileRatio(String jobClass, double share) {
     Histogram runs = byClass.get(jobClass);
     return runs == null || runs.getTotalCount() < MIN_SAMPLES
-        ? DEFAULT_QUANTILE
+        ? DEFAULT_QUANTILE_RATIO
         : Math.max(meanRatio(jobClass), runs.getValueAtPercentile(share * 100) / 100.0);
   }
 
--- a/src/main/java/org/oakwalk/core/planner/Schedule.java
+++ b/src/main/java/org/oakwalk/core/planner/Schedule.java
@@ -92,7 +92,7 @@
     return slotSeconds;
   }
 
-  /** Orders groups by latest start; ties by number of tasks, larger first, then by name. */
+  /** Orders groups by latest start; ties by number of tasks, the larger first, then by name. */
   static Comparator<GroupWork> byLatestStart() {
     return Comparator.comparingDouble(GroupWork::latestStart)
         .thenComparing(Comparator.comparingDouble(GroupWork::tasks).reversed())
@@ -115,7 +115,7 @@
    * @param extraMachineFraction fraction used of the obtainable machines
    * @param delay seconds from now before which no task starts
    */
-  Map<GroupWork, GroupTimes> layOut(
+  Map<GroupWork, GroupTimes> compute(
       List<GroupWork> works, double extraMachineFraction, double delay) {
     double[][] free = new double[pools.size()][SLOTS];
     for (int p = 0; p < pools.size(); p++) {
--- a/src/test/java/org/oakwalk/core/cells/LoanExplorationTest.java
+++ b/src/test/java/org/oakwalk/core/cells/LoanExplorationTest.java
@@ -14,11 +14,11 @@
 import org.oakwalk.core.Span;
 
 /**
- * Explores the two state machines of a loan of one task together: leaders on both sides that end at
- * any point, an older home leader that goes on giving leave for a while, a channel that loses,
- * repeats, reorders and holds, and workers that live for a lease without answers. In no state may
- * the task be on a machine in both cells. Time goes in ticks of ten seconds, and moments grow older
- * instead of the clock going on, so that like states are the same.
+ * Explores all states of a loan of one task, with the state machines of both cells: leaders fail
+ * over at any point, an older home leader still grants permits for a while, the channel loses,
+ * repeats, reorders and delays messages, and workers run for a lease without responses. In no state
+ * may the task be on machines in both cells. Time advances in ticks of ten seconds; instead of
+ * advancing the clock, all moments are moved back, so that equivalent states are equal.
  */
 class LoanExplorationTest {
   private static final Span TICK = Span.seconds(10);
@@ -27,7 +27,7 @@
   private static final int LEASE_TICKS = 1;
   private static final int OLDER_LEADER_TICKS = 1;
 
-  /** What is older can't matter any more. */
+  /** Older moments are replaced by this one, because they can't make a difference any more. */
   private static final Moment OLDEST_MOMENT = new Moment(NOW.millis() - 6 * TICK.millis());
 
   private static final LoanTerms TERMS =
@@ -36,13 +36,15 @@
           Span.millis(LEASE_TICKS * TICK.millis()),
           Span.seconds(1000));
 
-  /** How much may happen between one tick and the next is not bounded; ticks are. */
+  /** Bounds the number of ticks; the number of steps between two ticks is not bounded. */
   private static final int MAX_TICKS = 5;
 
   private static final int MIN_STATES = 500_000;
 
   /**
-   * A message on its way, or on its way once more; asks and leaves with when they were asked for.
+   * A message in the channel.
+   *
+   * @param requestedAt of permit requests ("ask") and grants, when the permit was requested
    */
   private record Message(String kind, Optional<Moment> requestedAt) implements Comparable<Message> {
     @Override
@@ -57,11 +59,12 @@
   }
 
   /**
-   * All there is.
+   * The state of both cells, the guest's worker and the channel.
    *
-   * @param agedByOneTick ticks for which an older home leader may still give leave
-   * @param kept what the guest has stored: nothing, the loan, or that it is closed
-   * @param lease ticks that the guest's worker lives without an answer; the task is on it if not -1
+   * @param olderLeaderTicks ticks for which an older home leader may still grant permits
+   * @param guestStored what the guest has stored: nothing, the loan, or that it is closed
+   * @param onGuest whether the task is on the guest's worker
+   * @param leaseTicks ticks that the guest's worker runs without a response
    */
   private record ExploredState(
       HomeLoan home,
@@ -75,10 +78,18 @@
       int ticks) {
 
     ExploredState send(String kind, Optional<Moment> asked) {
-      Set<Message> more = new TreeSet<>(channel);
-      more.add(new Message(kind, asked));
+      Set<Message> withMessage = new TreeSet<>(channel);
+      withMessage.add(new Message(kind, asked));
       return new ExploredState(
-          home, olderLeaderTicks, runsAtHome, guest, guestStored, onGuest, leaseTicks, more, ticks);
+          home,
+          olderLeaderTicks,
+          runsAtHome,
+          guest,
+          guestStored,
+          onGuest,
+          leaseTicks,
+          withMessage,
+          ticks);
     }
 
     ExploredState home(HomeLoan next) {
@@ -105,16 +116,16 @@
     }
   }
 
-  /** Faults that the exploration has to find. */
+  /** Injected faults that the exploration has to detect. */
   private enum Fault {
     NONE,
-    /** The guest's leave does not run out. */
+    /** The guest's permit never expires. */
     ENDLESS_PERMIT,
-    /** Home takes the task back without proof. */
+    /** The home cell runs the task again without proof that it has ended in the guest cell. */
     RETURN_BEFORE_PROOF,
-    /** A new home leader does not wait for what an older one gave. */
+    /** A new home leader does not wait for the expiry of permits granted by an older one. */
     IGNORES_OLDER_LEADER,
-    /** The guest counts a leave from when it comes rather than from when it was asked for. */
+    /** The guest counts a permit's duration from its arrival instead of from its request. */
     COUNTS_FROM_ARRIVAL
   }
 
@@ -125,10 +136,10 @@
     return aged.isAfter(OLDEST_MOMENT) ? aged : OLDEST_MOMENT;
   }
 
-  private ExploredState tick(ExploredState w) {
+  private ExploredState tick(ExploredState s) {
     HomeLoan home =
-        new HomeLoan(w.home.state(), w.home.lastPermit().map(LoanExplorationTest::agedByOneTick));
-    GuestLoan guest = w.guest;
+        new HomeLoan(s.home.state(), s.home.lastPermit().map(LoanExplorationTest::agedByOneTick));
+    GuestLoan guest = s.guest;
     if (guest != null) {
       Optional<Moment> until =
           fault == Fault.ENDLESS_PERMIT
@@ -142,129 +153,130 @@
               guest.tasksAbsent());
     }
     Set<Message> channel = new TreeSet<>();
-    w.channel.forEach(
+    s.channel.forEach(
         m ->
             channel.add(
                 new Message(m.kind(), m.requestedAt().map(LoanExplorationTest::agedByOneTick))));
-    boolean ends = w.onGuest && w.leaseTicks == 0;
+    boolean leaseEnds = s.onGuest && s.leaseTicks == 0;
     return new ExploredState(
         home,
-        Math.max(0, w.olderLeaderTicks - 1),
-        w.runsAtHome,
+        Math.max(0, s.olderLeaderTicks - 1),
+        s.runsAtHome,
         guest,
-        w.guestStored,
-        w.onGuest && !ends,
-        Math.max(0, w.leaseTicks - 1),
+        s.guestStored,
+        s.onGuest && !leaseEnds,
+        Math.max(0, s.leaseTicks - 1),
         channel,
-        w.ticks + 1);
+        s.ticks + 1);
   }
 
-  /** Everything that can happen next. */
-  private void successors(ExploredState w, Consumer<ExploredState> to) {
-    if (w.ticks < MAX_TICKS) {
-      to.accept(tick(w));
+  /** Passes on every state that can follow. */
+  private void successors(ExploredState s, Consumer<ExploredState> sink) {
+    if (s.ticks < MAX_TICKS) {
+      sink.accept(tick(s));
     }
-    homeSteps(w, to);
-    if (w.guest != null) {
-      guestSteps(w, to);
+    homeSteps(s, sink);
+    if (s.guest != null) {
+      guestSteps(s, sink);
     }
-    for (Message message : w.channel) {
-      // It stays on its way, so it may come again and again, at any time, or never.
-      deliver(w, message, to);
+    for (Message message : s.channel) {
+      // The message stays in the channel, so it may arrive repeatedly, at any time, or never.
+      deliver(s, message, sink);
     }
-    // A leader ends, and its successor knows what is stored.
-    if (w.home.state() != HomeLoan.State.SETTLED) {
+    // A leader fails, and its successor knows only what is stored.
+    if (s.home.state() != HomeLoan.State.SETTLED) {
       Moment until = new Moment(NOW.millis() + OLDER_LEADER_TICKS * TICK.millis());
-      HomeLoan found =
+      HomeLoan recovered =
           fault == Fault.IGNORES_OLDER_LEADER ? HomeLoan.offered() : HomeLoan.recovered(until);
-      to.accept(
+      sink.accept(
           new ExploredState(
-              found,
+              recovered,
               OLDER_LEADER_TICKS,
-              w.runsAtHome,
-              w.guest,
-              w.guestStored,
-              w.onGuest,
-              w.leaseTicks,
-              w.channel,
-              w.ticks));
+              s.runsAtHome,
+              s.guest,
+              s.guestStored,
+              s.onGuest,
+              s.leaseTicks,
+              s.channel,
+              s.ticks));
     }
-    if (w.guestStored.equals("loan")) {
-      to.accept(w.guest(GuestLoan.recovered(), w.guestStored));
+    if (s.guestStored.equals("loan")) {
+      sink.accept(s.guest(GuestLoan.recovered(), s.guestStored));
     }
   }
 
-  private void homeSteps(ExploredState w, Consumer<ExploredState> to) {
-    if (w.home.grantsPermits()) {
-      to.accept(w.send("offer", Optional.empty()));
+  private void homeSteps(ExploredState s, Consumer<ExploredState> sink) {
+    if (s.home.grantsPermits()) {
+      sink.accept(s.send("offer", Optional.empty()));
     }
-    to.accept(w.home(w.home.recalled()).send("recall", Optional.empty()));
-    boolean proof = fault == Fault.RETURN_BEFORE_PROOF || w.home.permitsExpired(TERMS, NOW);
-    if (w.home.state() == HomeLoan.State.RECALLED && proof) {
-      to.accept(w.home(w.home.closed()));
+    sink.accept(s.home(s.home.recalled()).send("recall", Optional.empty()));
+    boolean proof = fault == Fault.RETURN_BEFORE_PROOF || s.home.permitsExpired(TERMS, NOW);
+    if (s.home.state() == HomeLoan.State.RECALLED && proof) {
+      sink.accept(s.home(s.home.closed()));
     }
-    if (w.home.state() == HomeLoan.State.SETTLED) {
-      to.accept(
+    if (s.home.state() == HomeLoan.State.SETTLED) {
+      sink.accept(
           new ExploredState(
-              w.home,
-              w.olderLeaderTicks,
+              s.home,
+              s.olderLeaderTicks,
               true,
-              w.guest,
-              w.guestStored,
-              w.onGuest,
-              w.leaseTicks,
-              w.channel,
-              w.ticks));
+              s.guest,
+              s.guestStored,
+              s.onGuest,
+              s.leaseTicks,
+              s.channel,
+              s.ticks));
     }
   }
 
-  private void guestSteps(ExploredState w, Consumer<ExploredState> to) {
-    GuestLoan guest = w.guest;
+  private void guestSteps(ExploredState s, Consumer<ExploredState> sink) {
+    GuestLoan guest = s.guest;
     if (guest.needsPermit()) {
-      to.accept(w.guest(guest.requestPermit(NOW), w.guestStored).send("ask", Optional.of(NOW)));
+      sink.accept(s.guest(guest.requestPermit(NOW), s.guestStored).send("ask", Optional.of(NOW)));
     }
-    // It answers its worker: with leave the task starts or goes on, without it ends.
+    // The response to the worker starts or continues the task under a permit, and ends it
+    // otherwise.
     if (guest.mayRun(NOW)) {
-      to.accept(w.guest(guest.taskStarted(NOW), w.guestStored).worker(true));
+      sink.accept(s.guest(guest.taskStarted(NOW), s.guestStored).worker(true));
     } else {
-      to.accept(w.guest(guest.confirmTasksAbsent(NOW), w.guestStored).worker(false));
+      sink.accept(s.guest(guest.confirmTasksAbsent(NOW), s.guestStored).worker(false));
     }
     if (guest.mayClose()) {
-      to.accept(w.guest(guest.closed(), "closed").send("closed", Optional.empty()));
+      sink.accept(s.guest(guest.closed(), "closed").send("closed", Optional.empty()));
     }
   }
 
-  private void deliver(ExploredState w, Message message, Consumer<ExploredState> to) {
+  private void deliver(ExploredState s, Message message, Consumer<ExploredState> sink) {
     switch (message.kind()) {
       case "offer" -> {
-        if (w.guestStored.equals("nothing")) {
-          to.accept(w.guest(GuestLoan.stored(), "loan").send("accept", Optional.empty()));
-          to.accept(w.send("refuse", Optional.empty()));
-        } else if (w.guestStored.equals("closed")) {
-          to.accept(w.send("closed", Optional.empty()));
+        if (s.guestStored.equals("nothing")) {
+          sink.accept(s.guest(GuestLoan.stored(), "loan").send("accept", Optional.empty()));
+          sink.accept(s.send("refuse", Optional.empty()));
+        } else if (s.guestStored.equals("closed")) {
+          sink.accept(s.send("closed", Optional.empty()));
         }
       }
-      case "accept" -> to.accept(w.home(w.home.accepted()));
-      case "refuse" -> to.accept(w.home(w.home.recalled()));
-      case "closed" -> to.accept(w.home(w.home.closed()));
+      case "accept" -> sink.accept(s.home(s.home.accepted()));
+      case "refuse" -> sink.accept(s.home(s.home.recalled()));
+      case "closed" -> sink.accept(s.home(s.home.closed()));
       case "recall" -> {
-        if (w.guest != null) {
-          to.accept(w.guest(w.guest.recalled(), w.guestStored));
+        if (s.guest != null) {
+          sink.accept(s.guest(s.guest.recalled(), s.guestStored));
         }
       }
       case "ask" -> {
-        if (w.home.grantsPermits()) {
-          to.accept(w.home(w.home.permitRequested(NOW)).send("leave", message.requestedAt()));
+        if (s.home.grantsPermits()) {
+          sink.accept(s.home(s.home.permitRequested(NOW)).send("grant", message.requestedAt()));
         }
-        if (w.olderLeaderTicks > 0) {
-          // The older leader answers, and the present one does not know.
-          to.accept(w.send("leave", message.requestedAt()));
+        if (s.olderLeaderTicks > 0) {
+          // The older leader grants a permit, of which the current one does not know.
+          sink.accept(s.send("grant", message.requestedAt()));
         }
       }
-      case "leave" -> {
-        if (w.guest != null && message.requestedAt().isPresent()) {
-          GuestLoan next = w.guest.permitGranted(message.requestedAt().get(), TERMS);
-          if (fault == Fault.COUNTS_FROM_ARRIVAL && next != w.guest) {
+      case "grant" -> {
+        if (s.guest != null && message.requestedAt().isPresent()) {
+          GuestLoan next = s.guest.permitGranted(message.requestedAt().get(), TERMS);
+          if (fault == Fault.COUNTS_FROM_ARRIVAL && next != s.guest) {
             next =
                 new GuestLoan(
                     next.state(),
@@ -272,49 +284,49 @@
                     Optional.of(NOW.plus(TERMS.permitDuration().surelyNotPassed())),
                     next.tasksAbsent());
           }
-          to.accept(w.guest(next, w.guestStored));
+          sink.accept(s.guest(next, s.guestStored));
         }
       }
       default -> throw new IllegalStateException(message.kind());
     }
   }
 
-  /** Returns how many states there are, or none if one of them has two owners. */
+  /** Returns the number of states, or nothing if in one of them the task is in both cells. */
   private Optional<Integer> explore() {
     ExploredState first =
         new ExploredState(
             HomeLoan.offered(), 0, false, null, "nothing", false, LEASE_TICKS, new TreeSet<>(), 0);
     Set<ExploredState> seen = new HashSet<>(Set.of(first));
     Deque<ExploredState> open = new ArrayDeque<>(Set.of(first));
-    boolean[] broken = new boolean[1];
-    while (!open.isEmpty() && !broken[0]) {
+    boolean[] violated = new boolean[1];
+    while (!open.isEmpty() && !violated[0]) {
       successors(
           open.poll(),
-          world -> {
-            broken[0] |= world.runsAtHome() && world.onGuest();
-            if (seen.add(world)) {
-              open.add(world);
+          state -> {
+            violated[0] |= state.runsAtHome() && state.onGuest();
+            if (seen.add(state)) {
+              open.add(state);
             }
           });
     }
-    return broken[0] ? Optional.empty() : Optional.of(seen.size());
+    return violated[0] ? Optional.empty() : Optional.of(seen.size());
   }
 
   @Test
   void taskNeverRunsInBothCells() {
     Optional<Integer> states = explore();
     assertThat(states).as("a task is on machines in both cells").isPresent();
-    System.out.println("states of a loan visited: " + states.get());
+    System.out.println("loan states explored: " + states.get());
     assertThat(states.get()).isGreaterThan(MIN_STATES);
   }
 
   @Test
   void explorationDetectsEveryInjectedFault() {
-    for (Fault each : Fault.values()) {
-      if (each != Fault.NONE) {
+    for (Fault injected : Fault.values()) {
+      if (injected != Fault.NONE) {
         LoanExplorationTest faulty = new LoanExplorationTest();
-        faulty.fault = each;
-        assertThat(faulty.explore()).as(each.name()).isEmpty();
+        faulty.fault = injected;
+        assertThat(faulty.explore()).as(injected.name()).isEmpty();
       }
     }
   }
--- a/src/test/java/org/oakwalk/core/cells/LoanTermsTest.java
+++ b/src/test/java/org/oakwalk/core/cells/LoanTermsTest.java
@@ -9,7 +9,10 @@
 import org.oakwalk.core.Moment;
 import org.oakwalk.core.Span;
 
-/** When loans may be made at all, and steps that must not be taken. */
+/**
+ * Guards the timing condition of loans, without which a withdrawn task could still run in the guest
+ * cell, and the transitions that must be rejected.
+ */
 class LoanTermsTest {
   @ParameterizedTest
   @CsvSource({
@@ -20,10 +23,13 @@
     "30, 15.25, 45.25, false"
   })
   void permitAndLeaseMustEndBeforeTheCancelDeadline(
-      double leave, double lease, double cancel, boolean possible) {
-    LoanTerms terms = new LoanTerms(Span.seconds(leave), Span.seconds(lease), Span.seconds(cancel));
+      double permit, double lease, double cancel, boolean possible) {
+    LoanTerms terms =
+        new LoanTerms(Span.seconds(permit), Span.seconds(lease), Span.seconds(cancel));
     assertThat(terms.findProblem().isEmpty()).isEqualTo(possible);
-    terms.findProblem().ifPresent(why -> assertThat(why).contains("leave", "lease", "cancel"));
+    terms
+        .findProblem()
+        .ifPresent(problem -> assertThat(problem).contains("permit", "lease", "cancel"));
   }
 
   @Test
@@ -32,11 +38,11 @@
     Moment now = new Moment(1_000_000);
     assertThatThrownBy(() -> GuestLoan.stored().taskStarted(now))
         .isInstanceOf(IllegalStateException.class);
-    GuestLoan runs = GuestLoan.stored().requestPermit(now).permitGranted(now, terms);
-    assertThat(runs.mayRun(now)).isTrue();
-    assertThat(runs.mayRun(now.plus(Span.seconds(15)))).isFalse();
-    assertThat(runs.recalled().mayRun(now)).isFalse();
-    assertThat(runs.taskStarted(now).recalled().mayClose()).isFalse();
+    GuestLoan running = GuestLoan.stored().requestPermit(now).permitGranted(now, terms);
+    assertThat(running.mayRun(now)).isTrue();
+    assertThat(running.mayRun(now.plus(Span.seconds(15)))).isFalse();
+    assertThat(running.recalled().mayRun(now)).isFalse();
+    assertThat(running.taskStarted(now).recalled().mayClose()).isFalse();
     assertThat(HomeLoan.offered().recalled().permitRequested(now).lastPermit()).isEmpty();
   }
 }
--- a/src/test/java/org/oakwalk/core/planner/PlanningStatisticsTest.java
+++ b/src/test/java/org/oakwalk/core/planner/PlanningStatisticsTest.java
@@ -18,7 +18,10 @@
 import org.oakwalk.core.job.Room;
 import org.oakwalk.core.product.DawnTerms;
 
-/** What is learned for plans, and that a successor knows the same. */
+/**
+ * Guards the statistics that plans are based on: a plan with wrong run times or arrivals misses its
+ * deadline, and a new leader must restore what its predecessor stored.
+ */
 class PlanningStatisticsTest {
   private static final DawnTerms DAWN =
       new DawnTerms(
@@ -57,66 +60,67 @@
 
   @Test
   void quantileReflectsRunTimeVariation() {
-    PlanningStatistics learned = new PlanningStatistics();
-    assertThat(learned.runTimes.quantileRatio("photos", 0.9)).isGreaterThan(1);
+    PlanningStatistics statistics = new PlanningStatistics();
+    assertThat(statistics.runTimes.quantileRatio("photos", 0.9)).isGreaterThan(1);
     for (int i = 0; i < 100; i++) {
-      learned.taskCompleted(job("j-" + i, 1), Span.seconds(i % 10 == 0 ? 60 : 20));
+      statistics.taskCompleted(job("j-" + i, 1), Span.seconds(i % 10 == 0 ? 60 : 20));
     }
-    assertThat(learned.runTimes.meanRatio("photos")).isCloseTo(1.2, within(0.1));
-    assertThat(learned.runTimes.quantileRatio("photos", 0.95)).isCloseTo(3, within(0.2));
-    assertThat(learned.runTimes.quantileRatio("photos", 0.5)).isLessThan(1.4);
-    assertThat(learned.runTimes.meanRatio("waves")).isEqualTo(1);
+    assertThat(statistics.runTimes.meanRatio("photos")).isCloseTo(1.2, within(0.1));
+    assertThat(statistics.runTimes.quantileRatio("photos", 0.95)).isCloseTo(3, within(0.2));
+    assertThat(statistics.runTimes.quantileRatio("photos", 0.5)).isLessThan(1.4);
+    assertThat(statistics.runTimes.meanRatio("waves")).isEqualTo(1);
   }
 
   @Test
   void oneLargeJobDoesNotDominateItsClass() {
-    PlanningStatistics learned = new PlanningStatistics();
-    Job odd = job("odd", 1000);
+    PlanningStatistics statistics = new PlanningStatistics();
+    Job largeJob = job("odd", 1000);
     for (int i = 0; i < 1000; i++) {
-      learned.taskCompleted(odd, Span.seconds(100));
+      statistics.taskCompleted(largeJob, Span.seconds(100));
     }
     for (int i = 0; i < 80; i++) {
-      learned.taskCompleted(job("j-" + i, 1), Span.seconds(20));
+      statistics.taskCompleted(job("j-" + i, 1), Span.seconds(20));
     }
-    assertThat(learned.runTimes.meanRatio("photos")).isLessThan(1.5);
+    assertThat(statistics.runTimes.meanRatio("photos")).isLessThan(1.5);
   }
 
   @Test
   void arrivalsAreExpectedFromHistoryAndDecay() {
-    PlanningStatistics learned = new PlanningStatistics();
-    learned.setTerms(List.of(DAWN));
-    ArrivalForecast coming = learned.arrivals("d");
-    assertThat(coming.expected(DAWN, new WallTime(0), new WallTime(2_400_000))).isEmpty();
-    for (int night = 0; night < 2; night++) {
-      learned.jobChanged(job("n-" + night, 30), new WallTime(night * 2_400_000L + 550_000));
+    PlanningStatistics statistics = new PlanningStatistics();
+    statistics.setTerms(List.of(DAWN));
+    ArrivalForecast arrivals = statistics.arrivals("d");
+    assertThat(arrivals.expected(DAWN, new WallTime(0), new WallTime(2_400_000))).isEmpty();
+    for (int period = 0; period < 2; period++) {
+      statistics.jobChanged(job("n-" + period, 30), new WallTime(period * 2_400_000L + 550_000));
     }
-    WallTime third = new WallTime(2 * 2_400_000L + 100_000);
-    WallTime dawn = new WallTime(3 * 2_400_000L);
-    List<ArrivalForecast.ExpectedArrivals> expected = coming.expected(DAWN, third, dawn);
+    WallTime thirdPeriod = new WallTime(2 * 2_400_000L + 100_000);
+    WallTime deadline = new WallTime(3 * 2_400_000L);
+    List<ArrivalForecast.ExpectedArrivals> expected =
+        arrivals.expected(DAWN, thirdPeriod, deadline);
     assertThat(expected).hasSize(1);
-    // At 550 s of 2,400 the sixth part of 24 is under way, at 100 s the second.
+    // Slices are 100 s long: the jobs arrive in slice 5, and slice 1 is current, so 4 slices later.
     assertThat(expected.get(0).tasksBySlice()).containsOnlyKeys(4);
     assertThat(expected.get(0).tasksBySlice().get(4)).isEqualTo(30);
-    // After a night in which nothing came, half of it is left.
-    WallTime fourth = new WallTime(3 * 2_400_000L + 100_000);
-    List<ArrivalForecast.ExpectedArrivals> faded =
-        coming.expected(DAWN, fourth, new WallTime(4 * 2_400_000L));
-    assertThat(faded.get(0).tasksBySlice().get(4)).isEqualTo(15);
+    // A period without arrivals halves the expectation.
+    WallTime fourthPeriod = new WallTime(3 * 2_400_000L + 100_000);
+    List<ArrivalForecast.ExpectedArrivals> decayed =
+        arrivals.expected(DAWN, fourthPeriod, new WallTime(4 * 2_400_000L));
+    assertThat(decayed.get(0).tasksBySlice().get(4)).isEqualTo(15);
   }
 
   @Test
   void restoredStatisticsEqualTheStoredOnes() {
-    PlanningStatistics learned = new PlanningStatistics();
-    learned.setTerms(List.of(DAWN));
+    PlanningStatistics statistics = new PlanningStatistics();
+    statistics.setTerms(List.of(DAWN));
     for (int i = 0; i < 60; i++) {
-      learned.taskCompleted(job("j-" + i, 1), Span.seconds(10 + i));
-      learned.jobChanged(job("k-" + i, 2), new WallTime(i * 30_000L));
+      statistics.taskCompleted(job("j-" + i, 1), Span.seconds(10 + i));
+      statistics.jobChanged(job("k-" + i, 2), new WallTime(i * 30_000L));
     }
-    PlanningStatistics next = new PlanningStatistics();
-    next.setTerms(List.of(DAWN));
-    next.restore(learned.rows());
-    assertThat(next.rows()).isEqualTo(learned.rows());
-    assertThat(next.runTimes.quantileRatio("photos", 0.9))
-        .isCloseTo(learned.runTimes.quantileRatio("photos", 0.9), within(0.2));
+    PlanningStatistics restored = new PlanningStatistics();
+    restored.setTerms(List.of(DAWN));
+    restored.restore(statistics.rows());
+    assertThat(restored.rows()).isEqualTo(statistics.rows());
+    assertThat(restored.runTimes.quantileRatio("photos", 0.9))
+        .isCloseTo(statistics.runTimes.quantileRatio("photos", 0.9), within(0.2));
   }
 }
--- a/src/test/java/org/oakwalk/core/planner/PlanningWindowTest.java
+++ b/src/test/java/org/oakwalk/core/planner/PlanningWindowTest.java
@@ -15,7 +15,7 @@
 import org.oakwalk.core.product.DawnTerms;
 
 class PlanningWindowTest {
-  private static final Span EXACT = Span.millis(0);
+  private static final Span NO_CLOCK_ERROR = Span.millis(0);
 
   private static DawnTerms daily(String opens, String by, double margin) {
     return terms(
@@ -37,7 +37,8 @@
   }
 
   /**
-   * The nights of summer time have an hour more or less; local times that don't exist or repeat.
+   * Windows across clock changes are an hour longer or shorter, and local times may be skipped or
+   * occur twice; in none of these cases may the deadline be wrong by an hour.
    */
   @ParameterizedTest
   @CsvSource({
@@ -53,12 +54,13 @@
     "01:00, 06:00, 2026-12-01T12:00+01:00, 2026-12-02T01:00+01:00, 2026-12-02T06:00+01:00",
   })
   void nextWindowHandlesDaylightSavingChanges(
-      String opens, String by, String now, String from, String dawn) {
-    PlanningWindow window = PlanningWindow.next(daily(opens, by, 0), at(now), EXACT).orElseThrow();
-    assertThat(window.opensAt()).isEqualTo(at(from));
-    assertThat(window.deadline()).isEqualTo(at(dawn));
-    boolean open = at(from).millis() <= at(now).millis();
-    assertThat(PlanningWindow.current(daily(opens, by, 0), at(now), EXACT).isPresent())
+      String opens, String by, String now, String opensAt, String deadline) {
+    PlanningWindow window =
+        PlanningWindow.next(daily(opens, by, 0), at(now), NO_CLOCK_ERROR).orElseThrow();
+    assertThat(window.opensAt()).isEqualTo(at(opensAt));
+    assertThat(window.deadline()).isEqualTo(at(deadline));
+    boolean open = at(opensAt).millis() <= at(now).millis();
+    assertThat(PlanningWindow.current(daily(opens, by, 0), at(now), NO_CLOCK_ERROR).isPresent())
         .isEqualTo(open);
   }
 
@@ -74,14 +76,18 @@
   void windowsRepeatAtAFixedInterval() {
     DawnTerms terms = terms(Optional.empty(), Optional.of(Span.seconds(300)), 20);
     PlanningWindow window =
-        PlanningWindow.next(terms, new WallTime(1_000_000), EXACT).orElseThrow();
+        PlanningWindow.next(terms, new WallTime(1_000_000), NO_CLOCK_ERROR).orElseThrow();
     assertThat(window)
         .isEqualTo(
             new PlanningWindow(
                 new WallTime(1_100_000), new WallTime(1_200_000), new WallTime(1_180_000)));
-    assertThat(PlanningWindow.current(terms, new WallTime(1_099_999), EXACT)).isEmpty();
-    assertThat(PlanningWindow.current(terms, new WallTime(1_100_000), EXACT)).contains(window);
-    assertThat(PlanningWindow.next(terms, new WallTime(1_200_000), EXACT).orElseThrow().deadline())
+    assertThat(PlanningWindow.current(terms, new WallTime(1_099_999), NO_CLOCK_ERROR)).isEmpty();
+    assertThat(PlanningWindow.current(terms, new WallTime(1_100_000), NO_CLOCK_ERROR))
+        .contains(window);
+    assertThat(
+            PlanningWindow.next(terms, new WallTime(1_200_000), NO_CLOCK_ERROR)
+                .orElseThrow()
+                .deadline())
         .isEqualTo(new WallTime(1_500_000));
   }
 }
