--- a/src/main/java/org/oakwalk/core/CapacityProducts.java
+++ b/src/main/java/org/oakwalk/core/CapacityProducts.java
@@ -18,8 +18,8 @@
 import org.oakwalk.core.placement.CapacityReserve;
 import org.oakwalk.core.placement.Quota;
 import org.oakwalk.core.placement.RunTimeEstimates;
+import org.oakwalk.core.planner.DeadlinePlanner;
 import org.oakwalk.core.planner.PlanRow;
-import org.oakwalk.core.planner.Planner;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.product.ProductTerms;
 import org.oakwalk.core.product.ProductTermsWriter;
@@ -49,7 +49,7 @@
   private final Outbox outbox;
   private final Guard leader;
   private final Settings settings;
-  private final Planner planner;
+  private final DeadlinePlanner planner;
   private final HeadroomController headroom;
   private final ProductContext context;
   private Optional<SharedRecords> shared = Optional.empty();
@@ -63,7 +63,7 @@
       Guard leader,
       Settings settings,
       HeadroomController headroom,
-      Planner planner,
+      DeadlinePlanner planner,
       ProductContext context) {
     this.headroom = headroom;
     this.planner = planner;
@@ -97,7 +97,7 @@
     ProductTerms terms = keeper.activeTerms();
     if (terms.isUndeclared()) {
       headroom.disable();
-      planner.off();
+      planner.disable();
       return;
     }
     if (!keeper.isUpToDate()) {
@@ -117,7 +117,7 @@
   private void openRecords(ProductTerms terms) {
     SharedRecords state = new SharedRecords(outbox, leader, settings.state());
     headroom.declareRecord(state);
-    plans = state.declare(Planner.RECORD, PlanRow.class);
+    plans = state.declare(DeadlinePlanner.RECORD_NAME, PlanRow.class);
     shared = Optional.of(state);
     if (!terms.exchanges().isEmpty()) {
       exchange =
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -33,7 +33,7 @@
 import org.oakwalk.core.placement.Quota;
 import org.oakwalk.core.placement.RunTimeEstimates;
 import org.oakwalk.core.placement.SlowMachineDetector;
-import org.oakwalk.core.planner.Planner;
+import org.oakwalk.core.planner.DeadlinePlanner;
 import org.oakwalk.core.port.Effect;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.PeerMessage;
@@ -73,7 +73,7 @@
   private final DrainController drainer;
   private final MachineTypeWriter catalogueKeeper;
   private final CapacityProducts products;
-  private final Planner planner;
+  private final DeadlinePlanner planner;
   private boolean roundDue = true;
   private Moment nextRegularRound;
   private Moment lastRound = new Moment(Long.MIN_VALUE / 2);
@@ -143,7 +143,8 @@
     HeadroomController headroom =
         new HeadroomController(fleet, jobs, quota, settings, gate::allows);
     this.planner =
-        new Planner(fleet, jobs, settings, policy.scoring().minTimeLeft(), headroom::reservedSpecs);
+        new DeadlinePlanner(
+            fleet, jobs, settings, policy.scoring().minTimeLeft(), headroom::reservedSpecs);
     this.mover = new ReplicaMover(fleet, quota, gate, outbox, suspectAfter, headroom);
     this.products =
         new CapacityProducts(
@@ -446,7 +447,7 @@
       runTimes.record(placement.job(), ran);
       if (placement.attempt().token().equals(token)) {
         // A task started by an earlier leader has run for longer than this leader has observed.
-        planner.completed(placement.job(), ran);
+        planner.taskCompleted(placement.job(), ran);
       }
     }
   }
--- a/src/main/java/org/oakwalk/core/planner/PlanRow.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanRow.java
@@ -5,117 +5,129 @@
 import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.shared.SharedRow;
 
-/** A line of the record that leaders keep of their plans and of what these rest on. */
+/** A row of the stored record of plans and of the statistics that they are based on. */
 public sealed interface PlanRow extends SharedRow {
-  /** Digits of a number in a list, with its comma. */
-  int NUMBER = 20;
+  /** Maximum length of a number in a JSON list, with its comma. */
+  int MAX_NUMBER_BYTES = 20;
 
-  /** Bytes of text as JSON at most. */
-  private static int text(String text) {
+  /** Returns the maximum length of a text as JSON, where each character may be escaped. */
+  private static int maxTextBytes(String text) {
     return 6 * text.length();
   }
 
   /**
-   * A dawn's window, as it was planned last.
+   * The window of a dawn (a recurring deadline), as it was last planned.
    *
-   * @param revised when
-   * @param revisions how many times since it opened
-   * @param share the part of each group's work that is planned to be done; 1 if all of it is
-   * @param missing what is missing, in hours of a whole machine
-   * @param machines so many more machines would mend it, for {@code seconds}
+   * @param dawnName name of the dawn
+   * @param opensAt start of the window
+   * @param deadline end of the window
+   * @param revisedAt time of the last revision
+   * @param revisionCount number of revisions since the window opened
+   * @param share planned fraction of each group's work; 1 if all of it will be completed
+   * @param missingMachineHours missing capacity in machine hours
+   * @param missingMachines number of additional machines that would supply the missing capacity
+   * @param extraMachineSeconds for how long these machines would have to run; 0 if none is missing
    */
-  record Night(
-      String dawn,
-      WallTime opens,
-      WallTime dawnAt,
-      WallTime revised,
-      int revisions,
+  record WindowRow(
+      String dawnName,
+      WallTime opensAt,
+      WallTime deadline,
+      WallTime revisedAt,
+      int revisionCount,
       double share,
-      double missing,
-      int machines,
-      long seconds)
+      double missingMachineHours,
+      int missingMachines,
+      long extraMachineSeconds)
       implements PlanRow {
     @Override
     public int maxJsonBytes() {
-      return SHORT_ROW_BYTES + text(dawn);
+      return SHORT_ROW_BYTES + maxTextBytes(dawnName);
     }
   }
 
   /**
-   * A group of jobs in that window.
+   * A group of jobs in a window.
    *
-   * @param seen tasks that have been accepted for it, done ones of the window included
-   * @param promised so many of them will be done by dawn
-   * @param startBy by when all of them should have been started
-   * @param endBy by when they should be done
-   * @param lastStart when the last of them has to be started to be done by dawn
-   * @param missing what is missing for all of them, in hours of a whole machine
+   * @param acceptedTasks tasks accepted for the window, including those completed in it
+   * @param promisedTasks number of these that will be completed by the deadline
+   * @param startBy planned start of the group
+   * @param endBy planned end of the group
+   * @param latestStart when its last task has to start to be done by the deadline
+   * @param missingMachineHours capacity missing to complete all of them, in machine hours
    */
-  record Group(
-      String dawn,
+  record GroupRow(
+      String dawnName,
       GroupKey key,
-      int seen,
-      int promised,
+      int acceptedTasks,
+      int promisedTasks,
       WallTime startBy,
       WallTime endBy,
-      WallTime lastStart,
-      double missing)
+      WallTime latestStart,
+      double missingMachineHours)
       implements PlanRow {
     @Override
     public int maxJsonBytes() {
-      return SHORT_ROW_BYTES + text(dawn + key.team() + key.jobClass());
+      return SHORT_ROW_BYTES + maxTextBytes(dawnName + key.team() + key.jobClass());
     }
   }
 
   /**
-   * How run times of a class compare with their guesses.
+   * Run times of a job class relative to their estimates.
    *
-   * @param counts hundredths of the guess, and how many tasks took that long, by turns
+   * @param histogram alternating values: run time in hundredths of the estimate, number of tasks
    */
-  record Runs(String jobClass, List<Long> counts) implements PlanRow {
+  record RunTimeRow(String jobClass, List<Long> histogram) implements PlanRow {
     @Override
     public int maxJsonBytes() {
-      return SHORT_ROW_BYTES + text(jobClass) + NUMBER * counts.size();
+      return SHORT_ROW_BYTES + maxTextBytes(jobClass) + MAX_NUMBER_BYTES * histogram.size();
     }
   }
 
   /**
-   * What comes of a team's class from one dawn to the next.
+   * Arrivals of a team's job class between two deadlines.
    *
-   * @param slice the part of the time that is under way, counted from the epoch
-   * @param sum seconds of tasks that have come in it so far
-   * @param run usual run time of a task in seconds, as guessed
-   * @param room of a task
-   * @param bySlice seconds of tasks by parts of the time; -1 where nothing is known
+   * @param currentSlice number of the current slice, counted from the epoch
+   * @param currentSeconds estimated task seconds that have arrived in it so far
+   * @param meanEstimate moving average of the estimated run time of a task, in seconds
+   * @param resources of one task
+   * @param secondsBySlice usual task seconds by slice of the period; -1 where nothing is known
    */
-  record Coming(
-      String dawn,
+  record ArrivalRow(
+      String dawnName,
       String team,
       String jobClass,
-      long slice,
-      long sum,
-      double run,
-      Resources room,
-      List<Long> bySlice)
+      long currentSlice,
+      long currentSeconds,
+      double meanEstimate,
+      Resources resources,
+      List<Long> secondsBySlice)
       implements PlanRow {
     @Override
     public int maxJsonBytes() {
-      return SHORT_ROW_BYTES + text(dawn + team + jobClass) + NUMBER * bySlice.size();
+      return SHORT_ROW_BYTES
+          + maxTextBytes(dawnName + team + jobClass)
+          + MAX_NUMBER_BYTES * secondsBySlice.size();
     }
   }
 
   /**
-   * What could be had of a sort of machines.
+   * Obtainable machines and reclaim rate of a machine pool.
    *
-   * @param most most machines of it that were up at once of late
-   * @param hours hours of machines that were watched, fading
-   * @param losses machines that were taken back in them
+   * @param recentPeak decaying maximum of the machines that were up at once
+   * @param observedHours machine hours observed, with exponential decay
+   * @param reclaims machines that the cloud reclaimed in these hours, with the same decay
    */
-  record Reach(String type, String zone, boolean spot, double most, double hours, double losses)
+  record CapacityRow(
+      String type,
+      String zone,
+      boolean spot,
+      double recentPeak,
+      double observedHours,
+      double reclaims)
       implements PlanRow {
     @Override
     public int maxJsonBytes() {
-      return SHORT_ROW_BYTES + text(type + zone);
+      return SHORT_ROW_BYTES + maxTextBytes(type + zone);
     }
   }
 }
--- a/src/main/java/org/oakwalk/core/planner/Schedule.java
+++ b/src/main/java/org/oakwalk/core/planner/Schedule.java
@@ -6,201 +6,215 @@
 import java.util.Map;
 
 /**
- * Lays groups of tasks out over the time until dawn: at each moment, of those that have come, the
- * one with the least time until it must have been started goes first. Of groups that are due at the
- * same time the one with the longest tasks does, so that what is short is left for the end. Work is
- * taken as fluid, in parts of whole machines, but a gang starts whole.
+ * Schedules groups of tasks over the time until the deadline: in each slot, among the groups whose
+ * work has arrived, the one with the earliest latest-start time goes first. Of groups with the same
+ * due time, this is the one with the longest tasks, so that short tasks fill the end. Work is
+ * modelled as a fluid, in fractions of machines, but a gang starts as a whole.
  *
- * <p>The rule is "latest start first", known from the theory of schedules for its small lateness;
- * with one due time it is "longest processing time first" (R. L. Graham, 1969).
+ * <p>Ordering by latest start time is known from scheduling theory to keep the maximum lateness
+ * small; with a single due time it is "longest processing time first" (R. L. Graham, 1969).
  */
 final class Schedule {
-  /** Parts into which the time is divided. */
+  /** Number of slots into which the time is divided. */
   static final int SLOTS = 96;
 
-  /** So small a part of a group's tasks may be late without calling a night infeasible. */
-  private static final double TOLERATED = 0.002;
+  /** Fraction of a group's tasks that may be late in a feasible schedule. */
+  private static final double TOLERATED_LATE_FRACTION = 0.002;
 
-  private static final double NONE = 1e-9;
+  private static final double EPSILON = 1e-9;
 
   /**
-   * Machines of one sort.
+   * A pool of interchangeable machines.
    *
-   * @param held machines that are free by slot, as held at present
-   * @param more machines that could be had beside them, by slot
+   * @param freeHeld number of free machines by slot, among those held at present
+   * @param obtainable number of machines by slot that could be rented in addition
    */
-  record Pool(String name, double[] held, double[] more) {}
+  record MachinePool(String name, double[] freeHeld, double[] obtainable) {}
 
   /**
    * Tasks of one group.
    *
-   * @param released tasks that have come by each slot
-   * @param run seconds of a task, as it counts for the work
-   * @param tail seconds that the last ones may take
-   * @param due seconds until all must be done
-   * @param use part of a machine that a task takes, by pool; zero where it may not run
-   * @param width tasks that start together
-   * @param ofLimit part of its team's limit that a task takes; zero if there is none
+   * @param releasedBySlot cumulative number of tasks that have arrived by each slot
+   * @param runSeconds planned run time of a task
+   * @param tailSeconds time that the last tasks may take
+   * @param dueSeconds time until all tasks must be done
+   * @param machineFraction fraction of a machine that a task takes, by pool; zero where it may not
+   *     run
+   * @param gangWidth number of tasks that start together
+   * @param limitFraction fraction of its team's limit that a task takes; zero if there is no limit
    */
-  record Work(
+  record GroupWork(
       String name,
-      double[] released,
-      double run,
-      double tail,
-      double due,
-      double[] use,
-      int width,
+      double[] releasedBySlot,
+      double runSeconds,
+      double tailSeconds,
+      double dueSeconds,
+      double[] machineFraction,
+      int gangWidth,
       String team,
-      double ofLimit) {
+      double limitFraction) {
     double tasks() {
-      return released[SLOTS - 1];
+      return releasedBySlot[SLOTS - 1];
     }
 
     double latestStart() {
-      return due - tail;
+      return dueSeconds - tailSeconds;
     }
   }
 
   /**
-   * When a group's tasks are started.
+   * The scheduled times of a group, in seconds from now.
    *
-   * @param late tasks that can't be done in time
+   * @param start start of its first task
+   * @param lastStart start of its last task
+   * @param end latest end of its last task
+   * @param lateTasks number of tasks that can't complete in time
    */
-  record Times(double start, double lastStart, double end, double late) {}
+  record GroupTimes(double start, double lastStart, double end, double lateTasks) {}
 
-  private final List<Pool> pools;
-  private final Map<String, Double> limits;
-  private final double slot;
+  private final List<MachinePool> pools;
+  private final Map<String, Double> limitFractions;
+  private final double slotSeconds;
 
   /**
-   * A schedule that has not been laid out.
+   * Creates an empty schedule.
    *
-   * @param seconds the time that is divided
-   * @param limits parts of their limits that teams may use
+   * @param limitFractions fraction of its limit that each team may use
+   * @param seconds length of the scheduled time
    */
-  Schedule(List<Pool> pools, Map<String, Double> limits, double seconds) {
+  Schedule(List<MachinePool> pools, Map<String, Double> limitFractions, double seconds) {
     this.pools = pools;
-    this.limits = limits;
-    this.slot = Math.max(0.001, seconds / SLOTS);
+    this.limitFractions = limitFractions;
+    this.slotSeconds = Math.max(0.001, seconds / SLOTS);
   }
 
   double slotSeconds() {
-    return slot;
+    return slotSeconds;
   }
 
-  /** The order in which groups go. */
-  static Comparator<Work> order() {
-    return Comparator.comparingDouble(Work::latestStart)
-        .thenComparing(Comparator.comparingDouble(Work::tasks).reversed())
-        .thenComparing(Work::name);
+  /** Orders groups by latest start; ties by number of tasks, the larger first, then by name. */
+  static Comparator<GroupWork> byLatestStart() {
+    return Comparator.comparingDouble(GroupWork::latestStart)
+        .thenComparing(Comparator.comparingDouble(GroupWork::tasks).reversed())
+        .thenComparing(GroupWork::name);
   }
 
-  /** Whether nothing is late that is not late by a trifle. */
-  static boolean feasible(Map<Work, Times> times) {
+  /** Returns whether at most the tolerated fraction of each group is late. */
+  static boolean isFeasible(Map<GroupWork, GroupTimes> times) {
     return times.entrySet().stream()
-        .allMatch(entry -> entry.getValue().late() <= TOLERATED * entry.getKey().tasks() + NONE);
+        .allMatch(
+            entry ->
+                entry.getValue().lateTasks()
+                    <= TOLERATED_LATE_FRACTION * entry.getKey().tasks() + EPSILON);
   }
 
   /**
-   * Lays out.
+   * Schedules the work of the groups.
    *
-   * @param works in the order in which they go
-   * @param level part of what could be had beside what is held
-   * @param after seconds during which nothing is started
+   * @param works groups in the order in which they are served
+   * @param extraMachineFraction fraction used of the obtainable machines
+   * @param delay seconds from now before which no task starts
    */
-  Map<Work, Times> layOut(List<Work> works, double level, double after) {
+  Map<GroupWork, GroupTimes> compute(
+      List<GroupWork> works, double extraMachineFraction, double delay) {
     double[][] free = new double[pools.size()][SLOTS];
     for (int p = 0; p < pools.size(); p++) {
       for (int k = 0; k < SLOTS; k++) {
-        free[p][k] = pools.get(p).held()[k] + level * pools.get(p).more()[k];
+        free[p][k] =
+            pools.get(p).freeHeld()[k] + extraMachineFraction * pools.get(p).obtainable()[k];
       }
     }
     Map<String, double[]> inUse = new HashMap<>();
     double[] started = new double[works.size()];
     double[][] times = new double[works.size()][];
     double[] late = new double[works.size()];
-    for (int k = (int) Math.ceil(after / slot); k < SLOTS; k++) {
+    for (int k = (int) Math.ceil(delay / slotSeconds); k < SLOTS; k++) {
       for (int w = 0; w < works.size(); w++) {
-        Work work = works.get(w);
-        double waiting = work.released()[k] - started[w];
-        if (waiting <= NONE) {
+        GroupWork work = works.get(w);
+        double waiting = work.releasedBySlot()[k] - started[w];
+        if (waiting <= EPSILON) {
           continue;
         }
-        double starts = start(work, waiting, k, free, inUse);
-        if (starts > NONE) {
-          started[w] += starts;
-          // What is shorter than a slot is spread over it.
-          double from = k * slot;
-          double last = from + Math.max(0, slot - work.run()) * Math.min(1, starts / waiting);
+        double starting = startTasks(work, waiting, k, free, inUse);
+        if (starting > EPSILON) {
+          started[w] += starting;
+          // Starts of tasks shorter than a slot are spread over the slot.
+          double from = k * slotSeconds;
+          double last =
+              from + Math.max(0, slotSeconds - work.runSeconds()) * Math.min(1, starting / waiting);
           times[w] = new double[] {times[w] == null ? from : times[w][0], last};
-          late[w] += last > work.latestStart() + NONE ? starts : 0;
+          late[w] += last > work.latestStart() + EPSILON ? starting : 0;
         }
       }
     }
-    Map<Work, Times> result = new HashMap<>();
+    Map<GroupWork, GroupTimes> result = new HashMap<>();
     for (int w = 0; w < works.size(); w++) {
-      Work work = works.get(w);
-      double end = SLOTS * slot;
+      GroupWork work = works.get(w);
+      double end = SLOTS * slotSeconds;
       double first = times[w] == null ? end : times[w][0];
       double last = times[w] == null ? end : times[w][1];
       double left = Math.max(0, work.tasks() - started[w]);
       result.put(
-          work, new Times(first, left > NONE ? end : last, last + work.tail(), late[w] + left));
+          work,
+          new GroupTimes(
+              first, left > EPSILON ? end : last, last + work.tailSeconds(), late[w] + left));
     }
     return result;
   }
 
-  private double start(
-      Work work, double waiting, int k, double[][] free, Map<String, double[]> inUse) {
-    double part = Math.min(1, work.run() / slot);
-    double most = Math.min(waiting, underLimit(work, k, inUse) / part);
-    double[] places = new double[pools.size()];
+  private double startTasks(
+      GroupWork work, double waiting, int k, double[][] free, Map<String, double[]> inUse) {
+    double fraction = Math.min(1, work.runSeconds() / slotSeconds);
+    double maxTasks = Math.min(waiting, tasksUnderLimit(work, k, inUse) / fraction);
+    double[] tasks = new double[pools.size()];
     double sum = 0;
-    for (int p = 0; p < places.length && sum < most; p++) {
-      if (work.use()[p] > 0) {
-        places[p] = Math.min(most - sum, Math.max(0, free[p][k]) / (work.use()[p] * part));
-        sum += places[p];
+    for (int p = 0; p < tasks.length && sum < maxTasks; p++) {
+      if (work.machineFraction()[p] > 0) {
+        tasks[p] =
+            Math.min(
+                maxTasks - sum, Math.max(0, free[p][k]) / (work.machineFraction()[p] * fraction));
+        sum += tasks[p];
       }
     }
-    if (work.width() > 1) {
-      double whole = Math.floor(sum / work.width() + NONE) * work.width();
-      for (int p = places.length - 1; p >= 0 && sum > whole; p--) {
-        double less = Math.min(places[p], sum - whole);
-        places[p] -= less;
-        sum -= less;
+    if (work.gangWidth() > 1) {
+      double wholeGangs = Math.floor(sum / work.gangWidth() + EPSILON) * work.gangWidth();
+      for (int p = tasks.length - 1; p >= 0 && sum > wholeGangs; p--) {
+        double excess = Math.min(tasks[p], sum - wholeGangs);
+        tasks[p] -= excess;
+        sum -= excess;
       }
     }
-    for (int p = 0; p < places.length; p++) {
-      if (places[p] > 0) {
-        occupy(free[p], k, work.run(), -places[p] * work.use()[p]);
+    for (int p = 0; p < tasks.length; p++) {
+      if (tasks[p] > 0) {
+        occupy(free[p], k, work.runSeconds(), -tasks[p] * work.machineFraction()[p]);
       }
     }
-    if (limits.containsKey(work.team()) && sum > 0) {
+    if (limitFractions.containsKey(work.team()) && sum > 0) {
       occupy(
           inUse.computeIfAbsent(work.team(), team -> new double[SLOTS]),
           k,
-          work.run(),
-          sum * work.ofLimit());
+          work.runSeconds(),
+          sum * work.limitFraction());
     }
     return sum;
   }
 
-  private double underLimit(Work work, int k, Map<String, double[]> inUse) {
-    Double limit = limits.get(work.team());
-    if (limit == null || work.ofLimit() <= 0) {
+  private double tasksUnderLimit(GroupWork work, int k, Map<String, double[]> inUse) {
+    Double limit = limitFractions.get(work.team());
+    if (limit == null || work.limitFraction() <= 0) {
       return Double.MAX_VALUE;
     }
     double used = inUse.containsKey(work.team()) ? inUse.get(work.team())[k] : 0;
-    return Math.max(0, limit - used) / work.ofLimit();
+    return Math.max(0, limit - used) / work.limitFraction();
   }
 
   private void occupy(double[] slots, int from, double seconds, double amount) {
     for (int k = from; k < SLOTS; k++) {
-      double part = Math.min(1, seconds / slot - (k - from));
-      if (part <= 0) {
+      double fraction = Math.min(1, seconds / slotSeconds - (k - from));
+      if (fraction <= 0) {
         return;
       }
-      slots[k] += amount * part;
+      slots[k] += amount * fraction;
     }
   }
 }
--- a/src/main/java/org/oakwalk/wire/PlanRowCodec.java
+++ b/src/main/java/org/oakwalk/wire/PlanRowCodec.java
@@ -26,54 +26,54 @@
 
   @Override
   public void encode(PlanRow row, ObjectNode map) {
-    if (row instanceof PlanRow.Night window) {
+    if (row instanceof PlanRow.WindowRow window) {
       map.put("k", "night");
-      map.put("dawn", window.dawn());
-      map.put("opens", window.opens().millis());
-      map.put("at", window.dawnAt().millis());
-      map.put("revised", window.revised().millis());
-      map.put("revisions", window.revisions());
+      map.put("dawn", window.dawnName());
+      map.put("opens", window.opensAt().millis());
+      map.put("at", window.deadline().millis());
+      map.put("revised", window.revisedAt().millis());
+      map.put("revisions", window.revisionCount());
       map.put("share", window.share());
-      map.put("missing", window.missing());
-      map.put("machines", window.machines());
-      map.put("for_s", window.seconds());
-    } else if (row instanceof PlanRow.Group group) {
+      map.put("missing", window.missingMachineHours());
+      map.put("machines", window.missingMachines());
+      map.put("for_s", window.extraMachineSeconds());
+    } else if (row instanceof PlanRow.GroupRow group) {
       map.put("k", "group");
-      map.put("dawn", group.dawn());
+      map.put("dawn", group.dawnName());
       map.put("team", group.key().team());
       map.put("class", group.key().jobClass());
-      map.put("length", group.key().length());
-      map.put("size", group.key().size());
-      map.put("seen", group.seen());
-      map.put("promised", group.promised());
+      map.put("length", group.key().runTimeBand());
+      map.put("size", group.key().taskCountBand());
+      map.put("seen", group.acceptedTasks());
+      map.put("promised", group.promisedTasks());
       map.put("start", group.startBy().millis());
       map.put("end", group.endBy().millis());
-      map.put("last", group.lastStart().millis());
-      map.put("missing", group.missing());
-    } else if (row instanceof PlanRow.Runs runTimes) {
+      map.put("last", group.latestStart().millis());
+      map.put("missing", group.missingMachineHours());
+    } else if (row instanceof PlanRow.RunTimeRow runTimes) {
       map.put("k", "runs");
       map.put("class", runTimes.jobClass());
-      numbers(map.putArray("counts"), runTimes.counts());
-    } else if (row instanceof PlanRow.Coming arrivals) {
+      numbers(map.putArray("counts"), runTimes.histogram());
+    } else if (row instanceof PlanRow.ArrivalRow arrivals) {
       map.put("k", "coming");
-      map.put("dawn", arrivals.dawn());
+      map.put("dawn", arrivals.dawnName());
       map.put("team", arrivals.team());
       map.put("class", arrivals.jobClass());
-      map.put("slice", arrivals.slice());
-      map.put("sum", arrivals.sum());
-      map.put("run", arrivals.run());
-      map.put("cpus", arrivals.room().cpus());
-      map.put("gpus", arrivals.room().gpus());
-      map.put("mem", arrivals.room().memoryGb());
-      numbers(map.putArray("slices"), arrivals.bySlice());
-    } else if (row instanceof PlanRow.Reach capacity) {
+      map.put("slice", arrivals.currentSlice());
+      map.put("sum", arrivals.currentSeconds());
+      map.put("run", arrivals.meanEstimate());
+      map.put("cpus", arrivals.resources().cpus());
+      map.put("gpus", arrivals.resources().gpus());
+      map.put("mem", arrivals.resources().memoryGb());
+      numbers(map.putArray("slices"), arrivals.secondsBySlice());
+    } else if (row instanceof PlanRow.CapacityRow capacity) {
       map.put("k", "reach");
       map.put("type", capacity.type());
       map.put("zone", capacity.zone());
       map.put("spot", capacity.spot());
-      map.put("most", capacity.most());
-      map.put("hours", capacity.hours());
-      map.put("losses", capacity.losses());
+      map.put("most", capacity.recentPeak());
+      map.put("hours", capacity.observedHours());
+      map.put("losses", capacity.reclaims());
     }
   }
 
@@ -86,7 +86,7 @@
     String kind = map.text("k");
     return switch (kind) {
       case "night" ->
-          new PlanRow.Night(
+          new PlanRow.WindowRow(
               map.text("dawn"),
               time(map, "opens"),
               time(map, "at"),
@@ -97,7 +97,7 @@
               (int) map.count("machines", 0, MAX_COUNT),
               map.count("for_s"));
       case "group" ->
-          new PlanRow.Group(
+          new PlanRow.GroupRow(
               map.text("dawn"),
               new GroupKey(
                   map.text("team"),
@@ -110,9 +110,9 @@
               time(map, "end"),
               time(map, "last"),
               map.amount("missing"));
-      case "runs" -> new PlanRow.Runs(map.text("class"), numbers(map, "counts"));
+      case "runs" -> new PlanRow.RunTimeRow(map.text("class"), numbers(map, "counts"));
       case "coming" ->
-          new PlanRow.Coming(
+          new PlanRow.ArrivalRow(
               map.text("dawn"),
               map.text("team"),
               map.text("class"),
@@ -122,7 +122,7 @@
               new Resources(map.amount("cpus"), map.amount("gpus"), map.amount("mem")),
               numbers(map, "slices"));
       case "reach" ->
-          new PlanRow.Reach(
+          new PlanRow.CapacityRow(
               map.text("type"),
               map.text("zone"),
               map.bool("spot"),
--- a/src/test/java/org/oakwalk/core/cells/LoanExplorationTest.java
+++ b/src/test/java/org/oakwalk/core/cells/LoanExplorationTest.java
@@ -14,280 +14,319 @@
 import org.oakwalk.core.Span;
 
 /**
- * Explores the two state machines of a loan of one task together: leaders on both sides that end at
- * any point, an older home leader that goes on giving leave for a while, a channel that loses,
- * repeats, reorders and holds, and workers that live for a lease without answers. In no state may
- * the task be on a machine in both cells. Time goes in ticks of ten seconds, and moments grow older
- * instead of the clock going on, so that like states are the same.
+ * Explores all states of a loan of one task, with the state machines of both cells: leaders fail
+ * over at any point, an older home leader still grants permits for a while, the channel loses,
+ * repeats, reorders and delays messages, and workers run for a lease without responses. In no state
+ * may the task be on machines in both cells. Time advances in ticks of ten seconds; instead of
+ * advancing the clock, all moments are moved back, so that equivalent states are equal.
  */
 class LoanExplorationTest {
   private static final Span TICK = Span.seconds(10);
   private static final Moment NOW = new Moment(1_000_000);
-  private static final int LEAVE_TICKS = 2;
+  private static final int PERMIT_TICKS = 2;
   private static final int LEASE_TICKS = 1;
   private static final int OLDER_LEADER_TICKS = 1;
 
-  /** What is older can't matter any more. */
-  private static final Moment OLDEST = new Moment(NOW.millis() - 6 * TICK.millis());
+  /** Older moments are replaced by this one, because they can't make a difference any more. */
+  private static final Moment OLDEST_MOMENT = new Moment(NOW.millis() - 6 * TICK.millis());
 
   private static final LoanTerms TERMS =
       new LoanTerms(
-          Span.millis(LEAVE_TICKS * TICK.millis()),
+          Span.millis(PERMIT_TICKS * TICK.millis()),
           Span.millis(LEASE_TICKS * TICK.millis()),
           Span.seconds(1000));
 
-  /** How much may happen between one tick and the next is not bounded; ticks are. */
-  private static final int DEPTH = 5;
+  /** Bounds the number of ticks; the number of steps between two ticks is not bounded. */
+  private static final int MAX_TICKS = 5;
 
-  private static final int FEWEST_STATES = 500_000;
+  private static final int MIN_STATES = 500_000;
 
   /**
-   * A message on its way, or on its way once more; asks and leaves with when they were asked for.
+   * A message in the channel.
+   *
+   * @param requestedAt of permit requests ("ask") and grants, when the permit was requested
    */
-  private record Message(String kind, Optional<Moment> asked) implements Comparable<Message> {
+  private record Message(String kind, Optional<Moment> requestedAt) implements Comparable<Message> {
     @Override
     public int compareTo(Message other) {
       int byKind = kind.compareTo(other.kind);
       return byKind != 0
           ? byKind
           : Long.compare(
-              asked.map(Moment::millis).orElse(0L), other.asked.map(Moment::millis).orElse(0L));
+              requestedAt.map(Moment::millis).orElse(0L),
+              other.requestedAt.map(Moment::millis).orElse(0L));
     }
   }
 
   /**
-   * All there is.
+   * The state of both cells, the guest's worker and the channel.
    *
-   * @param older ticks for which an older home leader may still give leave
-   * @param kept what the guest has stored: nothing, the loan, or that it is closed
-   * @param lease ticks that the guest's worker lives without an answer; the task is on it if not -1
+   * @param olderLeaderTicks ticks for which an older home leader may still grant permits
+   * @param guestStored what the guest has stored: nothing, the loan, or that it is closed
+   * @param onGuest whether the task is on the guest's worker
+   * @param leaseTicks ticks that the guest's worker runs without a response
    */
-  private record World(
-      LoanOut home,
-      int older,
+  private record ExploredState(
+      HomeLoan home,
+      int olderLeaderTicks,
       boolean runsAtHome,
-      LoanIn guest,
-      String kept,
+      GuestLoan guest,
+      String guestStored,
       boolean onGuest,
-      int lease,
+      int leaseTicks,
       Set<Message> channel,
       int ticks) {
 
-    World send(String kind, Optional<Moment> asked) {
-      Set<Message> more = new TreeSet<>(channel);
-      more.add(new Message(kind, asked));
-      return new World(home, older, runsAtHome, guest, kept, onGuest, lease, more, ticks);
+    ExploredState send(String kind, Optional<Moment> asked) {
+      Set<Message> withMessage = new TreeSet<>(channel);
+      withMessage.add(new Message(kind, asked));
+      return new ExploredState(
+          home,
+          olderLeaderTicks,
+          runsAtHome,
+          guest,
+          guestStored,
+          onGuest,
+          leaseTicks,
+          withMessage,
+          ticks);
     }
 
-    World home(LoanOut next) {
-      return new World(next, older, runsAtHome, guest, kept, onGuest, lease, channel, ticks);
+    ExploredState home(HomeLoan next) {
+      return new ExploredState(
+          next,
+          olderLeaderTicks,
+          runsAtHome,
+          guest,
+          guestStored,
+          onGuest,
+          leaseTicks,
+          channel,
+          ticks);
     }
 
-    World guest(LoanIn next, String stored) {
-      return new World(home, older, runsAtHome, next, stored, onGuest, lease, channel, ticks);
+    ExploredState guest(GuestLoan next, String stored) {
+      return new ExploredState(
+          home, olderLeaderTicks, runsAtHome, next, stored, onGuest, leaseTicks, channel, ticks);
     }
 
-    World worker(boolean on) {
-      return new World(home, older, runsAtHome, guest, kept, on, LEASE_TICKS, channel, ticks);
+    ExploredState worker(boolean on) {
+      return new ExploredState(
+          home, olderLeaderTicks, runsAtHome, guest, guestStored, on, LEASE_TICKS, channel, ticks);
     }
   }
 
-  /** Faults that the exploration has to find. */
+  /** Injected faults that the exploration has to detect. */
   private enum Fault {
     NONE,
-    /** The guest's leave does not run out. */
-    ENDLESS_LEAVE,
-    /** Home takes the task back without proof. */
+    /** The guest's permit never expires. */
+    ENDLESS_PERMIT,
+    /** The home cell runs the task again without proof that it has ended in the guest cell. */
     RETURN_BEFORE_PROOF,
-    /** A new home leader does not wait for what an older one gave. */
-    FORGETS_OLDER_LEADER,
-    /** The guest counts a leave from when it comes rather than from when it was asked for. */
+    /** A new home leader does not wait for the expiry of permits granted by an older one. */
+    IGNORES_OLDER_LEADER,
+    /** The guest counts a permit's duration from its arrival instead of from its request. */
     COUNTS_FROM_ARRIVAL
   }
 
   private Fault fault = Fault.NONE;
 
-  private static Moment older(Moment moment) {
+  private static Moment agedByOneTick(Moment moment) {
     Moment aged = new Moment(moment.millis() - TICK.millis());
-    return aged.isAfter(OLDEST) ? aged : OLDEST;
+    return aged.isAfter(OLDEST_MOMENT) ? aged : OLDEST_MOMENT;
   }
 
-  private World tick(World w) {
-    LoanOut home = new LoanOut(w.home.state(), w.home.lastLeave().map(LoanExplorationTest::older));
-    LoanIn guest = w.guest;
+  private ExploredState tick(ExploredState s) {
+    HomeLoan home =
+        new HomeLoan(s.home.state(), s.home.lastPermit().map(LoanExplorationTest::agedByOneTick));
+    GuestLoan guest = s.guest;
     if (guest != null) {
       Optional<Moment> until =
-          fault == Fault.ENDLESS_LEAVE
-              ? guest.until()
-              : guest.until().map(LoanExplorationTest::older);
+          fault == Fault.ENDLESS_PERMIT
+              ? guest.permitExpiry()
+              : guest.permitExpiry().map(LoanExplorationTest::agedByOneTick);
       guest =
-          new LoanIn(
-              guest.state(), guest.asked().map(LoanExplorationTest::older), until, guest.absent());
+          new GuestLoan(
+              guest.state(),
+              guest.requestedAt().map(LoanExplorationTest::agedByOneTick),
+              until,
+              guest.tasksAbsent());
     }
     Set<Message> channel = new TreeSet<>();
-    w.channel.forEach(
-        m -> channel.add(new Message(m.kind(), m.asked().map(LoanExplorationTest::older))));
-    boolean ends = w.onGuest && w.lease == 0;
-    return new World(
+    s.channel.forEach(
+        m ->
+            channel.add(
+                new Message(m.kind(), m.requestedAt().map(LoanExplorationTest::agedByOneTick))));
+    boolean leaseEnds = s.onGuest && s.leaseTicks == 0;
+    return new ExploredState(
         home,
-        Math.max(0, w.older - 1),
-        w.runsAtHome,
+        Math.max(0, s.olderLeaderTicks - 1),
+        s.runsAtHome,
         guest,
-        w.kept,
-        w.onGuest && !ends,
-        Math.max(0, w.lease - 1),
+        s.guestStored,
+        s.onGuest && !leaseEnds,
+        Math.max(0, s.leaseTicks - 1),
         channel,
-        w.ticks + 1);
+        s.ticks + 1);
   }
 
-  /** Everything that can happen next. */
-  private void next(World w, Consumer<World> to) {
-    if (w.ticks < DEPTH) {
-      to.accept(tick(w));
+  /** Passes on every state that can follow. */
+  private void successors(ExploredState s, Consumer<ExploredState> sink) {
+    if (s.ticks < MAX_TICKS) {
+      sink.accept(tick(s));
     }
-    homeActs(w, to);
-    if (w.guest != null) {
-      guestActs(w, to);
+    homeSteps(s, sink);
+    if (s.guest != null) {
+      guestSteps(s, sink);
     }
-    for (Message message : w.channel) {
-      // It stays on its way, so it may come again and again, at any time, or never.
-      arrives(w, message, to);
+    for (Message message : s.channel) {
+      // The message stays in the channel, so it may arrive repeatedly, at any time, or never.
+      deliver(s, message, sink);
     }
-    // A leader ends, and its successor knows what is stored.
-    if (w.home.state() != LoanOut.State.SETTLED) {
+    // A leader fails, and its successor knows only what is stored.
+    if (s.home.state() != HomeLoan.State.SETTLED) {
       Moment until = new Moment(NOW.millis() + OLDER_LEADER_TICKS * TICK.millis());
-      LoanOut found =
-          fault == Fault.FORGETS_OLDER_LEADER ? LoanOut.offered() : LoanOut.found(until);
-      to.accept(
-          new World(
-              found,
+      HomeLoan recovered =
+          fault == Fault.IGNORES_OLDER_LEADER ? HomeLoan.offered() : HomeLoan.recovered(until);
+      sink.accept(
+          new ExploredState(
+              recovered,
               OLDER_LEADER_TICKS,
-              w.runsAtHome,
-              w.guest,
-              w.kept,
-              w.onGuest,
-              w.lease,
-              w.channel,
-              w.ticks));
+              s.runsAtHome,
+              s.guest,
+              s.guestStored,
+              s.onGuest,
+              s.leaseTicks,
+              s.channel,
+              s.ticks));
     }
-    if (w.kept.equals("loan")) {
-      to.accept(w.guest(LoanIn.found(), w.kept));
+    if (s.guestStored.equals("loan")) {
+      sink.accept(s.guest(GuestLoan.recovered(), s.guestStored));
     }
   }
 
-  private void homeActs(World w, Consumer<World> to) {
-    if (w.home.givesLeave()) {
-      to.accept(w.send("offer", Optional.empty()));
+  private void homeSteps(ExploredState s, Consumer<ExploredState> sink) {
+    if (s.home.grantsPermits()) {
+      sink.accept(s.send("offer", Optional.empty()));
     }
-    to.accept(w.home(w.home.recalled()).send("recall", Optional.empty()));
-    boolean proof = fault == Fault.RETURN_BEFORE_PROOF || w.home.over(TERMS, NOW);
-    if (w.home.state() == LoanOut.State.RECALLED && proof) {
-      to.accept(w.home(w.home.closed()));
+    sink.accept(s.home(s.home.recalled()).send("recall", Optional.empty()));
+    boolean proof = fault == Fault.RETURN_BEFORE_PROOF || s.home.permitsExpired(TERMS, NOW);
+    if (s.home.state() == HomeLoan.State.RECALLED && proof) {
+      sink.accept(s.home(s.home.closed()));
     }
-    if (w.home.state() == LoanOut.State.SETTLED) {
-      to.accept(
-          new World(
-              w.home, w.older, true, w.guest, w.kept, w.onGuest, w.lease, w.channel, w.ticks));
+    if (s.home.state() == HomeLoan.State.SETTLED) {
+      sink.accept(
+          new ExploredState(
+              s.home,
+              s.olderLeaderTicks,
+              true,
+              s.guest,
+              s.guestStored,
+              s.onGuest,
+              s.leaseTicks,
+              s.channel,
+              s.ticks));
     }
   }
 
-  private void guestActs(World w, Consumer<World> to) {
-    LoanIn guest = w.guest;
-    if (guest.wantsLeave()) {
-      to.accept(w.guest(guest.ask(NOW), w.kept).send("ask", Optional.of(NOW)));
+  private void guestSteps(ExploredState s, Consumer<ExploredState> sink) {
+    GuestLoan guest = s.guest;
+    if (guest.needsPermit()) {
+      sink.accept(s.guest(guest.requestPermit(NOW), s.guestStored).send("ask", Optional.of(NOW)));
     }
-    // It answers its worker: with leave the task starts or goes on, without it ends.
+    // The response to the worker starts or continues the task under a permit, and ends it
+    // otherwise.
     if (guest.mayRun(NOW)) {
-      to.accept(w.guest(guest.started(NOW), w.kept).worker(true));
+      sink.accept(s.guest(guest.taskStarted(NOW), s.guestStored).worker(true));
     } else {
-      to.accept(w.guest(guest.confirmedAbsent(NOW), w.kept).worker(false));
+      sink.accept(s.guest(guest.confirmTasksAbsent(NOW), s.guestStored).worker(false));
     }
     if (guest.mayClose()) {
-      to.accept(w.guest(guest.closed(), "closed").send("closed", Optional.empty()));
+      sink.accept(s.guest(guest.closed(), "closed").send("closed", Optional.empty()));
     }
   }
 
-  private void arrives(World w, Message message, Consumer<World> to) {
+  private void deliver(ExploredState s, Message message, Consumer<ExploredState> sink) {
     switch (message.kind()) {
       case "offer" -> {
-        if (w.kept.equals("nothing")) {
-          to.accept(w.guest(LoanIn.kept(), "loan").send("accept", Optional.empty()));
-          to.accept(w.send("refuse", Optional.empty()));
-        } else if (w.kept.equals("closed")) {
-          to.accept(w.send("closed", Optional.empty()));
+        if (s.guestStored.equals("nothing")) {
+          sink.accept(s.guest(GuestLoan.stored(), "loan").send("accept", Optional.empty()));
+          sink.accept(s.send("refuse", Optional.empty()));
+        } else if (s.guestStored.equals("closed")) {
+          sink.accept(s.send("closed", Optional.empty()));
         }
       }
-      case "accept" -> to.accept(w.home(w.home.accepted()));
-      case "refuse" -> to.accept(w.home(w.home.recalled()));
-      case "closed" -> to.accept(w.home(w.home.closed()));
+      case "accept" -> sink.accept(s.home(s.home.accepted()));
+      case "refuse" -> sink.accept(s.home(s.home.recalled()));
+      case "closed" -> sink.accept(s.home(s.home.closed()));
       case "recall" -> {
-        if (w.guest != null) {
-          to.accept(w.guest(w.guest.recalled(), w.kept));
+        if (s.guest != null) {
+          sink.accept(s.guest(s.guest.recalled(), s.guestStored));
         }
       }
       case "ask" -> {
-        if (w.home.givesLeave()) {
-          to.accept(w.home(w.home.asked(NOW)).send("leave", message.asked()));
+        if (s.home.grantsPermits()) {
+          sink.accept(s.home(s.home.permitRequested(NOW)).send("grant", message.requestedAt()));
         }
-        if (w.older > 0) {
-          // The older leader answers, and the present one does not know.
-          to.accept(w.send("leave", message.asked()));
+        if (s.olderLeaderTicks > 0) {
+          // The older leader grants a permit, of which the current one does not know.
+          sink.accept(s.send("grant", message.requestedAt()));
         }
       }
-      case "leave" -> {
-        if (w.guest != null && message.asked().isPresent()) {
-          LoanIn next = w.guest.leave(message.asked().get(), TERMS);
-          if (fault == Fault.COUNTS_FROM_ARRIVAL && next != w.guest) {
+      case "grant" -> {
+        if (s.guest != null && message.requestedAt().isPresent()) {
+          GuestLoan next = s.guest.permitGranted(message.requestedAt().get(), TERMS);
+          if (fault == Fault.COUNTS_FROM_ARRIVAL && next != s.guest) {
             next =
-                new LoanIn(
+                new GuestLoan(
                     next.state(),
-                    next.asked(),
-                    Optional.of(NOW.plus(TERMS.leave().minusClockDrift())),
-                    next.absent());
+                    next.requestedAt(),
+                    Optional.of(NOW.plus(TERMS.permitDuration().minusClockDrift())),
+                    next.tasksAbsent());
           }
-          to.accept(w.guest(next, w.kept));
+          sink.accept(s.guest(next, s.guestStored));
         }
       }
       default -> throw new IllegalStateException(message.kind());
     }
   }
 
-  /** Returns how many states there are, or none if one of them has two owners. */
+  /** Returns the number of states, or nothing if in one of them the task is in both cells. */
   private Optional<Integer> explore() {
-    World first =
-        new World(
-            LoanOut.offered(), 0, false, null, "nothing", false, LEASE_TICKS, new TreeSet<>(), 0);
-    Set<World> seen = new HashSet<>(Set.of(first));
-    Deque<World> open = new ArrayDeque<>(Set.of(first));
-    boolean[] broken = new boolean[1];
-    while (!open.isEmpty() && !broken[0]) {
-      next(
+    ExploredState first =
+        new ExploredState(
+            HomeLoan.offered(), 0, false, null, "nothing", false, LEASE_TICKS, new TreeSet<>(), 0);
+    Set<ExploredState> seen = new HashSet<>(Set.of(first));
+    Deque<ExploredState> open = new ArrayDeque<>(Set.of(first));
+    boolean[] violated = new boolean[1];
+    while (!open.isEmpty() && !violated[0]) {
+      successors(
           open.poll(),
-          world -> {
-            broken[0] |= world.runsAtHome() && world.onGuest();
-            if (seen.add(world)) {
-              open.add(world);
+          state -> {
+            violated[0] |= state.runsAtHome() && state.onGuest();
+            if (seen.add(state)) {
+              open.add(state);
             }
           });
     }
-    return broken[0] ? Optional.empty() : Optional.of(seen.size());
+    return violated[0] ? Optional.empty() : Optional.of(seen.size());
   }
 
   @Test
-  void aTaskHasOneOwner() {
+  void taskNeverRunsInBothCells() {
     Optional<Integer> states = explore();
     assertThat(states).as("a task is on machines in both cells").isPresent();
-    System.out.println("states of a loan visited: " + states.get());
-    assertThat(states.get()).isGreaterThan(FEWEST_STATES);
+    System.out.println("loan states explored: " + states.get());
+    assertThat(states.get()).isGreaterThan(MIN_STATES);
   }
 
   @Test
-  void findsWhatIsWrong() {
-    for (Fault each : Fault.values()) {
-      if (each != Fault.NONE) {
+  void explorationDetectsEveryInjectedFault() {
+    for (Fault injected : Fault.values()) {
+      if (injected != Fault.NONE) {
         LoanExplorationTest faulty = new LoanExplorationTest();
-        faulty.fault = each;
-        assertThat(faulty.explore()).as(each.name()).isEmpty();
+        faulty.fault = injected;
+        assertThat(faulty.explore()).as(injected.name()).isEmpty();
       }
     }
   }
--- a/src/test/java/org/oakwalk/wire/PlanRowCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/PlanRowCodecTest.java
@@ -20,8 +20,9 @@
   static List<PlanRow> rows() {
     WallTime time = new WallTime(LATE_MILLIS);
     return List.of(
-        new PlanRow.Night(NAME_WITH_QUOTES, time, time, time, 40, 0.55, 1.0 / 3, 12_345, 36_000),
-        new PlanRow.Group(
+        new PlanRow.WindowRow(
+            NAME_WITH_QUOTES, time, time, time, 40, 0.55, 1.0 / 3, 12_345, 36_000),
+        new PlanRow.GroupRow(
             NAME_WITH_QUOTES,
             new GroupKey(NAME_WITH_QUOTES, NAME_WITH_QUOTES, -1, 9),
             999_999_999,
@@ -30,8 +31,8 @@
             time,
             time,
             2e-3),
-        new PlanRow.Runs(NAME_WITH_QUOTES, Collections.nCopies(40, 999L)),
-        new PlanRow.Coming(
+        new PlanRow.RunTimeRow(NAME_WITH_QUOTES, Collections.nCopies(40, 999L)),
+        new PlanRow.ArrivalRow(
             NAME_WITH_QUOTES,
             NAME_WITH_QUOTES,
             NAME_WITH_QUOTES,
@@ -40,7 +41,8 @@
             1.0 / 3,
             new Resources(1.0 / 3, 1.0 / 3, 1.0 / 3),
             Collections.nCopies(24, LATE_MILLIS)),
-        new PlanRow.Reach(NAME_WITH_QUOTES, NAME_WITH_QUOTES, true, 1.0 / 3, 1.0 / 3, 1.0 / 3));
+        new PlanRow.CapacityRow(
+            NAME_WITH_QUOTES, NAME_WITH_QUOTES, true, 1.0 / 3, 1.0 / 3, 1.0 / 3));
   }
 
   @ParameterizedTest
