--- a/src/main/java/org/oakwalk/cli/CheckCommand.java
+++ b/src/main/java/org/oakwalk/cli/CheckCommand.java
@@ -19,8 +19,8 @@
 
   @Override
   public Integer call() throws Exception {
-    PlatformSettings settings = main.settings();
-    main.policy(settings);
+    PlatformSettings settings = main.loadSettings();
+    main.loadPolicy(settings);
     spec.commandLine().getOut().println("settings of node " + settings.core().node() + " are fine");
     return 0;
   }
--- a/src/main/java/org/oakwalk/cli/ExperimentCommand.java
+++ b/src/main/java/org/oakwalk/cli/ExperimentCommand.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import org.oakwalk.daemon.BadSettings;
+import org.oakwalk.daemon.InvalidSettingsException;
 import org.oakwalk.model.Draw;
 import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Queueing;
@@ -27,7 +27,7 @@
     description = "Plays scenario files, or drawn troubles, on simulated machines.",
     mixinStandardHelpOptions = true)
 final class ExperimentCommand implements Callable<Integer> {
-  private static final int NOT_HELD = 1;
+  private static final int EXIT_FAILED = 1;
 
   @Spec private CommandSpec spec;
 
@@ -40,13 +40,13 @@
       fallbackValue = "1",
       paramLabel = "SEED",
       description = "Draws troubles from this seed instead of reading a file.")
-  private Integer draw;
+  private Integer seed;
 
   @Option(
       names = "--seeds",
       paramLabel = "A-B",
       description = "With --draw: all seeds from A to B instead of one.")
-  private String seeds;
+  private String seedRange;
 
   @Option(names = "--roll", description = "With --draw: all machines are replaced meanwhile.")
   private boolean roll;
@@ -73,59 +73,59 @@
       names = "--csv",
       paramLabel = "FILE",
       description = "Writes run, figure and value, a line each, to this file.")
-  private Path csv;
+  private Path csvFile;
 
   @Option(
       names = "--orders",
       description = "Plays the same without dawns, and by the earliest deadline, as well.")
-  private boolean orders;
+  private boolean compareOrders;
 
   @Option(names = "--quiet", description = "Prints only runs in which something did not hold.")
   private boolean quiet;
 
-  private final List<String> table = new ArrayList<>(List.of("run,figure,value"));
+  private final List<String> csvLines = new ArrayList<>(List.of("run,figure,value"));
 
   @Override
   public Integer call() throws Exception {
-    if (files.isEmpty() == (draw == null && seeds == null)) {
+    if (files.isEmpty() == (seed == null && seedRange == null)) {
       throw new CommandLine.ParameterException(
           spec.commandLine(), "Either scenario files or --draw are needed");
     }
-    boolean held = true;
+    boolean passed = true;
     for (Path file : files) {
-      held &= play(file.getFileName().toString(), read(file));
+      passed &= runScenario(file.getFileName().toString(), read(file));
     }
     if (files.isEmpty()) {
-      int[] range = range();
-      for (int seed = range[0]; seed <= range[1]; seed++) {
-        Draw troubles = new Draw(seed);
-        troubles = roll ? troubles.withRoll() : troubles;
-        troubles = headroom ? troubles.withHeadroom() : troubles;
-        troubles = products ? troubles.withProducts() : troubles;
-        troubles = meetings ? troubles.withMeetings() : troubles;
-        troubles = hunts ? troubles.withHunts() : troubles;
-        held &= play("seed " + seed, troubles.text());
+      int[] range = parseSeedRange();
+      for (int drawnSeed = range[0]; drawnSeed <= range[1]; drawnSeed++) {
+        Draw faults = new Draw(drawnSeed);
+        faults = roll ? faults.withRoll() : faults;
+        faults = headroom ? faults.withHeadroom() : faults;
+        faults = products ? faults.withProducts() : faults;
+        faults = meetings ? faults.withMeetings() : faults;
+        faults = hunts ? faults.withHunts() : faults;
+        passed &= runScenario("seed " + drawnSeed, faults.text());
       }
     }
-    if (csv != null) {
-      Files.write(csv, table);
+    if (csvFile != null) {
+      Files.write(csvFile, csvLines);
     }
-    return held ? 0 : NOT_HELD;
+    return passed ? 0 : EXIT_FAILED;
   }
 
-  private static String read(Path file) throws BadSettings {
+  private static String read(Path file) throws InvalidSettingsException {
     try {
       return Files.readString(file);
     } catch (IOException e) {
-      throw new BadSettings(file + ": can't be read: " + e.getMessage());
+      throw new InvalidSettingsException(file + ": can't be read: " + e.getMessage());
     }
   }
 
-  private int[] range() {
-    if (seeds == null) {
-      return new int[] {draw, draw};
+  private int[] parseSeedRange() {
+    if (seedRange == null) {
+      return new int[] {seed, seed};
     }
-    String[] ends = seeds.split("-", 2);
+    String[] ends = seedRange.split("-", 2);
     try {
       int first = Integer.parseInt(ends[0]);
       int last = ends.length == 1 ? first : Integer.parseInt(ends[1]);
@@ -139,22 +139,23 @@
         spec.commandLine(), "--seeds takes two numbers, as in 1-100");
   }
 
-  private boolean play(String name, String text) throws BadSettings {
-    boolean held = play(name, text, Queueing.PLANNED);
-    if (orders) {
+  private boolean runScenario(String name, String text) throws InvalidSettingsException {
+    boolean passed = runScenario(name, text, Queueing.PLANNED);
+    if (compareOrders) {
       // What a scenario expects of a plan need not hold without one.
-      play(name + " by score alone", text, Queueing.PLAIN);
-      play(name + " by earliest deadline", text, Queueing.EARLIEST_DUE);
+      runScenario(name + " by score alone", text, Queueing.PLAIN);
+      runScenario(name + " by earliest deadline", text, Queueing.EARLIEST_DUE);
     }
-    return held;
+    return passed;
   }
 
-  private boolean play(String name, String text, Queueing order) throws BadSettings {
+  private boolean runScenario(String name, String text, Queueing queueing)
+      throws InvalidSettingsException {
     Outcome outcome;
     try {
-      outcome = new Scenario(text, order).play();
+      outcome = new Scenario(text, queueing).play();
     } catch (IllegalArgumentException e) {
-      throw new BadSettings(name + ": " + e.getMessage());
+      throw new InvalidSettingsException(name + ": " + e.getMessage());
     }
     PrintWriter out = spec.commandLine().getOut();
     if (!quiet || !outcome.held()) {
@@ -166,7 +167,7 @@
     }
     for (Map.Entry<String, Double> figure : outcome.figures().entrySet()) {
       String value = String.format(Locale.ROOT, "%.4f", figure.getValue());
-      table.add(name + "," + figure.getKey() + "," + value);
+      csvLines.add(name + "," + figure.getKey() + "," + value);
       if (!quiet) {
         out.println("  " + figure.getKey() + " " + value);
       }
--- a/src/main/java/org/oakwalk/cli/Main.java
+++ b/src/main/java/org/oakwalk/cli/Main.java
@@ -4,8 +4,8 @@
 import java.util.concurrent.Callable;
 import org.oakwalk.core.Policy;
 import org.oakwalk.core.Span;
-import org.oakwalk.daemon.BadSettings;
 import org.oakwalk.daemon.Daemon;
+import org.oakwalk.daemon.InvalidSettingsException;
 import org.oakwalk.daemon.PlatformSettings;
 import org.oakwalk.daemon.PolicyFile;
 import org.slf4j.Logger;
@@ -22,15 +22,15 @@
     name = "oakwalk",
     description = "A cluster scheduler for rented machines.",
     mixinStandardHelpOptions = true,
-    versionProvider = Main.Version.class,
-    exitCodeOnInvalidInput = Main.USAGE,
+    versionProvider = Main.VersionProvider.class,
+    exitCodeOnInvalidInput = Main.EXIT_INVALID_INPUT,
     subcommands = {CheckCommand.class, ExperimentCommand.class, RehearseCommand.class})
 public final class Main implements Callable<Integer> {
   private static final Logger LOG = LoggerFactory.getLogger(Main.class);
-  static final int USAGE = 2;
+  static final int EXIT_INVALID_INPUT = 2;
 
   /** When the program began, as nanoseconds of the steady clock. */
-  private static final long BEGAN = System.nanoTime();
+  private static final long START_NANOS = System.nanoTime();
 
   @Spec private CommandSpec spec;
 
@@ -39,14 +39,14 @@
       paramLabel = "FILE",
       scope = ScopeType.INHERIT,
       description = "Settings that the platform hands over (TOML).")
-  private Path config;
+  private Path configFile;
 
   @Option(
       names = "--policy",
       paramLabel = "FILE",
       scope = ScopeType.INHERIT,
       description = "The operators' own settings (HCL); every field has a default.")
-  private Path policy;
+  private Path policyFile;
 
   /** Runs the command line and ends the process with its exit code. */
   public static void main(String[] args) {
@@ -57,48 +57,48 @@
     CommandLine line = new CommandLine(new Main());
     line.setExecutionExceptionHandler(
         (exception, command, result) -> {
-          if (exception instanceof BadSettings) {
+          if (exception instanceof InvalidSettingsException) {
             command.getErr().println("oakwalk: " + exception.getMessage());
-            return USAGE;
+            return EXIT_INVALID_INPUT;
           }
           throw exception;
         });
     return line;
   }
 
-  PlatformSettings settings() throws BadSettings {
-    if (config == null) {
+  PlatformSettings loadSettings() throws InvalidSettingsException {
+    if (configFile == null) {
       throw new CommandLine.ParameterException(
           spec.commandLine(), "Missing required option: '--config=FILE'");
     }
-    return PlatformSettings.read(config);
+    return PlatformSettings.read(configFile);
   }
 
-  Policy policy(PlatformSettings settings) throws BadSettings {
-    if (policy == null) {
+  Policy loadPolicy(PlatformSettings settings) throws InvalidSettingsException {
+    if (policyFile == null) {
       return Policy.defaults();
     }
-    Policy read = PolicyFile.read(policy);
-    PolicyFile.check(policy, read, settings.core());
-    return read;
+    Policy loaded = PolicyFile.read(policyFile);
+    PolicyFile.validate(policyFile, loaded, settings.core());
+    return loaded;
   }
 
   @Override
   public Integer call() throws Exception {
-    PlatformSettings settings = settings();
-    try (Daemon daemon = new Daemon(settings, policy(settings))) {
-      LOG.info("node {} is up {} after the program began", settings.core().node(), sinceBegin());
-      daemon.await();
+    PlatformSettings settings = loadSettings();
+    try (Daemon daemon = new Daemon(settings, loadPolicy(settings))) {
+      LOG.info("node {} is up {} after the program began", settings.core().node(), sinceStart());
+      daemon.awaitTermination();
     }
     return 0;
   }
 
-  private static Span sinceBegin() {
-    return Span.millis((System.nanoTime() - BEGAN) / 1_000_000);
+  private static Span sinceStart() {
+    return Span.millis((System.nanoTime() - START_NANOS) / 1_000_000);
   }
 
   /** Reads the version from the archive. */
-  static final class Version implements CommandLine.IVersionProvider {
+  static final class VersionProvider implements CommandLine.IVersionProvider {
     @Override
     public String[] getVersion() {
       String version = Main.class.getPackage().getImplementationVersion();
--- a/src/main/java/org/oakwalk/cli/RehearseCommand.java
+++ b/src/main/java/org/oakwalk/cli/RehearseCommand.java
@@ -19,7 +19,7 @@
     description = "Starts a node with nothing around it and ends (used by the build).",
     mixinStandardHelpOptions = true)
 final class RehearseCommand implements Callable<Integer> {
-  private static final String SETTINGS =
+  private static final String SETTINGS_TOML =
       """
       node = "rehearsal"
       domain = "none"
@@ -48,10 +48,10 @@
   public Integer call() throws Exception {
     Path file = Files.createTempFile("rehearsal", ".toml");
     try {
-      Files.writeString(file, SETTINGS);
+      Files.writeString(file, SETTINGS_TOML);
       try (Daemon daemon = new Daemon(PlatformSettings.read(file), Policy.defaults())) {
         for (String path : new String[] {"/ready", "/v2/runs/j-1"}) {
-          URI uri = URI.create("http://127.0.0.1:" + daemon.frontPort() + path);
+          URI uri = URI.create("http://127.0.0.1:" + daemon.clientPort() + path);
           HttpURLConnection connection = (HttpURLConnection) uri.toURL().openConnection();
           if (connection.getResponseCode() != HttpURLConnection.HTTP_UNAVAILABLE) {
             return 1;
--- a/src/main/java/org/oakwalk/daemon/Daemon.java
+++ b/src/main/java/org/oakwalk/daemon/Daemon.java
@@ -16,9 +16,9 @@
 /** A running node: the core, its event loop and its connections. */
 public final class Daemon implements AutoCloseable {
   private static final Logger LOG = LoggerFactory.getLogger(Daemon.class);
-  private static final int MOST_THREADS = 10;
-  private static final int LEAST_THREADS = 4;
-  private static final int LARGEST_POOL = 6 << 20;
+  private static final int MAX_IO_THREADS = 10;
+  private static final int MIN_IO_THREADS = 4;
+  private static final int MAX_BUFFER_POOL_BYTES = 6 << 20;
 
   private final EventLoop loop;
   private final Thread thread;
@@ -27,7 +27,7 @@
 
   /** Starts a node. */
   public Daemon(PlatformSettings settings, Policy policy) throws Exception {
-    QueuedThreadPool threads = new QueuedThreadPool(MOST_THREADS, LEAST_THREADS);
+    QueuedThreadPool threads = new QueuedThreadPool(MAX_IO_THREADS, MIN_IO_THREADS);
     threads.setReservedThreads(0);
     threads.setName("io");
     threads.setDaemon(true);
@@ -35,7 +35,7 @@
     ScheduledExecutorScheduler scheduler = new ScheduledExecutorScheduler("timer", true);
     scheduler.start();
     ByteBufferPool buffers =
-        new ArrayByteBufferPool(0, 2048, 65536, 64, LARGEST_POOL, LARGEST_POOL);
+        new ArrayByteBufferPool(0, 2048, 65536, 64, MAX_BUFFER_POOL_BYTES, MAX_BUFFER_POOL_BYTES);
     String incarnation =
         settings.core().node()
             + "-"
@@ -43,38 +43,40 @@
             + Long.toHexString(RandomSource.createLong());
     loop = new EventLoop(new Controller(settings.core(), policy, incarnation));
     caller =
-        new HttpCaller(threads, scheduler, buffers, settings.sockets(), settings.peers().values());
+        new HttpCaller(
+            threads, scheduler, buffers, settings.socketBudget(), settings.peers().values());
     Outside outside =
         new Outside(
             caller,
-            new Outside.Addresses(settings.state(), settings.cloud(), settings.peers()),
+            new Outside.Addresses(
+                settings.stateServiceAddress(), settings.cloudAddress(), settings.peers()),
             settings.core(),
-            settings.sockets(),
-            loop::later,
-            EventLoop.steadyMillis());
+            settings.socketBudget(),
+            loop::execute,
+            EventLoop.monotonicMillis());
     listener =
         new Listener(
             threads,
             scheduler,
             buffers,
-            settings.serveOn(),
-            settings.peerListen(),
-            settings.sockets(),
+            settings.listenAddress(),
+            settings.peerListenAddress(),
+            settings.socketBudget(),
             loop::offer);
     loop.connect(outside, listener);
     listener.start();
     thread = new Thread(loop, "core");
     thread.start();
-    LOG.info("node {} serves on {}", settings.core().node(), settings.serveOn());
+    LOG.info("node {} serves on {}", settings.core().node(), settings.listenAddress());
   }
 
   /** The port for users and workers. */
-  public int frontPort() {
+  public int clientPort() {
     return listener.frontPort();
   }
 
   /** Waits until the node is stopped. */
-  public void await() throws InterruptedException {
+  public void awaitTermination() throws InterruptedException {
     thread.join();
   }
 
--- a/src/main/java/org/oakwalk/daemon/EventLoop.java
+++ b/src/main/java/org/oakwalk/daemon/EventLoop.java
@@ -23,15 +23,15 @@
 /** The one thread in which the core runs: takes events, hands out effects, keeps time. */
 final class EventLoop implements Runnable {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-  private static final int LONGEST_QUEUE = 2000;
-  private static final long TICK_MILLIS = 50;
+  private static final int MAX_QUEUED_EVENTS = 2000;
+  private static final long TICK_INTERVAL_MILLIS = 50;
 
-  private final BlockingQueue<Object> queue = new ArrayBlockingQueue<>(LONGEST_QUEUE);
-  private final ConcurrentLinkedQueue<Runnable> answers = new ConcurrentLinkedQueue<>();
+  private final BlockingQueue<Object> queue = new ArrayBlockingQueue<>(MAX_QUEUED_EVENTS);
+  private final ConcurrentLinkedQueue<Runnable> callbacks = new ConcurrentLinkedQueue<>();
   private final Controller controller;
-  private final Histograms histograms = new Histograms(steadyMillis());
-  private final Map<ExchangeId, Long> submissions = new HashMap<>();
-  private Outside outside;
+  private final LatencyHistograms histograms = new LatencyHistograms(monotonicMillis());
+  private final Map<ExchangeId, Long> submissionTimes = new HashMap<>();
+  private Outside outbound;
   private Listener listener;
   private volatile boolean stopped;
 
@@ -40,9 +40,9 @@
   }
 
   /** Connects the loop with the outside; to be called once, before it runs. */
-  void connect(Outside calls, Listener doors) {
-    outside = calls;
-    listener = doors;
+  void connect(Outside outboundRequests, Listener httpListener) {
+    outbound = outboundRequests;
+    listener = httpListener;
   }
 
   /** Takes an event from any thread; false if there are too many. */
@@ -51,8 +51,8 @@
   }
 
   /** Runs something in the loop. Answers to own calls are bounded by the calls, so all fit. */
-  void later(Runnable task) {
-    answers.add(task);
+  void execute(Runnable task) {
+    callbacks.add(task);
     queue.offer(Boolean.TRUE);
   }
 
@@ -60,36 +60,37 @@
     stopped = true;
   }
 
-  static long steadyMillis() {
+  static long monotonicMillis() {
     return System.nanoTime() / 1_000_000;
   }
 
   @Override
   public void run() {
-    long nextTick = steadyMillis();
+    long nextTick = monotonicMillis();
     while (!stopped) {
       try {
-        long now = steadyMillis();
+        long now = monotonicMillis();
         if (now >= nextTick) {
-          nextTick = now + TICK_MILLIS;
+          nextTick = now + TICK_INTERVAL_MILLIS;
           handle(new Event.Tick());
-          histograms.record(Histograms.Kind.ROUND, Span.millis(steadyMillis() - now));
-          histograms.tick(now);
+          histograms.record(
+              LatencyHistograms.LatencyMetric.ROUND, Span.millis(monotonicMillis() - now));
+          histograms.logIfDue(now);
         }
         Object next = queue.poll(Math.max(1, nextTick - now), TimeUnit.MILLISECONDS);
-        now = steadyMillis();
-        outside.clock(now);
-        for (Runnable answer = answers.poll(); answer != null; answer = answers.poll()) {
-          answer.run();
+        now = monotonicMillis();
+        outbound.clock(now);
+        for (Runnable callback = callbacks.poll(); callback != null; callback = callbacks.poll()) {
+          callback.run();
         }
         if (next instanceof Event event) {
-          if (event instanceof Event.UserAsks asks
-              && asks.request() instanceof UserRequest.Submit) {
-            submissions.put(asks.exchange(), now);
+          if (event instanceof Event.UserAsks userRequest
+              && userRequest.request() instanceof UserRequest.Submit) {
+            submissionTimes.put(userRequest.exchange(), now);
           }
           handle(event);
         }
-        outside.pump(steadyMillis());
+        outbound.pump(monotonicMillis());
       } catch (InterruptedException e) {
         return;
       } catch (RuntimeException e) {
@@ -99,11 +100,11 @@
     }
   }
 
-  private static Histograms.Kind kind(Effect.Measure measure) {
-    return switch (measure) {
-      case QUEUE_WAIT -> Histograms.Kind.QUEUE_WAIT;
-      case FAILOVER -> Histograms.Kind.FAILOVER;
-      case REPLICA_GAP -> Histograms.Kind.REPLICA_GAP;
+  private static LatencyHistograms.LatencyMetric latencyMetric(Effect.Measure metric) {
+    return switch (metric) {
+      case QUEUE_WAIT -> LatencyHistograms.LatencyMetric.QUEUE_WAIT;
+      case FAILOVER -> LatencyHistograms.LatencyMetric.FAILOVER;
+      case REPLICA_GAP -> LatencyHistograms.LatencyMetric.REPLICA_GAP;
     };
   }
 
@@ -112,21 +113,23 @@
    * came, a process that stood still in between would act on bounds that have long passed.
    */
   private void handle(Event event) {
-    long now = steadyMillis();
+    long now = monotonicMillis();
     for (Effect effect :
         controller.handle(event, new Moment(now), new WallTime(System.currentTimeMillis()))) {
       if (effect instanceof Effect.Respond respond) {
-        Long since = submissions.remove(respond.exchange());
-        if (since != null && respond.response() instanceof Response.JobStatus) {
-          histograms.record(Histograms.Kind.ACCEPTANCE, Span.millis(steadyMillis() - since));
+        Long submittedAt = submissionTimes.remove(respond.exchange());
+        if (submittedAt != null && respond.response() instanceof Response.JobStatus) {
+          histograms.record(
+              LatencyHistograms.LatencyMetric.ACCEPTANCE,
+              Span.millis(monotonicMillis() - submittedAt));
         }
         listener.respond(respond.exchange(), respond.response());
       } else if (effect instanceof Effect.Measured measured) {
-        histograms.record(kind(measured.measure()), measured.span());
+        histograms.record(latencyMetric(measured.measure()), measured.span());
       } else if (effect instanceof Effect.Recall recall) {
-        outside.recall(recall.address());
+        outbound.recall(recall.address());
       } else if (effect instanceof Effect.Call call) {
-        outside.call(
+        outbound.call(
             call.request(), now, answer -> handle(new Event.Answered(call.call(), answer)));
       }
     }
--- a/src/main/java/org/oakwalk/daemon/Block.java
+++ b/src/main/java/org/oakwalk/daemon/HclBlock.java
@@ -9,21 +9,22 @@
 import java.util.regex.Pattern;
 
 /** One block of the operators' file; a field that is not known is refused by name. */
-final class Block {
-  private static final Pattern NAME = Pattern.compile("[A-Za-z0-9-]{1,40}");
-  private static final int LONGEST_TEXT = 200;
+final class HclBlock {
+  private static final Pattern NAME_PATTERN = Pattern.compile("[A-Za-z0-9-]{1,40}");
+  private static final int MAX_TEXT_LENGTH = 200;
 
   private final Path file;
-  private final String name;
+  private final String label;
   private final Map<?, ?> fields;
 
-  Block(Path file, String name, Map<?, ?> fields, Set<String> known) throws BadSettings {
+  HclBlock(Path file, String name, Map<?, ?> fields, Set<String> known)
+      throws InvalidSettingsException {
     this.file = file;
-    this.name = name;
+    this.label = name;
     this.fields = fields;
     for (Object field : fields.keySet()) {
       if (!known.contains(field.toString())) {
-        throw bad("unknown field " + field);
+        throw invalid("unknown field " + field);
       }
     }
   }
@@ -33,22 +34,23 @@
    *
    * @param others names that are allowed though they aren't made of letters, digits and dashes
    */
-  static Set<Map.Entry<String, Object>> named(
-      Path file, Map<String, Object> root, String kind, Set<String> others) throws BadSettings {
+  static Set<Map.Entry<String, Object>> blocksOfKind(
+      Path file, Map<String, Object> root, String kind, Set<String> allowedNames)
+      throws InvalidSettingsException {
     Object found = root.get(kind);
     if (found == null) {
       return Set.of();
     }
     if (!(found instanceof Map<?, ?> blocks)) {
-      throw new BadSettings(file + ": " + kind + " is not a block with a name");
+      throw new InvalidSettingsException(file + ": " + kind + " is not a block with a name");
     }
     for (Map.Entry<?, ?> block : blocks.entrySet()) {
       if (!(block.getValue() instanceof Map) && !(block.getValue() instanceof List)) {
-        throw new BadSettings(file + ": " + kind + " is not a block with a name");
+        throw new InvalidSettingsException(file + ": " + kind + " is not a block with a name");
       }
       String name = block.getKey().toString();
-      if (!others.contains(name) && !NAME.matcher(name).matches()) {
-        throw new BadSettings(
+      if (!allowedNames.contains(name) && !NAME_PATTERN.matcher(name).matches()) {
+        throw new InvalidSettingsException(
             file + ": " + kind + " has a name other than letters, digits and dashes");
       }
     }
@@ -58,72 +60,74 @@
   }
 
   /** What kind of block it is, and its name. */
-  String name() {
-    return name;
+  String label() {
+    return label;
   }
 
   /** An error in this block. */
-  BadSettings bad(String what) {
-    return new BadSettings(file + ": " + name + ": " + what);
+  InvalidSettingsException invalid(String problem) {
+    return new InvalidSettingsException(file + ": " + label + ": " + problem);
   }
 
   boolean has(String field) {
     return fields.get(field) != null;
   }
 
-  String text(String field) throws BadSettings {
+  String text(String field) throws InvalidSettingsException {
     Object value = fields.get(field);
     if (value != null && !(value instanceof String)) {
-      throw bad(field + " is not text");
+      throw invalid(field + " is not text");
     }
     return (String) value;
   }
 
-  Optional<String> word(String field, Set<String> words) throws BadSettings {
+  Optional<String> oneOf(String field, Set<String> allowed) throws InvalidSettingsException {
     String value = text(field);
-    if (value != null && !words.contains(value)) {
-      throw bad(field + " is none of " + String.join(", ", words.stream().sorted().toList()));
+    if (value != null && !allowed.contains(value)) {
+      throw invalid(field + " is none of " + String.join(", ", allowed.stream().sorted().toList()));
     }
     return Optional.ofNullable(value);
   }
 
-  Set<String> texts(String field) throws BadSettings {
+  Set<String> textSet(String field) throws InvalidSettingsException {
     Object value = fields.get(field);
     if (value == null) {
       return Set.of();
     }
     if (!(value instanceof List<?> list)) {
-      throw bad(field + " is not a list");
+      throw invalid(field + " is not a list");
     }
     Set<String> texts = new LinkedHashSet<>();
     for (Object item : list) {
-      if (!(item instanceof String text) || text.isEmpty() || text.length() > LONGEST_TEXT) {
-        throw bad(field + " holds something other than text");
+      if (!(item instanceof String text) || text.isEmpty() || text.length() > MAX_TEXT_LENGTH) {
+        throw invalid(field + " holds something other than text");
       }
       texts.add(text);
     }
     return texts;
   }
 
-  double number(String field, double least, double most, double otherwise) throws BadSettings {
+  double number(String field, double min, double max, double defaultValue)
+      throws InvalidSettingsException {
     Object value = fields.get(field);
     if (value == null) {
-      return otherwise;
+      return defaultValue;
     }
     if (!(value instanceof Number number)) {
-      throw bad(field + " is not a number");
+      throw invalid(field + " is not a number");
     }
-    if (!(number.doubleValue() >= least && number.doubleValue() <= most)) {
-      throw bad(field + " is out of range, " + least + " to " + most);
+    if (!(number.doubleValue() >= min && number.doubleValue() <= max)) {
+      throw invalid(field + " is out of range, " + min + " to " + max);
     }
     return number.doubleValue();
   }
 
   /** A whole number. */
-  long count(String field, long least, long most, long otherwise) throws BadSettings {
-    double value = number(field, least, most, otherwise);
+  long integer(String field, long min, long max, long defaultValue)
+      throws InvalidSettingsException {
+    double value = number(field, min, max, defaultValue);
     if (value != Math.floor(value)) {
-      throw bad(field + " is not a whole number");
+      throw invalid(field + " is not a whole number");
     }
     return (long) value;
   }
--- a/src/main/java/org/oakwalk/daemon/Histograms.java
+++ b/src/main/java/org/oakwalk/daemon/LatencyHistograms.java
@@ -11,13 +11,13 @@
 /**
  * How long things take, logged now and then and whenever a leader has come to its first placement.
  */
-final class Histograms {
-  private static final Logger LOG = LoggerFactory.getLogger(Histograms.class);
-  private static final long LONGEST_MILLIS = 3_600_000;
-  private static final long LOG_EVERY_MILLIS = 60_000;
+final class LatencyHistograms {
+  private static final Logger LOG = LoggerFactory.getLogger(LatencyHistograms.class);
+  private static final long MAX_RECORDED_MILLIS = 3_600_000;
+  private static final long LOG_INTERVAL_MILLIS = 60_000;
 
   /** What is measured. */
-  enum Kind {
+  enum LatencyMetric {
     ACCEPTANCE,
     QUEUE_WAIT,
     ROUND,
@@ -25,35 +25,35 @@
     REPLICA_GAP
   }
 
-  private final Map<Kind, Histogram> byKind = new EnumMap<>(Kind.class);
+  private final Map<LatencyMetric, Histogram> byMetric = new EnumMap<>(LatencyMetric.class);
   private long nextLog;
 
-  Histograms(long now) {
-    for (Kind kind : Kind.values()) {
-      Histogram histogram = new Histogram(LONGEST_MILLIS, 2);
-      byKind.put(kind, histogram);
+  LatencyHistograms(long now) {
+    for (LatencyMetric kind : LatencyMetric.values()) {
+      Histogram histogram = new Histogram(MAX_RECORDED_MILLIS, 2);
+      byMetric.put(kind, histogram);
     }
-    nextLog = now + LOG_EVERY_MILLIS;
+    nextLog = now + LOG_INTERVAL_MILLIS;
   }
 
-  void record(Kind kind, Span span) {
-    byKind.get(kind).recordValue(Math.max(0, Math.min(LONGEST_MILLIS, span.millis())));
-    if (kind == Kind.FAILOVER) {
+  void record(LatencyMetric metric, Span duration) {
+    byMetric.get(metric).recordValue(Math.max(0, Math.min(MAX_RECORDED_MILLIS, duration.millis())));
+    if (metric == LatencyMetric.FAILOVER) {
       log();
     }
   }
 
   /** Logs if it is time to. */
-  void tick(long now) {
+  void logIfDue(long now) {
     if (now >= nextLog) {
-      nextLog = now + LOG_EVERY_MILLIS;
+      nextLog = now + LOG_INTERVAL_MILLIS;
       log();
     }
   }
 
   private void log() {
     StringBuilder line = new StringBuilder("milliseconds, p50/p99/max of n:");
-    byKind.forEach(
+    byMetric.forEach(
         (kind, histogram) -> {
           if (histogram.getTotalCount() > 0) {
             line.append(' ')
--- a/src/main/java/org/oakwalk/daemon/PlatformSettings.java
+++ b/src/main/java/org/oakwalk/daemon/PlatformSettings.java
@@ -20,41 +20,41 @@
 /** The file that the platform hands over. Fields that are not known are ignored. */
 public record PlatformSettings(
     Settings core,
-    Address serveOn,
-    Address peerListen,
+    Address listenAddress,
+    Address peerListenAddress,
     Map<NodeId, String> peers,
-    String cloud,
-    String state,
-    Sockets sockets) {
-  private static final double DEFAULT_SOCKETS = 1024;
+    String cloudAddress,
+    String stateServiceAddress,
+    Sockets socketBudget) {
+  private static final double DEFAULT_FD_LIMIT = 1024;
 
   /** A job's record and a part of its results may take nearly as much. */
-  private static final double LEAST_VALUE_KB = 4;
+  private static final double MIN_VALUE_KB = 4;
 
   /** Reads and checks the file. */
-  public static PlatformSettings read(Path file) throws BadSettings {
+  public static PlatformSettings read(Path file) throws InvalidSettingsException {
     JsonNode root;
     try {
       root = new TomlMapper().readTree(Files.readString(file));
     } catch (NoSuchFileException e) {
-      throw new BadSettings(file + ": no such file");
+      throw new InvalidSettingsException(file + ": no such file");
     } catch (IOException e) {
       String reason =
           e.getMessage() == null ? "unreadable" : e.getMessage().lines().findFirst().orElse("");
-      throw new BadSettings(file + ": can't be read: " + reason);
+      throw new InvalidSettingsException(file + ": can't be read: " + reason);
     }
-    return new Reader(file, "", root).settings();
+    return new TableReader(file, "", root).settings();
   }
 
   /** Reads fields of one table and names them fully when something is wrong. */
-  private record Reader(Path file, String path, JsonNode node) {
+  private record TableReader(Path file, String path, JsonNode node) {
 
-    PlatformSettings settings() throws BadSettings {
-      Reader outside = table("outside");
-      Reader facts = table("facts");
+    PlatformSettings settings() throws InvalidSettingsException {
+      TableReader outside = table("outside");
+      TableReader facts = table("facts");
       Map<NodeId, String> peers = new LinkedHashMap<>();
       NodeId self = new NodeId(text("node"));
-      for (Reader member : tables("members")) {
+      for (TableReader member : tables("members")) {
         NodeId node = new NodeId(member.text("node"));
         if (!node.equals(self)) {
           member.address("addr");
@@ -68,10 +68,10 @@
               self,
               text("domain"),
               List.copyOf(peers.keySet()),
-              facts.texts("zones"),
+              facts.textList("zones"),
               facts.teams(),
               facts.objectives(),
-              facts.table("workers").workers(),
+              facts.table("workers").workerTiming(),
               facts.table("state").stateLimits(),
               facts.table("cloud").cloudLimits(),
               Span.seconds(facts.number("clock_off_ms", 0, 1e9, 0) / 1000));
@@ -82,20 +82,20 @@
           peers,
           outside.text("cloud"),
           outside.text("state"),
-          facts.sockets(peers.size()));
+          facts.socketBudget(peers.size()));
     }
 
-    private Sockets sockets(int peers) throws BadSettings {
-      int total = (int) DEFAULT_SOCKETS;
+    private Sockets socketBudget(int peers) throws InvalidSettingsException {
+      int total = (int) DEFAULT_FD_LIMIT;
       if (node.has("quota")) {
-        total = (int) table("quota").number("fd_limit", 64, 1e6, DEFAULT_SOCKETS);
+        total = (int) table("quota").number("fd_limit", 64, 1e6, DEFAULT_FD_LIMIT);
       }
       return new Sockets(total, peers);
     }
 
-    private Map<String, Settings.Team> teams() throws BadSettings {
+    private Map<String, Settings.Team> teams() throws InvalidSettingsException {
       Map<String, Settings.Team> teams = new LinkedHashMap<>();
-      for (Reader team : tables("teams")) {
+      for (TableReader team : tables("teams")) {
         Settings.Team read =
             new Settings.Team(
                 team.text("name"),
@@ -108,9 +108,9 @@
       return teams;
     }
 
-    private List<Settings.Objective> objectives() throws BadSettings {
+    private List<Settings.Objective> objectives() throws InvalidSettingsException {
       List<Settings.Objective> objectives = new ArrayList<>();
-      for (Reader objective : tables("objectives")) {
+      for (TableReader objective : tables("objectives")) {
         objectives.add(
             new Settings.Objective(
                 objective.text("kind"),
@@ -122,113 +122,114 @@
       return objectives;
     }
 
-    private Settings.Workers workers() throws BadSettings {
-      Settings.Workers workers =
+    private Settings.Workers workerTiming() throws InvalidSettingsException {
+      Settings.Workers timing =
           new Settings.Workers(
               Span.seconds(number("report_s", 0.01, 3600)),
               Span.seconds(number("lease_s", 0.1, 86400)),
               Span.seconds(number("cancel_s", 0.1, 86400)));
-      if (workers.report().compareTo(workers.lease()) >= 0) {
-        throw bad("lease_s", "must be larger than report_s");
+      if (timing.report().compareTo(timing.lease()) >= 0) {
+        throw invalid("lease_s", "must be larger than report_s");
       }
-      if (workers.lease().compareTo(workers.cancel()) >= 0) {
-        throw bad("cancel_s", "must be larger than lease_s");
+      if (timing.lease().compareTo(timing.cancel()) >= 0) {
+        throw invalid("cancel_s", "must be larger than lease_s");
       }
-      return workers;
+      return timing;
     }
 
-    private Settings.StateLimits stateLimits() throws BadSettings {
+    private Settings.StateLimits stateLimits() throws InvalidSettingsException {
       return new Settings.StateLimits(
           number("rps", 1, 1e9),
           number("write_rps", 1, 1e9),
-          number("value_kb", LEAST_VALUE_KB, 1e6),
+          number("value_kb", MIN_VALUE_KB, 1e6),
           (int) number("txn_ops", 1, 1e6));
     }
 
-    private Settings.CloudLimits cloudLimits() throws BadSettings {
+    private Settings.CloudLimits cloudLimits() throws InvalidSettingsException {
       return new Settings.CloudLimits(
           number("rps", 0.01, 1e9), Span.seconds(number("list_lag_s", 0, 3600)));
     }
 
-    private BadSettings bad(String name, String what) {
-      return new BadSettings(file + ": field " + full(name) + " " + what);
+    private InvalidSettingsException invalid(String name, String problem) {
+      return new InvalidSettingsException(file + ": field " + qualifiedName(name) + " " + problem);
     }
 
-    private String full(String name) {
+    private String qualifiedName(String name) {
       return path.isEmpty() ? name : path + "." + name;
     }
 
-    Reader table(String name) throws BadSettings {
+    TableReader table(String name) throws InvalidSettingsException {
       JsonNode child = node.get(name);
       if (child == null || !child.isObject()) {
-        throw bad(name, "is missing or not a table");
+        throw invalid(name, "is missing or not a table");
       }
-      return new Reader(file, full(name), child);
+      return new TableReader(file, qualifiedName(name), child);
     }
 
-    List<Reader> tables(String name) throws BadSettings {
-      List<Reader> tables = new ArrayList<>();
+    List<TableReader> tables(String name) throws InvalidSettingsException {
+      List<TableReader> tables = new ArrayList<>();
       JsonNode child = node.path(name);
       if (child instanceof MissingNode) {
         return tables;
       }
       if (!child.isArray()) {
-        throw bad(name, "is not a list of tables");
+        throw invalid(name, "is not a list of tables");
       }
       for (JsonNode item : child) {
         if (!item.isObject()) {
-          throw bad(name, "is not a list of tables");
+          throw invalid(name, "is not a list of tables");
         }
-        tables.add(new Reader(file, full(name) + "[" + tables.size() + "]", item));
+        tables.add(new TableReader(file, qualifiedName(name) + "[" + tables.size() + "]", item));
       }
       return tables;
     }
 
-    String text(String name) throws BadSettings {
+    String text(String name) throws InvalidSettingsException {
       JsonNode value = node.get(name);
       if (value == null || !value.isTextual() || value.textValue().isEmpty()) {
-        throw bad(name, "is missing or not text");
+        throw invalid(name, "is missing or not text");
       }
       return value.textValue();
     }
 
-    List<String> texts(String name) throws BadSettings {
+    List<String> textList(String name) throws InvalidSettingsException {
       List<String> texts = new ArrayList<>();
       JsonNode value = node.get(name);
       if (value == null || !value.isArray()) {
-        throw bad(name, "is missing or not a list");
+        throw invalid(name, "is missing or not a list");
       }
       for (JsonNode item : value) {
         if (!item.isTextual()) {
-          throw bad(name, "holds something other than text");
+          throw invalid(name, "holds something other than text");
         }
         texts.add(item.textValue());
       }
       return texts;
     }
 
-    Address address(String name) throws BadSettings {
+    Address address(String name) throws InvalidSettingsException {
       try {
         return Address.parse(text(name));
       } catch (IllegalArgumentException e) {
-        throw bad(name, "is " + e.getMessage());
+        throw invalid(name, "is " + e.getMessage());
       }
     }
 
-    double number(String name, double least, double most) throws BadSettings {
+    double number(String name, double min, double max) throws InvalidSettingsException {
       JsonNode value = node.get(name);
       if (value == null || !value.isNumber()) {
-        throw bad(name, "is missing or not a number");
+        throw invalid(name, "is missing or not a number");
       }
       double number = value.doubleValue();
-      if (!(number >= least && number <= most)) {
-        throw bad(name, "is out of range, " + least + " to " + most);
+      if (!(number >= min && number <= max)) {
+        throw invalid(name, "is out of range, " + min + " to " + max);
       }
       return number;
     }
 
-    double number(String name, double least, double most, double otherwise) throws BadSettings {
-      return node.has(name) ? number(name, least, most) : otherwise;
+    double number(String name, double min, double max, double defaultValue)
+        throws InvalidSettingsException {
+      return node.has(name) ? number(name, min, max) : defaultValue;
     }
   }
 }
--- a/src/main/java/org/oakwalk/daemon/PolicyFile.java
+++ b/src/main/java/org/oakwalk/daemon/PolicyFile.java
@@ -16,7 +16,7 @@
 public final class PolicyFile {
   private final Path file;
   private final Map<String, Object> root;
-  private final Set<String> asked = new HashSet<>();
+  private final Set<String> knownFields = new HashSet<>();
 
   private PolicyFile(Path file, Map<String, Object> root) {
     this.file = file;
@@ -24,37 +24,38 @@
   }
 
   /** Reads and checks the file; what it leaves out has its default. */
-  public static Policy read(Path file) throws BadSettings {
+  public static Policy read(Path file) throws InvalidSettingsException {
     Map<String, Object> root;
     try {
       root = new HCLParser().parse(Files.readString(file));
     } catch (NoSuchFileException e) {
-      throw new BadSettings(file + ": no such file");
+      throw new InvalidSettingsException(file + ": no such file");
     } catch (IOException e) {
-      throw new BadSettings(file + ": can't be read: " + e.getMessage());
+      throw new InvalidSettingsException(file + ": can't be read: " + e.getMessage());
     } catch (com.bertramlabs.plugins.hcl4j.HCLParserException | RuntimeException e) {
-      throw new BadSettings(file + ": not HCL: " + e.getMessage());
+      throw new InvalidSettingsException(file + ": not HCL: " + e.getMessage());
     } catch (Error e) {
       // The lexer reports characters it does not know as errors.
-      throw new BadSettings(file + ": not HCL: " + e.getMessage());
+      throw new InvalidSettingsException(file + ": not HCL: " + e.getMessage());
     }
-    return new PolicyFile(file, root).policy();
+    return new PolicyFile(file, root).parsePolicy();
   }
 
   /**
    * Looks whether the operators' settings fit the platform's.
    *
-   * @throws BadSettings naming the first thing that does not
+   * @throws InvalidSettingsException naming the first thing that does not
    */
-  public static void check(Path file, Policy policy, Settings settings) throws BadSettings {
-    DrainFile.check(file, policy.drains(), settings);
-    ProductFile.check(file, policy.product(), settings);
+  public static void validate(Path file, Policy policy, Settings settings)
+      throws InvalidSettingsException {
+    DrainPolicyReader.validate(file, policy.drains(), settings);
+    ProductTermsReader.validate(file, policy.product(), settings);
   }
 
-  private Policy policy() throws BadSettings {
+  private Policy parsePolicy() throws InvalidSettingsException {
     Policy defaults = Policy.defaults();
     Policy.Scoring scoring = defaults.scoring();
-    Policy.Hosts hosts = defaults.hosts();
+    Policy.Hosts placement = defaults.hosts();
     Policy.Capacity capacity = defaults.capacity();
     Policy policy =
         new Policy(
@@ -66,9 +67,11 @@
                 number("score", "guarantee_bonus", 0, 1e6, scoring.guaranteeBonus()),
                 seconds("score", "floor_s", 0.001, 3600, scoring.floor())),
             new Policy.Hosts(
-                number("hosts", "mark", 0.1, 1, hosts.mark()),
-                number("hosts", "image_weight", 0, 100, hosts.imageWeight()),
-                (int) number("hosts", "reserve_after_rounds", 1, 1000, hosts.reserveAfterRounds())),
+                number("hosts", "mark", 0.1, 1, placement.mark()),
+                number("hosts", "image_weight", 0, 100, placement.imageWeight()),
+                (int)
+                    number(
+                        "hosts", "reserve_after_rounds", 1, 1000, placement.reserveAfterRounds())),
             seconds("rounds", "period_s", 0.1, 60, defaults.round()),
             new Policy.Capacity(
                 number("capacity", "headroom", 0, 10, capacity.headroom()),
@@ -78,54 +81,56 @@
                 seconds("capacity", "suspect_after_s", 1, 3600, capacity.suspectAfter()),
                 seconds("capacity", "boot_patience_s", 1, 86400, capacity.bootPatience())),
             (int) number("admission", "open_jobs", 10, 1e6, defaults.mostOpenJobs()),
-            DrainFile.read(file, root),
-            ProductFile.read(file, root));
-    refuseOthers();
+            DrainPolicyReader.read(file, root),
+            ProductTermsReader.read(file, root));
+    rejectUnknownFields();
     return policy;
   }
 
-  private Span seconds(String block, String name, double least, double most, Span otherwise)
-      throws BadSettings {
-    return Span.seconds(number(block, name, least, most, otherwise.asSeconds()));
+  private Span seconds(String block, String name, double min, double max, Span defaultValue)
+      throws InvalidSettingsException {
+    return Span.seconds(number(block, name, min, max, defaultValue.asSeconds()));
   }
 
-  private double number(String block, String name, double least, double most, double otherwise)
-      throws BadSettings {
-    asked.add(block + "." + name);
+  private double number(String block, String name, double min, double max, double defaultValue)
+      throws InvalidSettingsException {
+    knownFields.add(block + "." + name);
     Object table = root.get(block);
     if (table == null) {
-      return otherwise;
+      return defaultValue;
     }
     if (!(table instanceof Map<?, ?> fields)) {
-      throw new BadSettings(file + ": " + block + " is not a block");
+      throw new InvalidSettingsException(file + ": " + block + " is not a block");
     }
     Object value = fields.get(name);
     if (value == null) {
-      return otherwise;
+      return defaultValue;
     }
     if (!(value instanceof Number number)) {
-      throw new BadSettings(file + ": field " + block + "." + name + " is not a number");
+      throw new InvalidSettingsException(
+          file + ": field " + block + "." + name + " is not a number");
     }
-    if (!(number.doubleValue() >= least && number.doubleValue() <= most)) {
-      throw new BadSettings(
-          file + ": field " + block + "." + name + " is out of range, " + least + " to " + most);
+    if (!(number.doubleValue() >= min && number.doubleValue() <= max)) {
+      throw new InvalidSettingsException(
+          file + ": field " + block + "." + name + " is out of range, " + min + " to " + max);
     }
     return number.doubleValue();
   }
 
-  private void refuseOthers() throws BadSettings {
+  private void rejectUnknownFields() throws InvalidSettingsException {
     for (Map.Entry<String, Object> block : root.entrySet()) {
-      if (DrainFile.BLOCKS.contains(block.getKey())
-          || ProductFile.BLOCKS.contains(block.getKey())) {
+      if (DrainPolicyReader.BLOCK_KINDS.contains(block.getKey())
+          || ProductTermsReader.BLOCK_KINDS.contains(block.getKey())) {
         continue;
       }
-      boolean known = asked.stream().anyMatch(name -> name.startsWith(block.getKey() + "."));
+      boolean known = knownFields.stream().anyMatch(name -> name.startsWith(block.getKey() + "."));
       if (!known || !(block.getValue() instanceof Map<?, ?> fields)) {
-        throw new BadSettings(file + ": unknown field " + block.getKey());
+        throw new InvalidSettingsException(file + ": unknown field " + block.getKey());
       }
       for (Object name : fields.keySet()) {
-        if (!asked.contains(block.getKey() + "." + name)) {
-          throw new BadSettings(file + ": unknown field " + block.getKey() + "." + name);
+        if (!knownFields.contains(block.getKey() + "." + name)) {
+          throw new InvalidSettingsException(
+              file + ": unknown field " + block.getKey() + "." + name);
         }
       }
     }
--- a/src/test/java/org/oakwalk/ArchitectureTest.java
+++ b/src/test/java/org/oakwalk/ArchitectureTest.java
@@ -12,7 +12,7 @@
 @AnalyzeClasses(packages = "org.oakwalk", importOptions = ImportOption.DoNotIncludeTests.class)
 class ArchitectureTest {
   @ArchTest
-  static final ArchRule CORE_STANDS_ALONE =
+  static final ArchRule CORE_IS_SELF_CONTAINED =
       noClasses()
           .that()
           .resideInAPackage("org.oakwalk.core..")
@@ -32,7 +32,7 @@
               "java.util.concurrent..");
 
   @ArchTest
-  static final ArchRule CORE_HAS_NO_CLOCK_OR_CHANCE =
+  static final ArchRule CORE_READS_NO_CLOCK_OR_RANDOMNESS =
       noClasses()
           .that()
           .resideInAPackage("org.oakwalk.core..")
@@ -61,7 +61,7 @@
           .resideInAnyPackage("org.apache.commons.rng..");
 
   @ArchTest
-  static final ArchRule WIRE_KNOWS_ONLY_THE_CORE =
+  static final ArchRule WIRE_DEPENDS_ONLY_ON_CORE =
       noClasses()
           .that()
           .resideInAPackage("org.oakwalk.wire..")
@@ -74,7 +74,7 @@
               "org.eclipse.jetty..");
 
   @ArchTest
-  static final ArchRule ADAPTERS_DO_NOT_KNOW_WHO_RUNS_THEM =
+  static final ArchRule ADAPTERS_DO_NOT_DEPEND_ON_DAEMON =
       noClasses()
           .that()
           .resideInAPackage("org.oakwalk.adapter..")
@@ -84,7 +84,7 @@
 
   /** The model is for experiments; a node that serves never loads it. */
   @ArchTest
-  static final ArchRule NOTHING_THAT_SERVES_KNOWS_THE_MODEL =
+  static final ArchRule NODE_DOES_NOT_DEPEND_ON_MODEL =
       noClasses()
           .that()
           .resideInAnyPackage(
@@ -97,7 +97,7 @@
           .resideInAPackage("org.oakwalk.model..");
 
   @ArchTest
-  static final ArchRule THE_MODEL_KNOWS_ONLY_THE_CORE =
+  static final ArchRule MODEL_DEPENDS_ONLY_ON_CORE =
       noClasses()
           .that()
           .resideInAPackage("org.oakwalk.model..")
@@ -110,7 +110,7 @@
               "org.oakwalk.cli..");
 
   @ArchTest
-  static final ArchRule MESSAGES_ARE_PLAIN =
+  static final ArchRule PORT_MESSAGES_DEPEND_ON_NO_COMPONENT =
       noClasses()
           .that()
           .resideInAPackage("org.oakwalk.core.port..")
--- a/src/test/java/org/oakwalk/cli/CommandLineTest.java
+++ b/src/test/java/org/oakwalk/cli/CommandLineTest.java
@@ -20,7 +20,7 @@
   }
 
   @Test
-  void namesAFileThatIsMissing() {
+  void missingFileIsNamed() {
     assertThat(run("check", "--config", "no/such.toml")).isEqualTo(2);
     assertThat(err.toString().lines())
         .singleElement()
@@ -29,25 +29,25 @@
   }
 
   @Test
-  void wantsItsSettings() {
+  void missingConfigOptionIsRejected() {
     assertThat(run()).isEqualTo(2);
     assertThat(err.toString()).contains("--config");
   }
 
   @Test
-  void refusesAnUnknownOption() {
+  void unknownOptionIsRejected() {
     assertThat(run("--colour")).isEqualTo(2);
   }
 
   @Test
-  void helps() {
+  void helpAndVersionSucceed() {
     assertThat(run("--help")).isZero();
     assertThat(out.toString()).contains("--config", "--policy", "check");
     assertThat(run("--version")).isZero();
   }
 
   @Test
-  void aNodeWithNothingAroundItStartsAndEnds() {
+  void rehearseStartsAndStopsANode() {
     assertThat(run("rehearse")).isZero();
   }
 }
--- a/src/test/java/org/oakwalk/daemon/DrainFileTest.java
+++ b/src/test/java/org/oakwalk/daemon/DrainPolicyReaderTest.java
@@ -18,20 +18,21 @@
 import org.oakwalk.core.drain.DrainPlan;
 
 /** What operators declare of plans and budgets: read, checked, and refused in one line. */
-class DrainFileTest {
+class DrainPolicyReaderTest {
   @TempDir private Path folder;
 
-  private Settings settings() throws Exception {
-    return PlatformSettings.read(Files.writeString(folder.resolve("platform"), SettingsTest.TOML))
+  private Settings platformSettings() throws Exception {
+    return PlatformSettings.read(
+            Files.writeString(folder.resolve("platform"), SettingsTest.PLATFORM_TOML))
         .core();
   }
 
-  private Path file(String text) throws Exception {
+  private Path policyFile(String text) throws Exception {
     return Files.writeString(folder.resolve("policy"), text.replace(';', '\n'));
   }
 
   @Test
-  void theExampleHoldsEveryField() throws Exception {
+  void exampleFileSetsEveryField() throws Exception {
     Policy policy = PolicyFile.read(Path.of("deploy/drain.example.hcl"));
     assertThat(policy.drains().plans())
         .containsExactly(
@@ -57,10 +58,10 @@
   }
 
   @Test
-  void theRollIsForAnyTeam() throws Exception {
+  void wildcardBudgetAppliesToEachTeam() throws Exception {
     Policy policy = PolicyFile.read(Path.of("deploy/roll.hcl"));
-    PolicyFile.check(Path.of("deploy/roll.hcl"), policy, settings());
-    assertThat(policy.drains().budgetsOf(settings().teams().keySet()))
+    PolicyFile.validate(Path.of("deploy/roll.hcl"), policy, platformSettings());
+    assertThat(policy.drains().budgetsOf(platformSettings().teams().keySet()))
         .containsExactly(new Budget("crew", Optional.empty(), 1, Optional.empty()));
   }
 
@@ -87,11 +88,11 @@
         "drain \"x\" {; step = 1; }; budget \"crew\" {; down = 0; } | drain \"x\" can never end",
         "drain \"x\" {; step = 1; }; budget \"*\" {; stops_per_hour = 0; } | can never end"
       })
-  void refusesInOneLine(String text, String reason) throws Exception {
-    Path file = file(text + "\n");
-    Settings settings = settings();
-    assertThatThrownBy(() -> PolicyFile.check(file, PolicyFile.read(file), settings))
-        .isInstanceOf(BadSettings.class)
+  void invalidBlockIsRejectedWithAOneLineReason(String text, String reason) throws Exception {
+    Path file = policyFile(text + "\n");
+    Settings settings = platformSettings();
+    assertThatThrownBy(() -> PolicyFile.validate(file, PolicyFile.read(file), settings))
+        .isInstanceOf(InvalidSettingsException.class)
         .hasMessageContaining(reason)
         .hasMessageContaining(file.toString())
         .message()
--- a/src/test/java/org/oakwalk/daemon/StoreStandIn.java
+++ b/src/test/java/org/oakwalk/daemon/FakeStateService.java
@@ -21,28 +21,28 @@
 import org.msgpack.jackson.dataformat.MessagePackFactory;
 
 /** A state service on loopback, after its published protocol, as far as nodes need it to lead. */
-final class StoreStandIn implements AutoCloseable {
-  private static final ObjectMapper PACK = new ObjectMapper(new MessagePackFactory());
-  private static final int PAGE_BYTES = 512 * 1024;
+final class FakeStateService implements AutoCloseable {
+  private static final ObjectMapper MSGPACK = new ObjectMapper(new MessagePackFactory());
+  private static final int MAX_PAGE_BYTES = 512 * 1024;
 
-  private record Kept(JsonNode value, long stamp) {}
+  private record StoredEntry(JsonNode value, long revision) {}
 
   private final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 256);
   private final ExecutorService handlers = Executors.newCachedThreadPool();
-  private final TreeMap<String, Kept> keys = new TreeMap<>();
+  private final TreeMap<String, StoredEntry> entries = new TreeMap<>();
   private final List<ObjectNode> history = new ArrayList<>();
-  private final Map<String, Long> attached = new HashMap<>();
-  private final Map<Long, Long> holdEnds = new HashMap<>();
-  private final Map<Long, Long> holdTimes = new HashMap<>();
-  private final AtomicInteger requests = new AtomicInteger();
-  private long epoch;
+  private final Map<String, Long> leaseByKey = new HashMap<>();
+  private final Map<Long, Long> leaseExpiry = new HashMap<>();
+  private final Map<Long, Long> leaseDuration = new HashMap<>();
+  private final AtomicInteger requestCount = new AtomicInteger();
+  private long revision;
 
   static {
     // Else each answer waits for an acknowledgement that is held back for 40 ms.
     System.setProperty("sun.net.httpserver.nodelay", "true");
   }
 
-  StoreStandIn() throws IOException {
+  FakeStateService() throws IOException {
     server.setExecutor(handlers);
     server.createContext("/", this::serve);
     server.start();
@@ -53,8 +53,8 @@
   }
 
   /** Requests since the start. */
-  int requests() {
-    return requests.get();
+  int requestCount() {
+    return requestCount.get();
   }
 
   @Override
@@ -64,28 +64,28 @@
   }
 
   /** Applies a transaction in its outgoing form. */
-  void commit(byte[] body) throws IOException {
-    commit(PACK.readTree(body));
+  void applyCommit(byte[] body) throws IOException {
+    applyCommit(MSGPACK.readTree(body));
   }
 
   private void serve(HttpExchange exchange) throws IOException {
-    requests.incrementAndGet();
+    requestCount.incrementAndGet();
     byte[] body = exchange.getRequestBody().readAllBytes();
     String path = exchange.getRequestURI().getPath();
-    ObjectNode answer = PACK.createObjectNode();
+    ObjectNode answer = MSGPACK.createObjectNode();
     int status = 200;
     if (path.equals("/commit")) {
-      status = answerCommit(PACK.readTree(body), answer);
+      status = handleCommit(MSGPACK.readTree(body), answer);
     } else if (path.equals("/watch")) {
-      watch(query(exchange), answer);
+      handleWatch(query(exchange), answer);
     } else if (path.equals("/store")) {
-      page(query(exchange), answer);
+      handlePageRead(query(exchange), answer);
     } else if (path.startsWith("/leases")) {
-      status = lease(exchange.getRequestMethod(), path, body, answer);
+      status = handleLease(exchange.getRequestMethod(), path, body, answer);
     } else {
       status = 503;
     }
-    byte[] bytes = PACK.writeValueAsBytes(answer);
+    byte[] bytes = MSGPACK.writeValueAsBytes(answer);
     exchange.sendResponseHeaders(status, bytes.length);
     exchange.getResponseBody().write(bytes);
     exchange.close();
@@ -100,80 +100,81 @@
     return query;
   }
 
-  private synchronized int answerCommit(JsonNode commit, ObjectNode answer) {
-    expire();
-    ArrayNode failed = PACK.createArrayNode();
+  private synchronized int handleCommit(JsonNode commit, ObjectNode answer) {
+    expireLeases();
+    ArrayNode failed = MSGPACK.createArrayNode();
     for (JsonNode guard : commit.path("guards")) {
-      Kept kept = keys.get(guard.get("k").textValue());
-      if ((kept == null ? 0 : kept.stamp()) != guard.get("stamp").longValue()) {
+      StoredEntry entry = entries.get(guard.get("k").textValue());
+      if ((entry == null ? 0 : entry.revision()) != guard.get("stamp").longValue()) {
         failed.add(guard.get("k"));
       }
     }
     if (failed.isEmpty()) {
-      commit(commit);
+      applyCommit(commit);
     } else {
       answer.set("failed", failed);
     }
-    answer.put("epoch", epoch);
+    answer.put("epoch", revision);
     return failed.isEmpty() ? 200 : 409;
   }
 
-  private synchronized void commit(JsonNode commit) {
-    epoch++;
+  private synchronized void applyCommit(JsonNode commit) {
+    revision++;
     for (JsonNode change : commit.path("then")) {
       if (change.has("set")) {
         String key = change.get("set").textValue();
-        keys.put(key, new Kept(change.get("value"), epoch));
-        attached.remove(key);
+        entries.put(key, new StoredEntry(change.get("value"), revision));
+        leaseByKey.remove(key);
         if (change.hasNonNull("hold")) {
-          attached.put(key, change.get("hold").longValue());
+          leaseByKey.put(key, change.get("hold").longValue());
         }
       } else {
-        keys.remove(change.get("delete").textValue());
-        attached.remove(change.get("delete").textValue());
+        entries.remove(change.get("delete").textValue());
+        leaseByKey.remove(change.get("delete").textValue());
       }
-      history.add(((ObjectNode) change.deepCopy()).put("stamp", epoch));
+      history.add(((ObjectNode) change.deepCopy()).put("stamp", revision));
     }
     notifyAll();
   }
 
-  private void expire() {
+  private void expireLeases() {
     long now = System.nanoTime() / 1_000_000;
-    for (Map.Entry<String, Long> entry : Map.copyOf(attached).entrySet()) {
-      if (holdEnds.getOrDefault(entry.getValue(), 0L) < now) {
-        commit(
-            PACK.createObjectNode()
-                .set("then", PACK.createArrayNode().add(removal(entry.getKey()))));
+    for (Map.Entry<String, Long> entry : Map.copyOf(leaseByKey).entrySet()) {
+      if (leaseExpiry.getOrDefault(entry.getValue(), 0L) < now) {
+        applyCommit(
+            MSGPACK
+                .createObjectNode()
+                .set("then", MSGPACK.createArrayNode().add(deletion(entry.getKey()))));
       }
     }
   }
 
-  private static ObjectNode removal(String key) {
-    return PACK.createObjectNode().put("delete", key);
+  private static ObjectNode deletion(String key) {
+    return MSGPACK.createObjectNode().put("delete", key);
   }
 
-  private synchronized int lease(String method, String path, byte[] body, ObjectNode answer)
+  private synchronized int handleLease(String method, String path, byte[] body, ObjectNode answer)
       throws IOException {
     long now = System.nanoTime() / 1_000_000;
     String[] parts = path.split("/");
-    long hold = parts.length > 2 ? Long.parseLong(parts[2]) : holdTimes.size() + 1;
+    long lease = parts.length > 2 ? Long.parseLong(parts[2]) : leaseDuration.size() + 1;
     if (parts.length == 2) {
-      holdTimes.put(hold, PACK.readTree(body).get("ttl_ms").longValue());
-    } else if (holdEnds.getOrDefault(hold, 0L) < now) {
+      leaseDuration.put(lease, MSGPACK.readTree(body).get("ttl_ms").longValue());
+    } else if (leaseExpiry.getOrDefault(lease, 0L) < now) {
       return 404;
     }
-    holdEnds.put(hold, method.equals("DELETE") ? 0 : now + holdTimes.get(hold));
-    expire();
-    answer.put("hold", hold);
+    leaseExpiry.put(lease, method.equals("DELETE") ? 0 : now + leaseDuration.get(lease));
+    expireLeases();
+    answer.put("hold", lease);
     return 200;
   }
 
-  private synchronized void watch(Map<String, String> query, ObjectNode answer) {
+  private synchronized void handleWatch(Map<String, String> query, ObjectNode answer) {
     long end = System.nanoTime() / 1_000_000 + Long.parseLong(query.get("hold_ms"));
     long from = Long.parseLong(query.get("from"));
-    ArrayNode news = answer.putArray("news");
+    ArrayNode changes = answer.putArray("news");
     while (true) {
-      expire();
+      expireLeases();
       for (int i = history.size() - 1; i >= 0; i--) {
         ObjectNode change = history.get(i);
         if (change.get("stamp").longValue() <= from) {
@@ -181,12 +182,12 @@
         }
         String key = change.path(change.has("set") ? "set" : "delete").textValue();
         if (key.startsWith(query.get("starts"))) {
-          news.insert(0, change);
+          changes.insert(0, change);
         }
       }
       long left = end - System.nanoTime() / 1_000_000;
-      if (!news.isEmpty() || left <= 0) {
-        answer.put("epoch", epoch);
+      if (!changes.isEmpty() || left <= 0) {
+        answer.put("epoch", revision);
         return;
       }
       try {
@@ -198,26 +199,26 @@
     }
   }
 
-  private synchronized void page(Map<String, String> query, ObjectNode answer) {
-    String starts = query.get("starts");
-    String from = query.getOrDefault("from", starts);
-    ArrayNode entries = answer.putArray("entries");
+  private synchronized void handlePageRead(Map<String, String> query, ObjectNode answer) {
+    String prefix = query.get("starts");
+    String from = query.getOrDefault("from", prefix);
+    ArrayNode page = answer.putArray("entries");
     int bytes = 0;
     boolean more = false;
-    for (Map.Entry<String, Kept> entry :
-        keys.tailMap(from, !query.containsKey("from")).entrySet()) {
-      if (!entry.getKey().startsWith(starts)) {
+    for (Map.Entry<String, StoredEntry> entry :
+        entries.tailMap(from, !query.containsKey("from")).entrySet()) {
+      if (!entry.getKey().startsWith(prefix)) {
         break;
       }
       bytes += entry.getValue().value().toString().length();
-      if (entries.size() >= Integer.parseInt(query.get("limit")) || bytes > PAGE_BYTES) {
+      if (page.size() >= Integer.parseInt(query.get("limit")) || bytes > MAX_PAGE_BYTES) {
         more = true;
         break;
       }
-      ObjectNode item = entries.addObject().put("k", entry.getKey());
+      ObjectNode item = page.addObject().put("k", entry.getKey());
       item.set("value", entry.getValue().value());
-      item.put("stamp", entry.getValue().stamp());
+      item.put("stamp", entry.getValue().revision());
     }
-    answer.put("more", more).put("epoch", epoch);
+    answer.put("more", more).put("epoch", revision);
   }
 }
--- a/src/test/java/org/oakwalk/daemon/NodeTest.java
+++ b/src/test/java/org/oakwalk/daemon/NodeTest.java
@@ -27,25 +27,28 @@
  * 503, so all that a node says without them can be checked without waiting for anything.
  */
 class NodeTest {
-  private static final ObjectMapper PACK = new ObjectMapper(new MessagePackFactory());
+  private static final ObjectMapper MSGPACK = new ObjectMapper(new MessagePackFactory());
 
   @TempDir private Path folder;
   private final HttpClient client = HttpClient.newHttpClient();
-  private HttpServer outside;
+  private HttpServer unavailableServices;
   private Daemon node;
 
   @BeforeEach
   void start() throws Exception {
-    outside = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
-    outside.createContext(
+    unavailableServices = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 0);
+    unavailableServices.createContext(
         "/",
         exchange -> {
           exchange.sendResponseHeaders(503, -1);
           exchange.close();
         });
-    outside.start();
-    String there = "127.0.0.1:" + outside.getAddress().getPort() + "\"";
-    String toml = SettingsTest.TOML.replace("127.0.0.1:1\"", there).replace("127.0.0.1:2\"", there);
+    unavailableServices.start();
+    String address = "127.0.0.1:" + unavailableServices.getAddress().getPort() + "\"";
+    String toml =
+        SettingsTest.PLATFORM_TOML
+            .replace("127.0.0.1:1\"", address)
+            .replace("127.0.0.1:2\"", address);
     Path file = Files.writeString(folder.resolve("settings.toml"), toml);
     node = new Daemon(PlatformSettings.read(file), Policy.defaults());
   }
@@ -53,12 +56,12 @@
   @AfterEach
   void stop() {
     node.close();
-    outside.stop(0);
+    unavailableServices.stop(0);
   }
 
   private HttpResponse<byte[]> send(String method, String path, byte[] body) throws Exception {
     return client.send(
-        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + node.frontPort() + path))
+        HttpRequest.newBuilder(URI.create("http://127.0.0.1:" + node.clientPort() + path))
             .method(
                 method,
                 body == null
@@ -73,7 +76,7 @@
   }
 
   @Test
-  void refusesWhatHasNoPlace() throws Exception {
+  void unknownPathsAndMethodsAreRejected() throws Exception {
     assertThat(status("GET", "/nowhere")).isEqualTo(404);
     assertThat(status("GET", "/v2/runs/j-1/other")).isEqualTo(404);
     assertThat(status("GET", "/v2/runs")).isEqualTo(405);
@@ -84,15 +87,15 @@
   }
 
   @Test
-  void refusesWhatIsMalformed() throws Exception {
+  void malformedBodiesAreRejected() throws Exception {
     byte[] noise = "hello".getBytes(StandardCharsets.UTF_8);
     assertThat(send("POST", "/v2/runs", noise).statusCode()).isEqualTo(400);
     assertThat(send("POST", "/hello", noise).statusCode()).isEqualTo(400);
   }
 
   @Test
-  void refusesALargeBodyWithoutReadingItAll() throws Exception {
-    try (Socket socket = new Socket("127.0.0.1", node.frontPort())) {
+  void oversizedBodyIsRejectedBeforeItsEnd() throws Exception {
+    try (Socket socket = new Socket("127.0.0.1", node.clientPort())) {
       StringBuilder text =
           new StringBuilder(
               "POST /v2/runs HTTP/1.1\r\nHost: x\r\nTransfer-Encoding: chunked\r\n\r\n");
@@ -106,7 +109,7 @@
   }
 
   @Test
-  void sendsUsersAwayWhileTheStateServiceIsGone() throws Exception {
+  void userRequestsGet503WithoutStateService() throws Exception {
     HttpResponse<byte[]> answer = send("GET", "/v2/runs/j-000001", null);
     assertThat(answer.statusCode()).isEqualTo(503);
     assertThat(answer.headers().firstValue("Retry-After")).contains("1");
@@ -115,9 +118,9 @@
   }
 
   @Test
-  void sendsWorkersAwayWhileNobodyLeads() throws Exception {
+  void workerReportsGet421WithoutLeader() throws Exception {
     byte[] report =
-        PACK.writeValueAsBytes(
+        MSGPACK.writeValueAsBytes(
             new ObjectMapper()
                 .readTree(
                     "{\"host\":\"host-1\",\"addr\":\"127.0.0.1:1\",\"flavor\":\"g\","
@@ -125,7 +128,7 @@
                         + "\"baton\":0,\"pieces\":[]}"));
     HttpResponse<byte[]> answer = send("POST", "/hello", report);
     assertThat(answer.statusCode()).isEqualTo(421);
-    assertThat(PACK.readTree(answer.body()).has("boss")).isFalse();
+    assertThat(MSGPACK.readTree(answer.body()).has("boss")).isFalse();
   }
 
   /**
@@ -134,14 +137,14 @@
    * for memory one after the other.
    */
   @Test
-  void aConnectionTakesLittleMemory() throws Exception {
+  void memoryPerConnectionIsBounded() throws Exception {
     int count = 200;
     status("GET", "/ready");
     long before = usedHeap();
     List<Socket> sockets = new ArrayList<>();
     try {
       for (int i = 0; i < count; i++) {
-        Socket socket = new Socket("127.0.0.1", node.frontPort());
+        Socket socket = new Socket("127.0.0.1", node.clientPort());
         sockets.add(socket);
         String request =
             "POST /hello HTTP/1.1\r\nHost: x\r\nContent-Type: application/msgpack\r\n"
--- a/src/test/java/org/oakwalk/daemon/ProductFileTest.java
+++ b/src/test/java/org/oakwalk/daemon/ProductTermsReaderTest.java
@@ -22,20 +22,21 @@
 import org.oakwalk.core.product.ProductTerms;
 
 /** What operators declare of dawns, headroom and exchanges: read, checked, refused in one line. */
-class ProductFileTest {
+class ProductTermsReaderTest {
   @TempDir private Path folder;
 
-  private Settings settings() throws Exception {
-    return PlatformSettings.read(Files.writeString(folder.resolve("platform"), SettingsTest.TOML))
+  private Settings platformSettings() throws Exception {
+    return PlatformSettings.read(
+            Files.writeString(folder.resolve("platform"), SettingsTest.PLATFORM_TOML))
         .core();
   }
 
-  private Path file(String text) throws Exception {
+  private Path policyFile(String text) throws Exception {
     return Files.writeString(folder.resolve("policy"), text.replace(';', '\n'));
   }
 
   @Test
-  void theExampleHoldsEveryField() throws Exception {
+  void exampleFileSetsEveryField() throws Exception {
     ProductTerms terms = PolicyFile.read(Path.of("deploy/product.example.hcl")).product();
     assertThat(terms)
         .isEqualTo(
@@ -86,9 +87,9 @@
   }
 
   @Test
-  void theGeneralOneFitsAnyDeployment() throws Exception {
+  void generalFileIsValidForAnyDeployment() throws Exception {
     Path file = Path.of("deploy/product.hcl");
-    PolicyFile.check(file, PolicyFile.read(file), settings());
+    PolicyFile.validate(file, PolicyFile.read(file), platformSettings());
     ProductTerms terms = PolicyFile.read(file).product();
     assertThat(terms.dawns()).hasSize(1);
     assertThat(terms.headrooms()).extracting(HeadroomTerms::team).containsExactly(Optional.empty());
@@ -96,9 +97,9 @@
   }
 
   @Test
-  void withoutBlocksNothingIsDeclaredAndAVersionAloneEndsIt() throws Exception {
-    assertThat(PolicyFile.read(file("score {; alpha = 0.3; }\n")).product().none()).isTrue();
-    assertThat(PolicyFile.read(file("product {; version = 7; }\n")).product())
+  void versionAloneDeclaresEmptyTerms() throws Exception {
+    assertThat(PolicyFile.read(policyFile("score {; alpha = 0.3; }\n")).product().none()).isTrue();
+    assertThat(PolicyFile.read(policyFile("product {; version = 7; }\n")).product())
         .isEqualTo(new ProductTerms(7, List.of(), List.of(), List.of()));
   }
 
@@ -137,11 +138,11 @@
         "exchange \"x\" {; teams = [\"nobody\"]; } | exchange \"x\": unknown team nobody",
         "exchange \"x\" {; takers = \"a\"; } | exchange \"x\": takers is not a list"
       })
-  void refusesInOneLine(String text, String reason) throws Exception {
-    Path file = file(text + "\n");
-    Settings settings = settings();
-    assertThatThrownBy(() -> PolicyFile.check(file, PolicyFile.read(file), settings))
-        .isInstanceOf(BadSettings.class)
+  void invalidBlockIsRejectedWithAOneLineReason(String text, String reason) throws Exception {
+    Path file = policyFile(text + "\n");
+    Settings settings = platformSettings();
+    assertThatThrownBy(() -> PolicyFile.validate(file, PolicyFile.read(file), settings))
+        .isInstanceOf(InvalidSettingsException.class)
         .hasMessageContaining(reason)
         .hasMessageContaining(file.toString())
         .message()
@@ -150,14 +151,14 @@
 
   /** What does not fit into a stored value is refused before anything is stored. */
   @Test
-  void refusesMoreThanAValueHolds() throws Exception {
+  void termsLargerThanAStoredValueAreRejected() throws Exception {
     StringBuilder text = new StringBuilder("dawn \"x\" {; every_s = 60; classes = [");
     for (int i = 0; i < 60; i++) {
       text.append('"').append("class-".repeat(12)).append(i).append("\", ");
     }
-    Path file = file(text.append("\"last\"]; }\n").toString());
-    Settings settings = settings();
-    assertThatThrownBy(() -> PolicyFile.check(file, PolicyFile.read(file), settings))
+    Path file = policyFile(text.append("\"last\"]; }\n").toString());
+    Settings settings = platformSettings();
+    assertThatThrownBy(() -> PolicyFile.validate(file, PolicyFile.read(file), settings))
         .hasMessageContaining("bytes of a value");
   }
 }
--- a/src/test/java/org/oakwalk/daemon/SettingsTest.java
+++ b/src/test/java/org/oakwalk/daemon/SettingsTest.java
@@ -15,7 +15,7 @@
 
 /** The platform's file and the operators' file: read, checked, and refused with a reason. */
 class SettingsTest {
-  static final String TOML =
+  static final String PLATFORM_TOML =
       """
       node = "n-0"
       domain = "a"
@@ -58,13 +58,13 @@
 
   @TempDir private Path folder;
 
-  private Path file(String text) throws IOException {
+  private Path settingsFile(String text) throws IOException {
     return Files.writeString(folder.resolve("settings"), text);
   }
 
   @Test
-  void readsThePlatformsFile() throws Exception {
-    PlatformSettings settings = PlatformSettings.read(file(TOML));
+  void platformFileIsRead() throws Exception {
+    PlatformSettings settings = PlatformSettings.read(settingsFile(PLATFORM_TOML));
     assertThat(settings.core().workers().lease()).isEqualTo(Span.seconds(20));
     assertThat(settings.core().teams().get("crew").cpusMax()).isEqualTo(2);
     assertThat(settings.core().objectives().get(0).jobClass()).isEqualTo("web");
@@ -89,33 +89,34 @@
         "name = \"crew\" | name = [] | facts.teams[0].name",
         "fd_limit = 1200 | fd_limit = 12 | facts.quota.fd_limit"
       })
-  void namesFileAndField(String good, String bad, String field) throws Exception {
-    Path file = file(TOML.replace(good, bad));
+  void invalidPlatformFieldIsNamed(String good, String bad, String field) throws Exception {
+    Path file = settingsFile(PLATFORM_TOML.replace(good, bad));
     assertThatThrownBy(() -> PlatformSettings.read(file))
-        .isInstanceOf(BadSettings.class)
+        .isInstanceOf(InvalidSettingsException.class)
         .hasMessageContaining(file.toString())
         .hasMessageContaining("field " + field + " ");
   }
 
   @Test
-  void saysWhenThereIsNoFileOrNoToml() throws Exception {
-    Path broken = file("node = ");
-    assertThatThrownBy(() -> PlatformSettings.read(broken)).isInstanceOf(BadSettings.class);
+  void missingFileAndInvalidTomlAreRejected() throws Exception {
+    Path broken = settingsFile("node = ");
+    assertThatThrownBy(() -> PlatformSettings.read(broken))
+        .isInstanceOf(InvalidSettingsException.class);
     assertThatThrownBy(() -> PlatformSettings.read(folder.resolve("none")))
         .hasMessageContaining("no such file");
   }
 
   @Test
-  void readsTheOperatorsFile() throws Exception {
+  void policyFileOverridesDefaults() throws Exception {
     Policy policy =
-        PolicyFile.read(file("score {\n  alpha = 0.4\n}\nrounds {\n  period_s = 1\n}\n"));
+        PolicyFile.read(settingsFile("score {\n  alpha = 0.4\n}\nrounds {\n  period_s = 1\n}\n"));
     assertThat(policy.scoring().alpha()).isEqualTo(0.4);
     assertThat(policy.round()).isEqualTo(Span.seconds(1));
     assertThat(policy.hosts()).isEqualTo(Policy.defaults().hosts());
   }
 
   @Test
-  void theExampleHoldsTheDefaults() throws Exception {
+  void exampleFileEqualsTheDefaults() throws Exception {
     assertThat(PolicyFile.read(Path.of("deploy/policy.example.hcl"))).isEqualTo(Policy.defaults());
   }
 
@@ -130,10 +131,10 @@
         "score { alpha = \"x\" } | score.alpha",
         "score = 3 | score"
       })
-  void refusesWhatItDoesNotKnow(String text, String field) throws Exception {
-    Path file = file(text + "\n");
+  void invalidPolicyFieldIsNamed(String text, String field) throws Exception {
+    Path file = settingsFile(text + "\n");
     assertThatThrownBy(() -> PolicyFile.read(file))
-        .isInstanceOf(BadSettings.class)
+        .isInstanceOf(InvalidSettingsException.class)
         .hasMessageContaining(field);
   }
 }
--- a/src/test/java/org/oakwalk/daemon/QuestionsLoadTest.java
+++ b/src/test/java/org/oakwalk/daemon/StatusReadLoadTest.java
@@ -41,17 +41,17 @@
  * test -Dtest=QuestionsLoadTest -Dload=true}.
  */
 @EnabledIfSystemProperty(named = "load", matches = "true")
-class QuestionsLoadTest {
+class StatusReadLoadTest {
   private static final int JOBS = 10_000;
   private static final int NODES = 3;
-  private static final int RATE = 250;
-  private static final int EVERY_MILLIS = 5_000;
-  private static final int SECONDS = 90;
+  private static final int REQUESTS_PER_SECOND = 250;
+  private static final int POLL_INTERVAL_MILLIS = 5_000;
+  private static final int TEST_SECONDS = 90;
   private static final int CLIENTS = 192;
 
   @TempDir private Path folder;
 
-  private static JobSpec job(int number) {
+  private static JobSpec jobSpec(int number) {
     return new JobSpec(
         new JobId(String.format("j-%06d", number)),
         "batch",
@@ -79,7 +79,7 @@
     }
   }
 
-  private Daemon node(int index, int[] ports, String state) throws Exception {
+  private Daemon startNode(int index, int[] ports, String state) throws Exception {
     StringBuilder members = new StringBuilder();
     for (int i = 0; i < NODES; i++) {
       members.append(
@@ -88,26 +88,26 @@
               i, ports[i]));
     }
     String toml =
-        SettingsTest.TOML
+        SettingsTest.PLATFORM_TOML
             .replace("\"n-0\"", "\"n-" + index + "\"")
             .replace(
                 "cluster_listen = \"127.0.0.1:0\"",
                 "cluster_listen = \"127.0.0.1:" + ports[index] + "\"")
             .replaceAll("(?s)\\[\\[members.*?\\[outside", members + "[outside")
             .replace("127.0.0.1:2\"", state + "\"")
-            .replace("rps = 80.0", "rps = " + RATE + ".0");
+            .replace("rps = 80.0", "rps = " + REQUESTS_PER_SECOND + ".0");
     Path file = Files.writeString(folder.resolve("n-" + index), toml);
     return new Daemon(PlatformSettings.read(file), Policy.defaults());
   }
 
   @Test
-  void everyQuestionIsAnsweredWithinTheRateOfTheStateService() throws Exception {
+  void statusReadsStayWithinTheStateServiceRate() throws Exception {
     List<Daemon> nodes = new ArrayList<>();
-    try (StoreStandIn store = new StoreStandIn()) {
+    try (FakeStateService store = new FakeStateService()) {
       for (int i = 0; i < JOBS; i++) {
-        JobRecord record = new JobRecord(job(i), JobRecord.Phase.OPEN, new WallTime(0));
+        JobRecord record = new JobRecord(jobSpec(i), JobRecord.Phase.OPEN, new WallTime(0));
         Change put = new Change.Put(StoreKeys.job(record.spec().id()), record, Optional.empty());
-        store.commit(
+        store.applyCommit(
             StateCodec.encode(
                     new Request.Commit(List.of(), List.of(put), Request.Urgency.ACCEPTANCE))
                 .body());
@@ -117,7 +117,7 @@
         ports[i] = freePort();
       }
       for (int i = 0; i < NODES; i++) {
-        nodes.add(node(i, ports, store.address()));
+        nodes.add(startNode(i, ports, store.address()));
       }
       ask(nodes, store);
     } finally {
@@ -126,55 +126,57 @@
   }
 
   /** What became of the questions of all users. */
-  private static final class Outcome {
-    private final long began = System.nanoTime() / 1_000_000;
-    private final AtomicLongArray answered = new AtomicLongArray(JOBS);
-    private final AtomicLongArray longest = new AtomicLongArray(JOBS);
-    private final AtomicInteger asked = new AtomicInteger();
-    private final AtomicInteger inVain = new AtomicInteger();
-    private final Histogram took = new ConcurrentHistogram(2);
+  private static final class LoadResult {
+    private final long startMillis = System.nanoTime() / 1_000_000;
+    private final AtomicLongArray lastAnswerAt = new AtomicLongArray(JOBS);
+    private final AtomicLongArray longestGap = new AtomicLongArray(JOBS);
+    private final AtomicInteger requests = new AtomicInteger();
+    private final AtomicInteger failures = new AtomicInteger();
+    private final Histogram latency = new ConcurrentHistogram(2);
 
-    long now() {
-      return System.nanoTime() / 1_000_000 - began;
+    long elapsedMillis() {
+      return System.nanoTime() / 1_000_000 - startMillis;
     }
 
-    void answer(int job, long sent, boolean good) {
-      asked.incrementAndGet();
+    void recordRequest(int job, long sent, boolean good) {
+      requests.incrementAndGet();
       if (good) {
-        long at = now();
-        took.recordValue(at - sent);
-        longest.accumulateAndGet(job, at - answered.getAndSet(job, at), Math::max);
+        long at = elapsedMillis();
+        latency.recordValue(at - sent);
+        longestGap.accumulateAndGet(job, at - lastAnswerAt.getAndSet(job, at), Math::max);
       } else {
-        inVain.incrementAndGet();
+        failures.incrementAndGet();
       }
     }
 
     /** The longest time that some job went without an answered question. */
-    long longest() {
+    long longestGapMillis() {
       return IntStream.range(0, JOBS)
-          .mapToLong(i -> Math.max(longest.get(i), now() - answered.get(i)))
+          .mapToLong(i -> Math.max(longestGap.get(i), elapsedMillis() - lastAnswerAt.get(i)))
           .max()
           .orElse(0);
     }
   }
 
   /** Asks about some of the jobs in turn, each every 5 s, over one connection at a time. */
-  private static void ask(int first, int port, Outcome outcome) {
+  private static void ask(int first, int port, LoadResult outcome) {
     Socket socket = null;
     int step = 0;
-    while (outcome.now() < SECONDS * 1000L) {
+    while (outcome.elapsedMillis() < TEST_SECONDS * 1000L) {
       int job = first + step * CLIENTS;
       if (job >= JOBS) {
         step = 0;
         continue;
       }
-      long due = (outcome.now() / EVERY_MILLIS) * EVERY_MILLIS + (long) EVERY_MILLIS * job / JOBS;
+      long due =
+          (outcome.elapsedMillis() / POLL_INTERVAL_MILLIS) * POLL_INTERVAL_MILLIS
+              + (long) POLL_INTERVAL_MILLIS * job / JOBS;
       step++;
-      long sent = outcome.now();
+      long sent = outcome.elapsedMillis();
       boolean good = false;
       try {
         Thread.sleep(Math.max(0, due - sent));
-        sent = outcome.now();
+        sent = outcome.elapsedMillis();
         if (socket == null) {
           socket = new Socket("127.0.0.1", port);
           socket.setTcpNoDelay(true);
@@ -199,33 +201,33 @@
       } catch (InterruptedException e) {
         return;
       }
-      outcome.answer(job, sent, good);
+      outcome.recordRequest(job, sent, good);
     }
   }
 
-  private static void ask(List<Daemon> nodes, StoreStandIn store) throws Exception {
-    int before = store.requests();
-    Outcome outcome = new Outcome();
+  private static void ask(List<Daemon> nodes, FakeStateService store) throws Exception {
+    int before = store.requestCount();
+    LoadResult outcome = new LoadResult();
     List<Thread> clients = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
       int first = i;
-      int port = nodes.get(i % nodes.size()).frontPort();
+      int port = nodes.get(i % nodes.size()).clientPort();
       clients.add(new Thread(() -> ask(first, port, outcome)));
     }
     clients.forEach(Thread::start);
     for (Thread client : clients) {
       client.join();
     }
-    double rate = (store.requests() - before) / (double) SECONDS;
+    double rate = (store.requestCount() - before) / (double) TEST_SECONDS;
     System.out.printf(
         "asked %d, in vain %d, p50 %d ms, p99 %d ms, longest unanswered %d ms, store %.1f/s%n",
-        outcome.asked.get(),
-        outcome.inVain.get(),
-        outcome.took.getValueAtPercentile(50),
-        outcome.took.getValueAtPercentile(99),
-        outcome.longest(),
+        outcome.requests.get(),
+        outcome.failures.get(),
+        outcome.latency.getValueAtPercentile(50),
+        outcome.latency.getValueAtPercentile(99),
+        outcome.longestGapMillis(),
         rate);
-    assertThat(rate).isLessThan(RATE);
-    assertThat(outcome.longest()).isLessThan(75_000);
+    assertThat(rate).isLessThan(REQUESTS_PER_SECOND);
+    assertThat(outcome.longestGapMillis()).isLessThan(75_000);
   }
 }
