--- a/src/main/java/org/oakwalk/cli/ExperimentCommand.java
+++ b/src/main/java/org/oakwalk/cli/ExperimentCommand.java
@@ -45,7 +45,7 @@
   @Option(
       names = "--seeds",
       paramLabel = "A-B",
-      description = "With --draw: runs all seeds from A to B instead of one.")
+      description = "Generates faults from each seed from A to B instead of from one.")
   private String seedRange;
 
   @Option(names = "--roll", description = "With --draw: replaces all machines during the run.")
--- a/src/main/java/org/oakwalk/daemon/Daemon.java
+++ b/src/main/java/org/oakwalk/daemon/Daemon.java
@@ -45,7 +45,7 @@
     caller =
         new HttpCaller(
             threads, scheduler, buffers, settings.socketBudget(), settings.peers().values());
-    Outside outside =
+    Outside outbound =
         new Outside(
             caller,
             new Outside.Addresses(
@@ -63,7 +63,7 @@
             settings.peerListenAddress(),
             settings.socketBudget(),
             loop::offer);
-    loop.connect(outside, listener);
+    loop.connect(outbound, listener);
     listener.start();
     thread = new Thread(loop, "core");
     thread.start();
--- a/src/main/java/org/oakwalk/daemon/ProductTermsReader.java
+++ b/src/main/java/org/oakwalk/daemon/ProductTermsReader.java
@@ -242,7 +242,7 @@
       }
     }
     double cpuLimit = headroom.team().map(team -> settings.teams().get(team).cpusMax()).orElse(0.0);
-    // The size of a replica is unknown until one is submitted; few replicas use less than one CPU.
+    // The size of a replica is unknown until one exists; few replicas use less than one CPU.
     if (cpuLimit > 0 && headroom.replicas() > cpuLimit) {
       throw new InvalidSettingsException(
           file + ": " + name + ": more replicas than the team's CPU limit of " + cpuLimit);
--- a/src/test/java/org/oakwalk/daemon/FakeStateService.java
+++ b/src/test/java/org/oakwalk/daemon/FakeStateService.java
@@ -38,7 +38,7 @@
   private long revision;
 
   static {
-    // Without it each answer waits up to 40 ms for a delayed TCP acknowledgement.
+    // Without this setting each answer waits up to 40 ms for a delayed TCP acknowledgement.
     System.setProperty("sun.net.httpserver.nodelay", "true");
   }
 
