--- a/src/test/java/org/oakwalk/daemon/FakeStateService.java
+++ b/src/test/java/org/oakwalk/daemon/FakeStateService.java
@@ -25,11 +25,11 @@
   private static final ObjectMapper MSGPACK = new ObjectMapper(new MessagePackFactory());
   private static final int MAX_PAGE_BYTES = 512 * 1024;
 
-  private record StoredEntry(JsonNode value, long revision) {}
+  private record RevisionedValue(JsonNode value, long revision) {}
 
   private final HttpServer server = HttpServer.create(new InetSocketAddress("127.0.0.1", 0), 256);
   private final ExecutorService handlers = Executors.newCachedThreadPool();
-  private final TreeMap<String, StoredEntry> entries = new TreeMap<>();
+  private final TreeMap<String, RevisionedValue> entries = new TreeMap<>();
   private final List<ObjectNode> history = new ArrayList<>();
   private final Map<String, Long> leaseByKey = new HashMap<>();
   private final Map<Long, Long> leaseExpiry = new HashMap<>();
@@ -104,7 +104,7 @@
     expireLeases();
     ArrayNode failed = MSGPACK.createArrayNode();
     for (JsonNode guard : commit.path("guards")) {
-      StoredEntry entry = entries.get(guard.get("k").textValue());
+      RevisionedValue entry = entries.get(guard.get("k").textValue());
       if ((entry == null ? 0 : entry.revision()) != guard.get("stamp").longValue()) {
         failed.add(guard.get("k"));
       }
@@ -123,7 +123,7 @@
     for (JsonNode change : commit.path("then")) {
       if (change.has("set")) {
         String key = change.get("set").textValue();
-        entries.put(key, new StoredEntry(change.get("value"), revision));
+        entries.put(key, new RevisionedValue(change.get("value"), revision));
         leaseByKey.remove(key);
         if (change.hasNonNull("hold")) {
           leaseByKey.put(key, change.get("hold").longValue());
@@ -205,7 +205,7 @@
     ArrayNode page = answer.putArray("entries");
     int bytes = 0;
     boolean more = false;
-    for (Map.Entry<String, StoredEntry> entry :
+    for (Map.Entry<String, RevisionedValue> entry :
         entries.tailMap(from, !query.containsKey("from")).entrySet()) {
       if (!entry.getKey().startsWith(prefix)) {
         break;
