--- a/src/main/java/org/oakwalk/cli/CheckCommand.java
+++ b/src/main/java/org/oakwalk/cli/CheckCommand.java
@@ -7,10 +7,10 @@
 import picocli.CommandLine.ParentCommand;
 import picocli.CommandLine.Spec;
 
-/** Reads the settings, says whether they can be used, and ends. */
+/** Validates the settings files and exits. */
 @Command(
     name = "check",
-    description = "Checks the settings files and exits.",
+    description = "Validates the settings files and exits.",
     mixinStandardHelpOptions = true)
 final class CheckCommand implements Callable<Integer> {
   @ParentCommand private Main main;
@@ -19,9 +19,11 @@
 
   @Override
   public Integer call() throws Exception {
-    PlatformSettings settings = main.settings();
-    main.policy(settings);
-    spec.commandLine().getOut().println("settings of node " + settings.core().node() + " are fine");
+    PlatformSettings settings = main.loadSettings();
+    main.loadPolicy(settings);
+    spec.commandLine()
+        .getOut()
+        .println("settings of node " + settings.core().node() + " are valid");
     return 0;
   }
 }
--- a/src/main/java/org/oakwalk/cli/ExperimentCommand.java
+++ b/src/main/java/org/oakwalk/cli/ExperimentCommand.java
@@ -9,7 +9,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.concurrent.Callable;
-import org.oakwalk.daemon.BadSettings;
+import org.oakwalk.daemon.InvalidSettingsException;
 import org.oakwalk.model.Draw;
 import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Queueing;
@@ -21,13 +21,13 @@
 import picocli.CommandLine.Parameters;
 import picocli.CommandLine.Spec;
 
-/** Plays scenarios on the model, so that operators can rehearse what they mean to do. */
+/** Runs scenarios in the simulator, so that operators can try out changes before applying them. */
 @Command(
     name = "experiment",
-    description = "Plays scenario files, or drawn troubles, on simulated machines.",
+    description = "Runs scenario files, or randomly generated faults, on simulated machines.",
     mixinStandardHelpOptions = true)
 final class ExperimentCommand implements Callable<Integer> {
-  private static final int NOT_HELD = 1;
+  private static final int EXIT_FAILED = 1;
 
   @Spec private CommandSpec spec;
 
@@ -39,93 +39,98 @@
       arity = "0..1",
       fallbackValue = "1",
       paramLabel = "SEED",
-      description = "Draws troubles from this seed instead of reading a file.")
-  private Integer draw;
+      description = "Generates faults from this seed instead of reading a file.")
+  private Integer seed;
 
   @Option(
       names = "--seeds",
       paramLabel = "A-B",
-      description = "With --draw: all seeds from A to B instead of one.")
-  private String seeds;
+      description = "Generates faults from each seed from A to B instead of from one.")
+  private String seedRange;
 
-  @Option(names = "--roll", description = "With --draw: all machines are replaced meanwhile.")
+  @Option(names = "--roll", description = "With --draw: replaces all machines during the run.")
   private boolean roll;
 
-  @Option(names = "--headroom", description = "With --draw: room is kept for replicas.")
+  @Option(
+      names = "--headroom",
+      description = "With --draw: reserves capacity for service replicas.")
   private boolean headroom;
 
   @Option(
       names = "--products",
-      description = "With --draw: dawn, headroom and exchange are all in use.")
+      description = "With --draw: enables dawns (batch deadlines), headroom and exchange.")
   private boolean products;
 
   @Option(
       names = "--meetings",
-      description = "With --draw: troubles that overlap, while users cancel.")
+      description = "With --draw: generates overlapping faults while users cancel jobs.")
   private boolean meetings;
 
   @Option(
       names = "--hunts",
-      description = "With --draw: meetings that operators hunt for, with teams at their limits.")
+      description =
+          "With --draw: generates fault combinations that operators test for, with teams at their"
+              + " limits.")
   private boolean hunts;
 
   @Option(
       names = "--csv",
       paramLabel = "FILE",
-      description = "Writes run, figure and value, a line each, to this file.")
-  private Path csv;
+      description = "Writes the figures to this file, one line of run, figure and value each.")
+  private Path csvFile;
 
   @Option(
       names = "--orders",
-      description = "Plays the same without dawns, and by the earliest deadline, as well.")
-  private boolean orders;
+      description =
+          "Also runs each scenario without dawns, and with earliest-deadline-first order.")
+  private boolean compareOrders;
 
-  @Option(names = "--quiet", description = "Prints only runs in which something did not hold.")
+  @Option(names = "--quiet", description = "Prints only runs in which a check failed.")
   private boolean quiet;
 
-  private final List<String> table = new ArrayList<>(List.of("run,figure,value"));
+  private final List<String> csvLines = new ArrayList<>(List.of("run,figure,value"));
 
   @Override
   public Integer call() throws Exception {
-    if (files.isEmpty() == (draw == null && seeds == null)) {
+    if (files.isEmpty() == (seed == null && seedRange == null)) {
       throw new CommandLine.ParameterException(
-          spec.commandLine(), "Either scenario files or --draw are needed");
+          spec.commandLine(), "Either scenario files or one of --draw and --seeds is required");
     }
-    boolean held = true;
+    boolean passed = true;
     for (Path file : files) {
-      held &= play(file.getFileName().toString(), read(file));
+      passed &= runScenario(file.getFileName().toString(), read(file));
     }
     if (files.isEmpty()) {
-      int[] range = range();
-      for (int seed = range[0]; seed <= range[1]; seed++) {
-        Draw troubles = new Draw(seed);
-        troubles = roll ? troubles.withRoll() : troubles;
-        troubles = headroom ? troubles.withHeadroom() : troubles;
-        troubles = products ? troubles.withProducts() : troubles;
-        troubles = meetings ? troubles.withMeetings() : troubles;
-        troubles = hunts ? troubles.withHunts() : troubles;
-        held &= play("seed " + seed, troubles.text());
+      int[] range = parseSeedRange();
+      for (int drawnSeed = range[0]; drawnSeed <= range[1]; drawnSeed++) {
+        Draw faults = new Draw(drawnSeed);
+        faults = roll ? faults.withRoll() : faults;
+        faults = headroom ? faults.withHeadroom() : faults;
+        faults = products ? faults.withProducts() : faults;
+        faults = meetings ? faults.withMeetings() : faults;
+        faults = hunts ? faults.withHunts() : faults;
+        passed &= runScenario("seed " + drawnSeed, faults.text());
       }
     }
-    if (csv != null) {
-      Files.write(csv, table);
+    if (csvFile != null) {
+      Files.write(csvFile, csvLines);
     }
-    return held ? 0 : NOT_HELD;
+    return passed ? 0 : EXIT_FAILED;
   }
 
-  private static String read(Path file) throws BadSettings {
+  private static String read(Path file) throws InvalidSettingsException {
     try {
       return Files.readString(file);
     } catch (IOException e) {
-      throw new BadSettings(file + ": can't be read: " + e.getMessage());
+      throw new InvalidSettingsException(file + ": can't be read: " + e.getMessage());
     }
   }
 
-  private int[] range() {
-    if (seeds == null) {
-      return new int[] {draw, draw};
+  private int[] parseSeedRange() {
+    if (seedRange == null) {
+      return new int[] {seed, seed};
     }
-    String[] ends = seeds.split("-", 2);
+    String[] ends = seedRange.split("-", 2);
     try {
       int first = Integer.parseInt(ends[0]);
       int last = ends.length == 1 ? first : Integer.parseInt(ends[1]);
@@ -133,28 +138,29 @@
         return new int[] {first, last};
       }
     } catch (NumberFormatException e) {
-      // Told below.
+      // Reported below.
     }
     throw new CommandLine.ParameterException(
-        spec.commandLine(), "--seeds takes two numbers, as in 1-100");
+        spec.commandLine(), "--seeds requires a number or an ascending range such as 1-100");
   }
 
-  private boolean play(String name, String text) throws BadSettings {
-    boolean held = play(name, text, Queueing.PLANNED);
-    if (orders) {
-      // What a scenario expects of a plan need not hold without one.
-      play(name + " by score alone", text, Queueing.PLAIN);
-      play(name + " by earliest deadline", text, Queueing.EARLIEST_DUE);
+  private boolean runScenario(String name, String text) throws InvalidSettingsException {
+    boolean passed = runScenario(name, text, Queueing.PLANNED);
+    if (compareOrders) {
+      // The scenario's expectations assume a plan, so the result of these runs is not a failure.
+      runScenario(name + " by score alone", text, Queueing.PLAIN);
+      runScenario(name + " by earliest deadline", text, Queueing.EARLIEST_DUE);
     }
-    return held;
+    return passed;
   }
 
-  private boolean play(String name, String text, Queueing order) throws BadSettings {
+  private boolean runScenario(String name, String text, Queueing queueing)
+      throws InvalidSettingsException {
     Outcome outcome;
     try {
-      outcome = new Scenario(text, order).play();
+      outcome = new Scenario(text, queueing).play();
     } catch (IllegalArgumentException e) {
-      throw new BadSettings(name + ": " + e.getMessage());
+      throw new InvalidSettingsException(name + ": " + e.getMessage());
     }
     PrintWriter out = spec.commandLine().getOut();
     if (!quiet || !outcome.held()) {
@@ -166,7 +172,7 @@
     }
     for (Map.Entry<String, Double> figure : outcome.figures().entrySet()) {
       String value = String.format(Locale.ROOT, "%.4f", figure.getValue());
-      table.add(name + "," + figure.getKey() + "," + value);
+      csvLines.add(name + "," + figure.getKey() + "," + value);
       if (!quiet) {
         out.println("  " + figure.getKey() + " " + value);
       }
--- a/src/main/java/org/oakwalk/cli/RehearseCommand.java
+++ b/src/main/java/org/oakwalk/cli/RehearseCommand.java
@@ -11,15 +11,16 @@
 import picocli.CommandLine.Command;
 
 /**
- * Starts a node that has nothing around it, asks it whether it is ready, and ends. The build does
- * this to note which classes a start needs, since a start's time is a failover's time.
+ * Starts a node without a state service, cloud or peers, sends it requests, and exits. The build
+ * runs this command to record the classes that a node loads at start, because start-up time adds to
+ * failover time.
  */
 @Command(
     name = "rehearse",
-    description = "Starts a node with nothing around it and ends (used by the build).",
+    description = "Starts a node without other services and exits (used by the build).",
     mixinStandardHelpOptions = true)
 final class RehearseCommand implements Callable<Integer> {
-  private static final String SETTINGS =
+  private static final String SETTINGS_TOML =
       """
       node = "rehearsal"
       domain = "none"
@@ -48,10 +49,10 @@
   public Integer call() throws Exception {
     Path file = Files.createTempFile("rehearsal", ".toml");
     try {
-      Files.writeString(file, SETTINGS);
+      Files.writeString(file, SETTINGS_TOML);
       try (Daemon daemon = new Daemon(PlatformSettings.read(file), Policy.defaults())) {
         for (String path : new String[] {"/ready", "/v2/runs/j-1"}) {
-          URI uri = URI.create("http://127.0.0.1:" + daemon.frontPort() + path);
+          URI uri = URI.create("http://127.0.0.1:" + daemon.clientPort() + path);
           HttpURLConnection connection = (HttpURLConnection) uri.toURL().openConnection();
           if (connection.getResponseCode() != HttpURLConnection.HTTP_UNAVAILABLE) {
             return 1;
--- a/src/main/java/org/oakwalk/daemon/EventLoop.java
+++ b/src/main/java/org/oakwalk/daemon/EventLoop.java
@@ -20,18 +20,21 @@
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
-/** The one thread in which the core runs: takes events, hands out effects, keeps time. */
+/**
+ * Runs the core in a single thread: takes events from a queue, passes them to the controller with
+ * the current time, carries out the resulting effects, and produces periodic ticks.
+ */
 final class EventLoop implements Runnable {
   private static final Logger LOG = LoggerFactory.getLogger(EventLoop.class);
-  private static final int LONGEST_QUEUE = 2000;
-  private static final long TICK_MILLIS = 50;
+  private static final int MAX_QUEUED_EVENTS = 2000;
+  private static final long TICK_INTERVAL_MILLIS = 50;
 
-  private final BlockingQueue<Object> queue = new ArrayBlockingQueue<>(LONGEST_QUEUE);
-  private final ConcurrentLinkedQueue<Runnable> answers = new ConcurrentLinkedQueue<>();
+  private final BlockingQueue<Object> queue = new ArrayBlockingQueue<>(MAX_QUEUED_EVENTS);
+  private final ConcurrentLinkedQueue<Runnable> callbacks = new ConcurrentLinkedQueue<>();
   private final Controller controller;
-  private final Histograms histograms = new Histograms(steadyMillis());
-  private final Map<InboundRequestId, Long> submissions = new HashMap<>();
-  private OutboundRequests outside;
+  private final LatencyHistograms histograms = new LatencyHistograms(monotonicMillis());
+  private final Map<InboundRequestId, Long> submissionTimes = new HashMap<>();
+  private OutboundRequests outbound;
   private HttpListener listener;
   private volatile boolean stopped;
 
@@ -39,94 +42,102 @@
     this.controller = controller;
   }
 
-  /** Connects the loop with the outside; to be called once, before it runs. */
-  void connect(OutboundRequests calls, HttpListener doors) {
-    outside = calls;
-    listener = doors;
+  /** Sets the outbound requests and the listener; must be called once before the loop runs. */
+  void connect(OutboundRequests outboundRequests, HttpListener httpListener) {
+    outbound = outboundRequests;
+    listener = httpListener;
   }
 
-  /** Takes an event from any thread; false if there are too many. */
+  /** Enqueues an event from any thread; returns false if the queue is full. */
   boolean offer(Event event) {
     return queue.offer(event);
   }
 
-  /** Runs something in the loop. Answers to own calls are bounded by the calls, so all fit. */
-  void later(Runnable task) {
-    answers.add(task);
+  /**
+   * Runs a task on the loop's thread. The callback queue needs no limit: each callback answers a
+   * call made by this node, and the number of open calls is bounded.
+   */
+  void execute(Runnable task) {
+    callbacks.add(task);
     queue.offer(Boolean.TRUE);
   }
 
+  /** Makes the loop end after its current iteration. */
   void stop() {
     stopped = true;
   }
 
-  static long steadyMillis() {
+  /** Returns the monotonic clock in milliseconds. */
+  static long monotonicMillis() {
     return System.nanoTime() / 1_000_000;
   }
 
   @Override
   public void run() {
-    long nextTick = steadyMillis();
+    long nextTick = monotonicMillis();
     while (!stopped) {
       try {
-        long now = steadyMillis();
+        long now = monotonicMillis();
         if (now >= nextTick) {
-          nextTick = now + TICK_MILLIS;
+          nextTick = now + TICK_INTERVAL_MILLIS;
           handle(new Event.Tick());
-          histograms.record(Histograms.Kind.ROUND, Span.millis(steadyMillis() - now));
-          histograms.tick(now);
+          histograms.record(
+              LatencyHistograms.LatencyMetric.ROUND, Span.millis(monotonicMillis() - now));
+          histograms.logIfDue(now);
         }
         Object next = queue.poll(Math.max(1, nextTick - now), TimeUnit.MILLISECONDS);
-        now = steadyMillis();
-        outside.setTime(now);
-        for (Runnable answer = answers.poll(); answer != null; answer = answers.poll()) {
-          answer.run();
+        now = monotonicMillis();
+        outbound.setTime(now);
+        for (Runnable callback = callbacks.poll(); callback != null; callback = callbacks.poll()) {
+          callback.run();
         }
         if (next instanceof Event event) {
-          if (event instanceof Event.UserRequestReceived asks
-              && asks.request() instanceof UserRequest.Submit) {
-            submissions.put(asks.requestId(), now);
+          if (event instanceof Event.UserRequestReceived userRequest
+              && userRequest.request() instanceof UserRequest.Submit) {
+            submissionTimes.put(userRequest.requestId(), now);
           }
           handle(event);
         }
-        outside.sendDue(steadyMillis());
+        outbound.sendDue(monotonicMillis());
       } catch (InterruptedException e) {
         return;
       } catch (RuntimeException e) {
-        // One event that can't be handled must not end the service.
-        LOG.error("event failed", e);
+        // A failure to handle one event must not stop the node.
+        LOG.error("event handling failed", e);
       }
     }
   }
 
-  private static Histograms.Kind kind(Effect.DurationMetric measure) {
-    return switch (measure) {
-      case QUEUE_WAIT -> Histograms.Kind.QUEUE_WAIT;
-      case FAILOVER -> Histograms.Kind.FAILOVER;
-      case REPLICA_GAP -> Histograms.Kind.REPLICA_GAP;
+  private static LatencyHistograms.LatencyMetric latencyMetric(Effect.DurationMetric metric) {
+    return switch (metric) {
+      case QUEUE_WAIT -> LatencyHistograms.LatencyMetric.QUEUE_WAIT;
+      case FAILOVER -> LatencyHistograms.LatencyMetric.FAILOVER;
+      case REPLICA_GAP -> LatencyHistograms.LatencyMetric.REPLICA_GAP;
     };
   }
 
   /**
-   * Hands an event to the core with the time as it is now. Were it the time at which the event
-   * came, a process that stood still in between would act on bounds that have long passed.
+   * Passes an event to the core with the current time. With the time of the event's arrival, a
+   * process that was suspended in between would act on time limits that have passed long ago.
    */
   private void handle(Event event) {
-    long now = steadyMillis();
+    long now = monotonicMillis();
     for (Effect effect :
         controller.handle(event, new Moment(now), new WallTime(System.currentTimeMillis()))) {
       if (effect instanceof Effect.Respond respond) {
-        Long since = submissions.remove(respond.requestId());
-        if (since != null && respond.response() instanceof Response.JobStatus) {
-          histograms.record(Histograms.Kind.ACCEPTANCE, Span.millis(steadyMillis() - since));
+        Long submittedAt = submissionTimes.remove(respond.requestId());
+        if (submittedAt != null && respond.response() instanceof Response.JobStatus) {
+          histograms.record(
+              LatencyHistograms.LatencyMetric.ACCEPTANCE,
+              Span.millis(monotonicMillis() - submittedAt));
         }
         listener.respond(respond.requestId(), respond.response());
       } else if (effect instanceof Effect.RecordDuration measured) {
-        histograms.record(kind(measured.metric()), measured.span());
+        histograms.record(latencyMetric(measured.metric()), measured.span());
       } else if (effect instanceof Effect.CancelCommands recall) {
-        outside.cancelCommands(recall.address());
+        outbound.cancelCommands(recall.address());
       } else if (effect instanceof Effect.Call call) {
-        outside.call(
+        outbound.call(
             call.request(), now, answer -> handle(new Event.CallAnswered(call.call(), answer)));
       }
     }
--- a/src/test/java/org/oakwalk/daemon/DrainFileTest.java
+++ b/src/test/java/org/oakwalk/daemon/DrainPolicyReaderTest.java
@@ -17,21 +17,22 @@
 import org.oakwalk.core.drain.DisruptionBudget;
 import org.oakwalk.core.drain.DrainPlan;
 
-/** What operators declare of plans and budgets: read, checked, and refused in one line. */
-class DrainFileTest {
+/** Reading and validation of {@code drain} and {@code budget} blocks. */
+class DrainPolicyReaderTest {
   @TempDir private Path folder;
 
-  private Settings settings() throws Exception {
-    return PlatformSettings.read(Files.writeString(folder.resolve("platform"), SettingsTest.TOML))
+  private Settings platformSettings() throws Exception {
+    return PlatformSettings.read(
+            Files.writeString(folder.resolve("platform"), SettingsTest.PLATFORM_TOML))
         .core();
   }
 
-  private Path file(String text) throws Exception {
+  private Path policyFile(String text) throws Exception {
     return Files.writeString(folder.resolve("policy"), text.replace(';', '\n'));
   }
 
   @Test
-  void theExampleHoldsEveryField() throws Exception {
+  void exampleFileSetsEveryField() throws Exception {
     Policy policy = PolicyFile.read(Path.of("deploy/drain.example.hcl"));
     assertThat(policy.drains().plans())
         .containsExactly(
@@ -57,10 +58,10 @@
   }
 
   @Test
-  void theRollIsForAnyTeam() throws Exception {
+  void wildcardBudgetAppliesToEachTeam() throws Exception {
     Policy policy = PolicyFile.read(Path.of("deploy/roll.hcl"));
-    PolicyFile.check(Path.of("deploy/roll.hcl"), policy, settings());
-    assertThat(policy.drains().budgetsFor(settings().teams().keySet()))
+    PolicyFile.validate(Path.of("deploy/roll.hcl"), policy, platformSettings());
+    assertThat(policy.drains().budgetsFor(platformSettings().teams().keySet()))
         .containsExactly(new DisruptionBudget("crew", Optional.empty(), 1, Optional.empty()));
   }
 
@@ -72,26 +73,26 @@
         "drain \"x\" {; stepp = 2; } | drain \"x\": unknown field stepp",
         "drain \"x\" {; step = 0; } | drain \"x\": step must be",
         "drain \"x\" {; step = 2.5; } | drain \"x\": step must be",
-        "drain \"x\" {; then = \"burn\"; } | drain \"x\": then is none of replace, return",
-        "drain \"x\" {; state = 7; } | drain \"x\": state is not text",
+        "drain \"x\" {; then = \"burn\"; } | drain \"x\": then must be one of replace, return",
+        "drain \"x\" {; state = 7; } | drain \"x\": state is not a string",
         "drain \"x\" {; zones = \"a\"; } | drain \"x\": zones is not a list",
         "drain \"x\" {; zones = [\"z\"]; } | drain \"x\": unknown zone z",
-        "drain \"x\" {; step = 1; }; drain \"x\" {; step = 2; } | drain \"x\" stands there twice",
-        "drain \"x y\" {; step = 1; } | other than letters",
-        "drain {; step = 1; } | drain is not a block with a name",
-        "drain = 3 | drain is not a block with a name",
+        "drain \"x\" {; step = 1; }; drain \"x\" {; step = 2; } | drain \"x\" is defined twice",
+        "drain \"x y\" {; step = 1; } | drain names must consist of 1 to 40 letters, digits or dashes",
+        "drain {; step = 1; } | drain must be a block with a name",
+        "drain = 3 | drain must be a block with a name",
         "budget \"nobody\" {; down = 1; } | budget \"nobody\": unknown team nobody",
         "budget \"crew\" {; down = 1.5; } | budget \"crew\": down must be",
         "budget \"crew\" {; up = 1; } | budget \"crew\": unknown field up",
-        "budget \"crew\" {; down = 1; }; budget \"crew\" {; down = 2; } | \"crew\" stands there twice",
+        "budget \"crew\" {; down = 1; }; budget \"crew\" {; down = 2; } | \"crew\" is defined twice",
         "drain \"x\" {; step = 1; }; budget \"crew\" {; down = 0; } | drain \"x\" can never end",
         "drain \"x\" {; step = 1; }; budget \"*\" {; stops_per_hour = 0; } | can never end"
       })
-  void refusesInOneLine(String text, String reason) throws Exception {
-    Path file = file(text + "\n");
-    Settings settings = settings();
-    assertThatThrownBy(() -> PolicyFile.check(file, PolicyFile.read(file), settings))
-        .isInstanceOf(BadSettings.class)
+  void invalidBlockIsRejectedWithAOneLineReason(String text, String reason) throws Exception {
+    Path file = policyFile(text + "\n");
+    Settings settings = platformSettings();
+    assertThatThrownBy(() -> PolicyFile.validate(file, PolicyFile.read(file), settings))
+        .isInstanceOf(InvalidSettingsException.class)
         .hasMessageContaining(reason)
         .hasMessageContaining(file.toString())
         .message()
--- a/src/test/java/org/oakwalk/daemon/QuestionsLoadTest.java
+++ b/src/test/java/org/oakwalk/daemon/StatusReadLoadTest.java
@@ -36,22 +36,22 @@
 import org.oakwalk.wire.StateServiceCodec;
 
 /**
- * Questions about ten thousand open jobs, each every 5 s, to nodes on loopback that have all just
- * started. It takes two minutes and most of the machine, so it runs only when asked for: {@code mvn
- * test -Dtest=QuestionsLoadTest -Dload=true}.
+ * Load test of status requests: users poll ten thousand open jobs, each every 5 s, on nodes on
+ * loopback that have all just started. The test takes two minutes and most of the machine's CPU, so
+ * it runs only on request: {@code mvn test -Dtest=StatusReadLoadTest -Dload=true}.
  */
 @EnabledIfSystemProperty(named = "load", matches = "true")
-class QuestionsLoadTest {
+class StatusReadLoadTest {
   private static final int JOBS = 10_000;
   private static final int NODES = 3;
-  private static final int RATE = 250;
-  private static final int EVERY_MILLIS = 5_000;
-  private static final int SECONDS = 90;
+  private static final int STATE_SERVICE_RPS = 250;
+  private static final int POLL_INTERVAL_MILLIS = 5_000;
+  private static final int TEST_SECONDS = 90;
   private static final int CLIENTS = 192;
 
   @TempDir private Path folder;
 
-  private static JobSpec job(int number) {
+  private static JobSpec jobSpec(int number) {
     return new JobSpec(
         new JobId(String.format("j-%06d", number)),
         "batch",
@@ -79,7 +79,7 @@
     }
   }
 
-  private Daemon node(int index, int[] ports, String state) throws Exception {
+  private Daemon startNode(int index, int[] ports, String stateAddress) throws Exception {
     StringBuilder members = new StringBuilder();
     for (int i = 0; i < NODES; i++) {
       members.append(
@@ -88,26 +88,26 @@
               i, ports[i]));
     }
     String toml =
-        SettingsTest.TOML
+        SettingsTest.PLATFORM_TOML
             .replace("\"n-0\"", "\"n-" + index + "\"")
             .replace(
                 "cluster_listen = \"127.0.0.1:0\"",
                 "cluster_listen = \"127.0.0.1:" + ports[index] + "\"")
             .replaceAll("(?s)\\[\\[members.*?\\[outside", members + "[outside")
-            .replace("127.0.0.1:2\"", state + "\"")
-            .replace("rps = 80.0", "rps = " + RATE + ".0");
+            .replace("127.0.0.1:2\"", stateAddress + "\"")
+            .replace("rps = 80.0", "rps = " + STATE_SERVICE_RPS + ".0");
     Path file = Files.writeString(folder.resolve("n-" + index), toml);
     return new Daemon(PlatformSettings.read(file), Policy.defaults());
   }
 
   @Test
-  void everyQuestionIsAnsweredWithinTheRateOfTheStateService() throws Exception {
+  void statusReadsStayWithinTheStateServiceRate() throws Exception {
     List<Daemon> nodes = new ArrayList<>();
-    try (StoreStandIn store = new StoreStandIn()) {
+    try (FakeStateService stateService = new FakeStateService()) {
       for (int i = 0; i < JOBS; i++) {
-        JobRecord record = new JobRecord(job(i), JobRecord.Phase.OPEN, new WallTime(0));
+        JobRecord record = new JobRecord(jobSpec(i), JobRecord.Phase.OPEN, new WallTime(0));
         Change put = new Change.Put(StoreKeys.job(record.spec().id()), record, Optional.empty());
-        store.commit(
+        stateService.applyCommit(
             StateServiceCodec.encode(
                     new Request.Commit(List.of(), List.of(put), Request.Urgency.ACCEPTANCE))
                 .body());
@@ -117,64 +117,66 @@
         ports[i] = freePort();
       }
       for (int i = 0; i < NODES; i++) {
-        nodes.add(node(i, ports, store.address()));
+        nodes.add(startNode(i, ports, stateService.address()));
       }
-      ask(nodes, store);
+      runClients(nodes, stateService);
     } finally {
       nodes.forEach(Daemon::close);
     }
   }
 
-  /** What became of the questions of all users. */
-  private static final class Outcome {
-    private final long began = System.nanoTime() / 1_000_000;
-    private final AtomicLongArray answered = new AtomicLongArray(JOBS);
-    private final AtomicLongArray longest = new AtomicLongArray(JOBS);
-    private final AtomicInteger asked = new AtomicInteger();
-    private final AtomicInteger inVain = new AtomicInteger();
-    private final Histogram took = new ConcurrentHistogram(2);
+  /** Status requests of all clients and their latencies. */
+  private static final class LoadResult {
+    private final long startMillis = System.nanoTime() / 1_000_000;
+    private final AtomicLongArray lastAnswerAt = new AtomicLongArray(JOBS);
+    private final AtomicLongArray longestGap = new AtomicLongArray(JOBS);
+    private final AtomicInteger requests = new AtomicInteger();
+    private final AtomicInteger failures = new AtomicInteger();
+    private final Histogram latency = new ConcurrentHistogram(2);
 
-    long now() {
-      return System.nanoTime() / 1_000_000 - began;
+    long elapsedMillis() {
+      return System.nanoTime() / 1_000_000 - startMillis;
     }
 
-    void answer(int job, long sent, boolean good) {
-      asked.incrementAndGet();
-      if (good) {
-        long at = now();
-        took.recordValue(at - sent);
-        longest.accumulateAndGet(job, at - answered.getAndSet(job, at), Math::max);
+    void recordRequest(int job, long sentAt, boolean succeeded) {
+      requests.incrementAndGet();
+      if (succeeded) {
+        long now = elapsedMillis();
+        latency.recordValue(now - sentAt);
+        longestGap.accumulateAndGet(job, now - lastAnswerAt.getAndSet(job, now), Math::max);
       } else {
-        inVain.incrementAndGet();
+        failures.incrementAndGet();
       }
     }
 
-    /** The longest time that some job went without an answered question. */
-    long longest() {
+    /** Returns the longest time that any job went without a successful status request. */
+    long longestGapMillis() {
       return IntStream.range(0, JOBS)
-          .mapToLong(i -> Math.max(longest.get(i), now() - answered.get(i)))
+          .mapToLong(i -> Math.max(longestGap.get(i), elapsedMillis() - lastAnswerAt.get(i)))
           .max()
           .orElse(0);
     }
   }
 
-  /** Asks about some of the jobs in turn, each every 5 s, over one connection at a time. */
-  private static void ask(int first, int port, Outcome outcome) {
+  /** Polls every {@code CLIENTS}-th job, each every 5 s, over one connection at a time. */
+  private static void pollJobs(int first, int port, LoadResult result) {
     Socket socket = null;
     int step = 0;
-    while (outcome.now() < SECONDS * 1000L) {
+    while (result.elapsedMillis() < TEST_SECONDS * 1000L) {
       int job = first + step * CLIENTS;
       if (job >= JOBS) {
         step = 0;
         continue;
       }
-      long due = (outcome.now() / EVERY_MILLIS) * EVERY_MILLIS + (long) EVERY_MILLIS * job / JOBS;
+      long due =
+          (result.elapsedMillis() / POLL_INTERVAL_MILLIS) * POLL_INTERVAL_MILLIS
+              + (long) POLL_INTERVAL_MILLIS * job / JOBS;
       step++;
-      long sent = outcome.now();
-      boolean good = false;
+      long sentAt = result.elapsedMillis();
+      boolean succeeded = false;
       try {
-        Thread.sleep(Math.max(0, due - sent));
-        sent = outcome.now();
+        Thread.sleep(Math.max(0, due - sentAt));
+        sentAt = result.elapsedMillis();
         if (socket == null) {
           socket = new Socket("127.0.0.1", port);
           socket.setTcpNoDelay(true);
@@ -193,39 +195,40 @@
         }
         int at = text.indexOf("Content-Length: ") + 16;
         in.readNBytes(Integer.parseInt(text.substring(at, text.indexOf("\r\n", at))));
-        good = text.indexOf("HTTP/1.1 200") == 0;
+        succeeded = text.indexOf("HTTP/1.1 200") == 0;
       } catch (IOException e) {
         socket = null;
       } catch (InterruptedException e) {
         return;
       }
-      outcome.answer(job, sent, good);
+      result.recordRequest(job, sentAt, succeeded);
     }
   }
 
-  private static void ask(List<Daemon> nodes, StoreStandIn store) throws Exception {
-    int before = store.requests();
-    Outcome outcome = new Outcome();
+  private static void runClients(List<Daemon> nodes, FakeStateService stateService)
+      throws Exception {
+    int before = stateService.requestCount();
+    LoadResult result = new LoadResult();
     List<Thread> clients = new ArrayList<>();
     for (int i = 0; i < CLIENTS; i++) {
       int first = i;
-      int port = nodes.get(i % nodes.size()).frontPort();
-      clients.add(new Thread(() -> ask(first, port, outcome)));
+      int port = nodes.get(i % nodes.size()).clientPort();
+      clients.add(new Thread(() -> pollJobs(first, port, result)));
     }
     clients.forEach(Thread::start);
     for (Thread client : clients) {
       client.join();
     }
-    double rate = (store.requests() - before) / (double) SECONDS;
+    double rate = (stateService.requestCount() - before) / (double) TEST_SECONDS;
     System.out.printf(
-        "asked %d, in vain %d, p50 %d ms, p99 %d ms, longest unanswered %d ms, store %.1f/s%n",
-        outcome.asked.get(),
-        outcome.inVain.get(),
-        outcome.took.getValueAtPercentile(50),
-        outcome.took.getValueAtPercentile(99),
-        outcome.longest(),
+        "requests %d, failed %d, p50 %d ms, p99 %d ms, longest gap %d ms, state service %.1f/s%n",
+        result.requests.get(),
+        result.failures.get(),
+        result.latency.getValueAtPercentile(50),
+        result.latency.getValueAtPercentile(99),
+        result.longestGapMillis(),
         rate);
-    assertThat(rate).isLessThan(RATE);
-    assertThat(outcome.longest()).isLessThan(75_000);
+    assertThat(rate).isLessThan(STATE_SERVICE_RPS);
+    assertThat(result.longestGapMillis()).isLessThan(75_000);
   }
 }
