--- a/src/main/java/org/oakwalk/cli/ExperimentCommand.java
+++ b/src/main/java/org/oakwalk/cli/ExperimentCommand.java
@@ -11,9 +11,9 @@
 import java.util.concurrent.Callable;
 import org.oakwalk.daemon.BadSettings;
 import org.oakwalk.model.Draw;
-import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Queueing;
 import org.oakwalk.model.Scenario;
+import org.oakwalk.model.ScenarioResult;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -150,21 +150,21 @@
   }
 
   private boolean play(String name, String text, Queueing order) throws BadSettings {
-    Outcome outcome;
+    ScenarioResult outcome;
     try {
       outcome = new Scenario(text, order).play();
     } catch (IllegalArgumentException e) {
       throw new BadSettings(name + ": " + e.getMessage());
     }
     PrintWriter out = spec.commandLine().getOut();
-    if (!quiet || !outcome.held()) {
-      out.println(name + (outcome.held() ? ": all held" : ": NOT HELD"));
-      outcome.complaint().lines().forEach(line -> out.println("  " + line));
+    if (!quiet || !outcome.passed()) {
+      out.println(name + (outcome.passed() ? ": all held" : ": NOT HELD"));
+      outcome.failureMessage().lines().forEach(line -> out.println("  " + line));
     }
     if (!quiet) {
-      outcome.nights().forEach(line -> out.println("  " + line));
+      outcome.planningReport().forEach(line -> out.println("  " + line));
     }
-    for (Map.Entry<String, Double> figure : outcome.figures().entrySet()) {
+    for (Map.Entry<String, Double> figure : outcome.metrics().entrySet()) {
       String value = String.format(Locale.ROOT, "%.4f", figure.getValue());
       table.add(name + "," + figure.getKey() + "," + value);
       if (!quiet) {
@@ -172,6 +172,6 @@
       }
     }
     out.flush();
-    return outcome.held();
+    return outcome.passed();
   }
 }
--- a/src/main/java/org/oakwalk/model/CanRun.java
+++ b/src/main/java/org/oakwalk/model/AcceptanceRule.java
@@ -12,17 +12,17 @@
  * array, and all tasks of what has to run at once; these also have room in the zones by the share
  * of them that one zone may hold.
  */
-final class CanRun {
-  private static final double SLACK = 1e-6;
+final class AcceptanceRule {
+  private static final double TOLERANCE = 1e-6;
 
   private final World world;
 
-  CanRun(World world) {
+  AcceptanceRule(World world) {
     this.world = world;
   }
 
   /** Why the job may not be accepted; empty if it may. */
-  Optional<String> whyNot(JobId job) {
+  Optional<String> rejectionReason(JobId job) {
     JobSpec spec = world.specs.get(job);
     if (spec == null) {
       return Optional.of("lacks a field");
@@ -36,12 +36,12 @@
     }
     int atOnce = spec.shape() == JobSpec.Shape.ARRAY ? 1 : spec.tasks();
     boolean within =
-        within(team.cpusMax(), spec.resources().cpus() * atOnce)
-            && within(team.gpusMax(), spec.resources().gpus() * atOnce);
+        isWithinLimit(team.cpusMax(), spec.resources().cpus() * atOnce)
+            && isWithinLimit(team.gpusMax(), spec.resources().gpus() * atOnce);
     if (!within) {
       return Optional.of("needs more than its team's limit");
     }
-    return spec.spread() && atOnce > 1 && zones(spec) * ((atOnce + 1) / 2) < atOnce
+    return spec.spread() && atOnce > 1 && allowedZoneCount(spec) * ((atOnce + 1) / 2) < atOnce
         ? Optional.of("has to be spread and may be in one zone only")
         : Optional.empty();
   }
@@ -52,7 +52,7 @@
   }
 
   /** How many zones its tasks may be in at once. */
-  private int zones(JobSpec spec) {
+  private int allowedZoneCount(JobSpec spec) {
     long zones =
         world.settings.zones().stream()
             .filter(zone -> spec.zone().isEmpty() || spec.zone().get().equals(zone))
@@ -64,7 +64,7 @@
     return spec.oneZone() ? 1 : (int) zones;
   }
 
-  private static boolean within(double limit, double amount) {
-    return limit <= 0 || amount <= limit + SLACK;
+  private static boolean isWithinLimit(double limit, double amount) {
+    return limit <= 0 || amount <= limit + TOLERANCE;
   }
 }
--- a/src/main/java/org/oakwalk/model/Cancellations.java
+++ b/src/main/java/org/oakwalk/model/Cancellations.java
@@ -15,19 +15,20 @@
 /** Users who call jobs off all at once, or at the moment at which they end. */
 final class Cancellations {
   /** Within so many seconds all users of a rush have asked. */
-  private static final double RUSH_SECONDS = 0.2;
+  private static final double BURST_SECONDS = 0.2;
 
   /** A job that ends sooner than this is not called off in a rush. */
-  private static final double LONG_SECONDS = 10;
+  private static final double MIN_SECONDS_LEFT = 10;
 
-  private static final int MOST_HANGING = 8;
+  private static final int MAX_HUNG_MACHINES = 8;
 
   /** Until when a share of the jobs that end is called off, and how long after the end at most. */
-  private record AtEnd(long until, double share, double within, String jobClass) {}
+  private record CompletionCancels(
+      long until, double share, double maxDelaySeconds, String jobClass) {}
 
   private final World world;
   private final UniformRandomProvider random;
-  private final List<AtEnd> atEnd = new ArrayList<>();
+  private final List<CompletionCancels> completionCancels = new ArrayList<>();
 
   Cancellations(World world, long seed) {
     this.world = world;
@@ -35,24 +36,27 @@
   }
 
   /** Plays a line {@code at SECONDS cancelnow N ...}: those that have longest to go are taken. */
-  void now(Words line) {
+  void cancelNow(Words line) {
     String jobClass = line.text("class", "");
     List<JobSpec> jobs =
-        world.rules.acceptedInOrder().stream()
-            .filter(job -> !world.rules.over(job) && !world.rules.asked(job))
+        world.rules.acceptedJobs().stream()
+            .filter(job -> !world.rules.isReportedEnded(job) && !world.rules.isCancelRequested(job))
             .map(world.specs::get)
             .filter(spec -> jobClass.isEmpty() || spec.jobClass().equals(jobClass))
-            .filter(spec -> world.rules.on(spec.id()) > 0 && secondsLeft(spec) >= LONG_SECONDS)
+            .filter(
+                spec ->
+                    world.rules.runningTaskCount(spec.id()) > 0
+                        && secondsLeft(spec) >= MIN_SECONDS_LEFT)
             .sorted(Comparator.comparingDouble((JobSpec spec) -> -secondsLeft(spec)))
             .limit((int) line.number(3))
             .toList();
     double hang = line.number("hang", 0);
     if (hang > 0) {
-      machinesOf(jobs).stream().limit(MOST_HANGING).forEach(machine -> machine.hang(hang));
+      machinesOf(jobs).stream().limit(MAX_HUNG_MACHINES).forEach(machine -> machine.hang(hang));
     }
     for (JobSpec spec : jobs) {
       world.time.after(
-          Math.round(1000 * RUSH_SECONDS * random.nextDouble()),
+          Math.round(1000 * BURST_SECONDS * random.nextDouble()),
           () -> world.users.get(spec.id()).cancel());
     }
   }
@@ -74,7 +78,7 @@
     }
     return IntStream.range(0, spec.tasks())
         .mapToObj(index -> new TaskId(spec.id(), index))
-        .filter(task -> !world.rules.completed(task))
+        .filter(task -> !world.rules.isCompleted(task))
         .mapToDouble(this::secondsLeft)
         .max()
         .orElse(0);
@@ -90,9 +94,9 @@
   }
 
   /** Plays a line {@code at SECONDS cancelatend ...}. */
-  void atEnd(Words line) {
-    atEnd.add(
-        new AtEnd(
+  void cancelAtCompletion(Words line) {
+    completionCancels.add(
+        new CompletionCancels(
             world.time.now() + Math.round(1000 * line.number("for", 10)),
             line.number("share", 1),
             line.number("within", 0),
@@ -100,22 +104,22 @@
   }
 
   /** A task has completed, perhaps the last one of its job. */
-  void completed(JobId job) {
-    if (atEnd.isEmpty()) {
+  void taskCompleted(JobId job) {
+    if (completionCancels.isEmpty()) {
       return;
     }
     JobSpec spec = world.specs.get(job);
     boolean whole =
         IntStream.range(0, spec.tasks())
-            .allMatch(index -> world.rules.completed(new TaskId(job, index)));
-    if (!whole || world.rules.over(job) || world.rules.asked(job)) {
+            .allMatch(index -> world.rules.isCompleted(new TaskId(job, index)));
+    if (!whole || world.rules.isReportedEnded(job) || world.rules.isCancelRequested(job)) {
       return;
     }
-    for (AtEnd each : atEnd) {
+    for (CompletionCancels each : completionCancels) {
       if (each.until() > world.time.now()
           && (each.jobClass().isEmpty() || each.jobClass().equals(spec.jobClass()))
           && random.nextDouble() < each.share()) {
-        long after = Math.round(1000 * each.within() * random.nextDouble());
+        long after = Math.round(1000 * each.maxDelaySeconds() * random.nextDouble());
         world.time.after(after, () -> world.users.get(job).cancel());
         return;
       }
--- a/src/main/java/org/oakwalk/model/GivenUp.java
+++ b/src/main/java/org/oakwalk/model/CommitAvailability.java
@@ -9,22 +9,22 @@
  * for up to 60 s in total, and a job that was never accepted need not be done. But that excuses the
  * controllers only if none of them could have stored the job meanwhile.
  */
-final class GivenUp {
+final class CommitAvailability {
   /** A first request may be lost with its node; then its user waits 5 s, and 1 s to retry. */
-  private static final long NEXT_TRY = 6000;
+  private static final long FIRST_RETRY_MS = 6000;
 
   private final Timeline time;
-  private final TreeSet<Long> answered = new TreeSet<>();
+  private final TreeSet<Long> commitAnsweredAt = new TreeSet<>();
 
-  GivenUp(Timeline time) {
+  CommitAvailability(Timeline time) {
     this.time = time;
   }
 
   /** A controller has got this answer of the state service in time. */
-  void answered(Request request, Answer answer) {
+  void answerReceived(Request request, Answer answer) {
     if (request instanceof Request.Commit
         && (answer instanceof Answer.Committed || answer instanceof Answer.Conflict)) {
-      answered.add(time.now());
+      commitAnsweredAt.add(time.now());
     }
   }
 
@@ -34,7 +34,9 @@
    * @param first milliseconds at which it tried first
    * @param last and last
    */
-  boolean inVain(long first, long last) {
-    return answered.subSet(Math.min(first + NEXT_TRY, last), true, last, true).isEmpty();
+  boolean noCommitAnswered(long first, long last) {
+    return commitAnsweredAt
+        .subSet(Math.min(first + FIRST_RETRY_MS, last), true, last, true)
+        .isEmpty();
   }
 }
--- /dev/null
+++ b/src/main/java/org/oakwalk/model/ConsistencyProbes.java
@@ -0,0 +1,133 @@
+package org.oakwalk.model;
+
+import java.util.ArrayList;
+import java.util.HashMap;
+import java.util.List;
+import java.util.Map;
+import java.util.Optional;
+import org.apache.commons.rng.UniformRandomProvider;
+import org.apache.commons.rng.simple.RandomSource;
+import org.oakwalk.core.JobId;
+import org.oakwalk.core.TaskId;
+import org.oakwalk.core.job.JobSpec;
+import org.oakwalk.core.port.UserRequest;
+
+/**
+ * Users who ask at all nodes, again and again within milliseconds, as soon as one of them has been
+ * told that a job is accepted, done or withdrawn: by questions, by repeated submissions, and by
+ * cancellations. {@link InvariantChecker} compares what they are told with all that was told before
+ * they asked.
+ */
+final class ConsistencyProbes {
+  /** What somebody has been told of a job so far. */
+  private enum ReportedState {
+    NONE,
+    ACCEPTED,
+    ENDED
+  }
+
+  private final World world;
+  private final UniformRandomProvider random;
+  private final Map<JobId, ReportedState> reportedStates = new HashMap<>();
+  private final Map<JobId, Integer> completedTaskCounts = new HashMap<>();
+  private long activeUntil;
+  private long intervalMillis;
+  private int rounds;
+  private double cancelShare;
+  private double earlyProbeSeconds;
+  private int restartsLeft;
+  private double restartDelay;
+
+  ConsistencyProbes(World world, long seed) {
+    this.world = world;
+    this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
+  }
+
+  /** From now on users look closely, as the line says. */
+  void begin(Words line) {
+    activeUntil = world.time.now() + Math.round(1000 * line.number("for", 10));
+    intervalMillis = Math.round(line.number("every", 5));
+    rounds = (int) line.number("rounds", 3);
+    cancelShare = line.number("cancels", 0);
+    earlyProbeSeconds = line.number("early", 0);
+    restartsLeft = (int) line.number("ends", 0);
+    restartDelay = line.number("back", 1);
+  }
+
+  private boolean isActive() {
+    return world.time.now() < activeUntil;
+  }
+
+  /** A user has just been told a job's state, by this node if it was one. */
+  void stateReported(JobId job, boolean over, Optional<SimNode> by) {
+    ReportedState now = over ? ReportedState.ENDED : ReportedState.ACCEPTED;
+    if (now.compareTo(reportedStates.getOrDefault(job, ReportedState.NONE)) <= 0) {
+      return;
+    }
+    reportedStates.put(job, now);
+    if (!isActive() || !world.users.containsKey(job)) {
+      return;
+    }
+    int first = by.map(node -> world.indexOf(node.id) + 1).orElse(0);
+    if (restartsLeft > 0 && by.isPresent()) {
+      restartsLeft--;
+      world.time.after(0, () -> by.get().restart(restartDelay));
+    }
+    if (!over && random.nextDouble() < cancelShare) {
+      world.time.after(intervalMillis, () -> world.users.get(job).cancel());
+    }
+    for (int i = 0; i < rounds * world.nodes.size(); i++) {
+      SimNode node = world.nodes.get((first + i) % world.nodes.size());
+      world.time.after(intervalMillis * (i + 1), () -> probe(job, over, node));
+    }
+  }
+
+  private void probe(JobId job, boolean over, SimNode node) {
+    JobSpec spec = world.specs.get(job);
+    List<UserRequest> requests = new ArrayList<>();
+    requests.add(new UserRequest.Query(job));
+    requests.add(new UserRequest.Submit(job, Optional.of(spec), ""));
+    if (over) {
+      // It can't be cancelled any more, and nobody may be told that it was.
+      world.rules.recordCancelRequest(job);
+      requests.add(new UserRequest.Withdraw(job));
+    }
+    requests.forEach(request -> send(node, request));
+  }
+
+  private void send(SimNode node, UserRequest request) {
+    boolean submission = request instanceof UserRequest.Submit;
+    long asked = world.rules.answerCount();
+    long gone = world.time.now() + SimUser.waits(request);
+    node.ask(
+        request,
+        response -> {
+          if (world.time.now() <= gone) {
+            world.rules.duplicateReported(request.job(), submission, asked, response, node);
+          }
+        });
+  }
+
+  /** A user is about to submit or cancel: others ask for a while, before anybody is told. */
+  void beforeRequest(JobId job) {
+    if (isActive()) {
+      probeEarly(job);
+    }
+  }
+
+  /** A task is complete; with the last one of its job, users ask for a while. */
+  void taskCompleted(TaskId task) {
+    int count = completedTaskCounts.merge(task.job(), 1, Integer::sum);
+    if (isActive() && count == world.specs.get(task.job()).tasks()) {
+      probeEarly(task.job());
+    }
+  }
+
+  private void probeEarly(JobId job) {
+    long step = Math.max(1, intervalMillis);
+    for (long at = 0; at < earlyProbeSeconds * 1000; at += step) {
+      SimNode node = world.nodes.get((int) (at / step % world.nodes.size()));
+      world.time.after(at, () -> send(node, new UserRequest.Query(job)));
+    }
+  }
+}
--- a/src/main/java/org/oakwalk/model/Lateness.java
+++ b/src/main/java/org/oakwalk/model/DelayInjector.java
@@ -13,45 +13,45 @@
  * Which transactions are carried out late and which reports come once more, and by how much. Chance
  * comes from a fixed seed, so that a scenario always goes the same way.
  */
-final class Lateness {
-  private static final double LEAST_SECONDS = 2;
+final class DelayInjector {
+  private static final double MIN_DELAY_SECONDS = 2;
 
   /**
    * A transaction without an answer is carried out so late at most, unless a scenario says when.
    */
-  static final double MOST_FOR_WRITES = 12;
+  static final double MAX_WRITE_DELAY_SECONDS = 12;
 
   /** A report comes once more so many leases later at most, unless a scenario says when. */
-  static final double MOST_LEASES = 1.6;
+  static final double MAX_REPORT_DELAY_LEASES = 1.6;
 
   /** A share of what some hosts send until the end is late, by a drawn time if none is given. */
-  private record Late(
-      Predicate<String> hosts, long end, double share, double after, String keyPrefix) {}
+  private record DelayFault(
+      Predicate<String> hosts, long end, double share, double delaySeconds, String keyPrefix) {}
 
   private final Timeline time;
-  private final double mostForReports;
+  private final double maxReportDelaySeconds;
   private final UniformRandomProvider random;
-  private final List<Late> writes = new ArrayList<>();
-  private final List<Late> reports = new ArrayList<>();
+  private final List<DelayFault> writeFaults = new ArrayList<>();
+  private final List<DelayFault> reportFaults = new ArrayList<>();
 
-  Lateness(Timeline time, double leaseSeconds, long seed) {
+  DelayInjector(Timeline time, double leaseSeconds, long seed) {
     this.time = time;
-    this.mostForReports = MOST_LEASES * leaseSeconds;
+    this.maxReportDelaySeconds = MAX_REPORT_DELAY_LEASES * leaseSeconds;
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
   }
 
   /** From now on transactions of these nodes are late, as the line says. */
-  void writes(Predicate<String> nodes, Words line) {
-    writes.add(late(nodes, line));
+  void delayWrites(Predicate<String> nodes, Words line) {
+    writeFaults.add(parse(nodes, line));
   }
 
   /** From now on reports of these machines come once more, as the line says. */
-  void reports(Predicate<String> machines, Words line) {
-    reports.add(late(machines, line));
+  void repeatReports(Predicate<String> machines, Words line) {
+    reportFaults.add(parse(machines, line));
   }
 
-  private Late late(Predicate<String> hosts, Words line) {
-    return new Late(
+  private DelayFault parse(Predicate<String> hosts, Words line) {
+    return new DelayFault(
         hosts,
         time.now() + Math.round(1000 * line.number("for", 10)),
         line.number("share", 1),
@@ -60,12 +60,15 @@
   }
 
   /** By how many milliseconds a request to the state service is late; empty if it is in time. */
-  OptionalLong ofWrite(String node, Request.State request) {
+  OptionalLong writeDelay(String node, Request.State request) {
     if (!(request instanceof Request.Commit commit) || commit.changes().isEmpty()) {
       return OptionalLong.empty();
     }
-    return drawn(
-        writes, node, MOST_FOR_WRITES, late -> keys(commit).anyMatch(k -> k.startsWith(late)));
+    return drawDelay(
+        writeFaults,
+        node,
+        MAX_WRITE_DELAY_SECONDS,
+        late -> keys(commit).anyMatch(k -> k.startsWith(late)));
   }
 
   private static java.util.stream.Stream<String> keys(Request.Commit commit) {
@@ -76,21 +79,21 @@
   }
 
   /** After how many milliseconds a report comes once more; empty if it does not. */
-  OptionalLong ofReport(String machine) {
-    return drawn(reports, machine, mostForReports, prefix -> true);
+  OptionalLong reportRepeatDelay(String machine) {
+    return drawDelay(reportFaults, machine, maxReportDelaySeconds, prefix -> true);
   }
 
-  private OptionalLong drawn(
-      List<Late> lates, String host, double most, Predicate<String> touches) {
-    for (Late late : lates) {
+  private OptionalLong drawDelay(
+      List<DelayFault> lates, String host, double most, Predicate<String> touches) {
+    for (DelayFault late : lates) {
       if (late.end() > time.now()
           && late.hosts().test(host)
           && touches.test(late.keyPrefix())
           && random.nextDouble() < late.share()) {
         double after =
-            late.after() >= 0
-                ? late.after()
-                : LEAST_SECONDS + random.nextDouble() * (most - LEAST_SECONDS);
+            late.delaySeconds() >= 0
+                ? late.delaySeconds()
+                : MIN_DELAY_SECONDS + random.nextDouble() * (most - MIN_DELAY_SECONDS);
         return OptionalLong.of(Math.round(1000 * after));
       }
     }
--- a/src/main/java/org/oakwalk/model/BudgetRule.java
+++ b/src/main/java/org/oakwalk/model/DisruptionBudgetRule.java
@@ -13,29 +13,29 @@
  * but our own, is down until it runs again, is done, or nobody wants it any more. It knows nothing
  * of what leaders believe.
  */
-final class BudgetRule {
+final class DisruptionBudgetRule {
   private final World world;
-  private final Map<TaskId, JobSpec> stopped = new HashMap<>();
-  private final Map<Budget, Integer> stops = new HashMap<>();
-  private final Map<TaskId, JobSpec> begun = new HashMap<>();
+  private final Map<TaskId, JobSpec> downTasks = new HashMap<>();
+  private final Map<Budget, Integer> stopCounts = new HashMap<>();
+  private final Map<TaskId, JobSpec> expectedTasks = new HashMap<>();
 
-  BudgetRule(World world) {
+  DisruptionBudgetRule(World world) {
     this.world = world;
   }
 
   /** A worker stops a running task since it was told to; returns what is broken by it. */
-  Optional<String> stopped(TaskId task, JobSpec spec) {
-    stopped.put(task, spec);
+  Optional<String> taskStopped(TaskId task, JobSpec spec) {
+    downTasks.put(task, spec);
     for (Budget budget : world.plans.budgets()) {
       if (!budget.covers(spec)) {
         continue;
       }
-      int count = stops.merge(budget, 1, Integer::sum);
+      int count = stopCounts.merge(budget, 1, Integer::sum);
       if (budget.stopsPerHour().isPresent() && count > budget.stopsPerHour().get()) {
         return Optional.of(budget.name() + " has been stopped " + count + " times");
       }
-      long down = stopped.values().stream().filter(budget::covers).count();
-      long expected = begun.values().stream().filter(budget::covers).count();
+      long down = downTasks.values().stream().filter(budget::covers).count();
+      long expected = expectedTasks.values().stream().filter(budget::covers).count();
       double most =
           budget.down() > 0 && budget.down() < 1
               ? Math.max(1, Math.floor(budget.down() * expected))
@@ -47,18 +47,18 @@
     return Optional.empty();
   }
 
-  void started(TaskId task, JobSpec spec) {
-    begun.put(task, spec);
-    stopped.remove(task);
+  void taskStarted(TaskId task, JobSpec spec) {
+    expectedTasks.put(task, spec);
+    downTasks.remove(task);
   }
 
-  void completed(TaskId task) {
-    begun.remove(task);
-    stopped.remove(task);
+  void taskCompleted(TaskId task) {
+    expectedTasks.remove(task);
+    downTasks.remove(task);
   }
 
-  void cancelled(JobId job) {
-    begun.keySet().removeIf(task -> task.job().equals(job));
-    stopped.keySet().removeIf(task -> task.job().equals(job));
+  void jobCancelled(JobId job) {
+    expectedTasks.keySet().removeIf(task -> task.job().equals(job));
+    downTasks.keySet().removeIf(task -> task.job().equals(job));
   }
 }
--- a/src/main/java/org/oakwalk/model/Disturbances.java
+++ b/src/main/java/org/oakwalk/model/Disturbances.java
@@ -41,15 +41,15 @@
         if (line.has("fornext")) {
           world.keptReports.keep(hosts.group(line.word(3)), line);
         } else {
-          world.lateness.reports(hosts.group(line.word(3)), line);
+          world.lateness.repeatReports(hosts.group(line.word(3)), line);
         }
       }
       case "laterentals" -> world.cloud.lateRentals(seconds, line.number("after", 0));
       case "quickboots" -> world.cloud.quickBoots(line.number(3));
       case "noreports" -> world.noReports.begin(hosts.group(line.word(3)), seconds);
-      case "latewrites" -> world.lateness.writes(named(line.word(3)), line);
-      case "cancelnow" -> world.cancellations.now(line);
-      case "cancelatend" -> world.cancellations.atEnd(line);
+      case "latewrites" -> world.lateness.delayWrites(named(line.word(3)), line);
+      case "cancelnow" -> world.cancellations.cancelNow(line);
+      case "cancelatend" -> world.cancellations.cancelAtCompletion(line);
       case "oddrequests" -> world.oddRequests.begin(line);
       default -> {
         return false;
--- a/src/main/java/org/oakwalk/model/Draw.java
+++ b/src/main/java/org/oakwalk/model/Draw.java
@@ -155,8 +155,8 @@
       over = hunt.ends();
     } else if (meetings) {
       FaultCombinations met = new FaultCombinations(random, nodes, machinesInAll(), zones, cancel);
-      lines.addAll(met.lines());
-      finite.addAll(met.finite());
+      lines.addAll(met.draw());
+      finite.addAll(met.jobsToFinish());
     } else {
       int troubles = 2 + random.nextInt(5);
       for (int i = 0; i < troubles; i++) {
--- a/src/main/java/org/oakwalk/model/OddRequests.java
+++ b/src/main/java/org/oakwalk/model/EdgeCaseRequests.java
@@ -16,69 +16,69 @@
  * Users who submit unfinished jobs once more, cancel jobs that are done, and send jobs that fit no
  * machine or lack a field. They take turns, and each takes the next job that there is.
  */
-final class OddRequests {
-  private static final double GAP_SECONDS = 0.5;
-  private static final long ANSWER_WAIT = 5000;
-  private static final double GIVES_UP = 60;
+final class EdgeCaseRequests {
+  private static final double INTERVAL_SECONDS = 0.5;
+  private static final long ANSWER_TIMEOUT_MS = 5000;
+  private static final double MAX_RETRY_SECONDS = 60;
 
   /** Numbers of jobs that can't run begin here, far from those that scenarios name. */
-  private static final long FIRST_NUMBER = 900_000_000;
+  private static final long FIRST_JOB_NUMBER = 900_000_000;
 
   private final World world;
-  private final List<Function<JobId, Optional<JobSpec>>> impossible =
+  private final List<Function<JobId, Optional<JobSpec>>> invalidJobs =
       List.of(
           id -> Optional.empty(),
           id -> Optional.of(tooLarge(id)),
           id -> Optional.of(ofTeam(id, "nobody", 1)),
           id -> Optional.of(ofType(id, Set.of("none"))),
-          this::beyondTheLimit);
-  private long turn;
-  private long numbers = FIRST_NUMBER;
+          this::aboveTeamLimit);
+  private long nextTurn;
+  private long nextJobNumber = FIRST_JOB_NUMBER;
 
-  OddRequests(World world) {
+  EdgeCaseRequests(World world) {
     this.world = world;
   }
 
   /** Plays a line {@code at SECONDS oddrequests for=S}. */
   void begin(Words line) {
-    again(world.time.seconds() + line.number("for", 10));
+    sendNext(world.time.seconds() + line.number("for", 10));
   }
 
-  private void again(double until) {
+  private void sendNext(double until) {
     if (world.time.seconds() >= until) {
       return;
     }
-    long next = turn++;
+    long next = nextTurn++;
     if (next % 4 == 0) {
-      unfinished(next).ifPresent(job -> world.users.get(job).submit());
+      unfinishedJob(next).ifPresent(job -> world.users.get(job).submit());
     } else if (next % 4 == 1) {
-      done(next).ifPresent(job -> world.users.get(job).cancel());
+      doneJob(next).ifPresent(job -> world.users.get(job).cancel());
     } else if (next % 4 == 2) {
       // What is known is answered with its state, whatever is wrong with the repeat.
-      unfinished(next).ifPresent(job -> send(job, Optional.empty()));
+      unfinishedJob(next).ifPresent(job -> send(job, Optional.empty()));
     } else {
-      JobId id = new JobId("j-" + numbers++);
-      Optional<JobSpec> spec = impossible.get((int) (next / 4 % impossible.size())).apply(id);
+      JobId id = new JobId("j-" + nextJobNumber++);
+      Optional<JobSpec> spec = invalidJobs.get((int) (next / 4 % invalidJobs.size())).apply(id);
       spec.ifPresent(each -> world.specs.put(id, each));
-      world.rules.submits(id);
+      world.rules.recordSubmission(id);
       send(id, spec);
     }
-    world.time.after(Math.round(1000 * GAP_SECONDS), () -> again(until));
+    world.time.after(Math.round(1000 * INTERVAL_SECONDS), () -> sendNext(until));
   }
 
-  private Optional<JobId> unfinished(long number) {
+  private Optional<JobId> unfinishedJob(long number) {
     return nth(
         number,
-        world.rules.acceptedInOrder().stream()
-            .filter(job -> !world.rules.over(job) && !world.rules.asked(job))
+        world.rules.acceptedJobs().stream()
+            .filter(job -> !world.rules.isReportedEnded(job) && !world.rules.isCancelRequested(job))
             .toList());
   }
 
-  private Optional<JobId> done(long number) {
+  private Optional<JobId> doneJob(long number) {
     return nth(
         number,
-        world.rules.acceptedInOrder().stream()
-            .filter(job -> world.rules.told(job) == Response.JobState.DONE)
+        world.rules.acceptedJobs().stream()
+            .filter(job -> world.rules.reported(job) == Response.JobState.DONE)
             .toList());
   }
 
@@ -94,18 +94,18 @@
 
   /** Asks some node, again and again until there is an answer that says more than to wait. */
   private void send(JobId job, Optional<JobSpec> spec, double since) {
-    long asked = world.rules.moment();
+    long asked = world.rules.answerCount();
     boolean[] over = new boolean[1];
     Runnable retry =
         () -> {
           if (!over[0]) {
             over[0] = true;
-            if (world.time.seconds() - since < GIVES_UP) {
+            if (world.time.seconds() - since < MAX_RETRY_SECONDS) {
               world.time.after(1000, () -> send(job, spec, since));
             }
           }
         };
-    world.time.after(ANSWER_WAIT, retry);
+    world.time.after(ANSWER_TIMEOUT_MS, retry);
     world
         .someNode()
         .ifPresent(
@@ -114,7 +114,7 @@
                     new UserRequest.Submit(job, spec, spec.isEmpty() ? "a field is missing" : ""),
                     response -> {
                       if (!over[0]) {
-                        world.rules.toldAgain(job, true, asked, response, node);
+                        world.rules.duplicateReported(job, true, asked, response, node);
                         if (response instanceof Response.Problem problem
                             && problem.status() >= 429) {
                           retry.run();
@@ -127,19 +127,20 @@
   private JobSpec tooLarge(JobId id) {
     double cpus =
         world.cloud.types.values().stream().mapToDouble(type -> type.room().cpus()).max().orElse(0);
-    return job(id, firstTeam(), JobSpec.Shape.SERVICE, 1, new Resources(cpus + 1, 0, 1), Set.of());
+    return newSpec(
+        id, firstTeam(), JobSpec.Shape.SERVICE, 1, new Resources(cpus + 1, 0, 1), Set.of());
   }
 
   private JobSpec ofTeam(JobId id, String team, int tasks) {
-    return job(id, team, JobSpec.Shape.SERVICE, tasks, new Resources(1, 0, 1), Set.of());
+    return newSpec(id, team, JobSpec.Shape.SERVICE, tasks, new Resources(1, 0, 1), Set.of());
   }
 
   private JobSpec ofType(JobId id, Set<String> types) {
-    return job(id, firstTeam(), JobSpec.Shape.ARRAY, 1, new Resources(1, 0, 1), types);
+    return newSpec(id, firstTeam(), JobSpec.Shape.ARRAY, 1, new Resources(1, 0, 1), types);
   }
 
   /** A service that needs more than its team may use; none if no team has a limit. */
-  private Optional<JobSpec> beyondTheLimit(JobId id) {
+  private Optional<JobSpec> aboveTeamLimit(JobId id) {
     return world.settings.teams().values().stream()
         .filter(team -> team.cpusMax() > 0)
         .findFirst()
@@ -150,7 +151,7 @@
     return world.settings.teams().keySet().iterator().next();
   }
 
-  private static JobSpec job(
+  private static JobSpec newSpec(
       JobId id, String team, JobSpec.Shape shape, int tasks, Resources room, Set<String> types) {
     return new JobSpec(
         id,
--- a/src/main/java/org/oakwalk/model/ExchangeRule.java
+++ b/src/main/java/org/oakwalk/model/ExchangeRule.java
@@ -24,26 +24,26 @@
  */
 final class ExchangeRule {
   /** A job may have been within the guarantee for so long before a leader has to know. */
-  private static final double KNOWN_AFTER = 5;
+  private static final double GUARANTEE_GRACE_SECONDS = 5;
 
   /** Beside dwell and patience, for writes, saving and a change of leader. */
-  private static final double SETTLES_WITHIN = 30;
+  private static final double SETTLEMENT_GRACE_SECONDS = 30;
 
   private final World world;
-  private final Set<TakeId> seen = new HashSet<>();
+  private final Set<TakeId> checkedTransfers = new HashSet<>();
   private final Map<JobId, Double> guaranteedSince = new HashMap<>();
-  private final Map<String, Double> needlessSince = new HashMap<>();
-  private double calmAfter;
+  private final Map<String, Double> demandEndedAt = new HashMap<>();
+  private double faultsEndAt;
 
   ExchangeRule(World world) {
     this.world = world;
   }
 
-  void calmAfter(double seconds) {
-    calmAfter = seconds;
+  void setFaultsEnd(double seconds) {
+    faultsEndAt = seconds;
   }
 
-  private List<Take> takes() {
+  private List<Take> storedTransfers() {
     return world.state.rows("exchange").stream().map(Take.class::cast).toList();
   }
 
@@ -54,10 +54,10 @@
     if (terms.isEmpty()) {
       return broken;
     }
-    survey();
+    updateGuarantees();
     Map<JobId, Integer> byTaker = new HashMap<>();
-    for (Take take : takes()) {
-      if (seen.add(take.id())) {
+    for (Take take : storedTransfers()) {
+      if (checkedTransfers.add(take.id())) {
         belowGuarantee(take).ifPresent(how -> broken.put("taken_below_guarantee", how));
       }
       if (take.underWay() || take.state() == Take.State.TAKEN) {
@@ -68,7 +68,7 @@
       }
     }
     for (ExchangeTerms each : terms) {
-      debt(each).ifPresent(how -> broken.put("debt_left", how));
+      unsettledTransfer(each).ifPresent(how -> broken.put("debt_left", how));
     }
     return broken;
   }
@@ -77,12 +77,12 @@
    * A worker stops a task since it was told to. Where only takers could want its room, a take from
    * its job has to be written down by then.
    */
-  Optional<String> stopped(TaskId task, JobSpec spec) {
+  Optional<String> taskStopped(TaskId task, JobSpec spec) {
     boolean gives = world.plans.exchanges().stream().anyMatch(each -> each.gives(spec));
-    if (!gives || spec.gang() || world.plans.drains() || othersWant(spec)) {
+    if (!gives || spec.gang() || world.plans.hasDrainPlans() || mayBePreempted(spec)) {
       return Optional.empty();
     }
-    return takes().stream().anyMatch(take -> take.giver().equals(spec.id()))
+    return storedTransfers().stream().anyMatch(take -> take.giver().equals(spec.id()))
         ? Optional.empty()
         : Optional.of(task + " is stopped, and no take from its job is stored");
   }
@@ -91,32 +91,32 @@
    * Whether a job that takes nothing may have it stopped all the same: one that is stored, also
    * while its user has not been told so yet.
    */
-  private boolean othersWant(JobSpec spec) {
+  private boolean mayBePreempted(JobSpec spec) {
     return world.specs.values().stream()
         .filter(other -> other.priority().compareTo(spec.priority()) > 0)
         .filter(other -> world.plans.exchanges().stream().noneMatch(each -> each.takes(other)))
-        .anyMatch(other -> mayWant(other.id()));
+        .anyMatch(other -> mayNeedRoom(other.id()));
   }
 
   /**
    * Whether a job may want room: as its user knows, or as is stored, which may be long before the
    * user gets the answer, if ever.
    */
-  private boolean mayWant(JobId id) {
+  private boolean mayNeedRoom(JobId id) {
     boolean stored =
         world.state.value(StoreKeys.job(id)).orElse(null) instanceof JobRecord record
             && record.phase() == JobRecord.Phase.OPEN;
-    return stored || world.rules.accepted(id) && !world.rules.over(id);
+    return stored || world.rules.isAccepted(id) && !world.rules.isReportedEnded(id);
   }
 
   /** Each team's first unfinished jobs that fit into its guarantee together. */
-  private void survey() {
+  private void updateGuarantees() {
     Set<JobId> within = new HashSet<>();
     for (Settings.Team team : world.settings.teams().values()) {
       Resources sum = Resources.NONE;
-      for (JobId id : world.rules.acceptedInOrder()) {
+      for (JobId id : world.rules.acceptedJobs()) {
         JobSpec spec = world.specs.get(id);
-        if (spec.team().equals(team.name()) && !world.rules.over(id)) {
+        if (spec.team().equals(team.name()) && !world.rules.isReportedEnded(id)) {
           sum = sum.plus(spec.resources().times(spec.tasks()));
           if (sum.cpus() > team.cpus() + 1e-6 || sum.gpus() > team.gpus() + 1e-6) {
             break;
@@ -133,26 +133,26 @@
     Double since = guaranteedSince.get(take.giver());
     String takers = world.specs.get(take.taker()).team();
     boolean own = takers.equals(take.giverTeam());
-    return !own && since != null && world.time.seconds() - since > KNOWN_AFTER
+    return !own && since != null && world.time.seconds() - since > GUARANTEE_GRACE_SECONDS
         ? Optional.of(take.giver() + " of " + take.giverTeam() + " is within its guarantee")
         : Optional.empty();
   }
 
-  private Optional<String> debt(ExchangeTerms each) {
+  private Optional<String> unsettledTransfer(ExchangeTerms each) {
     boolean needed =
-        world.rules.acceptedInOrder().stream()
-            .anyMatch(id -> each.takes(world.specs.get(id)) && !world.rules.over(id));
+        world.rules.acceptedJobs().stream()
+            .anyMatch(id -> each.takes(world.specs.get(id)) && !world.rules.isReportedEnded(id));
     if (needed) {
-      needlessSince.remove(each.name());
+      demandEndedAt.remove(each.name());
       return Optional.empty();
     }
-    double since = needlessSince.computeIfAbsent(each.name(), name -> world.time.seconds());
+    double since = demandEndedAt.computeIfAbsent(each.name(), name -> world.time.seconds());
     double until =
-        Math.max(since, calmAfter)
+        Math.max(since, faultsEndAt)
             + each.dwell().asSeconds()
             + each.patience().asSeconds()
-            + SETTLES_WITHIN;
-    return takes().stream()
+            + SETTLEMENT_GRACE_SECONDS;
+    return storedTransfers().stream()
         .filter(take -> take.exchange().equals(each.name()) && world.time.seconds() > until)
         .findFirst()
         .map(take -> "take " + take.id() + " from " + take.giver() + " is still open");
--- a/src/main/java/org/oakwalk/model/Expectations.java
+++ b/src/main/java/org/oakwalk/model/Expectations.java
@@ -12,7 +12,7 @@
 /** What a scenario expects to hold at some moment. */
 final class Expectations {
   private final World world;
-  private final List<String> missed = new ArrayList<>();
+  private final List<String> failures = new ArrayList<>();
 
   Expectations(World world) {
     this.world = world;
@@ -21,34 +21,34 @@
   /** Looks whether what the line expects holds now. */
   void check(Words line) {
     if (!holds(line)) {
-      missed.add(
+      failures.add(
           String.format(
               Locale.ROOT,
               "line %d, %.0f s: expected %s (%s)",
               line.number(),
               world.time.seconds(),
               line.toString().trim(),
-              found(line)));
+              observedState(line)));
     }
   }
 
   /** What did not hold when it was looked at. */
-  List<String> missed() {
-    return missed;
+  List<String> failures() {
+    return failures;
   }
 
-  private String found(Words line) {
+  private String observedState(Words line) {
     JobId job = new JobId(line.word(3));
     return "on machines "
-        + world.rules.on(job)
+        + world.rules.runningTaskCount(job)
         + ", told "
-        + world.rules.told(job)
+        + world.rules.reported(job)
         + ", starts "
         + world.rules.totalStarts()
         + ", unheard "
         + world.unheard
         + ", last start after a confirmed cancellation "
-        + world.rules.latestStart()
+        + world.rules.latestStartAfterCancel()
         + ", refusals "
         + world.refusals
         + ", machines "
@@ -60,7 +60,7 @@
         + ", writes "
         + world.state.writes()
         + ", nights "
-        + world.nights.figures()
+        + world.nights.metrics()
         + ", requests "
         + world.state.requests()
         + ", reads "
@@ -72,7 +72,7 @@
         + ", open "
         + world.users.values().stream().filter(SimUser::asks).count()
         + ", reporting to the leader "
-        + reporting();
+        + workersReportingToLeader();
   }
 
   private boolean holds(Words line) {
@@ -83,7 +83,7 @@
       }
       case "headroom" -> {
         int places =
-            CrowdedRule.rows(world).stream()
+            HeadroomRule.storedRows(world).stream()
                 .filter(row -> row.key().name().equals(line.word(4)))
                 .flatMap(row -> row.places().entrySet().stream())
                 .filter(entry -> line.text("zone", entry.getKey()).equals(entry.getKey()))
@@ -96,7 +96,8 @@
         return up >= line.number("least", 0) && up <= line.number("most", 1e9);
       }
       case "reporting" -> {
-        return reporting() >= line.number("least", 0) && reporting() <= line.number("most", 1e9);
+        return workersReportingToLeader() >= line.number("least", 0)
+            && workersReportingToLeader() <= line.number("most", 1e9);
       }
       case "oldest" -> {
         return world.workers.values().stream()
@@ -132,12 +133,12 @@
         return world.unheard <= line.number("most", 0);
       }
       case "over" -> {
-        return world.rules.acceptedInOrder().stream()
+        return world.rules.acceptedJobs().stream()
             .filter(job -> world.specs.get(job).jobClass().equals(line.word(4)))
-            .allMatch(world.rules::over);
+            .allMatch(world.rules::isReportedEnded);
       }
       case "laststart" -> {
-        return world.rules.latestStart() <= line.number("most", 0);
+        return world.rules.latestStartAfterCancel() <= line.number("most", 0);
       }
       case "refusals" -> {
         return world.refusals <= line.number("most", 0);
@@ -152,10 +153,11 @@
         return world.state.requests() <= line.number("most", 1e9);
       }
       case "waits" -> {
-        return world.waits.longest(Waits.step(line.word(4))) <= line.number("most", 0);
+        return world.waits.longest(JobWaitTimes.parsePhase(line.word(4))) <= line.number("most", 0);
       }
       case "waiting" -> {
-        return world.waits.waiting(Waits.step(line.word(4))) <= line.number("most", 0);
+        return world.waits.waitingCount(JobWaitTimes.parsePhase(line.word(4)))
+            <= line.number("most", 0);
       }
       case "open" -> {
         return world.users.values().stream().filter(SimUser::asks).count()
@@ -179,14 +181,14 @@
       case "dawn" -> {
         return world
             .nights
-            .last(line.word(4))
+            .lastResult(line.word(4))
             .filter(
                 night ->
-                    night.work() >= line.number("done", 0)
-                        && night.work() <= line.number("most", 1)
-                        && night.kept() >= line.number("kept", 0)
-                        && night.share() >= line.number("share", 0)
-                        && night.share() <= line.number("mostshare", 1)
+                    night.workDoneShare() >= line.number("done", 0)
+                        && night.workDoneShare() <= line.number("most", 1)
+                        && night.promiseKeptShare() >= line.number("kept", 0)
+                        && night.plannedShare() >= line.number("share", 0)
+                        && night.plannedShare() <= line.number("mostshare", 1)
                         && night.revisions() >= line.number("least", 1)
                         && night.revisions() <= line.number("revisions", 1e9))
             .isPresent();
@@ -195,31 +197,31 @@
         return world.state.writes() <= line.number("most", 1e9);
       }
       default -> {
-        return jobHolds(new JobId(what), line);
+        return holdsForJob(new JobId(what), line);
       }
     }
   }
 
   /** Workers that report to the leader itself. */
-  private long reporting() {
+  private long workersReportingToLeader() {
     return world
         .leader()
         .map(node -> world.workers.values().stream().filter(w -> w.reportsTo(node)).count())
         .orElse(0L);
   }
 
-  private boolean jobHolds(JobId job, Words line) {
+  private boolean holdsForJob(JobId job, Words line) {
     SimUser user = world.users.get(job);
     return switch (line.word(4)) {
-      case "done" -> world.rules.told(job) == Response.JobState.DONE;
-      case "served" -> world.rules.told(job) == Response.JobState.DONE || user.gaveUpInVain();
-      case "unaccepted" -> !world.rules.accepted(job);
-      case "open" -> world.rules.accepted(job) && world.rules.told(job) == null;
-      case "cancelled" -> world.rules.told(job) == Response.JobState.CANCELLED;
-      case "over" -> world.rules.over(job);
+      case "done" -> world.rules.reported(job) == Response.JobState.DONE;
+      case "served" -> world.rules.reported(job) == Response.JobState.DONE || user.gaveUpInVain();
+      case "unaccepted" -> !world.rules.isAccepted(job);
+      case "open" -> world.rules.isAccepted(job) && world.rules.reported(job) == null;
+      case "cancelled" -> world.rules.reported(job) == Response.JobState.CANCELLED;
+      case "over" -> world.rules.isReportedEnded(job);
       case "on" ->
-          world.rules.on(job) >= line.number("least", 0)
-              && world.rules.on(job) <= line.number("most", 1e9);
+          world.rules.runningTaskCount(job) >= line.number("least", 0)
+              && world.rules.runningTaskCount(job) <= line.number("most", 1e9);
       case "accepted" ->
           user.acceptedAfter != null && user.acceptedAfter <= line.number("within", 60);
       case "refused" -> user.refusedWith != null && user.refusedWith == (int) line.number(5);
@@ -227,9 +229,9 @@
         Double at = world.rules.firstStart(new TaskId(job, (int) line.number("task", 0)));
         yield at != null && at <= line.number("by", 1e9) && at >= line.number("after", 0);
       }
-      case "begun" -> begun(job, line);
+      case "begun" -> startedInTime(job, line);
       case "starts" -> {
-        int starts = world.rules.starts(new TaskId(job, (int) line.number("task", 0)));
+        int starts = world.rules.startCount(new TaskId(job, (int) line.number("task", 0)));
         yield starts >= line.number("least", 0) && starts <= line.number("most", 1e9);
       }
       default -> throw new IllegalArgumentException("unknown expectation: " + line);
@@ -237,7 +239,7 @@
   }
 
   /** Whether a share of the job's tasks has begun, that long after the first attempt to submit. */
-  private boolean begun(JobId job, Words line) {
+  private boolean startedInTime(JobId job, Words line) {
     int tasks = world.specs.get(job).tasks();
     double by = world.figures.submittedAt(job) + line.number("within", 240);
     int begun = 0;
--- a/src/main/java/org/oakwalk/model/FaultCombinations.java
+++ b/src/main/java/org/oakwalk/model/FaultCombinations.java
@@ -12,15 +12,15 @@
  */
 final class FaultCombinations {
   /** Troubles go on until then at most; what they have made late comes after that. */
-  private static final int OVER = 80;
+  private static final int LAST_FAULT_END_SECONDS = 80;
 
-  private static final int KINDS = 15;
+  private static final int FAULT_KINDS = 15;
 
   private final UniformRandomProvider random;
   private final int nodes;
   private final int machines;
-  private final boolean zones;
-  private final int cancel;
+  private final boolean hasZones;
+  private final int cancelSeconds;
   private final List<String> lines = new ArrayList<>();
 
   FaultCombinations(
@@ -28,55 +28,55 @@
     this.random = random;
     this.nodes = nodes;
     this.machines = machines;
-    this.zones = zones;
-    this.cancel = cancel;
+    this.hasZones = zones;
+    this.cancelSeconds = cancel;
   }
 
   /** The jobs that users cancel, those that end far apart, and the troubles. */
-  List<String> lines() {
+  List<String> draw() {
     int at = 10 + random.nextInt(20);
     List<Integer> kinds = new ArrayList<>();
-    for (int kind = 0; kind < KINDS; kind++) {
+    for (int kind = 0; kind < FAULT_KINDS; kind++) {
       kinds.add(kind);
     }
     for (int i = kinds.size() - 1; i > 0; i--) {
       Collections.swap(kinds, i, random.nextInt(i + 1));
     }
     int lasts = 6 + random.nextInt(30);
-    trouble(kinds.get(0), at, lasts);
+    addFault(kinds.get(0), at, lasts);
     int others = 1 + random.nextInt(2);
     for (int i = 1; i <= others; i++) {
-      trouble(kinds.get(i), at + random.nextInt(lasts - 2), 3 + random.nextInt(30));
+      addFault(kinds.get(i), at + random.nextInt(lasts - 2), 3 + random.nextInt(30));
     }
-    jobs(at, lasts);
+    addJobs(at, lasts);
     return lines;
   }
 
   /** One trouble of any kind. */
-  List<String> anyTrouble(int at, int lasts) {
+  List<String> randomFault(int at, int lasts) {
     lines.clear();
-    trouble(random.nextInt(KINDS), at, lasts);
+    addFault(random.nextInt(FAULT_KINDS), at, lasts);
     return List.copyOf(lines);
   }
 
   /** The jobs that users cancel, and those that end far apart, about a trouble. */
-  List<String> jobsAlone(int at, int lasts) {
+  List<String> jobLines(int at, int lasts) {
     lines.clear();
-    jobs(at, lasts);
+    addJobs(at, lasts);
     return List.copyOf(lines);
   }
 
-  private void jobs(int at, int lasts) {
-    cancelled(at, lasts + 15);
-    farApart(at);
+  private void addJobs(int at, int lasts) {
+    addCancelledJobs(at, lasts + 15);
+    addUnevenArrays(at);
   }
 
   /** Names of the jobs that have to be done in the end. */
-  List<String> finite() {
+  List<String> jobsToFinish() {
     return List.of("j-30", "j-31", "j-32");
   }
 
-  private void cancelled(int at, int within) {
+  private void addCancelledJobs(int at, int within) {
     for (int i = 0; i < 6; i++) {
       String job = "j-2" + i;
       int submitted = 4 + random.nextInt(at - 6);
@@ -99,7 +99,7 @@
     }
   }
 
-  private void farApart(int at) {
+  private void addUnevenArrays(int at) {
     for (int i = 0; i < 3; i++) {
       int tasks = 2 + random.nextInt(2);
       int shortest = 1 + random.nextInt(8);
@@ -113,36 +113,40 @@
     }
   }
 
-  private void trouble(int kind, int at, int drawn) {
-    int lasts = Math.max(1, Math.min(drawn, OVER - at));
+  private void addFault(int kind, int at, int drawn) {
+    int lasts = Math.max(1, Math.min(drawn, LAST_FAULT_END_SECONDS - at));
     int shortly = Math.min(lasts, 1 + random.nextInt(12));
     String node = random.nextBoolean() ? "leading" : "node-" + random.nextInt(nodes);
-    String some = some();
+    String some = randomMachines();
     String hold = random.nextBoolean() ? "hold" : "";
     switch (kind) {
       case 0 ->
           add(
               "at %d latewrites %s for=%d share=%.1f%s",
-              at, random.nextBoolean() ? "all" : node, lasts, 0.1 + 0.1 * random.nextInt(6), key());
-      case 1 -> add("at %d latereports %s for=%d share=%.1f", at, some, lasts, share());
+              at,
+              random.nextBoolean() ? "all" : node,
+              lasts,
+              0.1 + 0.1 * random.nextInt(6),
+              randomKeyOption());
+      case 1 -> add("at %d latereports %s for=%d share=%.1f", at, some, lasts, randomShare());
       case 2 -> add("at %d deaf %s for=%d", at, some, lasts);
       case 3 -> {
         add("at %d cut %s state for=%d %s", at, node, lasts, hold);
         add("at %d cut %s nodes for=%d %s", at, node, lasts, hold);
       }
-      case 4, 5 -> refusedThenOut(at);
+      case 4, 5 -> addRefusalThenOutage(at);
       case 6 -> add("at %d cut nodes %s for=%d hold", at, some, lasts);
       case 7 -> {
         for (int i = 0; i < 2; i++) {
-          add("at %d hang %s for=%d", at + i * random.nextInt(4), host(), shortly);
+          add("at %d hang %s for=%d", at + i * random.nextInt(4), randomMachine(), shortly);
         }
       }
-      case 8 -> add("at %d restart leading after=%.1f", at, tenths());
+      case 8 -> add("at %d restart leading after=%.1f", at, randomTenths());
       case 9 -> add("at %d crash leading", at);
       case 10 ->
           add(
               "at %d restart all after=%.1f times=%d every=%.1f",
-              at, tenths(), 1 + random.nextInt(2), 1 + tenths());
+              at, randomTenths(), 1 + random.nextInt(2), 1 + randomTenths());
       case 11 -> add("at %d freeze %s for=%d", at, node, shortly);
       case 12 -> add("at %d cut %s workers for=%d %s", at, node, lasts, hold);
       case 13 ->
@@ -151,7 +155,7 @@
               at, shortly, 1 + random.nextInt(15));
       default ->
           add(
-              zones
+              hasZones
                   ? "at %d cut zone:a zone:b for=%d %s"
                   : "at %d slownet nodes state for=%d by=0.9",
               at,
@@ -161,9 +165,9 @@
   }
 
   /** The leader alone is refused, and then all are, for longer than a withdrawal may take. */
-  private void refusedThenOut(int at) {
+  private void addRefusalThenOutage(int at) {
     double before = 0.2 + random.nextDouble() * 14;
-    int out = Math.min(OVER - at - 14, cancel - 10 + random.nextInt(25));
+    int out = Math.min(LAST_FAULT_END_SECONDS - at - 14, cancelSeconds - 10 + random.nextInt(25));
     add(
         "at %d refuse %s for=%.1f",
         at,
@@ -176,30 +180,30 @@
   }
 
   /** Some machines: one, those of a zone, or all. */
-  String some() {
+  String randomMachines() {
     int draw = random.nextInt(4);
     if (draw == 0) {
       return "workers";
     }
-    return draw == 1 && zones ? "zone:b" : host();
+    return draw == 1 && hasZones ? "zone:b" : randomMachine();
   }
 
-  String host() {
+  String randomMachine() {
     return String.format(Locale.ROOT, "host-%06d", random.nextInt(machines));
   }
 
-  private String key() {
+  private String randomKeyOption() {
     List<String> keys =
         List.of(
             "", "", " key=oak/a/job/", " key=oak/machine/", " key=oak/done/", " key=oak/a/leader");
     return keys.get(random.nextInt(keys.size()));
   }
 
-  private double share() {
+  private double randomShare() {
     return 0.2 + 0.2 * random.nextInt(5);
   }
 
-  private double tenths() {
+  private double randomTenths() {
     return 0.1 + 0.1 * random.nextInt(8);
   }
 
--- a/src/main/java/org/oakwalk/model/Troubles.java
+++ b/src/main/java/org/oakwalk/model/FaultSchedule.java
@@ -4,29 +4,32 @@
 import java.util.Set;
 
 /** When the troubles of a scenario are over, by its own lines. */
-final class Troubles {
-  private static final Set<String> NONE = Set.of("submit", "cancel", "expect", "rogue", "lie");
+final class FaultSchedule {
+  private static final Set<String> NOT_FAULTS =
+      Set.of("submit", "cancel", "expect", "rogue", "lie");
 
-  private Troubles() {}
+  private FaultSchedule() {}
 
   /** When the last one ends, in seconds; 0 if there is none. */
-  static double end(List<Words> lines) {
+  static double lastFaultEnd(List<Words> lines) {
     double end = 0;
     double lease = 10;
     for (Words line : lines) {
       lease = line.word(0).equals("settings") ? line.number("lease", lease) : lease;
     }
     for (Words line : lines) {
-      if (line.word(0).equals("at") && !NONE.contains(line.word(2))) {
-        end = Math.max(end, line.number(1) + lasts(line, line.word(2), lease));
-      } else if (line.word(0).equals("every") && line.repeats() && !NONE.contains(line.word(4))) {
-        end = Math.max(end, line.number(3) + lasts(line, line.word(4), lease));
+      if (line.word(0).equals("at") && !NOT_FAULTS.contains(line.word(2))) {
+        end = Math.max(end, line.number(1) + durationSeconds(line, line.word(2), lease));
+      } else if (line.word(0).equals("every")
+          && line.repeats()
+          && !NOT_FAULTS.contains(line.word(4))) {
+        end = Math.max(end, line.number(3) + durationSeconds(line, line.word(4), lease));
       }
     }
     return end;
   }
 
-  private static double lasts(Words line, String action, double lease) {
+  private static double durationSeconds(Words line, String action, double lease) {
     return switch (action) {
       case "refuse", "freeze", "full", "outage", "cut", "slownet", "hang", "deaf", "noreports" ->
           line.number("for", 10);
@@ -36,7 +39,9 @@
       case "copies" -> line.number("for", 10) + line.number("after", 90);
       case "latewrites" ->
           line.number("for", 10)
-              + (line.has("atonce") ? 0 : line.number("after", Lateness.MOST_FOR_WRITES));
+              + (line.has("atonce")
+                  ? 0
+                  : line.number("after", DelayInjector.MAX_WRITE_DELAY_SECONDS));
       // Questions alone trouble nobody.
       case "closelooks" ->
           line.number("ends", 0) > 0
@@ -44,7 +49,8 @@
               : Double.NEGATIVE_INFINITY;
       case "latereports" ->
           line.number("for", 10)
-              + line.number("after", line.has("fornext") ? 0 : Lateness.MOST_LEASES * lease);
+              + line.number(
+                  "after", line.has("fornext") ? 0 : DelayInjector.MAX_REPORT_DELAY_LEASES * lease);
       case "restart" ->
           (line.number("times", 1) - 1) * line.number("every", 1) + line.number("after", 0);
       case "notice" -> line.number("in", 10);
--- a/src/main/java/org/oakwalk/model/CrowdedRule.java
+++ b/src/main/java/org/oakwalk/model/HeadroomRule.java
@@ -28,54 +28,54 @@
  * two of three kept places were on a machine that had died 1.2 s before, and the leader found it
  * silent 4.3 s later.
  */
-final class CrowdedRule {
-  private static final long BEYOND_THE_LEASE = 5000;
-  private static final long SAMPLES_APART = 500;
+final class HeadroomRule {
+  private static final long LOOKBACK_MARGIN_MS = 5000;
+  private static final long SAMPLE_INTERVAL_MS = 500;
 
   /** The room of a shape in a zone. */
-  private record Spot(HeadroomRow.Key key, String zone) {}
+  private record HeadroomPool(HeadroomRow.Key key, String zone) {}
 
-  private static final class Sample {
+  private static final class SlotSample {
     final long at;
-    int slack;
+    int unreservedSlots;
 
-    Sample(long at, int slack) {
+    SlotSample(long at, int slack) {
       this.at = at;
-      this.slack = slack;
+      this.unreservedSlots = slack;
     }
   }
 
   /** A machine has died, with so many places. */
-  private record Loss(long at, int places) {}
+  private record LostMachine(long diedAt, int slots) {}
 
   /** What was seen of a spot. */
-  private static final class Account {
-    final Deque<Sample> samples = new ArrayDeque<>();
-    final Map<SimWorker, Integer> places = new HashMap<>();
-    final Map<SimWorker, Loss> losses = new HashMap<>();
-    int total;
-
-    void places(SimWorker worker, int count) {
-      Integer before = places.put(worker, count);
-      total += count - (before == null ? 0 : before);
+  private static final class SlotTally {
+    final Deque<SlotSample> samples = new ArrayDeque<>();
+    final Map<SimWorker, Integer> slotsByMachine = new HashMap<>();
+    final Map<SimWorker, LostMachine> lostMachines = new HashMap<>();
+    int totalSlots;
+
+    void setSlots(SimWorker worker, int count) {
+      Integer before = slotsByMachine.put(worker, count);
+      totalSlots += count - (before == null ? 0 : before);
     }
 
     /** Forgets where places are, but for those that died with their machines. */
-    void recount(long at, long window) {
-      places.forEach(
+    void reset(long at, long window) {
+      slotsByMachine.forEach(
           (worker, count) -> {
             if (!worker.alive()) {
-              losses.putIfAbsent(worker, new Loss(at, count));
+              lostMachines.putIfAbsent(worker, new LostMachine(at, count));
             }
           });
-      losses.values().removeIf(loss -> loss.at() < at - window);
-      places.clear();
-      total = 0;
+      lostMachines.values().removeIf(loss -> loss.diedAt() < at - window);
+      slotsByMachine.clear();
+      totalSlots = 0;
     }
 
-    void sample(long at, int amount, long window) {
-      int lost = losses.values().stream().mapToInt(Loss::places).sum();
-      samples.add(new Sample(at, total + lost - amount));
+    void addSample(long at, int amount, long window) {
+      int lost = lostMachines.values().stream().mapToInt(LostMachine::slots).sum();
+      samples.add(new SlotSample(at, totalSlots + lost - amount));
       while (samples.peek().at < at - window) {
         samples.poll();
       }
@@ -83,14 +83,14 @@
   }
 
   private final World world;
-  private final Map<Spot, Account> accounts = new HashMap<>();
+  private final Map<HeadroomPool, SlotTally> tallies = new HashMap<>();
 
-  CrowdedRule(World world) {
+  HeadroomRule(World world) {
     this.world = world;
   }
 
   /** The rows that are in force, as they are stored. */
-  static List<HeadroomRow> rows(World world) {
+  static List<HeadroomRow> storedRows(World world) {
     boolean declared =
         world
             .state
@@ -115,35 +115,35 @@
 
   /** To be called now and then: looks at all machines anew. */
   void tick() {
-    Set<Spot> present = new HashSet<>();
-    for (HeadroomRow row : rows(world)) {
+    Set<HeadroomPool> present = new HashSet<>();
+    for (HeadroomRow row : storedRows(world)) {
       row.places()
           .forEach(
               (zone, amount) -> {
-                Spot spot = new Spot(row.key(), zone);
+                HeadroomPool spot = new HeadroomPool(row.key(), zone);
                 present.add(spot);
-                Account account = accounts.computeIfAbsent(spot, s -> new Account());
-                account.recount(world.time.now(), window());
+                SlotTally account = tallies.computeIfAbsent(spot, s -> new SlotTally());
+                account.reset(world.time.now(), lookbackMillis());
                 for (SimWorker worker : world.workers.values()) {
-                  if (takes(row, zone, worker)) {
-                    account.places(worker, free(worker).capacityFor(row.key().room()));
+                  if (canProvide(row, zone, worker)) {
+                    account.setSlots(worker, freeResources(worker).capacityFor(row.key().room()));
                   }
                 }
-                account.sample(world.time.now(), amount, window());
+                account.addSample(world.time.now(), amount, lookbackMillis());
               });
     }
-    accounts.keySet().retainAll(present);
+    tallies.keySet().retainAll(present);
   }
 
-  private long window() {
-    return world.settings.workers().lease().millis() + BEYOND_THE_LEASE;
+  private long lookbackMillis() {
+    return world.settings.workers().lease().millis() + LOOKBACK_MARGIN_MS;
   }
 
-  private static Resources free(SimWorker worker) {
+  private static Resources freeResources(SimWorker worker) {
     return worker.type.room().minus(worker.used());
   }
 
-  private static boolean takes(HeadroomRow row, String zone, SimWorker worker) {
+  private static boolean canProvide(HeadroomRow row, String zone, SimWorker worker) {
     return worker.market.zone().equals(zone)
         && worker.alive()
         && (row.types().isEmpty() || row.types().contains(worker.type.name()))
@@ -151,39 +151,43 @@
   }
 
   /** A worker has room again. */
-  void freesRoom(SimWorker worker) {
-    if (!accounts.isEmpty()) {
-      look(worker, Resources.NONE, false);
+  void resourcesFreed(SimWorker worker) {
+    if (!tallies.isEmpty()) {
+      recordAllocation(worker, Resources.NONE, false);
     }
   }
 
   /** A worker is about to give room to a task; returns what is broken by it. */
-  Optional<String> takesRoom(SimWorker worker, JobSpec spec) {
-    return accounts.isEmpty() ? Optional.empty() : look(worker, spec.resources(), !spec.service());
+  Optional<String> beforeAllocation(SimWorker worker, JobSpec spec) {
+    return tallies.isEmpty()
+        ? Optional.empty()
+        : recordAllocation(worker, spec.resources(), !spec.service());
   }
 
-  private Optional<String> look(SimWorker worker, Resources taken, boolean batch) {
+  private Optional<String> recordAllocation(SimWorker worker, Resources taken, boolean batch) {
     Optional<String> breach = Optional.empty();
     String zone = worker.market.zone();
     long now = world.time.now();
-    for (HeadroomRow row : rows(world)) {
-      Account account = accounts.get(new Spot(row.key(), zone));
-      if (account == null || !takes(row, zone, worker)) {
+    for (HeadroomRow row : storedRows(world)) {
+      SlotTally account = tallies.get(new HeadroomPool(row.key(), zone));
+      if (account == null || !canProvide(row, zone, worker)) {
         continue;
       }
-      Resources free = free(worker);
+      Resources free = freeResources(worker);
       int before = free.capacityFor(row.key().room());
       int after = free.minus(taken).capacityFor(row.key().room());
-      account.places(worker, before);
-      account.sample(now, row.places().getOrDefault(zone, 0), window());
-      account.places(worker, after);
+      account.setSlots(worker, before);
+      account.addSample(now, row.places().getOrDefault(zone, 0), lookbackMillis());
+      account.setSlots(worker, after);
       int fewer = before - after;
       if (batch && fewer > 0) {
-        boolean longKnown = now - account.samples.peek().at > window() - 2 * SAMPLES_APART;
-        if (longKnown && account.samples.stream().noneMatch(sample -> sample.slack >= fewer)) {
+        boolean longKnown =
+            now - account.samples.peek().at > lookbackMillis() - 2 * SAMPLE_INTERVAL_MS;
+        if (longKnown
+            && account.samples.stream().noneMatch(sample -> sample.unreservedSlots >= fewer)) {
           breach = Optional.of("starts in room of headroom " + row.key());
         }
-        account.samples.forEach(sample -> sample.slack -= fewer);
+        account.samples.forEach(sample -> sample.unreservedSlots -= fewer);
       }
     }
     return breach;
--- a/src/main/java/org/oakwalk/model/Hunt.java
+++ b/src/main/java/org/oakwalk/model/Hunt.java
@@ -78,16 +78,16 @@
       if (random.nextBoolean()) {
         trouble(kinds[random.nextInt(kinds.length)], begins, 3 + random.nextInt(30));
       } else {
-        lines.addAll(combinations.anyTrouble(begins, 3 + random.nextInt(30)));
+        lines.addAll(combinations.randomFault(begins, 3 + random.nextInt(30)));
       }
     }
-    lines.addAll(combinations.jobsAlone(at, lasts));
+    lines.addAll(combinations.jobLines(at, lasts));
     return lines;
   }
 
   /** Names of the jobs that have to be done in the end. */
   List<String> finite() {
-    finite.addAll(combinations.finite());
+    finite.addAll(combinations.jobsToFinish());
     return finite;
   }
 
@@ -148,7 +148,8 @@
     int lasts = Math.max(1, Math.min(drawn, OVER - at));
     String node = random.nextBoolean() ? "leading" : "node-" + random.nextInt(nodes);
     switch (kind) {
-      case MUTE_MACHINES -> add("at %d noreports %s for=%d", at, combinations.some(), lasts);
+      case MUTE_MACHINES ->
+          add("at %d noreports %s for=%d", at, combinations.randomMachines(), lasts);
       case RUSH -> rush(at + random.nextDouble(), Math.min(lasts, 1 + random.nextInt(14)));
       case RUSH_AS_REFUSED -> rushAsRefused(at);
       case RUSH_AT_THE_LIMIT -> rushAtTheLimit(at, lasts);
@@ -173,7 +174,7 @@
               "at %.1f %s %s",
               at + random.nextDouble() * 3,
               random.nextBoolean() ? "die" : "take",
-              combinations.host());
+              combinations.randomMachine());
         }
       }
       case STREAM -> stream(at, lasts);
@@ -213,7 +214,7 @@
   private void rushAtTheLimit(int at, int lasts) {
     for (int i = 0; i < 3; i++) {
       String hold = random.nextBoolean() ? "hold" : "";
-      add("at %d cut nodes %s for=%d %s", at, combinations.host(), lasts, hold);
+      add("at %d cut nodes %s for=%d %s", at, combinations.randomMachine(), lasts, hold);
     }
     add("at %d cancelnow 4 class=spare hang=%d", at, 1 + random.nextInt(12));
     int changes = 1 + random.nextInt(3);
@@ -234,7 +235,7 @@
 
   /** Old reports reach the next leader first, while it may hear nothing newer of these machines. */
   private void keptReports(int at, int lasts) {
-    String some = combinations.some();
+    String some = combinations.randomMachines();
     add(
         "at %d latereports %s for=%d fornext share=%s %s",
         at, some, lasts, share(), random.nextBoolean() ? "acted" : "");
--- a/src/main/java/org/oakwalk/model/Waits.java
+++ b/src/main/java/org/oakwalk/model/JobWaitTimes.java
@@ -10,8 +10,8 @@
 import org.oakwalk.core.store.StoreKeys;
 
 /** How long jobs wait for each step of their lives, and the longest that any has waited for it. */
-final class Waits {
-  enum Step {
+final class JobWaitTimes {
+  enum WaitPhase {
     /** From the first attempt to submit until some answer that settles it. */
     ACCEPTED,
     /** From the acceptance until its first task is on a machine. */
@@ -23,59 +23,59 @@
   }
 
   private final World world;
-  private final Map<Step, Map<JobId, Double>> since = new EnumMap<>(Step.class);
-  private final Map<Step, Double> longest = new EnumMap<>(Step.class);
+  private final Map<WaitPhase, Map<JobId, Double>> waitingSince = new EnumMap<>(WaitPhase.class);
+  private final Map<WaitPhase, Double> longest = new EnumMap<>(WaitPhase.class);
 
-  Waits(World world) {
+  JobWaitTimes(World world) {
     this.world = world;
-    for (Step step : Step.values()) {
-      since.put(step, new HashMap<>());
+    for (WaitPhase step : WaitPhase.values()) {
+      waitingSince.put(step, new HashMap<>());
       longest.put(step, 0.0);
     }
   }
 
-  void begins(Step step, JobId job) {
-    since.get(step).putIfAbsent(job, world.time.seconds());
+  void waitStarted(WaitPhase step, JobId job) {
+    waitingSince.get(step).putIfAbsent(job, world.time.seconds());
   }
 
-  void ends(Step step, JobId job) {
-    Double begun = since.get(step).remove(job);
+  void waitEnded(WaitPhase step, JobId job) {
+    Double begun = waitingSince.get(step).remove(job);
     if (begun != null) {
       longest.merge(step, world.time.seconds() - begun, Math::max);
     }
   }
 
   /** Its user was told that it is accepted; it may have begun before that. */
-  void accepted(JobId job) {
-    ends(Step.ACCEPTED, job);
+  void jobAccepted(JobId job) {
+    waitEnded(WaitPhase.ACCEPTED, job);
     int tasks = world.specs.get(job).tasks();
     for (int index = 0; index < tasks; index++) {
       if (world.rules.firstStart(new TaskId(job, index)) != null) {
         return;
       }
     }
-    begins(Step.BEGUN, job);
+    waitStarted(WaitPhase.BEGUN, job);
   }
 
   /** It does not wait for this step any more, nor counts for having waited. */
-  void gone(Step step, JobId job) {
-    since.get(step).remove(job);
+  void discardWait(WaitPhase step, JobId job) {
+    waitingSince.get(step).remove(job);
   }
 
   /** A task has completed; perhaps it was its job's last. */
-  void completed(JobId job) {
+  void taskCompleted(JobId job) {
     int tasks = world.specs.get(job).tasks();
     for (int index = 0; index < tasks; index++) {
-      if (!world.rules.completed(new TaskId(job, index))) {
+      if (!world.rules.isCompleted(new TaskId(job, index))) {
         return;
       }
     }
-    begins(Step.ENDED, job);
+    waitStarted(WaitPhase.ENDED, job);
   }
 
   /** To be called now and then: what has been stored as over waits for that no more. */
   void tick() {
-    for (JobId job : Map.copyOf(since.get(Step.ENDED)).keySet()) {
+    for (JobId job : Map.copyOf(waitingSince.get(WaitPhase.ENDED)).keySet()) {
       boolean stored =
           world
               .state
@@ -83,34 +83,35 @@
               .filter(value -> !(value instanceof JobRecord r) || r.phase().isFinal())
               .isPresent();
       if (stored) {
-        ends(Step.ENDED, job);
+        waitEnded(WaitPhase.ENDED, job);
       }
     }
   }
 
   /** The longest that any job has waited, or waits now. */
-  double longest(Step step) {
+  double longest(WaitPhase step) {
     double most = longest.get(step);
-    for (double begun : since.get(step).values()) {
+    for (double begun : waitingSince.get(step).values()) {
       most = Math.max(most, world.time.seconds() - begun);
     }
     return most;
   }
 
   /** How many wait for it now. */
-  int waiting(Step step) {
-    return since.get(step).size();
+  int waitingCount(WaitPhase step) {
+    return waitingSince.get(step).size();
   }
 
-  static Step step(String name) {
-    return Step.valueOf(name.toUpperCase(Locale.ROOT));
+  static WaitPhase parsePhase(String name) {
+    return WaitPhase.valueOf(name.toUpperCase(Locale.ROOT));
   }
 
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder();
-    for (Step step : Step.values()) {
-      text.append(String.format(Locale.ROOT, " %s %.1f (%d)", step, longest(step), waiting(step)));
+    for (WaitPhase step : WaitPhase.values()) {
+      text.append(
+          String.format(Locale.ROOT, " %s %.1f (%d)", step, longest(step), waitingCount(step)));
     }
     return text.toString().trim();
   }
--- a/src/main/java/org/oakwalk/model/Largest.java
+++ b/src/main/java/org/oakwalk/model/LargeJobStartRule.java
@@ -21,77 +21,79 @@
  * replicas have, a gang when it runs whole, an array when as many tasks have as its team's limit
  * and the whole fleet allow at once. A start counts unless it is stopped by command soon after.
  */
-final class Largest {
-  private static final double WITHIN_SECONDS = 240;
-  private static final double SHARE = 0.1;
+final class LargeJobStartRule {
+  private static final double START_DEADLINE_SECONDS = 240;
+  private static final double LARGEST_SHARE = 0.1;
 
   /** A start that is stopped by command within so many seconds does not count. */
-  private static final double LASTS_SECONDS = 30;
+  private static final double MIN_RUN_SECONDS = 30;
 
   private final World world;
-  private final Map<TaskId, Double> lastStart = new HashMap<>();
-  private final Map<TaskId, Double> counted = new HashMap<>();
-  private final Map<JobId, Double> whole = new HashMap<>();
-  private final Map<SimCloud.Market, Integer> fleet = new HashMap<>();
+  private final Map<TaskId, Double> lastStartAt = new HashMap<>();
+  private final Map<TaskId, Double> countedStartAt = new HashMap<>();
+  private final Map<JobId, Double> gangStartAt = new HashMap<>();
+  private final Map<SimCloud.Market, Integer> maxFleet = new HashMap<>();
 
-  Largest(World world) {
+  LargeJobStartRule(World world) {
     this.world = world;
   }
 
   /** To be called when all machines of the beginning are there: the fleet can't be larger. */
-  void begin() {
-    fleet.putAll(world.cloud.capacity);
-    world.workers.values().forEach(worker -> fleet.merge(worker.market, 1, Integer::sum));
+  void recordMaxFleet() {
+    maxFleet.putAll(world.cloud.capacity);
+    world.workers.values().forEach(worker -> maxFleet.merge(worker.market, 1, Integer::sum));
   }
 
-  void started(TaskId task) {
-    lastStart.put(task, world.time.seconds());
-    counted.putIfAbsent(task, world.time.seconds());
+  void taskStarted(TaskId task) {
+    lastStartAt.put(task, world.time.seconds());
+    countedStartAt.putIfAbsent(task, world.time.seconds());
   }
 
   /** All tasks of a gang run. */
-  void runsWhole(JobId gang) {
-    whole.putIfAbsent(gang, world.time.seconds());
+  void gangStarted(JobId gang) {
+    gangStartAt.putIfAbsent(gang, world.time.seconds());
   }
 
-  void stoppedByCommand(TaskId task) {
+  void taskStoppedByCommand(TaskId task) {
     double now = world.time.seconds();
-    if (now - lastStart.getOrDefault(task, 0.0) < LASTS_SECONDS) {
-      counted.remove(task, lastStart.get(task));
+    if (now - lastStartAt.getOrDefault(task, 0.0) < MIN_RUN_SECONDS) {
+      countedStartAt.remove(task, lastStartAt.get(task));
     }
-    if (now - whole.getOrDefault(task.job(), 0.0) < LASTS_SECONDS) {
-      whole.remove(task.job());
+    if (now - gangStartAt.getOrDefault(task.job(), 0.0) < MIN_RUN_SECONDS) {
+      gangStartAt.remove(task.job());
     }
   }
 
   /** The largest of these jobs, by class. */
-  Map<String, List<JobSpec>> of(List<JobSpec> jobs) {
+  Map<String, List<JobSpec>> largestByClass(List<JobSpec> jobs) {
     Map<String, List<JobSpec>> classes = new TreeMap<>();
     jobs.forEach(
         spec -> classes.computeIfAbsent(spec.jobClass(), c -> new ArrayList<>()).add(spec));
     classes.replaceAll(
         (name, all) -> {
-          int count = Math.max(1, (int) (all.size() * SHARE));
+          int count = Math.max(1, (int) (all.size() * LARGEST_SHARE));
           double least =
               all.stream()
-                  .map(this::size)
+                  .map(this::relativeSize)
                   .sorted((a, b) -> Double.compare(b, a))
                   .toList()
                   .get(count - 1);
-          return all.stream().filter(spec -> size(spec) >= least - 1e-9).toList();
+          return all.stream().filter(spec -> relativeSize(spec) >= least - 1e-9).toList();
         });
     return classes;
   }
 
   /** Tasks times room, in the largest machines of each resource. */
-  private double size(JobSpec spec) {
+  private double relativeSize(JobSpec spec) {
     Resources most =
         new Resources(
-            most(room -> room.cpus()), most(room -> room.gpus()), most(room -> room.memoryGb()));
+            maxAmount(room -> room.cpus()),
+            maxAmount(room -> room.gpus()),
+            maxAmount(room -> room.memoryGb()));
     return spec.tasks() * spec.resources().dominantShare(most);
   }
 
-  private double most(ToDoubleFunction<Resources> resource) {
+  private double maxAmount(ToDoubleFunction<Resources> resource) {
     return world.cloud.types.values().stream()
         .map(MachineType::room)
         .mapToDouble(resource)
@@ -103,16 +105,16 @@
    * Classes whose largest jobs began too late, each with how; jobs that could still begin in time
    * at the end don't count.
    */
-  Map<String, String> late(List<JobSpec> jobs) {
+  Map<String, String> lateByClass(List<JobSpec> jobs) {
     Map<String, String> late = new TreeMap<>();
-    of(jobs)
+    largestByClass(jobs)
         .forEach(
             (name, largest) -> {
               for (JobSpec spec : largest) {
                 double asked = world.figures.submittedAt(spec.id());
-                Double at = begun(spec);
-                boolean over = asked + WITHIN_SECONDS <= world.time.seconds();
-                if (over && (at == null || at - asked > WITHIN_SECONDS)) {
+                Double at = startedAt(spec);
+                boolean over = asked + START_DEADLINE_SECONDS <= world.time.seconds();
+                if (over && (at == null || at - asked > START_DEADLINE_SECONDS)) {
                   String how = at == null ? "not at all" : "after " + Math.round(at - asked) + " s";
                   late.put(
                       name,
@@ -129,21 +131,21 @@
   }
 
   /** When the job had begun, or null. */
-  private Double begun(JobSpec spec) {
+  private Double startedAt(JobSpec spec) {
     if (spec.gang()) {
-      return whole.get(spec.id());
+      return gangStartAt.get(spec.id());
     }
     List<Double> starts =
         IntStream.range(0, spec.tasks())
-            .mapToObj(index -> counted.get(new TaskId(spec.id(), index)))
+            .mapToObj(index -> countedStartAt.get(new TaskId(spec.id(), index)))
             .filter(at -> at != null)
             .sorted()
             .toList();
-    int needed = spec.service() ? spec.tasks() : Math.max(1, atOnce(spec));
+    int needed = spec.service() ? spec.tasks() : Math.max(1, maxTasksAtOnce(spec));
     return starts.size() < needed ? null : starts.get(needed - 1);
   }
 
-  private int atOnce(JobSpec spec) {
+  private int maxTasksAtOnce(JobSpec spec) {
     Settings.Team team = world.settings.teams().get(spec.team());
     Resources limit =
         new Resources(
@@ -151,7 +153,7 @@
             team.gpusMax() > 0 ? team.gpusMax() : Double.MAX_VALUE,
             Double.MAX_VALUE);
     int places = 0;
-    for (Map.Entry<SimCloud.Market, Integer> part : fleet.entrySet()) {
+    for (Map.Entry<SimCloud.Market, Integer> part : maxFleet.entrySet()) {
       SimCloud.Market market = part.getKey();
       if (spec.allows(market.type(), market.zone(), market.spot())) {
         Resources room = world.cloud.types.get(market.type()).room();
--- a/src/main/java/org/oakwalk/model/Nights.java
+++ b/src/main/java/org/oakwalk/model/PlanningWindowTracker.java
@@ -23,40 +23,44 @@
 import org.oakwalk.core.store.StoredValue;
 
 /** What was promised for each dawn, by the stored plan, and what was done by then. */
-final class Nights {
+final class PlanningWindowTracker {
   /** A group's work of one night. */
-  private static final class Group {
+  private static final class GroupResult {
     int tasks;
-    int done;
-    int promised;
-    double seconds;
-    double secondsDone;
+    int doneTasks;
+    int promisedTasks;
+    double workSeconds;
+    double doneWorkSeconds;
   }
 
   /** One night, as it turned out. */
-  record Night(
-      double work, double kept, int revisions, double share, Map<GroupKey, Group> groups) {}
+  record WindowResult(
+      double workDoneShare,
+      double promiseKeptShare,
+      int revisions,
+      double plannedShare,
+      Map<GroupKey, GroupResult> groups) {}
 
   private final World world;
-  private final List<DawnTerms> dawns;
-  private final Map<String, Map<JobId, Integer>> before = new HashMap<>();
-  private final Map<String, List<Night>> nights = new TreeMap<>();
-  private final Map<String, PlanRow.Group> last = new HashMap<>();
+  private final List<DawnTerms> deadlines;
+  private final Map<String, Map<JobId, Integer>> doneAtOpening = new HashMap<>();
+  private final Map<String, List<WindowResult>> results = new TreeMap<>();
+  private final Map<String, PlanRow.Group> lastPlanned = new HashMap<>();
   private long revision = -1;
 
-  Nights(World world, List<DawnTerms> dawns) {
+  PlanningWindowTracker(World world, List<DawnTerms> dawns) {
     this.world = world;
-    this.dawns = dawns;
+    this.deadlines = dawns;
   }
 
   /** Sets out to look at each dawn that comes before the scenario is over. */
-  void begin(double end) {
-    for (DawnTerms dawn : dawns) {
+  void scheduleChecks(double end) {
+    for (DawnTerms dawn : deadlines) {
       Optional<Window> window = Window.next(dawn, world.wall(), world.settings.clockOff());
       while (window.isPresent() && seconds(window.get().dawn()) <= end) {
         Window night = window.get();
-        world.time.at(Math.max(0, seconds(night.opens())), () -> opens(dawn));
-        world.time.at(seconds(night.dawn()) - 0.001, () -> ends(dawn, night));
+        world.time.at(Math.max(0, seconds(night.opens())), () -> windowOpens(dawn));
+        world.time.at(seconds(night.dawn()) - 0.001, () -> windowEnds(dawn, night));
         WallTime next = new WallTime(night.dawn().millis() + 1);
         window = Window.next(dawn, next, world.settings.clockOff());
       }
@@ -68,8 +72,8 @@
   }
 
   /** By when a job would have to be done if each were due at its dawn. */
-  Optional<Span> due(JobSpec spec) {
-    return dawns.stream()
+  Optional<Span> timeToDeadline(JobSpec spec) {
+    return deadlines.stream()
         .filter(dawn -> dawn.covers(spec))
         .flatMap(dawn -> Window.next(dawn, world.wall(), world.settings.clockOff()).stream())
         .map(window -> window.ends().since(world.wall()))
@@ -77,7 +81,7 @@
         .min(Span::compareTo);
   }
 
-  private int done(JobSpec spec) {
+  private int doneTaskCount(JobSpec spec) {
     int done = 0;
     for (int i = 0; i < spec.tasks(); i++) {
       done += world.rules.hasCompleted(new TaskId(spec.id(), i)) ? 1 : 0;
@@ -85,36 +89,39 @@
     return done;
   }
 
-  private void opens(DawnTerms dawn) {
+  private void windowOpens(DawnTerms dawn) {
     Map<JobId, Integer> counts = new HashMap<>();
     for (JobSpec spec : world.specs.values()) {
       if (dawn.covers(spec)) {
-        counts.put(spec.id(), done(spec));
+        counts.put(spec.id(), doneTaskCount(spec));
       }
     }
-    before.put(dawn.name(), counts);
+    doneAtOpening.put(dawn.name(), counts);
   }
 
-  private void ends(DawnTerms dawn, Window window) {
-    Map<GroupKey, Group> groups = new TreeMap<>((a, b) -> a.toString().compareTo(b.toString()));
-    Map<JobId, Integer> earlier = before.getOrDefault(dawn.name(), Map.of());
+  private void windowEnds(DawnTerms dawn, Window window) {
+    Map<GroupKey, GroupResult> groups =
+        new TreeMap<>((a, b) -> a.toString().compareTo(b.toString()));
+    Map<JobId, Integer> earlier = doneAtOpening.getOrDefault(dawn.name(), Map.of());
     for (JobSpec spec : world.specs.values()) {
-      if (!dawn.covers(spec) || world.rules.asked(spec.id()) || world.failing.contains(spec.id())) {
+      if (!dawn.covers(spec)
+          || world.rules.isCancelRequested(spec.id())
+          || world.failing.contains(spec.id())) {
         continue;
       }
       int begun = earlier.getOrDefault(spec.id(), 0);
-      Group group = groups.computeIfAbsent(GroupKey.of(spec), key -> new Group());
-      int done = done(spec) - begun;
+      GroupResult group = groups.computeIfAbsent(GroupKey.of(spec), key -> new GroupResult());
+      int done = doneTaskCount(spec) - begun;
       group.tasks += spec.tasks() - begun;
-      group.done += done;
+      group.doneTasks += done;
       double run = world.runSeconds(new TaskId(spec.id(), 0));
-      group.seconds += run * (spec.tasks() - begun);
-      group.secondsDone += run * done;
+      group.workSeconds += run * (spec.tasks() - begun);
+      group.doneWorkSeconds += run * done;
     }
     groups.values().removeIf(group -> group.tasks == 0);
     int revisions = 0;
     double share = 1;
-    for (PlanRow row : stored()) {
+    for (PlanRow row : storedPlan()) {
       if (row instanceof PlanRow.Night night
           && night.dawn().equals(dawn.name())
           && night.dawnAt().equals(window.dawn())) {
@@ -123,22 +130,23 @@
       }
     }
     if (revisions > 0) {
-      for (PlanRow row : stored()) {
+      for (PlanRow row : storedPlan()) {
         if (row instanceof PlanRow.Group planned
             && planned.dawn().equals(dawn.name())
             && groups.containsKey(planned.key())) {
-          groups.get(planned.key()).promised = planned.promised();
+          groups.get(planned.key()).promisedTasks = planned.promised();
         }
       }
     }
-    double work = groups.values().stream().mapToDouble(group -> group.seconds).sum();
-    double workDone = groups.values().stream().mapToDouble(group -> group.secondsDone).sum();
-    double promised = groups.values().stream().mapToDouble(group -> group.promised).sum();
-    double kept = groups.values().stream().mapToDouble(g -> Math.min(g.done, g.promised)).sum();
-    nights
+    double work = groups.values().stream().mapToDouble(group -> group.workSeconds).sum();
+    double workDone = groups.values().stream().mapToDouble(group -> group.doneWorkSeconds).sum();
+    double promised = groups.values().stream().mapToDouble(group -> group.promisedTasks).sum();
+    double kept =
+        groups.values().stream().mapToDouble(g -> Math.min(g.doneTasks, g.promisedTasks)).sum();
+    results
         .computeIfAbsent(dawn.name(), name -> new ArrayList<>())
         .add(
-            new Night(
+            new WindowResult(
                 work <= 0 ? 1 : workDone / work,
                 promised <= 0 ? 1 : kept / promised,
                 revisions,
@@ -146,7 +154,7 @@
                 groups));
   }
 
-  private List<PlanRow> stored() {
+  private List<PlanRow> storedPlan() {
     List<SharedRow> rows = new ArrayList<>();
     if (world.state.value(StoreKeys.sharedHead(Planner.RECORD)).orElse(null)
         instanceof StoredValue.SharedHead head) {
@@ -162,15 +170,15 @@
   }
 
   /** Looks whether a promise was taken back; to be called now and then. */
-  Optional<String> tick() {
-    if (dawns.isEmpty()
+  Optional<String> checkPromises() {
+    if (deadlines.isEmpty()
         || !(world.state.value(StoreKeys.sharedHead(Planner.RECORD)).orElse(null)
             instanceof StoredValue.SharedHead head)
         || head.revision() == revision) {
       return Optional.empty();
     }
     revision = head.revision();
-    List<PlanRow> rows = stored();
+    List<PlanRow> rows = storedPlan();
     Map<String, WallTime> dawnAt = new HashMap<>();
     for (PlanRow row : rows) {
       if (row instanceof PlanRow.Night night) {
@@ -181,7 +189,7 @@
     for (PlanRow row : rows) {
       if (row instanceof PlanRow.Group group && dawnAt.containsKey(group.dawn())) {
         String name = group.dawn() + dawnAt.get(group.dawn()) + group.key();
-        PlanRow.Group old = last.put(name, group);
+        PlanRow.Group old = lastPlanned.put(name, group);
         if (old != null && group.promised() < old.promised() && group.seen() >= old.seen()) {
           broken =
               Optional.of(group.key() + " was " + old.promised() + " and is " + group.promised());
@@ -195,23 +203,23 @@
   }
 
   /** The last night of a dawn that is over. */
-  Optional<Night> last(String dawn) {
-    List<Night> all = nights.getOrDefault(dawn, List.of());
+  Optional<WindowResult> lastResult(String dawn) {
+    List<WindowResult> all = results.getOrDefault(dawn, List.of());
     return all.isEmpty() ? Optional.empty() : Optional.of(all.get(all.size() - 1));
   }
 
-  Map<String, Double> figures() {
+  Map<String, Double> metrics() {
     Map<String, Double> figures = new LinkedHashMap<>();
-    nights.forEach(
+    results.forEach(
         (name, all) -> {
           for (int i = 0; i < all.size(); i++) {
             if (all.get(i).groups().isEmpty()) {
               continue;
             }
             String night = "dawn." + name + "." + (i + 1);
-            figures.put(night + ".work_done", all.get(i).work());
-            figures.put(night + ".promise_kept", all.get(i).kept());
-            figures.put(night + ".share", all.get(i).share());
+            figures.put(night + ".work_done", all.get(i).workDoneShare());
+            figures.put(night + ".promise_kept", all.get(i).promiseKeptShare());
+            figures.put(night + ".share", all.get(i).plannedShare());
             figures.put(night + ".revisions", (double) all.get(i).revisions());
           }
         });
@@ -219,13 +227,13 @@
   }
 
   /** Promised against done by group, a line each. */
-  List<String> table() {
+  List<String> report() {
     List<String> lines = new ArrayList<>();
-    nights.forEach(
+    results.forEach(
         (name, all) -> {
           for (int i = 0; i < all.size(); i++) {
-            for (Map.Entry<GroupKey, Group> entry : all.get(i).groups().entrySet()) {
-              Group group = entry.getValue();
+            for (Map.Entry<GroupKey, GroupResult> entry : all.get(i).groups().entrySet()) {
+              GroupResult group = entry.getValue();
               lines.add(
                   String.format(
                       Locale.ROOT,
@@ -233,8 +241,8 @@
                       name,
                       i + 1,
                       entry.getKey(),
-                      group.promised,
-                      group.done,
+                      group.promisedTasks,
+                      group.doneTasks,
                       group.tasks));
             }
           }
--- a/src/main/java/org/oakwalk/model/ProductLines.java
+++ b/src/main/java/org/oakwalk/model/ProductTermsParser.java
@@ -16,15 +16,15 @@
 import org.oakwalk.core.product.ProductTerms;
 
 /** Dawns, headroom and exchanges as a scenario declares them in the operators' files. */
-final class ProductLines {
+final class ProductTermsParser {
   private final List<Words> lines;
 
-  ProductLines(List<Words> lines) {
+  ProductTermsParser(List<Words> lines) {
     this.lines = lines;
   }
 
   /** The file's terms as a node finds them at this time. */
-  ProductTerms terms(NodeId node, double seconds) {
+  ProductTerms termsFor(NodeId node, double seconds) {
     boolean declared = false;
     long version = 1;
     List<DawnTerms> dawns = new ArrayList<>();
@@ -41,9 +41,9 @@
           declared = true;
           version = (long) line.number("version", 1);
         }
-        case "dawn" -> dawns.add(dawn(line));
-        case "headroom" -> headrooms.add(headroom(line));
-        case "exchange" -> exchanges.add(exchange(line));
+        case "dawn" -> dawns.add(parseDeadline(line));
+        case "headroom" -> headrooms.add(parseHeadroom(line));
+        case "exchange" -> exchanges.add(parseExchange(line));
         default -> {}
       }
     }
@@ -56,22 +56,22 @@
   List<ExchangeTerms> exchanges() {
     return lines.stream()
         .filter(line -> line.word(0).equals("exchange"))
-        .map(ProductLines::exchange)
+        .map(ProductTermsParser::parseExchange)
         .toList();
   }
 
   /** All dawns that are declared anywhere; of one name, the last. */
-  List<DawnTerms> dawns() {
+  List<DawnTerms> batchDeadlines() {
     Map<String, DawnTerms> dawns = new LinkedHashMap<>();
     for (Words line : lines) {
       if (line.word(0).equals("dawn")) {
-        dawns.put(line.word(1), dawn(line));
+        dawns.put(line.word(1), parseDeadline(line));
       }
     }
     return List.copyOf(dawns.values());
   }
 
-  private static DawnTerms dawn(Words line) {
+  private static DawnTerms parseDeadline(Words line) {
     String by = line.text("by", "");
     double every = line.number("every", 0);
     return new DawnTerms(
@@ -85,36 +85,36 @@
                     ZoneId.of(line.text("tz", "UTC")))),
         every > 0 ? Optional.of(Span.seconds(every)) : Optional.empty(),
         Span.seconds(line.number("lasts", every)),
-        texts(line, "classes"),
-        texts(line, "teams"),
+        parseSet(line, "classes"),
+        parseSet(line, "teams"),
         Span.seconds(line.number("margin", 0)),
         line.number("quantile", 0.9));
   }
 
-  private static HeadroomTerms headroom(Words line) {
+  private static HeadroomTerms parseHeadroom(Words line) {
     return new HeadroomTerms(
         line.word(1),
         Optional.ofNullable(line.text("class", null)),
         Optional.ofNullable(line.text("team", null)),
         (int) line.number("replicas", 0),
         line.number("share", 0),
-        texts(line, "zones"),
+        parseSet(line, "zones"),
         line.number("warm", 0));
   }
 
-  private static ExchangeTerms exchange(Words line) {
+  private static ExchangeTerms parseExchange(Words line) {
     return new ExchangeTerms(
         line.word(1),
-        texts(line, "takers"),
-        texts(line, "givers"),
-        texts(line, "teams"),
+        parseSet(line, "takers"),
+        parseSet(line, "givers"),
+        parseSet(line, "teams"),
         (int) line.number("most", 64),
         line.number("margin", 0.1),
         Span.seconds(line.number("dwell", 10)),
         Span.seconds(line.number("patience", 60)));
   }
 
-  private static Set<String> texts(Words line, String name) {
+  private static Set<String> parseSet(Words line, String name) {
     String text = line.text(name, "");
     return text.isEmpty() ? Set.of() : Set.of(text.split(","));
   }
--- a/src/main/java/org/oakwalk/model/Reporting.java
+++ b/src/main/java/org/oakwalk/model/Reporting.java
@@ -97,7 +97,7 @@
     if (!world.network.parted(worker.address(), to.value())) {
       world
           .lateness
-          .ofReport(worker.address())
+          .reportRepeatDelay(worker.address())
           .ifPresent(late -> world.time.after(late, () -> world.node(to).reportAgain(report)));
     }
   }
--- a/src/main/java/org/oakwalk/model/Scenario.java
+++ b/src/main/java/org/oakwalk/model/Scenario.java
@@ -68,13 +68,13 @@
    *
    * @throws IllegalArgumentException if a line can't be understood
    */
-  public Outcome play() {
+  public ScenarioResult play() {
     Words base =
         lines.stream()
             .filter(l -> l.word(0).equals("settings"))
             .findFirst()
             .orElse(new Words("settings", 0));
-    Plans plans = new Plans(base, lines, order);
+    ScenarioPolicy plans = new ScenarioPolicy(base, lines, order);
     world = new World(settings(base), plans, base);
     hosts = new Hosts(world);
     expectations = new Expectations(world);
@@ -97,16 +97,17 @@
         default -> throw new IllegalArgumentException("unknown line: " + line);
       }
     }
-    world.rules.calmAfter(Troubles.end(lines));
-    world.nights.begin(end);
+    world.rules.setFaultsEnd(FaultSchedule.lastFaultEnd(lines));
+    world.nights.scheduleChecks(end);
     world.begin();
     world.time.runUntil(end);
-    List<String> missed = new ArrayList<>(expectations.missed());
+    List<String> missed = new ArrayList<>(expectations.failures());
     missed.addAll(unlessNamed("unserved", world.figures.underserved()));
-    missed.addAll(unlessNamed("late", world.largest.late(world.figures.wanted())));
-    Map<String, Double> figures = new LinkedHashMap<>(world.figures.lines());
-    figures.putAll(world.nights.figures());
-    return new Outcome(world.rules.broken(), expectedBroken, missed, figures, world.nights.table());
+    missed.addAll(unlessNamed("late", world.largest.lateByClass(world.figures.jobsToServe())));
+    Map<String, Double> figures = new LinkedHashMap<>(world.figures.values());
+    figures.putAll(world.nights.metrics());
+    return new ScenarioResult(
+        world.rules.violations(), expectedBroken, missed, figures, world.nights.report());
   }
 
   /**
@@ -364,7 +365,7 @@
     Optional<Span> dawn =
         world
             .nights
-            .due(spec)
+            .timeToDeadline(spec)
             .filter(d -> spec.deadline().filter(o -> o.compareTo(d) < 0).isEmpty());
     return dawn.isEmpty()
         ? spec
@@ -447,6 +448,6 @@
                 Response.JobState.valueOf(line.word(4).toUpperCase(java.util.Locale.ROOT)),
                 0,
                 0);
-    world.rules.told(job, false, world.rules.moment(), answer, Optional.empty());
+    world.rules.reported(job, false, world.rules.answerCount(), answer, Optional.empty());
   }
 }
--- a/src/main/java/org/oakwalk/model/Figures.java
+++ b/src/main/java/org/oakwalk/model/ScenarioMetrics.java
@@ -16,9 +16,9 @@
 import org.oakwalk.core.job.JobSpec;
 
 /** How well a scenario was served, by what workers do and users are told. */
-final class Figures {
+final class ScenarioMetrics {
   /** Why a task left its machine before it was complete. */
-  enum Stop {
+  enum StopCause {
     /** The leader wanted it. */
     COMMAND,
     /** Its user has cancelled the job. */
@@ -32,61 +32,61 @@
   }
 
   /** Figures of one class of jobs. */
-  private static final class Service {
+  private static final class ClassMetrics {
     int jobs;
-    int done;
-    int inTime;
-    int due;
-    double replicaSeconds;
-    double replicaSecondsUp;
-    int begun;
+    int doneJobs;
+    int jobsInTime;
+    int jobsWithDeadline;
+    double requestedReplicaSeconds;
+    double runningReplicaSeconds;
+    int startedTasks;
   }
 
-  private static final long TICK_MILLIS = 500;
+  private static final long TICK_INTERVAL_MS = 500;
 
   private final World world;
-  private final Map<String, Service> classes = new TreeMap<>();
-  private final Map<String, Map<Stop, Integer>> stops = new TreeMap<>();
-  private final Map<JobId, Double> submitted = new LinkedHashMap<>();
-  private final Map<JobId, Double> withdrawn = new HashMap<>();
-  private final Map<JobId, Integer> on = new HashMap<>();
-  private final Set<JobId> services = new HashSet<>();
+  private final Map<String, ClassMetrics> classes = new TreeMap<>();
+  private final Map<String, Map<StopCause, Integer>> stopCounts = new TreeMap<>();
+  private final Map<JobId, Double> submittedAt = new LinkedHashMap<>();
+  private final Map<JobId, Double> cancelledAt = new HashMap<>();
+  private final Map<JobId, Integer> runningTasks = new HashMap<>();
+  private final Set<JobId> serviceJobs = new HashSet<>();
   private final Map<TaskId, Double> downSince = new HashMap<>();
   private final Set<TaskId> everStarted = new HashSet<>();
   private final Set<TaskId> everCompleted = new HashSet<>();
   private final Map<String, Double> machineSeconds = new TreeMap<>();
-  private double worstReplicaGap;
-  private double lastOfTheFirst;
-  private double lastStart;
-  private double longestWithoutStart;
+  private double longestReplicaGap;
+  private double initialMachinesUntil;
+  private double lastStartAt;
+  private double longestStartGap;
 
-  Figures(World world) {
+  ScenarioMetrics(World world) {
     this.world = world;
   }
 
-  private Service of(JobSpec spec) {
-    return classes.computeIfAbsent(spec.jobClass(), name -> new Service());
+  private ClassMetrics metricsFor(JobSpec spec) {
+    return classes.computeIfAbsent(spec.jobClass(), name -> new ClassMetrics());
   }
 
-  void submits(JobSpec spec) {
-    Service service = of(spec);
+  void jobSubmitted(JobSpec spec) {
+    ClassMetrics service = metricsFor(spec);
     service.jobs++;
-    submitted.put(spec.id(), world.time.seconds());
+    submittedAt.put(spec.id(), world.time.seconds());
     if (spec.service()) {
-      services.add(spec.id());
+      serviceJobs.add(spec.id());
     }
-    if (due(spec) != null) {
-      service.due++;
+    if (deadlineSeconds(spec) != null) {
+      service.jobsWithDeadline++;
     }
   }
 
   /** When somebody first tried to submit the job, in seconds; it has been tried. */
   double submittedAt(JobId job) {
-    return submitted.get(job);
+    return submittedAt.get(job);
   }
 
   /** When the job should be done, from its submission on, or null. */
-  private Double due(JobSpec spec) {
+  private Double deadlineSeconds(JobSpec spec) {
     Double best = spec.deadline().map(Span::asSeconds).orElse(null);
     for (Settings.Objective objective : world.settings.objectives()) {
       if (objective.kind().equals("finished") && objective.jobClass().equals(spec.jobClass())) {
@@ -96,56 +96,56 @@
     return best;
   }
 
-  void started(TaskId task, JobSpec spec) {
-    on.merge(spec.id(), 1, Integer::sum);
-    world.largest.started(task);
-    lastStart = world.time.seconds();
-    Service service = of(spec);
+  void taskStarted(TaskId task, JobSpec spec) {
+    runningTasks.merge(spec.id(), 1, Integer::sum);
+    world.largest.taskStarted(task);
+    lastStartAt = world.time.seconds();
+    ClassMetrics service = metricsFor(spec);
     if (everStarted.add(task)) {
-      service.begun++;
+      service.startedTasks++;
     }
     Double since = downSince.remove(task);
     if (since != null) {
-      worstReplicaGap = Math.max(worstReplicaGap, world.time.seconds() - since);
+      longestReplicaGap = Math.max(longestReplicaGap, world.time.seconds() - since);
     }
   }
 
-  void left(TaskId task, JobSpec spec) {
-    on.merge(spec.id(), -1, Integer::sum);
-    if (spec.service() && !withdrawn.containsKey(spec.id())) {
+  void taskLeft(TaskId task, JobSpec spec) {
+    runningTasks.merge(spec.id(), -1, Integer::sum);
+    if (spec.service() && !cancelledAt.containsKey(spec.id())) {
       downSince.put(task, world.time.seconds());
     }
   }
 
-  void stopped(TaskId task, JobSpec spec, Stop why) {
-    Stop reason = withdrawn.containsKey(task.job()) ? Stop.CANCELLED : why;
-    stops
-        .computeIfAbsent(spec.team(), team -> new EnumMap<>(Stop.class))
+  void taskStopped(TaskId task, JobSpec spec, StopCause why) {
+    StopCause reason = cancelledAt.containsKey(task.job()) ? StopCause.CANCELLED : why;
+    stopCounts
+        .computeIfAbsent(spec.team(), team -> new EnumMap<>(StopCause.class))
         .merge(reason, 1, Integer::sum);
   }
 
-  void completed(TaskId task) {
+  void taskCompleted(TaskId task) {
     everCompleted.add(task);
   }
 
-  void done(JobId job, boolean first) {
+  void jobDone(JobId job, boolean first) {
     if (!first) {
       return;
     }
     JobSpec spec = world.specs.get(job);
-    Service service = of(spec);
-    service.done++;
-    Double due = due(spec);
-    if (due != null && world.time.seconds() - submitted.get(job) <= due) {
-      service.inTime++;
+    ClassMetrics service = metricsFor(spec);
+    service.doneJobs++;
+    Double due = deadlineSeconds(spec);
+    if (due != null && world.time.seconds() - submittedAt.get(job) <= due) {
+      service.jobsInTime++;
     }
   }
 
-  void cancelled(JobId job) {
-    if (withdrawn.putIfAbsent(job, world.time.seconds()) == null) {
+  void jobCancelled(JobId job) {
+    if (cancelledAt.putIfAbsent(job, world.time.seconds()) == null) {
       JobSpec spec = world.specs.get(job);
-      if (due(spec) != null) {
-        of(spec).due--;
+      if (deadlineSeconds(spec) != null) {
+        metricsFor(spec).jobsWithDeadline--;
       }
       downSince.keySet().removeIf(task -> task.job().equals(job));
     }
@@ -153,26 +153,26 @@
 
   /** To be called every half second. */
   void tick() {
-    double seconds = TICK_MILLIS / 1000.0;
+    double seconds = TICK_INTERVAL_MS / 1000.0;
     boolean waiting = false;
-    for (JobId job : services) {
-      if (world.rules.accepted(job) && !withdrawn.containsKey(job)) {
+    for (JobId job : serviceJobs) {
+      if (world.rules.isAccepted(job) && !cancelledAt.containsKey(job)) {
         JobSpec spec = world.specs.get(job);
-        Service service = of(spec);
-        int up = on.getOrDefault(job, 0);
-        service.replicaSeconds += seconds * spec.tasks();
-        service.replicaSecondsUp += seconds * Math.min(spec.tasks(), up);
+        ClassMetrics service = metricsFor(spec);
+        int up = runningTasks.getOrDefault(job, 0);
+        service.requestedReplicaSeconds += seconds * spec.tasks();
+        service.runningReplicaSeconds += seconds * Math.min(spec.tasks(), up);
         waiting |= up < spec.tasks();
       }
     }
     if (waiting) {
-      longestWithoutStart = Math.max(longestWithoutStart, world.time.seconds() - lastStart);
+      longestStartGap = Math.max(longestStartGap, world.time.seconds() - lastStartAt);
     } else {
-      lastStart = world.time.seconds();
+      lastStartAt = world.time.seconds();
     }
     for (SimWorker worker : world.workers.values()) {
       if (worker.charged()) {
-        lastOfTheFirst = worker.first ? world.time.seconds() : lastOfTheFirst;
+        initialMachinesUntil = worker.first ? world.time.seconds() : initialMachinesUntil;
         String kind = worker.market.spot() ? "spot" : "ordinary";
         machineSeconds.merge(worker.alive() ? kind : kind + "_booting", seconds, Double::sum);
       }
@@ -180,9 +180,9 @@
   }
 
   /** Jobs that are to be served: not withdrawn, not refused, and not such as fail everywhere. */
-  List<JobSpec> wanted() {
-    return submitted.keySet().stream()
-        .filter(job -> !withdrawn.containsKey(job) && !world.failing.contains(job))
+  List<JobSpec> jobsToServe() {
+    return submittedAt.keySet().stream()
+        .filter(job -> !cancelledAt.containsKey(job) && !world.failing.contains(job))
         .filter(job -> world.users.get(job).refusedWith == null)
         .map(world.specs::get)
         .toList();
@@ -194,14 +194,14 @@
    */
   Map<String, String> underserved() {
     Map<String, double[]> shares = new TreeMap<>();
-    for (JobSpec spec : wanted()) {
-      count(shares, "class " + spec.jobClass(), spec);
-      count(shares, "team " + spec.team(), spec);
+    for (JobSpec spec : jobsToServe()) {
+      addShare(shares, "class " + spec.jobClass(), spec);
+      addShare(shares, "team " + spec.team(), spec);
     }
     world
         .largest
-        .of(wanted())
-        .forEach((name, jobs) -> jobs.forEach(spec -> count(shares, "largest " + name, spec)));
+        .largestByClass(jobsToServe())
+        .forEach((name, jobs) -> jobs.forEach(spec -> addShare(shares, "largest " + name, spec)));
     Map<String, String> under = new TreeMap<>();
     shares.forEach(
         (name, share) -> {
@@ -219,7 +219,7 @@
     return under;
   }
 
-  private void count(Map<String, double[]> shares, String name, JobSpec spec) {
+  private void addShare(Map<String, double[]> shares, String name, JobSpec spec) {
     double[] share = shares.computeIfAbsent(name, n -> new double[2]);
     for (int index = 0; index < spec.tasks(); index++) {
       TaskId task = new TaskId(spec.id(), index);
@@ -229,22 +229,24 @@
   }
 
   /** The figures by name, in a fixed order. */
-  Map<String, Double> lines() {
+  Map<String, Double> values() {
     Map<String, Double> lines = new LinkedHashMap<>();
     classes.forEach(
         (name, service) -> {
           lines.put(name + ".jobs", (double) service.jobs);
-          lines.put(name + ".tasks_started", (double) service.begun);
-          if (service.replicaSeconds > 0) {
-            lines.put(name + ".up", service.replicaSecondsUp / service.replicaSeconds);
+          lines.put(name + ".tasks_started", (double) service.startedTasks);
+          if (service.requestedReplicaSeconds > 0) {
+            lines.put(
+                name + ".up", service.runningReplicaSeconds / service.requestedReplicaSeconds);
           } else {
-            lines.put(name + ".done", service.jobs == 0 ? 0 : service.done / (double) service.jobs);
+            lines.put(
+                name + ".done", service.jobs == 0 ? 0 : service.doneJobs / (double) service.jobs);
           }
-          if (service.due > 0) {
-            lines.put(name + ".in_time", service.inTime / (double) service.due);
+          if (service.jobsWithDeadline > 0) {
+            lines.put(name + ".in_time", service.jobsInTime / (double) service.jobsWithDeadline);
           }
         });
-    stops.forEach(
+    stopCounts.forEach(
         (team, reasons) ->
             reasons.forEach(
                 (why, count) ->
@@ -256,9 +258,9 @@
     lines.put("state.changes", (double) world.state.writes());
     lines.put("cloud.rented", (double) world.cloud.rented);
     lines.put("cloud.released", (double) world.cloud.released);
-    lines.put("machines_of_the_beginning_until_s", lastOfTheFirst);
-    lines.put("longest_replica_gap_s", worstReplicaGap);
-    lines.put("longest_gap_in_placing_s", longestWithoutStart);
+    lines.put("machines_of_the_beginning_until_s", initialMachinesUntil);
+    lines.put("longest_replica_gap_s", longestReplicaGap);
+    lines.put("longest_gap_in_placing_s", longestStartGap);
     lines.putAll(world.reportLoad.lines());
     return lines;
   }
--- a/src/main/java/org/oakwalk/model/Plans.java
+++ b/src/main/java/org/oakwalk/model/ScenarioPolicy.java
@@ -18,97 +18,97 @@
 import org.oakwalk.core.product.ProductTerms;
 
 /** What stands in the operators' files of a scenario: a node reads its file when it starts. */
-final class Plans {
+final class ScenarioPolicy {
   /** Within so many seconds every controller has seen a plan that stands in its file. */
-  private static final double PLAN_SEEN_SECONDS = 20;
+  private static final double MAX_PLAN_PROPAGATION_SECONDS = 20;
 
-  private final Words base;
+  private final Words settingsLine;
   private final List<Words> lines;
-  private final Queueing order;
+  private final Queueing queueing;
   private final List<Budget> budgets = new ArrayList<>();
 
   /**
    * The files of a scenario.
    *
-   * @param base its line of settings
+   * @param settingsLine its line of settings
    */
-  Plans(Words base, List<Words> lines, Queueing order) {
-    this.order = order;
-    this.base = base;
+  ScenarioPolicy(Words base, List<Words> lines, Queueing order) {
+    this.queueing = order;
+    this.settingsLine = base;
     this.lines = lines;
     for (Words line : lines) {
       if (line.word(0).equals("budget")) {
-        budgets.add(budget(line));
+        budgets.add(parseBudget(line));
       }
     }
   }
 
   /** The file as a node finds it at this time. */
-  Policy policy(NodeId node, double seconds) {
+  Policy policyFor(NodeId node, double seconds) {
     Policy policy = Policy.defaults();
     Map<String, DrainPlan> plans = new LinkedHashMap<>();
     for (Words line : lines) {
       boolean here = line.text("on", node.value()).equals(node.value());
       if (line.word(0).equals("drain") && here && line.number("from", 0) <= seconds) {
-        plans.put(line.word(1), plan(line));
+        plans.put(line.word(1), parseDrainPlan(line));
       }
     }
-    ProductTerms terms = new ProductLines(lines).terms(node, seconds);
+    ProductTerms terms = new ProductTermsParser(lines).termsFor(node, seconds);
     return new Policy(
-        order.scoring(policy.scoring()),
+        queueing.scoring(policy.scoring()),
         policy.hosts(),
         policy.round(),
         policy.capacity(),
-        (int) base.number("open", policy.mostOpenJobs()),
+        (int) settingsLine.number("open", policy.mostOpenJobs()),
         new Drains(List.copyOf(plans.values()), budgets),
-        order == Queueing.PLANNED ? terms : withoutDawns(terms));
+        queueing == Queueing.PLANNED ? terms : withoutDeadlines(terms));
   }
 
-  private static ProductTerms withoutDawns(ProductTerms terms) {
+  private static ProductTerms withoutDeadlines(ProductTerms terms) {
     return terms.headrooms().isEmpty() && terms.exchanges().isEmpty()
         ? ProductTerms.NONE
         : new ProductTerms(terms.version(), List.of(), terms.headrooms(), terms.exchanges());
   }
 
   /** All dawns that some node's file declares at some time; of one name, the last. */
-  List<DawnTerms> dawns() {
-    return new ProductLines(lines).dawns();
+  List<DawnTerms> batchDeadlines() {
+    return new ProductTermsParser(lines).batchDeadlines();
   }
 
   /** By how much the time of day is ahead of the model's own. */
-  double clock() {
-    return base.number("clock", 0);
+  double clockOffset() {
+    return settingsLine.number("clock", 0);
   }
 
   /** All exchanges that any file declares. */
   List<ExchangeTerms> exchanges() {
-    return new ProductLines(lines).exchanges();
+    return new ProductTermsParser(lines).exchanges();
   }
 
   /** Whether any file declares a plan to empty machines. */
-  boolean drains() {
+  boolean hasDrainPlans() {
     return lines.stream().anyMatch(line -> line.word(0).equals("drain"));
   }
 
   /** Whether room may be kept free for some jobs by what any file declares. */
-  boolean promisesRoom() {
+  boolean mayReserveRoom() {
     return lines.stream()
         .map(line -> line.word(0))
         .anyMatch(word -> word.equals("headroom") || word.equals("exchange"));
   }
 
   /** Whether a plan may be about a machine that was rented then: it takes none that come later. */
-  boolean empties(double rentedSeconds) {
+  boolean mayDrain(double rentedSeconds) {
     return lines.stream()
         .filter(line -> line.word(0).equals("drain"))
-        .anyMatch(line -> rentedSeconds <= line.number("from", 0) + PLAN_SEEN_SECONDS);
+        .anyMatch(line -> rentedSeconds <= line.number("from", 0) + MAX_PLAN_PROPAGATION_SECONDS);
   }
 
   List<Budget> budgets() {
     return budgets;
   }
 
-  private static Budget budget(Words line) {
+  private static Budget parseBudget(Words line) {
     int stops = (int) line.number("stops", -1);
     return new Budget(
         line.word(1),
@@ -117,16 +117,16 @@
         stops < 0 ? Optional.empty() : Optional.of(stops));
   }
 
-  private static DrainPlan plan(Words line) {
+  private static DrainPlan parseDrainPlan(Words line) {
     String kind = line.text("kind", "");
     return new DrainPlan(
         line.word(1),
         (long) line.number("version", 1),
         DrainPlan.Status.valueOf(line.text("state", "running").toUpperCase(Locale.ROOT)),
-        texts(line, "zones"),
-        texts(line, "types"),
+        parseSet(line, "zones"),
+        parseSet(line, "types"),
         kind.isEmpty() ? Optional.empty() : Optional.of(kind.equals("spot")),
-        texts(line, "machines"),
+        parseSet(line, "machines"),
         DrainPlan.Then.valueOf(line.text("then", "replace").toUpperCase(Locale.ROOT)),
         line.number("step", 1),
         (int) line.number("surge", line.number("step", 1)),
@@ -136,7 +136,7 @@
         Span.seconds(line.number("workwaits", 15)));
   }
 
-  private static Set<String> texts(Words line, String name) {
+  private static Set<String> parseSet(Words line, String name) {
     String text = line.text(name, "");
     return text.isEmpty() ? Set.of() : Set.of(text.split(","));
   }
--- a/src/main/java/org/oakwalk/model/SimNode.java
+++ b/src/main/java/org/oakwalk/model/SimNode.java
@@ -47,7 +47,7 @@
   final NodeId id;
   final String zone;
   private Controller controller;
-  private KnownEnds knownEnds = new KnownEnds();
+  private StartAfterEndDetector knownEnds = new StartAfterEndDetector();
 
   /** Where requests to the state service wait for its rates, if it keeps to any. */
   private RequestQueue line;
@@ -94,11 +94,11 @@
     up = true;
     open.clear();
     forgetStillness();
-    knownEnds = new KnownEnds();
+    knownEnds = new StartAfterEndDetector();
     controller =
         new Controller(
             world.settingsOf(this),
-            world.plans.policy(id, world.time.seconds()),
+            world.plans.policyFor(id, world.time.seconds()),
             id + "-life-" + life);
     if (world.limited) {
       line = new RequestQueue(world.settingsOf(this), world.time.now(), this::sendState);
@@ -255,7 +255,7 @@
   }
 
   private void carryOut(Effect effect) {
-    knownEnds.decides(effect).ifPresent(start -> world.rules.startsEnded(this, start));
+    knownEnds.checkEffect(effect).ifPresent(start -> world.rules.endedJobStarted(this, start));
     if (effect instanceof Effect.Respond respond) {
       Consumer<Response> then = open.remove(respond.exchange());
       if (then != null) {
@@ -273,10 +273,10 @@
         answer -> {
           if (!answered[0] && up && of == life) {
             answered[0] = true;
-            world.givenUp.answered(call.request(), answer);
+            world.givenUp.answerReceived(call.request(), answer);
             inside(
                 () -> {
-                  knownEnds.answered(call.request(), answer);
+                  knownEnds.answerReceived(call.request(), answer);
                   handle(new Event.Answered(call.call(), answer));
                 });
           }
@@ -374,7 +374,7 @@
   /** Nobody is told what becomes of a transaction that is carried out late. */
   private void serveState(Request.State request, Consumer<Answer> reply) {
     OptionalLong late =
-        world.state.down() ? OptionalLong.empty() : world.lateness.ofWrite(id.value(), request);
+        world.state.down() ? OptionalLong.empty() : world.lateness.writeDelay(id.value(), request);
     if (late.isPresent()) {
       world.time.after(late.getAsLong(), () -> world.state.serveLate((Request.Commit) request));
     } else {
--- a/src/main/java/org/oakwalk/model/SimState.java
+++ b/src/main/java/org/oakwalk/model/SimState.java
@@ -248,8 +248,8 @@
   }
 
   private void watch(Request.Watch watch, Consumer<Answer> then, BooleanSupplier refused) {
-    List<KeyChange> news = history.since(watch);
-    if (history.tooOld(watch.after())) {
+    List<KeyChange> news = history.changesFor(watch);
+    if (history.isTruncatedAfter(watch.after())) {
       then.accept(new Answer.Refused(410, "too old"));
     } else if (!news.isEmpty() || watch.hold().millis() == 0) {
       then.accept(new Answer.Changes(new Revision(epoch), news));
@@ -323,8 +323,8 @@
 
   /** Answers a watch if there is anything new for it. */
   private boolean tell(Watcher watcher) {
-    List<KeyChange> news = history.since(watcher.request());
-    if (history.tooOld(watcher.request().after())) {
+    List<KeyChange> news = history.changesFor(watcher.request());
+    if (history.isTruncatedAfter(watcher.request().after())) {
       watchers.remove(watcher);
       behind.remove(watcher);
       watcher.then().accept(new Answer.Refused(410, "too old"));
--- a/src/main/java/org/oakwalk/model/SimUser.java
+++ b/src/main/java/org/oakwalk/model/SimUser.java
@@ -36,11 +36,11 @@
   }
 
   void submit() {
-    if (world.rules.submits(job)) {
-      world.figures.submits(spec);
-      world.waits.begins(Waits.Step.ACCEPTED, job);
+    if (world.rules.recordSubmission(job)) {
+      world.figures.jobSubmitted(spec);
+      world.waits.waitStarted(JobWaitTimes.WaitPhase.ACCEPTED, job);
     }
-    world.closeLooks.asks(job);
+    world.closeLooks.beforeRequest(job);
     gaveUp = false;
     repeat(
         new UserRequest.Submit(job, Optional.of(spec), ""),
@@ -48,7 +48,7 @@
         response -> {
           if (response instanceof Response.JobStatus && acceptedAfter == null) {
             acceptedAfter = world.time.seconds() - began;
-            world.waits.accepted(job);
+            world.waits.jobAccepted(job);
             if (!polling) {
               polling = true;
               poll();
@@ -56,7 +56,7 @@
           }
           if (response instanceof Response.Problem problem && problem.status() < 429) {
             refusedWith = problem.status();
-            world.waits.ends(Waits.Step.ACCEPTED, job);
+            world.waits.waitEnded(JobWaitTimes.WaitPhase.ACCEPTED, job);
             return true;
           }
           return response instanceof Response.JobStatus;
@@ -76,12 +76,12 @@
     return gaveUp
         && acceptedAfter == null
         && refusedWith == null
-        && world.givenUp.inVain(firstTry, lastTry);
+        && world.givenUp.noCommitAnswered(firstTry, lastTry);
   }
 
   /** Whether the job was accepted, and its user has not been told yet that it is over. */
   boolean asks() {
-    return polling && world.rules.told(job) == null;
+    return polling && world.rules.reported(job) == null;
   }
 
   void cancel() {
@@ -90,21 +90,21 @@
       world.time.after(1000, this::cancel);
       return;
     }
-    world.rules.asksToCancel(job);
-    world.closeLooks.asks(job);
-    world.waits.gone(Waits.Step.BEGUN, job);
-    world.waits.begins(Waits.Step.CANCELLED, job);
+    world.rules.recordCancelRequest(job);
+    world.closeLooks.beforeRequest(job);
+    world.waits.discardWait(JobWaitTimes.WaitPhase.BEGUN, job);
+    world.waits.waitStarted(JobWaitTimes.WaitPhase.CANCELLED, job);
     repeat(
         new UserRequest.Withdraw(job),
         world.time.seconds(),
         response -> {
           if (response instanceof Response.JobStatus) {
-            world.waits.ends(Waits.Step.CANCELLED, job);
+            world.waits.waitEnded(JobWaitTimes.WaitPhase.CANCELLED, job);
             return true;
           }
           boolean unknown = response instanceof Response.Problem p && p.status() == 404;
           if (unknown) {
-            world.waits.gone(Waits.Step.CANCELLED, job);
+            world.waits.discardWait(JobWaitTimes.WaitPhase.CANCELLED, job);
           }
           return unknown;
         });
@@ -112,7 +112,7 @@
 
   /** The first request goes to this node, repeated ones go where the load balancer sends them. */
   void cancelAt(SimNode first) {
-    world.rules.asksToCancel(job);
+    world.rules.recordCancelRequest(job);
     ask(
         new UserRequest.Withdraw(job),
         Optional.of(first),
@@ -148,7 +148,7 @@
     ask(
         new UserRequest.Query(job),
         response -> {
-          if (world.rules.told(job) == null) {
+          if (world.rules.reported(job) == null) {
             world.time.after(POLL, this::poll);
           }
         });
@@ -166,7 +166,7 @@
 
   private void ask(
       UserRequest request, Optional<SimNode> node, java.util.function.Consumer<Response> then) {
-    long asked = world.rules.moment();
+    long asked = world.rules.answerCount();
     boolean[] over = new boolean[1];
     world.time.after(
         waits(request),
@@ -186,7 +186,7 @@
                 response -> {
                   if (!over[0]) {
                     over[0] = true;
-                    world.rules.told(
+                    world.rules.reported(
                         job, request instanceof UserRequest.Submit, asked, response, node);
                     if (response instanceof Response.JobStatus) {
                       answeredAt = world.time.seconds();
@@ -198,7 +198,7 @@
 
   /** A late copy of a request: nobody waits for the answer any more, but it must not be wrong. */
   private void askAgain(UserRequest request) {
-    long asked = world.rules.moment();
+    long asked = world.rules.answerCount();
     world
         .someNode()
         .ifPresent(
@@ -206,7 +206,7 @@
                 node.ask(
                     request,
                     response ->
-                        world.rules.toldAgain(
+                        world.rules.duplicateReported(
                             job, request instanceof UserRequest.Submit, asked, response, node)));
   }
 }
--- a/src/main/java/org/oakwalk/model/SimWorker.java
+++ b/src/main/java/org/oakwalk/model/SimWorker.java
@@ -106,19 +106,19 @@
     if (goneAt == Long.MAX_VALUE) {
       bootedAt = world.time.now();
       renewedAt = bootedAt;
-      world.rules.freesRoom(this);
+      world.rules.resourcesFreed(this);
       step();
     }
   }
 
   void vanish() {
     goneAt = world.time.now();
-    endAll(Figures.Stop.GONE);
+    endAll(ScenarioMetrics.StopCause.GONE);
   }
 
   void die() {
     diedAt = world.time.now();
-    endAll(Figures.Stop.DIED);
+    endAll(ScenarioMetrics.StopCause.DIED);
   }
 
   void hang(double seconds) {
@@ -166,10 +166,10 @@
     return world.time.now() < hangsUntil;
   }
 
-  private void endAll(Figures.Stop why) {
+  private void endAll(ScenarioMetrics.StopCause why) {
     for (Map.Entry<TaskId, Task> entry : new LinkedHashMap<>(tasks).entrySet()) {
       if (occupies(entry.getValue())) {
-        world.figures.stopped(entry.getKey(), entry.getValue().spec, why);
+        world.figures.taskStopped(entry.getKey(), entry.getValue().spec, why);
       }
       leaves(entry.getKey(), entry.getValue(), false);
     }
@@ -190,9 +190,9 @@
     images.drop(id, task.spec);
     save(id, task, false);
     if (occupies(task)) {
-      world.rules.left(this, id);
+      world.rules.taskLeft(this, id);
       if (task.spec.gang()) {
-        world.gangs.left(id, task.attempt, done);
+        world.gangs.memberLeft(id, task.attempt, done);
       }
     }
   }
@@ -210,7 +210,7 @@
   private void expire() {
     long lease = world.settings.workers().lease().millis();
     if (alive() && world.time.now() - renewedAt > lease) {
-      endAll(Figures.Stop.LEASE);
+      endAll(ScenarioMetrics.StopCause.LEASE);
       session++;
       renewedAt = world.time.now();
       reporting.changed();
@@ -350,10 +350,10 @@
   /** A running task that can saves its progress first, if it is given the time. */
   private void halt(TaskId id, Task task, Span grace) {
     if (occupies(task) && task.state == Report.PieceState.RUNNING) {
-      world.rules.halted(this, id, task.spec);
-      world.figures.stopped(id, task.spec, Figures.Stop.COMMAND);
+      world.rules.taskHalted(this, id, task.spec);
+      world.figures.taskStopped(id, task.spec, ScenarioMetrics.StopCause.COMMAND);
       if (!noticed()) {
-        world.largest.stoppedByCommand(id);
+        world.largest.taskStoppedByCommand(id);
       }
     }
     boolean saves =
@@ -393,7 +393,7 @@
     } else if (!task.spec.resources().fitsInto(type.room().minus(usedWithout(task)))) {
       refuse(task, Report.Cause.NO_ROOM);
     } else {
-      world.rules.takesRoom(this, id, task.spec);
+      world.rules.beforeAllocation(this, id, task.spec);
       task.state = Report.PieceState.FETCHING;
       images.want(id, task.spec, () -> run(id, task));
     }
@@ -420,13 +420,13 @@
     }
     task.state = task.spec.gang() ? Report.PieceState.GATHERING : Report.PieceState.RUNNING;
     reporting.changed();
-    world.rules.started(this, id, task.spec);
+    world.rules.taskStarted(this, id, task.spec);
     world.reruns += world.forgotten.contains(id) ? 1 : 0;
-    if (world.rules.completed(id)) {
+    if (world.rules.isCompleted(id)) {
       // Its result is kept, wherever that came about.
       finish(id, task, Report.Cause.DONE);
     } else if (task.spec.gang()) {
-      world.gangs.arrived(this, id, task.attempt, task.spec);
+      world.gangs.memberReady(this, id, task.attempt, task.spec);
     } else {
       begin(id);
     }
@@ -456,7 +456,7 @@
       return;
     }
     if (cause == Report.Cause.DONE) {
-      world.rules.completes(id);
+      world.rules.taskCompleted(id);
     }
     end(id, task, cause);
   }
@@ -474,6 +474,6 @@
     task.state = Report.PieceState.ENDED;
     task.cause = cause;
     reporting.changed();
-    world.rules.freesRoom(this);
+    world.rules.resourcesFreed(this);
   }
 }
--- a/src/main/java/org/oakwalk/model/KnownEnds.java
+++ b/src/main/java/org/oakwalk/model/StartAfterEndDetector.java
@@ -23,78 +23,83 @@
  * against the protocol, also if the task never comes to run. One that the same message stops again
  * is none: it only makes a start that is on its way void.
  */
-final class KnownEnds {
-  private final Map<JobId, JobRecord.Phase> ends = new HashMap<>();
+final class StartAfterEndDetector {
+  private final Map<JobId, JobRecord.Phase> knownEnds = new HashMap<>();
 
   /** A start that must not be ordered, and how its job has ended. */
   record ForbiddenStart(Order order, JobRecord.Phase end) {}
 
   /** An answer to a request reaches the controller. */
-  void answered(Request request, Answer answer) {
+  void answerReceived(Request request, Answer answer) {
     if (answer instanceof Answer.Page page) {
-      page.entries().stream().map(Entry::value).forEach(this::shown);
+      page.entries().stream().map(Entry::value).forEach(this::observeRecord);
     } else if (answer instanceof Answer.Changes changes) {
-      changes.news().stream().map(KeyChange::value).flatMap(Optional::stream).forEach(this::shown);
+      changes.news().stream()
+          .map(KeyChange::value)
+          .flatMap(Optional::stream)
+          .forEach(this::observeRecord);
     } else if (answer instanceof Answer.Committed && request instanceof Request.Commit commit) {
       for (Change change : commit.changes()) {
         if (change instanceof Change.Put put) {
-          shown(put.value());
+          observeRecord(put.value());
         }
       }
     }
   }
 
-  private void shown(Object value) {
+  private void observeRecord(Object value) {
     if (value instanceof JobRecord record && record.phase().isFinal()) {
-      ends.put(record.spec().id(), record.phase());
+      knownEnds.put(record.spec().id(), record.phase());
     }
   }
 
   /** The controller decides something; returns a start that it must not order. */
-  Optional<ForbiddenStart> decides(Effect effect) {
+  Optional<ForbiddenStart> checkEffect(Effect effect) {
     if (effect instanceof Effect.Respond respond) {
       Response response = respond.response();
-      tells(response);
+      observeResponse(response);
       if (response instanceof Response.ToPeer toPeer) {
         if (toPeer.message() instanceof PeerMessage.Forwarded forwarded) {
-          tells(forwarded.response());
+          observeResponse(forwarded.response());
         } else if (toPeer.message() instanceof PeerMessage.Carried carried) {
-          return start(carried.orders());
+          return forbiddenStart(carried.orders());
         }
       }
-      return response instanceof Response.Orders orders ? start(orders.orders()) : Optional.empty();
+      return response instanceof Response.Orders orders
+          ? forbiddenStart(orders.orders())
+          : Optional.empty();
     }
     return effect instanceof Effect.Call call && call.request() instanceof Request.Command command
-        ? start(command.orders())
+        ? forbiddenStart(command.orders())
         : Optional.empty();
   }
 
-  private void tells(Response response) {
+  private void observeResponse(Response response) {
     if (response instanceof Response.JobStatus status) {
       switch (status.state()) {
-        case CANCELLED -> ends.put(status.job(), JobRecord.Phase.WITHDRAWN);
-        case DONE -> ends.put(status.job(), JobRecord.Phase.DONE);
+        case CANCELLED -> knownEnds.put(status.job(), JobRecord.Phase.WITHDRAWN);
+        case DONE -> knownEnds.put(status.job(), JobRecord.Phase.DONE);
         default -> {}
       }
     }
   }
 
-  private Optional<ForbiddenStart> start(List<Order> orders) {
-    if (ends.isEmpty()) {
+  private Optional<ForbiddenStart> forbiddenStart(List<Order> orders) {
+    if (knownEnds.isEmpty()) {
       return Optional.empty();
     }
     return orders.stream()
-        .filter(order -> order instanceof Order.Run && ends.containsKey(order.task().job()))
-        .filter(order -> later(orders, order).noneMatch(each -> stops(each, order)))
+        .filter(order -> order instanceof Order.Run && knownEnds.containsKey(order.task().job()))
+        .filter(order -> ordersAfter(orders, order).noneMatch(each -> cancelsStart(each, order)))
         .findFirst()
-        .map(order -> new ForbiddenStart(order, ends.get(order.task().job())));
+        .map(order -> new ForbiddenStart(order, knownEnds.get(order.task().job())));
   }
 
-  private static Stream<Order> later(List<Order> orders, Order order) {
+  private static Stream<Order> ordersAfter(List<Order> orders, Order order) {
     return orders.stream().skip(orders.indexOf(order) + 1L);
   }
 
-  private static boolean stops(Order order, Order run) {
+  private static boolean cancelsStart(Order order, Order run) {
     return order instanceof Order.Halt
         && order.task().equals(run.task())
         && order.attempt().equals(run.attempt());
--- a/src/main/java/org/oakwalk/model/WaitingRule.java
+++ b/src/main/java/org/oakwalk/model/StarvationRule.java
@@ -18,109 +18,116 @@
  * begun; the room has to be on one and the same machine all the while, or, for a gang, for all of
  * its tasks at once. It looks at machines, not at what controllers believe of them.
  */
-final class WaitingRule {
-  private static final double LEFT_SECONDS = 90;
+final class StarvationRule {
+  private static final double MAX_WAIT_SECONDS = 90;
 
   /** Once in so many calls is enough. */
-  private static final int EVERY = 4;
+  private static final int TICKS_PER_CHECK = 4;
 
   /** What a task asks of its machine; jobs that ask the same share what is found. */
-  private record Need(Resources room, Set<String> types, Optional<String> zone, boolean spot) {
-    static Need of(JobSpec spec) {
-      return new Need(spec.resources(), spec.machineTypes(), spec.zone(), spec.spotAllowed());
+  private record TaskRequirements(
+      Resources resources, Set<String> machineTypes, Optional<String> zone, boolean spotAllowed) {
+    static TaskRequirements of(JobSpec spec) {
+      return new TaskRequirements(
+          spec.resources(), spec.machineTypes(), spec.zone(), spec.spotAllowed());
     }
   }
 
   /** A job that waits: since when, and how many of its tasks do. */
-  private record Wait(double since, int tasks) {}
+  private record WaitingJob(double since, int waitingTasks) {}
 
   private final World world;
-  private final Map<Need, Map<SimWorker, Double>> roomSince = new HashMap<>();
-  private final Map<JobId, Wait> waits = new HashMap<>();
-  private double calmAfter;
-  private int calls;
+  private final Map<TaskRequirements, Map<SimWorker, Double>> roomAvailableSince = new HashMap<>();
+  private final Map<JobId, WaitingJob> waitingJobs = new HashMap<>();
+  private double faultsEndAt;
+  private int ticks;
 
   /** Where tasks are at this moment, those that wait for their image included. */
-  private final Map<TaskId, SimWorker> held = new HashMap<>();
+  private final Map<TaskId, SimWorker> assignedMachines = new HashMap<>();
 
-  private final Map<String, Resources> use = new HashMap<>();
-  private final Map<SimWorker, Resources> free = new HashMap<>();
-  private final Set<Need> looked = new HashSet<>();
+  private final Map<String, Resources> teamUsage = new HashMap<>();
+  private final Map<SimWorker, Resources> freeByMachine = new HashMap<>();
+  private final Set<TaskRequirements> checkedRequirements = new HashSet<>();
 
-  WaitingRule(World world) {
+  StarvationRule(World world) {
     this.world = world;
   }
 
-  void calmAfter(double seconds) {
-    calmAfter = seconds;
+  void setFaultsEnd(double seconds) {
+    faultsEndAt = seconds;
   }
 
   /** To be called now and then; returns what is broken. */
   Optional<String> tick() {
-    if (calls++ % EVERY != 0 || world.time.seconds() < calmAfter || world.plans.promisesRoom()) {
+    if (ticks++ % TICKS_PER_CHECK != 0
+        || world.time.seconds() < faultsEndAt
+        || world.plans.mayReserveRoom()) {
       return Optional.empty();
     }
     look();
-    for (JobId job : world.rules.acceptedInOrder()) {
-      if (!world.rules.over(job) && !world.rules.asked(job) && !world.failing.contains(job)) {
+    for (JobId job : world.rules.acceptedJobs()) {
+      if (!world.rules.isReportedEnded(job)
+          && !world.rules.isCancelRequested(job)
+          && !world.failing.contains(job)) {
         Optional<String> left = look(world.specs.get(job));
         if (left.isPresent()) {
           return left;
         }
       }
     }
-    roomSince.keySet().retainAll(looked);
+    roomAvailableSince.keySet().retainAll(checkedRequirements);
     return Optional.empty();
   }
 
   private void look() {
-    held.clear();
-    use.clear();
-    free.clear();
-    looked.clear();
+    assignedMachines.clear();
+    teamUsage.clear();
+    freeByMachine.clear();
+    checkedRequirements.clear();
     for (SimWorker worker : world.workers.values()) {
       worker.tasks.forEach(
           (id, task) -> {
             if (!task.ended()) {
-              held.put(id, worker);
-              use.merge(task.spec.team(), task.spec.resources(), Resources::plus);
+              assignedMachines.put(id, worker);
+              teamUsage.merge(task.spec.team(), task.spec.resources(), Resources::plus);
             }
           });
-      if (serves(worker)) {
-        free.put(worker, worker.type.room().minus(worker.used()));
+      if (acceptsTasks(worker)) {
+        freeByMachine.put(worker, worker.type.room().minus(worker.used()));
       }
     }
   }
 
   /** Whether tasks may be expected to start there: it is up, sound, and nobody takes it away. */
-  private boolean serves(SimWorker worker) {
+  private boolean acceptsTasks(SimWorker worker) {
     return worker.awake()
         && worker.sound()
         && !worker.noticed()
-        && !world.plans.empties(worker.rentedSeconds());
+        && !world.plans.mayDrain(worker.rentedSeconds());
   }
 
   private Optional<String> look(JobSpec spec) {
     double now = world.time.seconds();
-    int waiting = waiting(spec);
-    boolean mayStart = waiting > 0 && withinLimit(spec) && (!spec.gang() || fitsWhole(spec));
+    int waiting = waitingTaskCount(spec);
+    boolean mayStart = waiting > 0 && withinLimit(spec) && (!spec.gang() || gangFits(spec));
     if (!mayStart) {
-      waits.remove(spec.id());
+      waitingJobs.remove(spec.id());
       return Optional.empty();
     }
-    Wait before = waits.get(spec.id());
-    Wait wait =
-        new Wait(before == null || waiting < before.tasks() ? now : before.since(), waiting);
-    waits.put(spec.id(), wait);
-    Map<SimWorker, Double> room = room(spec);
-    if (now - wait.since() < LEFT_SECONDS) {
+    WaitingJob before = waitingJobs.get(spec.id());
+    WaitingJob wait =
+        new WaitingJob(
+            before == null || waiting < before.waitingTasks() ? now : before.since(), waiting);
+    waitingJobs.put(spec.id(), wait);
+    Map<SimWorker, Double> room = machinesWithRoom(spec);
+    if (now - wait.since() < MAX_WAIT_SECONDS) {
       return Optional.empty();
     }
     if (spec.gang()) {
       return Optional.of(spec.id() + " waits since " + wait.since() + " s, and fits whole");
     }
     return room.entrySet().stream()
-        .filter(entry -> now - entry.getValue() >= LEFT_SECONDS)
+        .filter(entry -> now - entry.getValue() >= MAX_WAIT_SECONDS)
         .filter(entry -> zoneAllowed(spec, entry.getKey().market.zone()))
         .findFirst()
         .map(
@@ -131,15 +138,15 @@
   }
 
   /** How many tasks are neither done nor anywhere; none of a gang that is partly somewhere. */
-  private int waiting(JobSpec spec) {
+  private int waitingTaskCount(JobSpec spec) {
     int waiting = 0;
     for (int index = 0; index < spec.tasks(); index++) {
       TaskId task = new TaskId(spec.id(), index);
-      if (held.containsKey(task)) {
+      if (assignedMachines.containsKey(task)) {
         if (spec.gang()) {
           return 0;
         }
-      } else if (!world.rules.completed(task)) {
+      } else if (!world.rules.isCompleted(task)) {
         waiting++;
       }
     }
@@ -148,19 +155,19 @@
 
   private boolean withinLimit(JobSpec spec) {
     Settings.Team team = world.settings.teams().get(spec.team());
-    Resources more = spec.resources().times(spec.gang() ? waiting(spec) : 1);
-    Resources then = use.getOrDefault(spec.team(), Resources.NONE).plus(more);
+    Resources more = spec.resources().times(spec.gang() ? waitingTaskCount(spec) : 1);
+    Resources then = teamUsage.getOrDefault(spec.team(), Resources.NONE).plus(more);
     return (team.cpusMax() <= 0 || then.cpus() <= team.cpusMax() + 1e-6)
         && (team.gpusMax() <= 0 || then.gpus() <= team.gpusMax() + 1e-6);
   }
 
   /** Machines that have room for a task of this job, each with since when. */
-  private Map<SimWorker, Double> room(JobSpec spec) {
-    Need need = Need.of(spec);
-    Map<SimWorker, Double> since = roomSince.computeIfAbsent(need, n -> new HashMap<>());
-    if (looked.add(need)) {
-      since.keySet().retainAll(free.keySet());
-      free.forEach(
+  private Map<SimWorker, Double> machinesWithRoom(JobSpec spec) {
+    TaskRequirements need = TaskRequirements.of(spec);
+    Map<SimWorker, Double> since = roomAvailableSince.computeIfAbsent(need, n -> new HashMap<>());
+    if (checkedRequirements.add(need)) {
+      since.keySet().retainAll(freeByMachine.keySet());
+      freeByMachine.forEach(
           (worker, room) -> {
             if (allows(spec, worker) && spec.resources().fitsInto(room)) {
               since.putIfAbsent(worker, world.time.seconds());
@@ -183,7 +190,7 @@
     int here = 0;
     int elsewhere = 0;
     for (int index = 0; index < spec.tasks(); index++) {
-      SimWorker at = held.get(new TaskId(spec.id(), index));
+      SimWorker at = assignedMachines.get(new TaskId(spec.id(), index));
       if (at != null) {
         here += at.market.zone().equals(zone) ? 1 : 0;
         elsewhere += at.market.zone().equals(zone) ? 0 : 1;
@@ -193,9 +200,9 @@
   }
 
   /** Whether all tasks of a gang find room at once. */
-  private boolean fitsWhole(JobSpec spec) {
+  private boolean gangFits(JobSpec spec) {
     Map<String, Integer> places = new HashMap<>();
-    free.forEach(
+    freeByMachine.forEach(
         (worker, room) -> {
           if (allows(spec, worker)) {
             places.merge(worker.market.zone(), room.capacityFor(spec.resources()), Integer::sum);
@@ -203,6 +210,6 @@
         });
     IntStream zones = places.values().stream().mapToInt(n -> Math.min(n, spec.maxTasksPerZone()));
     int most = spec.oneZone() ? zones.max().orElse(0) : zones.sum();
-    return most >= waiting(spec);
+    return most >= waitingTaskCount(spec);
   }
 }
--- a/src/main/java/org/oakwalk/model/Timeline.java
+++ b/src/main/java/org/oakwalk/model/Timeline.java
@@ -5,13 +5,15 @@
 
 /** Virtual time: things happen in order, and no clock is waited for. */
 final class Timeline {
-  private record Due(long at, long number, Runnable action) {}
+  private record ScheduledAction(long at, long sequence, Runnable action) {}
 
-  private final PriorityQueue<Due> queue =
-      new PriorityQueue<>(Comparator.comparingLong(Due::at).thenComparingLong(Due::number));
+  private final PriorityQueue<ScheduledAction> queue =
+      new PriorityQueue<>(
+          Comparator.comparingLong(ScheduledAction::at)
+              .thenComparingLong(ScheduledAction::sequence));
   private long now = 1_000_000;
   private final long origin = now;
-  private long numbers;
+  private long lastSequence;
 
   long now() {
     return now;
@@ -22,17 +24,17 @@
   }
 
   void after(long millis, Runnable action) {
-    queue.add(new Due(now + Math.max(0, millis), ++numbers, action));
+    queue.add(new ScheduledAction(now + Math.max(0, millis), ++lastSequence, action));
   }
 
   void at(double seconds, Runnable action) {
-    queue.add(new Due(origin + Math.round(seconds * 1000), ++numbers, action));
+    queue.add(new ScheduledAction(origin + Math.round(seconds * 1000), ++lastSequence, action));
   }
 
   void runUntil(double seconds) {
     long end = origin + Math.round(seconds * 1000);
     while (!queue.isEmpty() && queue.peek().at() <= end) {
-      Due next = queue.poll();
+      ScheduledAction next = queue.poll();
       now = next.at();
       next.action().run();
     }
--- a/src/main/java/org/oakwalk/model/World.java
+++ b/src/main/java/org/oakwalk/model/World.java
@@ -20,12 +20,12 @@
 final class World {
   final Timeline time = new Timeline();
   final Network network = new Network(time);
-  final Rules rules = new Rules(this);
-  final Lateness lateness;
+  final InvariantChecker rules = new InvariantChecker(this);
+  final DelayInjector lateness;
   final Cancellations cancellations;
-  final OddRequests oddRequests = new OddRequests(this);
-  final CloseLooks closeLooks;
-  final GivenUp givenUp = new GivenUp(time);
+  final EdgeCaseRequests oddRequests = new EdgeCaseRequests(this);
+  final ConsistencyProbes closeLooks;
+  final CommitAvailability givenUp = new CommitAvailability(time);
   final KeptReports keptReports;
   final NoReports noReports = new NoReports(time);
   final SimState state;
@@ -35,12 +35,12 @@
   /** Whether the state service keeps to its rates, so that nodes' requests wait for them. */
   final boolean limited;
 
-  final Plans plans;
-  final Gangs gangs;
-  final Waits waits = new Waits(this);
-  final Figures figures = new Figures(this);
-  final Nights nights;
-  final Largest largest = new Largest(this);
+  final ScenarioPolicy plans;
+  final GangBarrier gangs;
+  final JobWaitTimes waits = new JobWaitTimes(this);
+  final ScenarioMetrics figures = new ScenarioMetrics(this);
+  final PlanningWindowTracker nights;
+  final LargeJobStartRule largest = new LargeJobStartRule(this);
   final ReportLoad reportLoad = new ReportLoad(this);
   final List<SimNode> nodes = new ArrayList<>();
   final Map<MachineId, SimWorker> workers = new LinkedHashMap<>();
@@ -65,14 +65,14 @@
 
   private int turn;
 
-  World(Settings settings, Plans plans, Words base) {
+  World(Settings settings, ScenarioPolicy plans, Words base) {
     this.settings = settings;
     this.plans = plans;
-    this.nights = new Nights(this, plans.dawns());
+    this.nights = new PlanningWindowTracker(this, plans.batchDeadlines());
     long seed = Math.round(base.number("seed", 1));
-    this.lateness = new Lateness(time, settings.workers().lease().asSeconds(), seed);
+    this.lateness = new DelayInjector(time, settings.workers().lease().asSeconds(), seed);
     this.cancellations = new Cancellations(this, seed);
-    this.closeLooks = new CloseLooks(this, seed);
+    this.closeLooks = new ConsistencyProbes(this, seed);
     this.keptReports = new KeptReports(this, seed);
     this.limited = base.has("limited");
     this.state =
@@ -81,7 +81,7 @@
             limited ? Optional.of(new StoreRates(time, settings.state())) : Optional.empty(),
             (int) base.number("changes", 10_000));
     this.cloud = new SimCloud(this, settings.cloud().listLag().asSeconds());
-    this.gangs = new Gangs(this, base.number("gangwait", 35), base.number("gangpeer", 8));
+    this.gangs = new GangBarrier(this, base.number("gangwait", 35), base.number("gangpeer", 8));
     int nodeCount = (int) base.number("nodes", 3);
     for (int i = 0; i < nodeCount; i++) {
       String zone = settings.zones().get(i % settings.zones().size());
@@ -90,7 +90,7 @@
   }
 
   void begin() {
-    largest.begin();
+    largest.recordMaxFleet();
     for (SimNode node : nodes) {
       time.after(10L * nodes.indexOf(node), node::start);
     }
@@ -102,13 +102,13 @@
     rules.tick();
     waits.tick();
     figures.tick();
-    nights.tick().ifPresent(rules::promiseTakenBack);
+    nights.checkPromises().ifPresent(rules::promiseReduced);
     time.after(500, this::check);
   }
 
   /** The time of day. */
   WallTime wall() {
-    return new WallTime(time.now() + Math.round(1000 * plans.clock()));
+    return new WallTime(time.now() + Math.round(1000 * plans.clockOffset()));
   }
 
   Settings settingsOf(SimNode node) {
--- a/src/test/java/org/oakwalk/scenario/GivenUpTest.java
+++ b/src/test/java/org/oakwalk/scenario/GivenUpTest.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import org.junit.jupiter.api.Test;
-import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Scenario;
+import org.oakwalk.model.ScenarioResult;
 
 /** Whose job need not be done: who tried for as long as users do, while nobody could store it. */
 class GivenUpTest {
@@ -14,49 +14,51 @@
           + "machine m a 2\n"
           + "at 3 submit j-1 array tasks=2 run=5\n";
 
-  private static Outcome play(String lines) {
+  private static ScenarioResult play(String lines) {
     return new Scenario(FLEET + lines + "at 118 expect j-2 served\nend 120\n").play();
   }
 
   @Test
   void whoIsServedNeedsNoExcuse() {
-    assertThat(play("at 20 submit j-2 array tasks=2 run=5\n").held()).isTrue();
+    assertThat(play("at 20 submit j-2 array tasks=2 run=5\n").passed()).isTrue();
   }
 
   @Test
   void whoTriedThroughAnOutageMayGiveUp() {
-    Outcome outcome = play("at 19 outage state for=63\nat 20 submit j-2 array tasks=2 run=5\n");
-    assertThat(outcome.held()).as(outcome.complaint()).isTrue();
+    ScenarioResult outcome =
+        play("at 19 outage state for=63\nat 20 submit j-2 array tasks=2 run=5\n");
+    assertThat(outcome.passed()).as(outcome.failureMessage()).isTrue();
   }
 
   @Test
   void whoTriedWhileAnswersOfTheStoreWereTooSlowMayGiveUp() {
-    Outcome outcome =
+    ScenarioResult outcome =
         play("at 19 slownet nodes state for=63 by=0.9\nat 20 submit j-2 array tasks=2 run=5\n");
-    assertThat(outcome.held()).as(outcome.complaint()).isTrue();
+    assertThat(outcome.passed()).as(outcome.failureMessage()).isTrue();
   }
 
   @Test
   void anOutageThatEndsInTimeIsNoExcuse() {
     // A user whom nobody hears stands for controllers that do not accept what they could.
-    Outcome outcome =
+    ScenarioResult outcome =
         play(
             "at 19 outage state for=50\n"
                 + "at 20 submit j-2 array tasks=2 run=5\n"
                 + "at 20.001 mute j-2\n");
-    assertThat(outcome.complaint()).contains("expected at 118 expect j-2 served");
+    assertThat(outcome.failureMessage()).contains("expected at 118 expect j-2 served");
   }
 
   @Test
   void whoWasAcceptedHasNoExcuse() {
     // The submission is under way as its user falls silent.
-    Outcome outcome = play("at 20 submit j-2 array tasks=2 run=5\nat 20.001 mute j-2\n");
-    assertThat(outcome.complaint()).contains("expected at 118 expect j-2 served");
+    ScenarioResult outcome = play("at 20 submit j-2 array tasks=2 run=5\nat 20.001 mute j-2\n");
+    assertThat(outcome.failureMessage()).contains("expected at 118 expect j-2 served");
   }
 
   @Test
   void whoStillTriesHasNoExcuseYet() {
-    Outcome outcome = play("at 60 outage state for=55\nat 70 submit j-2 array tasks=2 run=60\n");
-    assertThat(outcome.complaint()).contains("expected at 118 expect j-2 served");
+    ScenarioResult outcome =
+        play("at 60 outage state for=55\nat 70 submit j-2 array tasks=2 run=60\n");
+    assertThat(outcome.failureMessage()).contains("expected at 118 expect j-2 served");
   }
 }
--- a/src/test/java/org/oakwalk/scenario/ScalingTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScalingTest.java
@@ -20,8 +20,8 @@
 import org.oakwalk.core.Token;
 import org.oakwalk.core.placement.Placer;
 import org.oakwalk.core.port.PeerMessage;
-import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Scenario;
+import org.oakwalk.model.ScenarioResult;
 import org.oakwalk.wire.PeerCodec;
 
 /**
@@ -110,8 +110,8 @@
   private static Measured measure(int machines) {
     try {
       Scenario scenario = new Scenario(text(machines));
-      Outcome outcome = scenario.play();
-      assertThat(outcome.held()).as(outcome.complaint()).isTrue();
+      ScenarioResult outcome = scenario.play();
+      assertThat(outcome.passed()).as(outcome.failureMessage()).isTrue();
       return new Measured(machines, counts(machines, scenario, outcome));
     } catch (ReflectiveOperationException e) {
       throw new AssertionError(e);
@@ -141,9 +141,9 @@
     return text.toString();
   }
 
-  private static Map<String, Double> counts(int machines, Scenario scenario, Outcome outcome)
+  private static Map<String, Double> counts(int machines, Scenario scenario, ScenarioResult outcome)
       throws ReflectiveOperationException {
-    Map<String, Double> figures = outcome.figures();
+    Map<String, Double> figures = outcome.metrics();
     double jobs = figures.get("batch.jobs") + figures.get("front.jobs");
     double tasks = figures.get("batch.tasks_started") + figures.get("front.tasks_started");
     Controller leader = leader(scenario);
--- a/src/test/java/org/oakwalk/scenario/ScenarioTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScenarioTest.java
@@ -12,8 +12,8 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.api.TestFactory;
-import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Scenario;
+import org.oakwalk.model.ScenarioResult;
 
 /** Plays each scenario file: every rule is checked, and what the file itself expects. */
 class ScenarioTest {
@@ -31,16 +31,16 @@
   }
 
   private static void play(Path file) throws IOException {
-    Outcome outcome = new Scenario(Files.readString(file)).play();
+    ScenarioResult outcome = new Scenario(Files.readString(file)).play();
     Optional<KnownRed> red = KnownRed.of(file.getFileName().toString());
     if (red.isPresent()) {
-      assertThat(outcome.held()).as("holds again, so KNOWN-RED.txt is out of date").isFalse();
-      assertThat(red.get().explains(outcome.complaint()))
-          .as("fails for %s alone: %s", red.get().faults(), outcome.complaint())
+      assertThat(outcome.passed()).as("holds again, so KNOWN-RED.txt is out of date").isFalse();
+      assertThat(red.get().explains(outcome.failureMessage()))
+          .as("fails for %s alone: %s", red.get().faults(), outcome.failureMessage())
           .isTrue();
       abort("known red: " + red.get());
     }
-    assertThat(outcome.held()).as(outcome.complaint()).isTrue();
+    assertThat(outcome.passed()).as(outcome.failureMessage()).isTrue();
   }
 
   /** Each line names a scenario that is there, and tells all that is known of its fault. */
--- a/src/test/java/org/oakwalk/scenario/StreamTest.java
+++ b/src/test/java/org/oakwalk/scenario/StreamTest.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import org.junit.jupiter.api.Test;
-import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Scenario;
+import org.oakwalk.model.ScenarioResult;
 
 /** One-task jobs come in a stream, a quarter of them cancelled: what a controller keeps of them. */
 class StreamTest {
@@ -40,8 +40,8 @@
   @Test
   void nothingIsKeptOfJobsThatAreOver() throws Exception {
     Scenario scenario = new Scenario(text(60));
-    Outcome outcome = scenario.play();
-    assertThat(outcome.held()).as(outcome.complaint()).isTrue();
+    ScenarioResult outcome = scenario.play();
+    assertThat(outcome.passed()).as(outcome.failureMessage()).isTrue();
     for (Object node : (List<?>) Census.field(Census.field(scenario, "world"), "nodes")) {
       Map<String, Integer> kept = Census.of(Census.field(node, "controller"));
       assertThat(kept.remove("KnownJobs.jobs")).isEqualTo(JOBS + 1);
--- a/src/test/java/org/oakwalk/scenario/Sweeps.java
+++ b/src/test/java/org/oakwalk/scenario/Sweeps.java
@@ -3,8 +3,8 @@
 import static org.assertj.core.api.Assertions.assertThat;
 
 import java.util.Locale;
-import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Scenario;
+import org.oakwalk.model.ScenarioResult;
 
 /** What tests share that write scenarios, step by step of some time. */
 final class Sweeps {
@@ -29,12 +29,12 @@
 
   /** Plays a scenario that has to hold; its text stands in the failure. */
   static void play(String text) {
-    Outcome outcome;
+    ScenarioResult outcome;
     try {
       outcome = new Scenario(text).play();
     } catch (AssertionError | RuntimeException e) {
       throw new AssertionError(e.getMessage() + "\n" + text, e);
     }
-    assertThat(outcome.held()).as(outcome.complaint() + "\n" + text).isTrue();
+    assertThat(outcome.passed()).as(outcome.failureMessage() + "\n" + text).isTrue();
   }
 }
--- a/src/test/java/org/oakwalk/scenario/TroublesTest.java
+++ b/src/test/java/org/oakwalk/scenario/TroublesTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
 import org.oakwalk.model.Draw;
-import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Scenario;
+import org.oakwalk.model.ScenarioResult;
 
 /**
  * Plays drawn troubles from fixed seeds. Every rule is checked, and that all work is done some time
@@ -84,8 +84,8 @@
   private static void play(int seed, Draw draw) {
     String text = draw.text();
     try {
-      Outcome outcome = new Scenario(text).play();
-      assertThat(outcome.held()).as(outcome.complaint()).isTrue();
+      ScenarioResult outcome = new Scenario(text).play();
+      assertThat(outcome.passed()).as(outcome.failureMessage()).isTrue();
     } catch (AssertionError | RuntimeException e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage() + "\n" + text, e);
     }
