--- a/src/main/java/org/oakwalk/model/AcceptanceRule.java
+++ b/src/main/java/org/oakwalk/model/AcceptanceRule.java
@@ -7,10 +7,11 @@
 import org.oakwalk.core.job.JobSpec;
 
 /**
- * Whether a job may be accepted, after the protocol's page alone: all fields are there, the team is
- * known, a task fits a machine type that the job allows, and the team's limit allows one task of an
- * array, and all tasks of what has to run at once; these also have room in the zones by the share
- * of them that one zone may hold.
+ * Decides whether a job may be accepted, by the rules of the protocol alone: all fields are
+ * present, the team is known, a task fits a machine type that the job allows, and the team limit
+ * allows one task of an array, or all tasks of a gang or service. For a job that is spread over
+ * zones, the allowed zones also have to hold all of these tasks, with the share that one zone may
+ * have.
  */
 final class AcceptanceRule {
   private static final double TOLERANCE = 1e-6;
@@ -21,7 +22,7 @@
     this.world = world;
   }
 
-  /** Why the job may not be accepted; empty if it may. */
+  /** Returns the reason for which the job may not be accepted; empty if it may. */
   Optional<String> rejectionReason(JobId job) {
     JobSpec spec = world.specs.get(job);
     if (spec == null) {
@@ -29,20 +30,20 @@
     }
     Settings.Team team = world.settings.teams().get(spec.team());
     if (team == null) {
-      return Optional.of("is of an unknown team");
+      return Optional.of("belongs to an unknown team");
     }
     if (world.cloud.types.values().stream().noneMatch(type -> fits(spec, type))) {
-      return Optional.of("fits no machine type that it allows");
+      return Optional.of("fits none of the machine types that it allows");
     }
     int atOnce = spec.shape() == JobSpec.Shape.ARRAY ? 1 : spec.tasks();
     boolean within =
         isWithinLimit(team.cpusMax(), spec.resources().cpus() * atOnce)
             && isWithinLimit(team.gpusMax(), spec.resources().gpus() * atOnce);
     if (!within) {
-      return Optional.of("needs more than its team's limit");
+      return Optional.of("exceeds the limit of its team");
     }
     return spec.spread() && atOnce > 1 && allowedZoneCount(spec) * ((atOnce + 1) / 2) < atOnce
-        ? Optional.of("has to be spread and may be in one zone only")
+        ? Optional.of("has to be spread, but may be in one zone only")
         : Optional.empty();
   }
 
@@ -51,7 +52,7 @@
         && type.zones().stream().anyMatch(zone -> spec.allows(type.name(), zone, false));
   }
 
-  /** How many zones its tasks may be in at once. */
+  /** Returns the number of zones in which tasks of the job may be at once. */
   private int allowedZoneCount(JobSpec spec) {
     long zones =
         world.settings.zones().stream()
--- a/src/main/java/org/oakwalk/model/Cancellations.java
+++ b/src/main/java/org/oakwalk/model/Cancellations.java
@@ -12,17 +12,23 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.job.JobSpec;
 
-/** Users who call jobs off all at once, or at the moment at which they end. */
+/**
+ * Simulates users who cancel many jobs at once, or cancel jobs at the moment of their completion.
+ */
 final class Cancellations {
-  /** Within so many seconds all users of a rush have asked. */
+  /** Time within which all users of a burst send their cancel requests. */
   private static final double BURST_SECONDS = 0.2;
 
-  /** A job that ends sooner than this is not called off in a rush. */
+  /** Least remaining run time of a job that is cancelled in a burst. */
   private static final double MIN_SECONDS_LEFT = 10;
 
+  /** Largest number of machines that a burst makes hang. */
   private static final int MAX_HUNG_MACHINES = 8;
 
-  /** Until when a share of the jobs that end is called off, and how long after the end at most. */
+  /**
+   * Cancels a share of the jobs that complete until an end time, within a maximum delay after
+   * completion.
+   */
   private record CompletionCancels(
       long until, double share, double maxDelaySeconds, String jobClass) {}
 
@@ -35,7 +41,10 @@
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
   }
 
-  /** Plays a line {@code at SECONDS cancelnow N ...}: those that have longest to go are taken. */
+  /**
+   * Executes a scenario line {@code at SECONDS cancelnow N ...}. The jobs with the longest
+   * remaining run time are cancelled.
+   */
   void cancelNow(Words line) {
     String jobClass = line.text("class", "");
     List<JobSpec> jobs =
@@ -50,9 +59,11 @@
             .sorted(Comparator.comparingDouble((JobSpec spec) -> -secondsLeft(spec)))
             .limit((int) line.number(3))
             .toList();
-    double hang = line.number("hang", 0);
-    if (hang > 0) {
-      machinesOf(jobs).stream().limit(MAX_HUNG_MACHINES).forEach(machine -> machine.hang(hang));
+    double hangSeconds = line.number("hang", 0);
+    if (hangSeconds > 0) {
+      machinesOf(jobs).stream()
+          .limit(MAX_HUNG_MACHINES)
+          .forEach(machine -> machine.hang(hangSeconds));
     }
     for (JobSpec spec : jobs) {
       world.time.after(
@@ -71,7 +82,7 @@
     return machines;
   }
 
-  /** How long the task that has most to do would still run. */
+  /** Returns the longest remaining run time of any task of a job, in seconds. */
   private double secondsLeft(JobSpec spec) {
     if (spec.service()) {
       return Double.MAX_VALUE;
@@ -93,7 +104,7 @@
             .orElse(0);
   }
 
-  /** Plays a line {@code at SECONDS cancelatend ...}. */
+  /** Executes a scenario line {@code at SECONDS cancelatend ...}. */
   void cancelAtCompletion(Words line) {
     completionCancels.add(
         new CompletionCancels(
@@ -103,24 +114,24 @@
             line.text("class", "")));
   }
 
-  /** A task has completed, perhaps the last one of its job. */
+  /** Records that a task has completed, which may have been the last of its job. */
   void taskCompleted(JobId job) {
     if (completionCancels.isEmpty()) {
       return;
     }
     JobSpec spec = world.specs.get(job);
-    boolean whole =
+    boolean jobComplete =
         IntStream.range(0, spec.tasks())
             .allMatch(index -> world.rules.isCompleted(new TaskId(job, index)));
-    if (!whole || world.rules.isReportedEnded(job) || world.rules.isCancelRequested(job)) {
+    if (!jobComplete || world.rules.isReportedEnded(job) || world.rules.isCancelRequested(job)) {
       return;
     }
-    for (CompletionCancels each : completionCancels) {
-      if (each.until() > world.time.now()
-          && (each.jobClass().isEmpty() || each.jobClass().equals(spec.jobClass()))
-          && random.nextDouble() < each.share()) {
-        long after = Math.round(1000 * each.maxDelaySeconds() * random.nextDouble());
-        world.time.after(after, () -> world.users.get(job).cancel());
+    for (CompletionCancels cancels : completionCancels) {
+      if (cancels.until() > world.time.now()
+          && (cancels.jobClass().isEmpty() || cancels.jobClass().equals(spec.jobClass()))
+          && random.nextDouble() < cancels.share()) {
+        long delay = Math.round(1000 * cancels.maxDelaySeconds() * random.nextDouble());
+        world.time.after(delay, () -> world.users.get(job).cancel());
         return;
       }
     }
--- a/src/main/java/org/oakwalk/model/ChangeHistory.java
+++ b/src/main/java/org/oakwalk/model/ChangeHistory.java
@@ -6,28 +6,30 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.KeyChange;
 
-/** The last changes of the state service, as many as it keeps. */
+/** Keeps the most recent changes of the simulated state service, at least the guaranteed number. */
 final class ChangeHistory {
+  /** Number of recent changes that are always kept. */
   private final int guaranteedChanges;
+
   private final List<KeyChange> changes = new ArrayList<>();
 
-  /** Up to this revision changes may be missing. */
+  /** Revision up to which changes may be missing. */
   private Revision truncatedThrough = Revision.NONE;
 
   ChangeHistory(int most) {
     this.guaranteedChanges = most;
   }
 
-  void add(KeyChange news) {
-    changes.add(news);
+  void add(KeyChange change) {
+    changes.add(change);
     if (changes.size() > 2 * guaranteedChanges) {
-      List<KeyChange> gone = changes.subList(0, changes.size() - guaranteedChanges);
-      truncatedThrough = gone.get(gone.size() - 1).revision();
-      gone.clear();
+      List<KeyChange> dropped = changes.subList(0, changes.size() - guaranteedChanges);
+      truncatedThrough = dropped.get(dropped.size() - 1).revision();
+      dropped.clear();
     }
   }
 
-  /** Whether the service may have forgotten changes after this revision. */
+  /** Whether changes after this revision may have been dropped. */
   boolean isTruncatedAfter(Revision after) {
     Revision oldest =
         changes.size() > guaranteedChanges
@@ -36,18 +38,18 @@
     return after.compareTo(oldest) < 0;
   }
 
-  /** What a watch has not told yet. */
+  /** Returns the changes that a watch has not delivered yet, in order. */
   List<KeyChange> changesFor(Request.Watch watch) {
-    List<KeyChange> news = new ArrayList<>();
+    List<KeyChange> undelivered = new ArrayList<>();
     for (int i = changes.size() - 1; i >= 0 && isAfter(changes.get(i), watch.after()); i--) {
       if (changes.get(i).key().startsWith(watch.prefix())) {
-        news.add(0, changes.get(i));
+        undelivered.add(0, changes.get(i));
       }
     }
-    return news;
+    return undelivered;
   }
 
-  private static boolean isAfter(KeyChange news, Revision than) {
-    return news.revision().compareTo(than) > 0;
+  private static boolean isAfter(KeyChange change, Revision revision) {
+    return change.revision().compareTo(revision) > 0;
   }
 }
--- a/src/main/java/org/oakwalk/model/CommitAvailability.java
+++ b/src/main/java/org/oakwalk/model/CommitAvailability.java
@@ -5,12 +5,15 @@
 import org.oakwalk.core.port.Request;
 
 /**
- * Tells the users who could not but give up from those who were not served. A submission is retried
- * for up to 60 s in total, and a job that was never accepted need not be done. But that excuses the
- * controllers only if none of them could have stored the job meanwhile.
+ * Tells whether a user who gave up submitting had to. A submission is retried for up to 60 s in
+ * total, and a job that was never accepted need not be done. That excuses the controllers only if
+ * none of them could have stored the job in the meantime.
  */
 final class CommitAvailability {
-  /** A first request may be lost with its node; then its user waits 5 s, and 1 s to retry. */
+  /**
+   * Time until the first retry: a request that is lost with its node times out after 5 s, and is
+   * retried 1 s later.
+   */
   private static final long FIRST_RETRY_MS = 6000;
 
   private final Timeline time;
@@ -20,7 +23,7 @@
     this.time = time;
   }
 
-  /** A controller has got this answer of the state service in time. */
+  /** Records that a controller received an answer of the state service in time. */
   void answerReceived(Request request, Answer answer) {
     if (request instanceof Request.Commit
         && (answer instanceof Answer.Committed || answer instanceof Answer.Conflict)) {
@@ -29,10 +32,10 @@
   }
 
   /**
-   * Whether no controller's transaction was answered while a user tried.
+   * Whether no transaction of any controller was answered while a user tried to submit.
    *
-   * @param first milliseconds at which it tried first
-   * @param last and last
+   * @param first time of the first attempt in milliseconds
+   * @param last time of the last attempt in milliseconds
    */
   boolean noCommitAnswered(long first, long last) {
     return commitAnsweredAt
--- a/src/main/java/org/oakwalk/model/ConsistencyProbes.java
+++ b/src/main/java/org/oakwalk/model/ConsistencyProbes.java
@@ -13,13 +13,13 @@
 import org.oakwalk.core.port.UserRequest;
 
 /**
- * Users who ask at all nodes, again and again within milliseconds, as soon as one of them has been
- * told that a job is accepted, done or withdrawn: by questions, by repeated submissions, and by
- * cancellations. {@link InvariantChecker} compares what they are told with all that was told before
- * they asked.
+ * Simulates users who send requests to all nodes within milliseconds, as soon as one user has been
+ * told that a job is accepted, done or cancelled: status queries, repeated submissions and
+ * cancellations. {@link InvariantChecker} compares the answers with all answers that were received
+ * before the requests were sent.
  */
 final class ConsistencyProbes {
-  /** What somebody has been told of a job so far. */
+  /** Latest state of a job that any user was told. */
   private enum ReportedState {
     NONE,
     ACCEPTED,
@@ -43,7 +43,7 @@
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
   }
 
-  /** From now on users look closely, as the line says. */
+  /** Starts probing with the parameters of the scenario line. */
   void begin(Words line) {
     activeUntil = world.time.now() + Math.round(1000 * line.number("for", 10));
     intervalMillis = Math.round(line.number("every", 5));
@@ -58,9 +58,12 @@
     return world.time.now() < activeUntil;
   }
 
-  /** A user has just been told a job's state, by this node if it was one. */
-  void stateReported(JobId job, boolean over, Optional<SimNode> by) {
-    ReportedState now = over ? ReportedState.ENDED : ReportedState.ACCEPTED;
+  /**
+   * Records that a user was told the state of a job, by a node if known, and starts the probes for
+   * it.
+   */
+  void stateReported(JobId job, boolean ended, Optional<SimNode> by) {
+    ReportedState now = ended ? ReportedState.ENDED : ReportedState.ACCEPTED;
     if (now.compareTo(reportedStates.getOrDefault(job, ReportedState.NONE)) <= 0) {
       return;
     }
@@ -73,22 +76,23 @@
       restartsLeft--;
       world.time.after(0, () -> by.get().restart(restartDelay));
     }
-    if (!over && random.nextDouble() < cancelShare) {
+    if (!ended && random.nextDouble() < cancelShare) {
       world.time.after(intervalMillis, () -> world.users.get(job).cancel());
     }
     for (int i = 0; i < rounds * world.nodes.size(); i++) {
       SimNode node = world.nodes.get((first + i) % world.nodes.size());
-      world.time.after(intervalMillis * (i + 1), () -> probe(job, over, node));
+      world.time.after(intervalMillis * (i + 1), () -> probe(job, ended, node));
     }
   }
 
-  private void probe(JobId job, boolean over, SimNode node) {
+  /** Sends a query, a repeated submission and, for an ended job, a cancellation to a node. */
+  private void probe(JobId job, boolean ended, SimNode node) {
     JobSpec spec = world.specs.get(job);
     List<UserRequest> requests = new ArrayList<>();
     requests.add(new UserRequest.Query(job));
     requests.add(new UserRequest.Submit(job, Optional.of(spec), ""));
-    if (over) {
-      // It can't be cancelled any more, and nobody may be told that it was.
+    if (ended) {
+      // The job has ended, so no user may be told that this cancels it.
       world.rules.recordCancelRequest(job);
       requests.add(new UserRequest.Withdraw(job));
     }
@@ -97,25 +101,25 @@
 
   private void send(SimNode node, UserRequest request) {
     boolean submission = request instanceof UserRequest.Submit;
-    long asked = world.rules.answerCount();
-    long gone = world.time.now() + SimUser.waits(request);
+    long askedAt = world.rules.answerCount();
+    long answerDeadline = world.time.now() + SimUser.waits(request);
     node.ask(
         request,
         response -> {
-          if (world.time.now() <= gone) {
-            world.rules.duplicateReported(request.job(), submission, asked, response, node);
+          if (world.time.now() <= answerDeadline) {
+            world.rules.duplicateReported(request.job(), submission, askedAt, response, node);
           }
         });
   }
 
-  /** A user is about to submit or cancel: others ask for a while, before anybody is told. */
+  /** Records that a user is about to submit or cancel a job; queries start before any answer. */
   void beforeRequest(JobId job) {
     if (isActive()) {
       probeEarly(job);
     }
   }
 
-  /** A task is complete; with the last one of its job, users ask for a while. */
+  /** Records that a task has completed; with the last task of its job, queries start. */
   void taskCompleted(TaskId task) {
     int count = completedTaskCounts.merge(task.job(), 1, Integer::sum);
     if (isActive() && count == world.specs.get(task.job()).tasks()) {
@@ -123,6 +127,7 @@
     }
   }
 
+  /** Queries all nodes in turn for a while, before any answer about the change arrives. */
   private void probeEarly(JobId job) {
     long step = Math.max(1, intervalMillis);
     for (long at = 0; at < earlyProbeSeconds * 1000; at += step) {
--- a/src/main/java/org/oakwalk/model/DelayInjector.java
+++ b/src/main/java/org/oakwalk/model/DelayInjector.java
@@ -10,21 +10,22 @@
 import org.oakwalk.core.store.Change;
 
 /**
- * Which transactions are carried out late and which reports come once more, and by how much. Chance
- * comes from a fixed seed, so that a scenario always goes the same way.
+ * Injects delays into transactions and late duplicates into worker reports. Random draws come from
+ * a generator with a fixed seed, so that a scenario always runs the same way.
  */
 final class DelayInjector {
   private static final double MIN_DELAY_SECONDS = 2;
 
-  /**
-   * A transaction without an answer is carried out so late at most, unless a scenario says when.
-   */
+  /** Longest delay of a transaction that gets no answer, unless the scenario sets it. */
   static final double MAX_WRITE_DELAY_SECONDS = 12;
 
-  /** A report comes once more so many leases later at most, unless a scenario says when. */
+  /** Longest delay of a duplicate report, in lease durations, unless the scenario sets it. */
   static final double MAX_REPORT_DELAY_LEASES = 1.6;
 
-  /** A share of what some hosts send until the end is late, by a drawn time if none is given. */
+  /**
+   * A delayed share of the messages of some hosts, until an end time. The delay is drawn if it is
+   * negative.
+   */
   private record DelayFault(
       Predicate<String> hosts, long end, double share, double delaySeconds, String keyPrefix) {}
 
@@ -40,12 +41,12 @@
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
   }
 
-  /** From now on transactions of these nodes are late, as the line says. */
+  /** Delays transactions of these nodes from now on, as the scenario line says. */
   void delayWrites(Predicate<String> nodes, Words line) {
     writeFaults.add(parse(nodes, line));
   }
 
-  /** From now on reports of these machines come once more, as the line says. */
+  /** Repeats reports of these machines from now on, as the scenario line says. */
   void repeatReports(Predicate<String> machines, Words line) {
     reportFaults.add(parse(machines, line));
   }
@@ -59,7 +60,10 @@
         line.text("key", ""));
   }
 
-  /** By how many milliseconds a request to the state service is late; empty if it is in time. */
+  /**
+   * Returns the delay of a request to the state service in milliseconds; empty if it is not
+   * delayed.
+   */
   OptionalLong writeDelay(String node, Request.State request) {
     if (!(request instanceof Request.Commit commit) || commit.changes().isEmpty()) {
       return OptionalLong.empty();
@@ -68,7 +72,7 @@
         writeFaults,
         node,
         MAX_WRITE_DELAY_SECONDS,
-        late -> keys(commit).anyMatch(k -> k.startsWith(late)));
+        fault -> keys(commit).anyMatch(k -> k.startsWith(fault)));
   }
 
   private static java.util.stream.Stream<String> keys(Request.Commit commit) {
@@ -78,23 +82,29 @@
                 change instanceof Change.Put put ? put.key() : ((Change.Remove) change).key());
   }
 
-  /** After how many milliseconds a report comes once more; empty if it does not. */
+  /**
+   * Returns the delay in milliseconds after which a report is delivered a second time; empty if it
+   * is not.
+   */
   OptionalLong reportRepeatDelay(String machine) {
     return drawDelay(reportFaults, machine, maxReportDelaySeconds, prefix -> true);
   }
 
   private OptionalLong drawDelay(
-      List<DelayFault> lates, String host, double most, Predicate<String> touches) {
-    for (DelayFault late : lates) {
-      if (late.end() > time.now()
-          && late.hosts().test(host)
-          && touches.test(late.keyPrefix())
-          && random.nextDouble() < late.share()) {
-        double after =
-            late.delaySeconds() >= 0
-                ? late.delaySeconds()
-                : MIN_DELAY_SECONDS + random.nextDouble() * (most - MIN_DELAY_SECONDS);
-        return OptionalLong.of(Math.round(1000 * after));
+      List<DelayFault> faults,
+      String host,
+      double maxDelaySeconds,
+      Predicate<String> matchesKeyPrefix) {
+    for (DelayFault fault : faults) {
+      if (fault.end() > time.now()
+          && fault.hosts().test(host)
+          && matchesKeyPrefix.test(fault.keyPrefix())
+          && random.nextDouble() < fault.share()) {
+        double delaySeconds =
+            fault.delaySeconds() >= 0
+                ? fault.delaySeconds()
+                : MIN_DELAY_SECONDS + random.nextDouble() * (maxDelaySeconds - MIN_DELAY_SECONDS);
+        return OptionalLong.of(Math.round(1000 * delaySeconds));
       }
     }
     return OptionalLong.empty();
--- a/src/main/java/org/oakwalk/model/DisruptionBudgetRule.java
+++ b/src/main/java/org/oakwalk/model/DisruptionBudgetRule.java
@@ -9,9 +9,9 @@
 import org.oakwalk.core.job.JobSpec;
 
 /**
- * Checks budgets of disruption by what truly runs: a task that was told to stop, by nobody's need
- * but our own, is down until it runs again, is done, or nobody wants it any more. It knows nothing
- * of what leaders believe.
+ * Checks disruption budgets against the tasks that actually run on the simulated machines,
+ * independent of the leaders' records. A task that a leader stops voluntarily is down until it runs
+ * again, completes, or its job is cancelled.
  */
 final class DisruptionBudgetRule {
   private final World world;
@@ -23,7 +23,10 @@
     this.world = world;
   }
 
-  /** A worker stops a running task since it was told to; returns what is broken by it. */
+  /**
+   * Records that a worker stopped a running task on a leader's order, and returns a description of
+   * the exceeded budget, if any.
+   */
   Optional<String> taskStopped(TaskId task, JobSpec spec) {
     downTasks.put(task, spec);
     for (Budget budget : world.plans.budgets()) {
@@ -32,21 +35,29 @@
       }
       int count = stopCounts.merge(budget, 1, Integer::sum);
       if (budget.stopsPerHour().isPresent() && count > budget.stopsPerHour().get()) {
-        return Optional.of(budget.name() + " has been stopped " + count + " times");
+        return Optional.of(
+            budget.name() + " has " + count + " voluntary stops, more than it allows per hour");
       }
       long down = downTasks.values().stream().filter(budget::covers).count();
       long expected = expectedTasks.values().stream().filter(budget::covers).count();
-      double most =
+      double maxDown =
           budget.down() > 0 && budget.down() < 1
               ? Math.max(1, Math.floor(budget.down() * expected))
               : budget.down();
-      if (down > most) {
-        return Optional.of(budget.name() + " has " + down + " tasks down by our own doing");
+      if (down > maxDown) {
+        return Optional.of(
+            budget.name()
+                + " has "
+                + down
+                + " tasks down by voluntary stops, "
+                + maxDown
+                + " allowed");
       }
     }
     return Optional.empty();
   }
 
+  /** Records that a task runs, for the first time or again after a stop. */
   void taskStarted(TaskId task, JobSpec spec) {
     expectedTasks.put(task, spec);
     downTasks.remove(task);
--- a/src/main/java/org/oakwalk/model/EdgeCaseRequests.java
+++ b/src/main/java/org/oakwalk/model/EdgeCaseRequests.java
@@ -13,15 +13,15 @@
 import org.oakwalk.core.port.UserRequest;
 
 /**
- * Users who submit unfinished jobs once more, cancel jobs that are done, and send jobs that fit no
- * machine or lack a field. They take turns, and each takes the next job that there is.
+ * Simulates users who submit unfinished jobs again, cancel jobs that are done, and submit jobs that
+ * fit no machine or lack a field. The four kinds take turns, and each uses the next suitable job.
  */
 final class EdgeCaseRequests {
   private static final double INTERVAL_SECONDS = 0.5;
   private static final long ANSWER_TIMEOUT_MS = 5000;
   private static final double MAX_RETRY_SECONDS = 60;
 
-  /** Numbers of jobs that can't run begin here, far from those that scenarios name. */
+  /** Number of the first invalid job, far from the numbers that scenarios use. */
   private static final long FIRST_JOB_NUMBER = 900_000_000;
 
   private final World world;
@@ -39,7 +39,7 @@
     this.world = world;
   }
 
-  /** Plays a line {@code at SECONDS oddrequests for=S}. */
+  /** Executes a scenario line {@code at SECONDS oddrequests for=S}. */
   void begin(Words line) {
     sendNext(world.time.seconds() + line.number("for", 10));
   }
@@ -48,18 +48,18 @@
     if (world.time.seconds() >= until) {
       return;
     }
-    long next = nextTurn++;
-    if (next % 4 == 0) {
-      unfinishedJob(next).ifPresent(job -> world.users.get(job).submit());
-    } else if (next % 4 == 1) {
-      doneJob(next).ifPresent(job -> world.users.get(job).cancel());
-    } else if (next % 4 == 2) {
-      // What is known is answered with its state, whatever is wrong with the repeat.
-      unfinishedJob(next).ifPresent(job -> send(job, Optional.empty()));
+    long turn = nextTurn++;
+    if (turn % 4 == 0) {
+      unfinishedJob(turn).ifPresent(job -> world.users.get(job).submit());
+    } else if (turn % 4 == 1) {
+      doneJob(turn).ifPresent(job -> world.users.get(job).cancel());
+    } else if (turn % 4 == 2) {
+      // A known job is answered with its state, even if the repeated submission is invalid.
+      unfinishedJob(turn).ifPresent(job -> send(job, Optional.empty()));
     } else {
       JobId id = new JobId("j-" + nextJobNumber++);
-      Optional<JobSpec> spec = invalidJobs.get((int) (next / 4 % invalidJobs.size())).apply(id);
-      spec.ifPresent(each -> world.specs.put(id, each));
+      Optional<JobSpec> spec = invalidJobs.get((int) (turn / 4 % invalidJobs.size())).apply(id);
+      spec.ifPresent(value -> world.specs.put(id, value));
       world.rules.recordSubmission(id);
       send(id, spec);
     }
@@ -92,14 +92,17 @@
     send(job, spec, world.time.seconds());
   }
 
-  /** Asks some node, again and again until there is an answer that says more than to wait. */
+  /**
+   * Sends a submission to any running node, and retries until there is an answer other than a
+   * request to wait.
+   */
   private void send(JobId job, Optional<JobSpec> spec, double since) {
-    long asked = world.rules.answerCount();
-    boolean[] over = new boolean[1];
+    long askedAt = world.rules.answerCount();
+    boolean[] finished = new boolean[1];
     Runnable retry =
         () -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!finished[0]) {
+            finished[0] = true;
             if (world.time.seconds() - since < MAX_RETRY_SECONDS) {
               world.time.after(1000, () -> send(job, spec, since));
             }
@@ -113,13 +116,13 @@
                 node.ask(
                     new UserRequest.Submit(job, spec, spec.isEmpty() ? "a field is missing" : ""),
                     response -> {
-                      if (!over[0]) {
-                        world.rules.duplicateReported(job, true, asked, response, node);
+                      if (!finished[0]) {
+                        world.rules.duplicateReported(job, true, askedAt, response, node);
                         if (response instanceof Response.Problem problem
                             && problem.status() >= 429) {
                           retry.run();
                         }
-                        over[0] = true;
+                        finished[0] = true;
                       }
                     }));
   }
@@ -139,7 +142,7 @@
     return newSpec(id, firstTeam(), JobSpec.Shape.ARRAY, 1, new Resources(1, 0, 1), types);
   }
 
-  /** A service that needs more than its team may use; none if no team has a limit. */
+  /** Returns a service that exceeds its team limit; none if no team has a limit. */
   private Optional<JobSpec> aboveTeamLimit(JobId id) {
     return world.settings.teams().values().stream()
         .filter(team -> team.cpusMax() > 0)
--- a/src/main/java/org/oakwalk/model/ExchangeRule.java
+++ b/src/main/java/org/oakwalk/model/ExchangeRule.java
@@ -19,14 +19,18 @@
 import org.oakwalk.core.store.StoreKeys;
 
 /**
- * Checks exchanges by what is stored and by what jobs there are: nobody is taken from below its
- * guarantee, nothing is taken twice for one need, and nothing is owed once the need has gone.
+ * Checks capacity transfers against the stored records and the jobs: no job is taken from while it
+ * is within its team's guarantee, one demand is not served by two transfers, and no transfer stays
+ * open after the demand has ended.
  */
 final class ExchangeRule {
-  /** A job may have been within the guarantee for so long before a leader has to know. */
+  /** Time in seconds after which a leader has to know that a job is within its team's guarantee. */
   private static final double GUARANTEE_GRACE_SECONDS = 5;
 
-  /** Beside dwell and patience, for writes, saving and a change of leader. */
+  /**
+   * Time in seconds, beyond return delay and hold timeout, for writes, checkpoints and a change of
+   * leader.
+   */
   private static final double SETTLEMENT_GRACE_SECONDS = 30;
 
   private final World world;
@@ -47,60 +51,63 @@
     return world.state.rows("exchange").stream().map(Take.class::cast).toList();
   }
 
-  /** Looks at what is stored now; returns the rules that are broken by it, and how. */
+  /** Checks the stored transfers, and returns the violated rules with a description of each. */
   Map<String, String> tick() {
-    Map<String, String> broken = new LinkedHashMap<>();
+    Map<String, String> violations = new LinkedHashMap<>();
     List<ExchangeTerms> terms = world.plans.exchanges();
     if (terms.isEmpty()) {
-      return broken;
+      return violations;
     }
     updateGuarantees();
     Map<JobId, Integer> byTaker = new HashMap<>();
-    for (Take take : storedTransfers()) {
-      if (checkedTransfers.add(take.id())) {
-        belowGuarantee(take).ifPresent(how -> broken.put("taken_below_guarantee", how));
+    for (Take transfer : storedTransfers()) {
+      if (checkedTransfers.add(transfer.id())) {
+        belowGuarantee(transfer)
+            .ifPresent(description -> violations.put("taken_below_guarantee", description));
       }
-      if (take.underWay() || take.state() == Take.State.TAKEN) {
-        int count = byTaker.merge(take.taker(), 1, Integer::sum);
-        if (count > world.specs.get(take.taker()).tasks()) {
-          broken.put("taken_twice", count + " takes are open for " + take.taker());
+      if (transfer.underWay() || transfer.state() == Take.State.TAKEN) {
+        int count = byTaker.merge(transfer.taker(), 1, Integer::sum);
+        if (count > world.specs.get(transfer.taker()).tasks()) {
+          violations.put("taken_twice", count + " transfers are open for " + transfer.taker());
         }
       }
     }
-    for (ExchangeTerms each : terms) {
-      unsettledTransfer(each).ifPresent(how -> broken.put("debt_left", how));
+    for (ExchangeTerms exchange : terms) {
+      unsettledTransfer(exchange)
+          .ifPresent(description -> violations.put("debt_left", description));
     }
-    return broken;
+    return violations;
   }
 
   /**
-   * A worker stops a task since it was told to. Where only takers could want its room, a take from
-   * its job has to be written down by then.
+   * Records that a worker stopped a task on a leader's order. If only takers could need its room, a
+   * transfer from its job has to be stored by then.
    */
   Optional<String> taskStopped(TaskId task, JobSpec spec) {
-    boolean gives = world.plans.exchanges().stream().anyMatch(each -> each.gives(spec));
-    if (!gives || spec.gang() || world.plans.hasDrainPlans() || mayBePreempted(spec)) {
+    boolean isGiver = world.plans.exchanges().stream().anyMatch(exchange -> exchange.gives(spec));
+    if (!isGiver || spec.gang() || world.plans.hasDrainPlans() || mayBePreempted(spec)) {
       return Optional.empty();
     }
-    return storedTransfers().stream().anyMatch(take -> take.giver().equals(spec.id()))
+    return storedTransfers().stream().anyMatch(transfer -> transfer.giver().equals(spec.id()))
         ? Optional.empty()
-        : Optional.of(task + " is stopped, and no take from its job is stored");
+        : Optional.of(task + " was stopped, and no transfer from its job is stored");
   }
 
   /**
-   * Whether a job that takes nothing may have it stopped all the same: one that is stored, also
-   * while its user has not been told so yet.
+   * Whether a job with a higher priority that is no taker may preempt a job. Such a job has to be
+   * stored, but its user need not have the answer yet.
    */
   private boolean mayBePreempted(JobSpec spec) {
     return world.specs.values().stream()
         .filter(other -> other.priority().compareTo(spec.priority()) > 0)
-        .filter(other -> world.plans.exchanges().stream().noneMatch(each -> each.takes(other)))
+        .filter(
+            other -> world.plans.exchanges().stream().noneMatch(exchange -> exchange.takes(other)))
         .anyMatch(other -> mayNeedRoom(other.id()));
   }
 
   /**
-   * Whether a job may want room: as its user knows, or as is stored, which may be long before the
-   * user gets the answer, if ever.
+   * Whether a job may need room: it is stored as open, or its user has been told so. The record may
+   * be stored long before the user gets the answer, if it ever arrives.
    */
   private boolean mayNeedRoom(JobId id) {
     boolean stored =
@@ -109,7 +116,7 @@
     return stored || world.rules.isAccepted(id) && !world.rules.isReportedEnded(id);
   }
 
-  /** Each team's first unfinished jobs that fit into its guarantee together. */
+  /** Determines the first unfinished jobs of each team that together fit into its guarantee. */
   private void updateGuarantees() {
     Set<JobId> within = new HashSet<>();
     for (Settings.Team team : world.settings.teams().values()) {
@@ -129,32 +136,43 @@
     within.forEach(id -> guaranteedSince.putIfAbsent(id, world.time.seconds()));
   }
 
-  private Optional<String> belowGuarantee(Take take) {
-    Double since = guaranteedSince.get(take.giver());
-    String takers = world.specs.get(take.taker()).team();
-    boolean own = takers.equals(take.giverTeam());
-    return !own && since != null && world.time.seconds() - since > GUARANTEE_GRACE_SECONDS
-        ? Optional.of(take.giver() + " of " + take.giverTeam() + " is within its guarantee")
+  /** Returns a description if a transfer takes from a job within its team's guarantee. */
+  private Optional<String> belowGuarantee(Take transfer) {
+    Double since = guaranteedSince.get(transfer.giver());
+    String takerTeam = world.specs.get(transfer.taker()).team();
+    boolean sameTeam = takerTeam.equals(transfer.giverTeam());
+    return !sameTeam && since != null && world.time.seconds() - since > GUARANTEE_GRACE_SECONDS
+        ? Optional.of(transfer.giver() + " of " + transfer.giverTeam() + " is within its guarantee")
         : Optional.empty();
   }
 
-  private Optional<String> unsettledTransfer(ExchangeTerms each) {
+  /** Returns a description of a transfer that is open too long after its demand has ended. */
+  private Optional<String> unsettledTransfer(ExchangeTerms exchange) {
     boolean needed =
         world.rules.acceptedJobs().stream()
-            .anyMatch(id -> each.takes(world.specs.get(id)) && !world.rules.isReportedEnded(id));
+            .anyMatch(
+                id -> exchange.takes(world.specs.get(id)) && !world.rules.isReportedEnded(id));
     if (needed) {
-      demandEndedAt.remove(each.name());
+      demandEndedAt.remove(exchange.name());
       return Optional.empty();
     }
-    double since = demandEndedAt.computeIfAbsent(each.name(), name -> world.time.seconds());
-    double until =
+    double since = demandEndedAt.computeIfAbsent(exchange.name(), name -> world.time.seconds());
+    double settledBy =
         Math.max(since, faultsEndAt)
-            + each.dwell().asSeconds()
-            + each.patience().asSeconds()
+            + exchange.dwell().asSeconds()
+            + exchange.patience().asSeconds()
             + SETTLEMENT_GRACE_SECONDS;
     return storedTransfers().stream()
-        .filter(take -> take.exchange().equals(each.name()) && world.time.seconds() > until)
+        .filter(
+            transfer ->
+                transfer.exchange().equals(exchange.name()) && world.time.seconds() > settledBy)
         .findFirst()
-        .map(take -> "take " + take.id() + " from " + take.giver() + " is still open");
+        .map(
+            transfer ->
+                "transfer "
+                    + transfer.id()
+                    + " from "
+                    + transfer.giver()
+                    + " is still open after its demand has ended");
   }
 }
--- a/src/main/java/org/oakwalk/model/Expectations.java
+++ b/src/main/java/org/oakwalk/model/Expectations.java
@@ -9,7 +9,7 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.port.Response;
 
-/** What a scenario expects to hold at some moment. */
+/** Evaluates the expect lines of a scenario. */
 final class Expectations {
   private final World world;
   private final List<String> failures = new ArrayList<>();
@@ -18,7 +18,7 @@
     this.world = world;
   }
 
-  /** Looks whether what the line expects holds now. */
+  /** Records a failure unless the expectation of the line holds now. */
   void check(Words line) {
     if (!holds(line)) {
       failures.add(
@@ -32,22 +32,22 @@
     }
   }
 
-  /** What did not hold when it was looked at. */
+  /** Returns a message for each expectation that did not hold. */
   List<String> failures() {
     return failures;
   }
 
   private String observedState(Words line) {
     JobId job = new JobId(line.word(3));
-    return "on machines "
+    return "tasks on machines "
         + world.rules.runningTaskCount(job)
-        + ", told "
+        + ", reported state "
         + world.rules.reported(job)
         + ", starts "
         + world.rules.totalStarts()
-        + ", unheard "
+        + ", requests that a running controller did not answer in time "
         + world.unheard
-        + ", last start after a confirmed cancellation "
+        + ", latest start after a confirmed cancellation "
         + world.rules.latestStartAfterCancel()
         + ", refusals "
         + world.refusals
@@ -59,25 +59,25 @@
         + world.cloud.released
         + ", writes "
         + world.state.writes()
-        + ", nights "
+        + ", planning windows "
         + world.nights.metrics()
         + ", requests "
         + world.state.requests()
         + ", reads "
         + world.state.reads()
-        + ", too many "
+        + ", requests over the limit "
         + world.state.tooMany()
         + ", waits "
         + world.waits
-        + ", open "
+        + ", jobs awaiting their end "
         + world.users.values().stream().filter(SimUser::asks).count()
-        + ", reporting to the leader "
+        + ", workers reporting to the leader "
         + workersReportingToLeader();
   }
 
   private boolean holds(Words line) {
-    String what = line.word(3);
-    switch (what) {
+    String subject = line.word(3);
+    switch (subject) {
       case "leader" -> {
         return world.leader().isPresent() == !line.has("none");
       }
@@ -92,8 +92,9 @@
         return places >= line.number("least", 0) && places <= line.number("most", 1e9);
       }
       case "machines" -> {
-        long up = world.workers.values().stream().filter(SimWorker::alive).count();
-        return up >= line.number("least", 0) && up <= line.number("most", 1e9);
+        long runningMachines = world.workers.values().stream().filter(SimWorker::alive).count();
+        return runningMachines >= line.number("least", 0)
+            && runningMachines <= line.number("most", 1e9);
       }
       case "reporting" -> {
         return workersReportingToLeader() >= line.number("least", 0)
@@ -111,11 +112,11 @@
         return !world.workers.get(new MachineId(line.word(4))).charged();
       }
       case "in" -> {
-        long there =
+        long inZone =
             world.workers.values().stream()
                 .filter(w -> w.charged() && w.market.zone().equals(line.word(4)))
                 .count();
-        return there >= line.number("least", 0) && there <= line.number("most", 1e9);
+        return inZone >= line.number("least", 0) && inZone <= line.number("most", 1e9);
       }
       case "rented" -> {
         return world.cloud.rented <= line.number("most", 1e9)
@@ -183,26 +184,26 @@
             .nights
             .lastResult(line.word(4))
             .filter(
-                night ->
-                    night.workDoneShare() >= line.number("done", 0)
-                        && night.workDoneShare() <= line.number("most", 1)
-                        && night.promiseKeptShare() >= line.number("kept", 0)
-                        && night.plannedShare() >= line.number("share", 0)
-                        && night.plannedShare() <= line.number("mostshare", 1)
-                        && night.revisions() >= line.number("least", 1)
-                        && night.revisions() <= line.number("revisions", 1e9))
+                window ->
+                    window.workDoneShare() >= line.number("done", 0)
+                        && window.workDoneShare() <= line.number("most", 1)
+                        && window.promiseKeptShare() >= line.number("kept", 0)
+                        && window.plannedShare() >= line.number("share", 0)
+                        && window.plannedShare() <= line.number("mostshare", 1)
+                        && window.revisions() >= line.number("least", 1)
+                        && window.revisions() <= line.number("revisions", 1e9))
             .isPresent();
       }
       case "writes" -> {
         return world.state.writes() <= line.number("most", 1e9);
       }
       default -> {
-        return holdsForJob(new JobId(what), line);
+        return holdsForJob(new JobId(subject), line);
       }
     }
   }
 
-  /** Workers that report to the leader itself. */
+  /** Returns the number of workers that report directly to the leader. */
   private long workersReportingToLeader() {
     return world
         .leader()
@@ -238,15 +239,18 @@
     };
   }
 
-  /** Whether a share of the job's tasks has begun, that long after the first attempt to submit. */
+  /**
+   * Whether the expected share of the tasks of a job has started within the expected time after the
+   * first submission attempt.
+   */
   private boolean startedInTime(JobId job, Words line) {
     int tasks = world.specs.get(job).tasks();
-    double by = world.figures.submittedAt(job) + line.number("within", 240);
-    int begun = 0;
+    double deadline = world.figures.submittedAt(job) + line.number("within", 240);
+    int started = 0;
     for (int index = 0; index < tasks; index++) {
       Double at = world.rules.firstStart(new TaskId(job, index));
-      begun += at != null && at <= by ? 1 : 0;
+      started += at != null && at <= deadline ? 1 : 0;
     }
-    return begun >= line.number("share", 1) * tasks;
+    return started >= line.number("share", 1) * tasks;
   }
 }
--- a/src/main/java/org/oakwalk/model/FaultCombinations.java
+++ b/src/main/java/org/oakwalk/model/FaultCombinations.java
@@ -7,11 +7,11 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Draws troubles that overlap in time, two or three of them, while users cancel. Everything is over
- * by {@link Draw#LAST_TROUBLE_ENDS}, with what comes late.
+ * Draws two or three faults that overlap in time while users cancel jobs. All faults end by {@link
+ * Draw#LAST_TROUBLE_ENDS}, including their delayed effects.
  */
 final class FaultCombinations {
-  /** Troubles go on until then at most; what they have made late comes after that. */
+  /** Latest end of a fault; its delayed effects may come after that. */
   private static final int LAST_FAULT_END_SECONDS = 80;
 
   private static final int FAULT_KINDS = 15;
@@ -32,7 +32,9 @@
     this.cancelSeconds = cancel;
   }
 
-  /** The jobs that users cancel, those that end far apart, and the troubles. */
+  /**
+   * Draws the cancelled jobs, the arrays with uneven run times, and the faults, as scenario lines.
+   */
   List<String> draw() {
     int at = 10 + random.nextInt(20);
     List<Integer> kinds = new ArrayList<>();
@@ -42,41 +44,41 @@
     for (int i = kinds.size() - 1; i > 0; i--) {
       Collections.swap(kinds, i, random.nextInt(i + 1));
     }
-    int lasts = 6 + random.nextInt(30);
-    addFault(kinds.get(0), at, lasts);
-    int others = 1 + random.nextInt(2);
-    for (int i = 1; i <= others; i++) {
-      addFault(kinds.get(i), at + random.nextInt(lasts - 2), 3 + random.nextInt(30));
+    int duration = 6 + random.nextInt(30);
+    addFault(kinds.get(0), at, duration);
+    int otherFaults = 1 + random.nextInt(2);
+    for (int i = 1; i <= otherFaults; i++) {
+      addFault(kinds.get(i), at + random.nextInt(duration - 2), 3 + random.nextInt(30));
     }
-    addJobs(at, lasts);
+    addJobs(at, duration);
     return lines;
   }
 
-  /** One trouble of any kind. */
-  List<String> randomFault(int at, int lasts) {
+  /** Draws one fault of any kind. */
+  List<String> randomFault(int at, int duration) {
     lines.clear();
-    addFault(random.nextInt(FAULT_KINDS), at, lasts);
+    addFault(random.nextInt(FAULT_KINDS), at, duration);
     return List.copyOf(lines);
   }
 
-  /** The jobs that users cancel, and those that end far apart, about a trouble. */
-  List<String> jobLines(int at, int lasts) {
+  /** Draws the cancelled jobs and the arrays with uneven run times around a fault. */
+  List<String> jobLines(int at, int duration) {
     lines.clear();
-    addJobs(at, lasts);
+    addJobs(at, duration);
     return List.copyOf(lines);
   }
 
-  private void addJobs(int at, int lasts) {
-    addCancelledJobs(at, lasts + 15);
+  private void addJobs(int at, int duration) {
+    addCancelledJobs(at, duration + 15);
     addUnevenArrays(at);
   }
 
-  /** Names of the jobs that have to be done in the end. */
+  /** Returns the names of the jobs that have to be done in the end. */
   List<String> jobsToFinish() {
     return List.of("j-30", "j-31", "j-32");
   }
 
-  private void addCancelledJobs(int at, int within) {
+  private void addCancelledJobs(int at, int spreadSeconds) {
     for (int i = 0; i < 6; i++) {
       String job = "j-2" + i;
       int submitted = 4 + random.nextInt(at - 6);
@@ -91,14 +93,15 @@
             20 + random.nextInt(100),
             random.nextBoolean() ? "saves=5 save=3" : "");
       }
-      add("at %.1f cancel %s", at - 2 + random.nextDouble() * within, job);
+      add("at %.1f cancel %s", at - 2 + random.nextDouble() * spreadSeconds, job);
       if (random.nextInt(3) == 0) {
-        // Its user submits it once more, long after.
-        add("at %.1f submit %s array", at + random.nextDouble() * within + 20, job);
+        // The user submits it again, long after.
+        add("at %.1f submit %s array", at + random.nextDouble() * spreadSeconds + 20, job);
       }
     }
   }
 
+  /** Adds arrays of short tasks and one long task. */
   private void addUnevenArrays(int at) {
     for (int i = 0; i < 3; i++) {
       int tasks = 2 + random.nextInt(2);
@@ -113,11 +116,12 @@
     }
   }
 
-  private void addFault(int kind, int at, int drawn) {
-    int lasts = Math.max(1, Math.min(drawn, LAST_FAULT_END_SECONDS - at));
-    int shortly = Math.min(lasts, 1 + random.nextInt(12));
+  /** Adds the lines of one fault. */
+  private void addFault(int kind, int at, int drawnDuration) {
+    int duration = Math.max(1, Math.min(drawnDuration, LAST_FAULT_END_SECONDS - at));
+    int shortDuration = Math.min(duration, 1 + random.nextInt(12));
     String node = random.nextBoolean() ? "leading" : "node-" + random.nextInt(nodes);
-    String some = randomMachines();
+    String targets = randomMachines();
     String hold = random.nextBoolean() ? "hold" : "";
     switch (kind) {
       case 0 ->
@@ -125,20 +129,20 @@
               "at %d latewrites %s for=%d share=%.1f%s",
               at,
               random.nextBoolean() ? "all" : node,
-              lasts,
+              duration,
               0.1 + 0.1 * random.nextInt(6),
               randomKeyOption());
-      case 1 -> add("at %d latereports %s for=%d share=%.1f", at, some, lasts, randomShare());
-      case 2 -> add("at %d deaf %s for=%d", at, some, lasts);
+      case 1 -> add("at %d latereports %s for=%d share=%.1f", at, targets, duration, randomShare());
+      case 2 -> add("at %d deaf %s for=%d", at, targets, duration);
       case 3 -> {
-        add("at %d cut %s state for=%d %s", at, node, lasts, hold);
-        add("at %d cut %s nodes for=%d %s", at, node, lasts, hold);
+        add("at %d cut %s state for=%d %s", at, node, duration, hold);
+        add("at %d cut %s nodes for=%d %s", at, node, duration, hold);
       }
       case 4, 5 -> addRefusalThenOutage(at);
-      case 6 -> add("at %d cut nodes %s for=%d hold", at, some, lasts);
+      case 6 -> add("at %d cut nodes %s for=%d hold", at, targets, duration);
       case 7 -> {
         for (int i = 0; i < 2; i++) {
-          add("at %d hang %s for=%d", at + i * random.nextInt(4), randomMachine(), shortly);
+          add("at %d hang %s for=%d", at + i * random.nextInt(4), randomMachine(), shortDuration);
         }
       }
       case 8 -> add("at %d restart leading after=%.1f", at, randomTenths());
@@ -147,39 +151,43 @@
           add(
               "at %d restart all after=%.1f times=%d every=%.1f",
               at, randomTenths(), 1 + random.nextInt(2), 1 + randomTenths());
-      case 11 -> add("at %d freeze %s for=%d", at, node, shortly);
-      case 12 -> add("at %d cut %s workers for=%d %s", at, node, lasts, hold);
+      case 11 -> add("at %d freeze %s for=%d", at, node, shortDuration);
+      case 12 -> add("at %d cut %s workers for=%d %s", at, node, duration, hold);
       case 13 ->
           add(
               "at %d copies nodes workers for=%d after=%d runs",
-              at, shortly, 1 + random.nextInt(15));
+              at, shortDuration, 1 + random.nextInt(15));
       default ->
           add(
               hasZones
                   ? "at %d cut zone:a zone:b for=%d %s"
                   : "at %d slownet nodes state for=%d by=0.9",
               at,
-              lasts,
+              duration,
               hold);
     }
   }
 
-  /** The leader alone is refused, and then all are, for longer than a withdrawal may take. */
+  /**
+   * Has the state service refuse requests of one node, mostly the leader, and then fail for all.
+   * The outage may be longer than the time within which a cancellation has to take effect.
+   */
   private void addRefusalThenOutage(int at) {
-    double before = 0.2 + random.nextDouble() * 14;
-    int out = Math.min(LAST_FAULT_END_SECONDS - at - 14, cancelSeconds - 10 + random.nextInt(25));
+    double secondsBefore = 0.2 + random.nextDouble() * 14;
+    int outageSeconds =
+        Math.min(LAST_FAULT_END_SECONDS - at - 14, cancelSeconds - 10 + random.nextInt(25));
     add(
         "at %d refuse %s for=%.1f",
         at,
         random.nextInt(4) == 0 ? "node-" + random.nextInt(nodes) : "leading",
-        before + random.nextInt(10) - 4);
-    add("at %.1f outage state for=%d", at + before, out);
+        secondsBefore + random.nextInt(10) - 4);
+    add("at %.1f outage state for=%d", at + secondsBefore, outageSeconds);
     if (random.nextInt(3) == 0) {
-      add("at %.1f restart leading after=0.2", at + before + random.nextInt(out));
+      add("at %.1f restart leading after=0.2", at + secondsBefore + random.nextInt(outageSeconds));
     }
   }
 
-  /** Some machines: one, those of a zone, or all. */
+  /** Draws a selection of machines: one, those of a zone, or all. */
   String randomMachines() {
     int draw = random.nextInt(4);
     if (draw == 0) {
--- a/src/main/java/org/oakwalk/model/FaultSchedule.java
+++ b/src/main/java/org/oakwalk/model/FaultSchedule.java
@@ -3,14 +3,15 @@
 import java.util.List;
 import java.util.Set;
 
-/** When the troubles of a scenario are over, by its own lines. */
+/** Determines when the faults of a scenario are over, from its lines. */
 final class FaultSchedule {
+  /** Actions that are no faults. */
   private static final Set<String> NOT_FAULTS =
       Set.of("submit", "cancel", "expect", "rogue", "lie");
 
   private FaultSchedule() {}
 
-  /** When the last one ends, in seconds; 0 if there is none. */
+  /** Returns when the last fault ends, in seconds; 0 if there is none. */
   static double lastFaultEnd(List<Words> lines) {
     double end = 0;
     double lease = 10;
@@ -29,6 +30,7 @@
     return end;
   }
 
+  /** Returns how long a fault lasts, including its delayed effects, in seconds. */
   private static double durationSeconds(Words line, String action, double lease) {
     return switch (action) {
       case "refuse", "freeze", "full", "outage", "cut", "slownet", "hang", "deaf", "noreports" ->
@@ -42,7 +44,7 @@
               + (line.has("atonce")
                   ? 0
                   : line.number("after", DelayInjector.MAX_WRITE_DELAY_SECONDS));
-      // Questions alone trouble nobody.
+      // Probes without restarts are no fault.
       case "closelooks" ->
           line.number("ends", 0) > 0
               ? line.number("for", 10) + line.number("back", 1)
--- a/src/main/java/org/oakwalk/model/GangBarrier.java
+++ b/src/main/java/org/oakwalk/model/GangBarrier.java
@@ -10,9 +10,9 @@
 import org.oakwalk.core.job.JobSpec;
 
 /**
- * Tasks of one gang find each other by their common attempt. They begin when all are there; one
- * that has waited too long for the others ends, and so do all once one is lost or out of reach of
- * the others for too long.
+ * Simulates how the tasks of a gang find each other by their common attempt. They start when all
+ * are ready. A task that has waited too long for the others ends, and all end once one is lost or
+ * disconnected from the others for too long.
  */
 final class GangBarrier {
   private record GangKey(JobId job, Attempt attempt) {}
@@ -38,10 +38,10 @@
   private final Map<GangKey, GangAttempt> gangs = new LinkedHashMap<>();
 
   /**
-   * No gangs yet.
+   * Creates a barrier without gangs.
    *
    * @param waitSeconds how long a task waits for the others
-   * @param peerSeconds how long one may be out of the others' reach
+   * @param peerSeconds how long a task may be disconnected from the others
    */
   GangBarrier(World world, double waitSeconds, double peerSeconds) {
     this.world = world;
@@ -49,7 +49,7 @@
     this.peerTimeoutMillis = Math.round(peerSeconds * 1000);
   }
 
-  /** A task has its image and waits for the others; the last one lets all begin. */
+  /** Records that a task has its image and waits for the others. The last one starts all. */
   void memberReady(SimWorker machine, TaskId task, Attempt attempt, JobSpec spec) {
     GangAttempt gang =
         gangs.computeIfAbsent(
@@ -58,11 +58,11 @@
     if (!gang.started && gang.members.size() + gang.completed == gang.size) {
       gang.started = true;
       world.largest.gangStarted(spec.id());
-      new LinkedHashMap<>(gang.members).forEach((each, member) -> member.machine().begin(each));
+      new LinkedHashMap<>(gang.members).forEach((ready, member) -> member.machine().begin(ready));
     }
   }
 
-  /** How many tasks there are to wait for: those that are done don't come again. */
+  /** Returns the number of tasks to wait for; completed tasks do not run again. */
   private int unfinishedTasks(JobSpec spec) {
     return (int)
         IntStream.range(0, spec.tasks())
@@ -70,7 +70,7 @@
             .count();
   }
 
-  /** A task is no longer on its machine. */
+  /** Records that a task has left its machine. */
   void memberLeft(TaskId task, Attempt attempt, boolean done) {
     GangAttempt gang = gangs.get(new GangKey(task.job(), attempt));
     if (gang != null && gang.members.remove(task) != null) {
@@ -79,6 +79,7 @@
     }
   }
 
+  /** Ends tasks that have waited or been disconnected for too long. Called periodically. */
   void tick() {
     gangs.values().removeIf(gang -> gang.members.isEmpty());
     for (GangAttempt gang : List.copyOf(gangs.values())) {
--- a/src/main/java/org/oakwalk/model/HeadroomRule.java
+++ b/src/main/java/org/oakwalk/model/HeadroomRule.java
@@ -18,37 +18,42 @@
 import org.oakwalk.core.store.StoredValue;
 
 /**
- * Checks that no batch task starts in room that the stored record keeps for replicas, by what truly
- * is on the machines. A start is ordered some time before it is seen here, and the one who ordered
- * it may not have known yet what has died; so a start is a breach if at no moment within a lease
- * and a little there was a place beyond those that are kept. Each such place excuses one start.
+ * Checks that no batch task starts in room that the stored headroom record reserves for replicas,
+ * against the actual use of the simulated machines.
  *
- * <p>For as long, a machine that has died counts with the places that it had: its leader keeps them
- * in good faith, and what comes free elsewhere is beyond them. In the drawn cases 30066 and 30272
- * two of three kept places were on a machine that had died 1.2 s before, and the leader found it
- * silent 4.3 s later.
+ * <p>A start is ordered some time before it is seen here, and the leader may not have known of a
+ * machine failure by then. A start is therefore a violation only if no sample within the lookback
+ * period (the lease duration plus a margin) has an unreserved slot for it. Each unreserved slot
+ * excuses one start.
+ *
+ * <p>For the same period, the slots of a failed machine still count: its leader keeps reserving
+ * them until it detects the failure, and treats room that becomes free elsewhere as unreserved. In
+ * the drawn cases 30066 and 30272, two of three reserved slots were on a machine that had failed
+ * 1.2 s before, and the leader detected the silence 4.3 s later.
  */
 final class HeadroomRule {
+  /** Time beyond the lease duration after which a leader has to know of a failed machine. */
   private static final long LOOKBACK_MARGIN_MS = 5000;
+
   private static final long SAMPLE_INTERVAL_MS = 500;
 
-  /** The room of a shape in a zone. */
+  /** The headroom for one replica size in one zone. */
   private record HeadroomPool(HeadroomRow.Key key, String zone) {}
 
   private static final class SlotSample {
     final long at;
     int unreservedSlots;
 
-    SlotSample(long at, int slack) {
+    SlotSample(long at, int unreservedSlots) {
       this.at = at;
-      this.unreservedSlots = slack;
+      this.unreservedSlots = unreservedSlots;
     }
   }
 
-  /** A machine has died, with so many places. */
+  /** A failed machine, with the number of slots it had. */
   private record LostMachine(long diedAt, int slots) {}
 
-  /** What was seen of a spot. */
+  /** The slots of a pool: the current ones by machine, and samples of the unreserved ones. */
   private static final class SlotTally {
     final Deque<SlotSample> samples = new ArrayDeque<>();
     final Map<SimWorker, Integer> slotsByMachine = new HashMap<>();
@@ -60,7 +65,9 @@
       totalSlots += count - (before == null ? 0 : before);
     }
 
-    /** Forgets where places are, but for those that died with their machines. */
+    /**
+     * Clears the slots by machine, but remembers those of failed machines for the lookback period.
+     */
     void reset(long at, long window) {
       slotsByMachine.forEach(
           (worker, count) -> {
@@ -68,14 +75,14 @@
               lostMachines.putIfAbsent(worker, new LostMachine(at, count));
             }
           });
-      lostMachines.values().removeIf(loss -> loss.diedAt() < at - window);
+      lostMachines.values().removeIf(lost -> lost.diedAt() < at - window);
       slotsByMachine.clear();
       totalSlots = 0;
     }
 
-    void addSample(long at, int amount, long window) {
+    void addSample(long at, int reservedSlots, long window) {
       int lost = lostMachines.values().stream().mapToInt(LostMachine::slots).sum();
-      samples.add(new SlotSample(at, totalSlots + lost - amount));
+      samples.add(new SlotSample(at, totalSlots + lost - reservedSlots));
       while (samples.peek().at < at - window) {
         samples.poll();
       }
@@ -89,7 +96,10 @@
     this.world = world;
   }
 
-  /** The rows that are in force, as they are stored. */
+  /**
+   * Returns the stored headroom rows, or none if no product terms are stored or the record is
+   * incomplete.
+   */
   static List<HeadroomRow> storedRows(World world) {
     boolean declared =
         world
@@ -113,26 +123,26 @@
     return rows.stream().map(HeadroomRow.class::cast).toList();
   }
 
-  /** To be called now and then: looks at all machines anew. */
+  /** Recounts the slots of all machines. Called periodically. */
   void tick() {
-    Set<HeadroomPool> present = new HashSet<>();
+    Set<HeadroomPool> reservedPools = new HashSet<>();
     for (HeadroomRow row : storedRows(world)) {
       row.places()
           .forEach(
-              (zone, amount) -> {
-                HeadroomPool spot = new HeadroomPool(row.key(), zone);
-                present.add(spot);
-                SlotTally account = tallies.computeIfAbsent(spot, s -> new SlotTally());
-                account.reset(world.time.now(), lookbackMillis());
+              (zone, reservedSlots) -> {
+                HeadroomPool pool = new HeadroomPool(row.key(), zone);
+                reservedPools.add(pool);
+                SlotTally tally = tallies.computeIfAbsent(pool, p -> new SlotTally());
+                tally.reset(world.time.now(), lookbackMillis());
                 for (SimWorker worker : world.workers.values()) {
                   if (canProvide(row, zone, worker)) {
-                    account.setSlots(worker, freeResources(worker).capacityFor(row.key().room()));
+                    tally.setSlots(worker, freeResources(worker).capacityFor(row.key().room()));
                   }
                 }
-                account.addSample(world.time.now(), amount, lookbackMillis());
+                tally.addSample(world.time.now(), reservedSlots, lookbackMillis());
               });
     }
-    tallies.keySet().retainAll(present);
+    tallies.keySet().retainAll(reservedPools);
   }
 
   private long lookbackMillis() {
@@ -143,6 +153,7 @@
     return worker.type.room().minus(worker.used());
   }
 
+  /** Whether slots on a worker count towards a headroom row in a zone. */
   private static boolean canProvide(HeadroomRow row, String zone, SimWorker worker) {
     return worker.market.zone().equals(zone)
         && worker.alive()
@@ -150,46 +161,50 @@
         && (row.spot() || !worker.market.spot());
   }
 
-  /** A worker has room again. */
+  /** Records that a worker has released resources. */
   void resourcesFreed(SimWorker worker) {
     if (!tallies.isEmpty()) {
       recordAllocation(worker, Resources.NONE, false);
     }
   }
 
-  /** A worker is about to give room to a task; returns what is broken by it. */
+  /**
+   * Records that a worker is about to allocate resources to a task, and returns a description of
+   * the violated reservation, if any.
+   */
   Optional<String> beforeAllocation(SimWorker worker, JobSpec spec) {
     return tallies.isEmpty()
         ? Optional.empty()
         : recordAllocation(worker, spec.resources(), !spec.service());
   }
 
+  /** Samples the pools of a worker before an allocation and deducts the slots that it uses up. */
   private Optional<String> recordAllocation(SimWorker worker, Resources taken, boolean batch) {
-    Optional<String> breach = Optional.empty();
+    Optional<String> violation = Optional.empty();
     String zone = worker.market.zone();
     long now = world.time.now();
     for (HeadroomRow row : storedRows(world)) {
-      SlotTally account = tallies.get(new HeadroomPool(row.key(), zone));
-      if (account == null || !canProvide(row, zone, worker)) {
+      SlotTally tally = tallies.get(new HeadroomPool(row.key(), zone));
+      if (tally == null || !canProvide(row, zone, worker)) {
         continue;
       }
       Resources free = freeResources(worker);
       int before = free.capacityFor(row.key().room());
       int after = free.minus(taken).capacityFor(row.key().room());
-      account.setSlots(worker, before);
-      account.addSample(now, row.places().getOrDefault(zone, 0), lookbackMillis());
-      account.setSlots(worker, after);
-      int fewer = before - after;
-      if (batch && fewer > 0) {
-        boolean longKnown =
-            now - account.samples.peek().at > lookbackMillis() - 2 * SAMPLE_INTERVAL_MS;
-        if (longKnown
-            && account.samples.stream().noneMatch(sample -> sample.unreservedSlots >= fewer)) {
-          breach = Optional.of("starts in room of headroom " + row.key());
+      tally.setSlots(worker, before);
+      tally.addSample(now, row.places().getOrDefault(zone, 0), lookbackMillis());
+      tally.setSlots(worker, after);
+      int slotsUsed = before - after;
+      if (batch && slotsUsed > 0) {
+        boolean fullHistory =
+            now - tally.samples.peek().at > lookbackMillis() - 2 * SAMPLE_INTERVAL_MS;
+        if (fullHistory
+            && tally.samples.stream().noneMatch(sample -> sample.unreservedSlots >= slotsUsed)) {
+          violation = Optional.of("starts in room reserved for headroom " + row.key());
         }
-        account.samples.forEach(sample -> sample.unreservedSlots -= fewer);
+        tally.samples.forEach(sample -> sample.unreservedSlots -= slotsUsed);
       }
     }
-    return breach;
+    return violation;
   }
 }
--- a/src/main/java/org/oakwalk/model/InvariantChecker.java
+++ b/src/main/java/org/oakwalk/model/InvariantChecker.java
@@ -18,13 +18,14 @@
 import org.oakwalk.core.store.JobRecord;
 
 /**
- * Checks every rule of the protocol against what the workers do and the users are told. It knows
- * nothing of the controllers.
+ * Checks the invariants of the protocol against what workers do and which answers users receive,
+ * independent of the controllers' state.
  */
 final class InvariantChecker {
+  /** One copy of a task on a machine. */
   private record RunningCopy(SimWorker machine, JobSpec spec) {}
 
-  /** Once all troubles are over, a job that nobody hears of for so long counts as forgotten. */
+  /** Time after which a job without any answer counts as forgotten, once all faults are over. */
   private static final double MAX_UNANSWERED_SECONDS = 75;
 
   private final World world;
@@ -51,7 +52,7 @@
   private double faultsEndAt;
   private double latestStartAfterCancel;
 
-  /** How many answers users have received. */
+  /** Number of answers that users have received. It serves as a logical clock for answers. */
   private long answerCount;
 
   InvariantChecker(World world) {
@@ -63,27 +64,34 @@
     this.acceptanceRule = new AcceptanceRule(world);
   }
 
-  /** All troubles are over then; from then on every question about a job has to find an answer. */
+  /**
+   * Sets the time at which all faults are over, in seconds. From then on each request about a job
+   * has to be answered.
+   */
   void setFaultsEnd(double seconds) {
     faultsEndAt = seconds;
     exchangeRule.setFaultsEnd(seconds);
     starvationRule.setFaultsEnd(seconds);
   }
 
-  /** The broken rules, each with when and how it was first. */
+  /** Returns the violated rules, each with the time and description of the first violation. */
   Map<String, String> violations() {
     return violations;
   }
 
-  private void recordViolation(String rule, String how) {
-    violations.putIfAbsent(rule, String.format("%.1f s: %s", world.time.seconds(), how));
+  private void recordViolation(String rule, String description) {
+    violations.putIfAbsent(rule, String.format("%.1f s: %s", world.time.seconds(), description));
   }
 
-  /** The latest start of a task of a cancelled job, in seconds after its user was told. */
+  /**
+   * Returns the latest start of a task of a cancelled job, in seconds after its user was told of
+   * the cancellation.
+   */
   double latestStartAfterCancel() {
     return latestStartAfterCancel;
   }
 
+  /** Returns how often a task has been started. */
   int startCount(TaskId task) {
     return startCounts.getOrDefault(task, 0);
   }
@@ -92,49 +100,51 @@
     return startCounts.values().stream().mapToInt(Integer::intValue).sum();
   }
 
-  /** When each task was started for the first time. */
+  /** Returns when each task was first started, in seconds. */
   Map<TaskId, Double> firstStarts() {
     return firstStartAt;
   }
 
+  /** Returns when a task was first started, in seconds, or null if it never was. */
   Double firstStart(TaskId task) {
     return firstStartAt.get(task);
   }
 
+  /** Returns the number of tasks of a job that are on a machine. */
   long runningTaskCount(JobId job) {
     return runningCopies.entrySet().stream()
         .filter(e -> e.getKey().job().equals(job) && !e.getValue().isEmpty())
         .count();
   }
 
-  /** A plan promises less than before in the same window. */
-  void promiseReduced(String how) {
-    recordViolation("promise_taken_back", how);
+  /** Records that a plan promises less than before in the same window. */
+  void promiseReduced(String description) {
+    recordViolation("promise_taken_back", description);
   }
 
-  /** A controller that knows that a job is over orders a start of one of its tasks. */
+  /**
+   * Records that a controller ordered a start of a task although it knows that the job has ended.
+   */
   void endedJobStarted(SimNode node, StartAfterEndDetector.ForbiddenStart start) {
     boolean done = start.end() == JobRecord.Phase.DONE;
     recordViolation(
         done ? "started_after_done" : "started_after_cancel",
-        node.id + " orders a start of " + start.order().task());
-  }
-
-  boolean hasCompleted(TaskId task) {
-    return completed.contains(task);
+        node.id + " ordered a start of " + start.order().task());
   }
 
-  /** Whether the user has asked for it to be cancelled. */
+  /** Whether the user has asked to cancel a job. */
   boolean isCancelRequested(JobId job) {
     return cancelRequested.contains(job);
   }
 
+  /** Records that a task starts on a machine, and checks its placement and the team's quota. */
   void taskStarted(SimWorker machine, TaskId task, JobSpec spec) {
-    List<RunningCopy> here = runningCopies.computeIfAbsent(task, t -> new ArrayList<>());
-    if (!here.isEmpty()) {
-      recordViolation("ran_twice", task + " on " + machine.id + " and " + here.get(0).machine().id);
+    List<RunningCopy> copies = runningCopies.computeIfAbsent(task, t -> new ArrayList<>());
+    if (!copies.isEmpty()) {
+      recordViolation(
+          "ran_twice", task + " on " + machine.id + " and " + copies.get(0).machine().id);
     }
-    here.add(new RunningCopy(machine, spec));
+    copies.add(new RunningCopy(machine, spec));
     teamUsage.merge(spec.team(), spec.resources(), Resources::plus);
     world.figures.taskStarted(task, spec);
     budgetRule.taskStarted(task, spec);
@@ -143,23 +153,25 @@
     world.waits.waitEnded(JobWaitTimes.WaitPhase.BEGUN, task.job());
     checkPlacement(machine, task, spec);
     checkQuota(spec.team());
-    Double told = cancellationReportedAt.get(task.job());
-    if (told != null) {
-      latestStartAfterCancel = Math.max(latestStartAfterCancel, world.time.seconds() - told);
+    Double cancelledAt = cancellationReportedAt.get(task.job());
+    if (cancelledAt != null) {
+      latestStartAfterCancel = Math.max(latestStartAfterCancel, world.time.seconds() - cancelledAt);
     }
-    if (told != null && world.time.seconds() - told > cancelSeconds()) {
+    if (cancelledAt != null && world.time.seconds() - cancelledAt > cancelSeconds()) {
       recordViolation("ran_cancelled", task + " starts on " + machine.id);
     }
   }
 
-  /** A worker is about to give room to a task. */
+  /** Records that a worker is about to allocate resources to a task. */
   void beforeAllocation(SimWorker machine, TaskId task, JobSpec spec) {
     headroomRule
         .beforeAllocation(machine, spec)
-        .ifPresent(how -> recordViolation("crowded", task + " on " + machine.id + " " + how));
+        .ifPresent(
+            description ->
+                recordViolation("crowded", task + " on " + machine.id + " " + description));
   }
 
-  /** A worker has room again. */
+  /** Records that a worker has released resources. */
   void resourcesFreed(SimWorker machine) {
     headroomRule.resourcesFreed(machine);
   }
@@ -183,10 +195,10 @@
           }
         });
     if (spec.oneZone() && zones.size() > 1) {
-      recordViolation("wrong_place", task + " is in a second zone");
+      recordViolation("wrong_place", task + " puts its job into a second zone");
     }
     if (zones.getOrDefault(machine.market.zone(), 0) > spec.maxTasksPerZone()) {
-      recordViolation("wrong_place", task + " is one too many in its zone");
+      recordViolation("wrong_place", task + " exceeds the number of tasks per zone");
     }
   }
 
@@ -202,40 +214,46 @@
     }
   }
 
-  /** A worker has been told to stop a task that runs. */
+  /** Records that a worker was ordered to stop a running task. */
   void taskHalted(SimWorker machine, TaskId task, JobSpec spec) {
     if (!cancellationReportedAt.containsKey(task.job())
         && !cancelRequested.contains(task.job())
         && !completed.contains(task)
         && !machine.noticed()) {
-      budgetRule.taskStopped(task, spec).ifPresent(how -> recordViolation("budget", how));
+      budgetRule
+          .taskStopped(task, spec)
+          .ifPresent(description -> recordViolation("budget", description));
       exchangeRule
           .taskStopped(task, spec)
-          .ifPresent(how -> recordViolation("taken_unwritten", how));
+          .ifPresent(description -> recordViolation("taken_unwritten", description));
     }
   }
 
+  /** Records that a task is no longer on a machine. */
   void taskLeft(SimWorker machine, TaskId task) {
-    List<RunningCopy> here = runningCopies.getOrDefault(task, new ArrayList<>());
-    for (RunningCopy place : List.copyOf(here)) {
-      if (place.machine() == machine) {
-        here.remove(place);
-        Double told = cancellationReportedAt.get(task.job());
-        if (told != null && world.time.seconds() - told > cancelSeconds() + 0.1) {
-          // Too little too late for what looks now and then.
-          recordViolation("ran_cancelled", task + " leaves " + machine.id + " too late");
+    List<RunningCopy> copies = runningCopies.getOrDefault(task, new ArrayList<>());
+    for (RunningCopy copy : List.copyOf(copies)) {
+      if (copy.machine() == machine) {
+        copies.remove(copy);
+        Double cancelledAt = cancellationReportedAt.get(task.job());
+        if (cancelledAt != null && world.time.seconds() - cancelledAt > cancelSeconds() + 0.1) {
+          // The periodic check in tick may miss a short overrun.
+          recordViolation(
+              "ran_cancelled", task + " left " + machine.id + " after the cancel deadline");
         }
-        world.figures.taskLeft(task, place.spec());
+        world.figures.taskLeft(task, copy.spec());
         teamUsage.computeIfPresent(
-            place.spec().team(), (team, use) -> use.minus(place.spec().resources()));
+            copy.spec().team(), (team, use) -> use.minus(copy.spec().resources()));
       }
     }
   }
 
+  /** Whether all work of a task has been done. */
   boolean isCompleted(TaskId task) {
     return completed.contains(task);
   }
 
+  /** Records that a worker has completed a task. */
   void taskCompleted(TaskId task) {
     completed.add(task);
     world.waits.taskCompleted(task.job());
@@ -245,110 +263,121 @@
     world.closeLooks.taskCompleted(task);
   }
 
-  /** To be called now and then: tasks of cancelled jobs must be gone in time. */
+  /**
+   * Runs the periodic checks, among them that cancelled jobs have left all machines in time and
+   * that no job goes unanswered.
+   */
   void tick() {
     headroomRule.tick();
     exchangeRule.tick().forEach(this::recordViolation);
-    starvationRule.tick().ifPresent(how -> recordViolation("left_waiting", how));
+    starvationRule.tick().ifPresent(description -> recordViolation("left_waiting", description));
     runningCopies.forEach(
-        (task, at) -> {
-          Double told = cancellationReportedAt.get(task.job());
-          if (told != null
-              && !at.isEmpty()
-              && world.time.seconds() - told > cancelSeconds() + 0.1) {
-            recordViolation("ran_cancelled", task + " is still on " + at.get(0).machine().id);
+        (task, copies) -> {
+          Double cancelledAt = cancellationReportedAt.get(task.job());
+          if (cancelledAt != null
+              && !copies.isEmpty()
+              && world.time.seconds() - cancelledAt > cancelSeconds() + 0.1) {
+            recordViolation("ran_cancelled", task + " is still on " + copies.get(0).machine().id);
           }
         });
     lastAnswerAt.forEach(
         (job, at) -> {
           if (world.time.seconds() - at > 90) {
-            recordViolation("forgotten", job + " has had no answer for 90 s");
+            recordViolation("forgotten", job + " has not been answered for 90 s");
           }
           if (world.time.seconds() - Math.max(at, faultsEndAt) > MAX_UNANSWERED_SECONDS) {
-            recordViolation("unanswered", job + " has had no answer since " + at + " s");
+            recordViolation("unanswered", job + " has not been answered since " + at + " s");
           }
         });
   }
 
-  /** A user submits; true if it is the first time for this job. */
+  /** Records that a user submits a job; returns true for its first submission. */
   boolean recordSubmission(JobId job) {
     return submitted.add(job);
   }
 
+  /** Records that a user asks to cancel a job. */
   void recordCancelRequest(JobId job) {
     cancelRequested.add(job);
   }
 
-  /** A moment between two answers: what was told before it is known to whoever asks now. */
+  /**
+   * Returns the number of answers so far. A request sent now has to be answered in line with these.
+   */
   long answerCount() {
     return answerCount;
   }
 
+  /** Returns the final state that the user of a job was told, or null if there is none yet. */
   Response.JobState reported(JobId job) {
     return reportedFinalStates.get(job);
   }
 
-  /** Accepted jobs in the order in which their users came to know. */
+  /** Returns the accepted jobs, in the order in which their users were told of it. */
   Set<JobId> acceptedJobs() {
     return accepted;
   }
 
-  /** Whether its user knows that a job is done or cancelled. */
+  /** Whether the user of a job knows that it is done or cancelled. */
   boolean isReportedEnded(JobId job) {
     return reportedFinalStates.containsKey(job);
   }
 
+  /** Whether the user of a job knows that it was accepted. */
   boolean isAccepted(JobId job) {
     return accepted.contains(job);
   }
 
-  /** The answer to a late copy of a question: it may say nothing wrong, but answers no user. */
-  void duplicateReported(JobId job, boolean submission, long asked, Response response, SimNode by) {
-    Double last = lastAnswerAt.get(job);
-    reported(job, submission, asked, response, Optional.of(by));
-    if (last == null) {
+  /**
+   * Records the answer to a duplicate request. It is checked like any other, but does not count as
+   * an answer to the user.
+   */
+  void duplicateReported(
+      JobId job, boolean submission, long askedAt, Response response, SimNode by) {
+    Double previousAnswerAt = lastAnswerAt.get(job);
+    reported(job, submission, askedAt, response, Optional.of(by));
+    if (previousAnswerAt == null) {
       lastAnswerAt.remove(job);
     } else {
-      lastAnswerAt.computeIfPresent(job, (j, at) -> last);
+      lastAnswerAt.computeIfPresent(job, (j, at) -> previousAnswerAt);
     }
   }
 
   /**
-   * A user has received an answer.
+   * Records that a user has received an answer.
    *
-   * @param isCancelRequested the {@link #answerCount} at which the question was sent: its answer
-   *     may be older than what anybody was told after that, but not older than what anybody was
-   *     told before
+   * @param askedAt value of {@link #answerCount} when the request was sent: the answer may be older
+   *     than any answer received after that, but not older than those received before
    */
   void reported(
-      JobId job, boolean submission, long asked, Response response, Optional<SimNode> by) {
+      JobId job, boolean submission, long askedAt, Response response, Optional<SimNode> by) {
     answerCount++;
     if (response instanceof Response.Problem problem) {
       if (problem.status() == 404
-          && asked >= acceptedAnswerNumbers.getOrDefault(job, Long.MAX_VALUE)) {
-        recordViolation("forgotten", job + " is answered 404");
+          && askedAt >= acceptedAnswerNumbers.getOrDefault(job, Long.MAX_VALUE)) {
+        recordViolation("forgotten", job + " was accepted and is answered 404");
       }
       if (accepted.contains(job)
           && submission
           && (problem.status() == 400 || problem.status() == 422)) {
-        recordViolation("forgotten", job + " is answered " + problem.status());
+        recordViolation("forgotten", job + " was accepted and is answered " + problem.status());
       }
       return;
     }
     Response.JobStatus status = (Response.JobStatus) response;
     if (!submitted.contains(job)) {
-      recordViolation("invented", job + " is answered 200");
+      recordViolation("invented", job + " was never submitted and is answered 200");
       return;
     }
-    Optional<String> whyNot = acceptanceRule.rejectionReason(job);
-    if (whyNot.isPresent()) {
-      recordViolation("accepted_wrongly", job + " " + whyNot.get());
+    Optional<String> rejection = acceptanceRule.rejectionReason(job);
+    if (rejection.isPresent()) {
+      recordViolation("accepted_wrongly", job + " " + rejection.get());
       return;
     }
     Response.JobState before = reportedFinalStates.get(job);
     boolean isFinal =
         status.state() == Response.JobState.DONE || status.state() == Response.JobState.CANCELLED;
-    if (before != null && !isFinal && asked < finalAnswerNumbers.get(job)) {
+    if (before != null && !isFinal && askedAt < finalAnswerNumbers.get(job)) {
       return;
     }
     accepted.add(job);
@@ -358,7 +387,8 @@
       finalAnswerNumbers.putIfAbsent(job, answerCount);
     }
     if (before != null && before != status.state()) {
-      recordViolation("went_back", job + " was " + before + " and is " + status.state());
+      recordViolation(
+          "went_back", job + " was reported " + before + " and is now reported " + status.state());
     }
     if (status.state() == Response.JobState.DONE) {
       world.figures.jobDone(job, before == null);
@@ -367,7 +397,8 @@
       JobSpec spec = world.specs.get(job);
       for (int i = 0; i < spec.tasks(); i++) {
         if (!completed.contains(new TaskId(job, i))) {
-          recordViolation("not_done", job + " is called done, task " + i + " is not");
+          recordViolation(
+              "not_done", job + " is reported done, but task " + i + " is not complete");
           break;
         }
       }
@@ -378,7 +409,7 @@
       cancellationReportedAt.putIfAbsent(job, world.time.seconds());
       lastAnswerAt.remove(job);
       if (!cancelRequested.contains(job)) {
-        recordViolation("went_back", job + " is called cancelled although nobody asked");
+        recordViolation("went_back", job + " is reported cancelled without a cancel request");
       }
     }
     world.closeLooks.stateReported(job, isFinal, by);
--- a/src/main/java/org/oakwalk/model/JobWaitTimes.java
+++ b/src/main/java/org/oakwalk/model/JobWaitTimes.java
@@ -9,16 +9,17 @@
 import org.oakwalk.core.store.JobRecord;
 import org.oakwalk.core.store.StoreKeys;
 
-/** How long jobs wait for each step of their lives, and the longest that any has waited for it. */
+/** Measures how long jobs wait in each phase, and keeps the longest wait of each. */
 final class JobWaitTimes {
+  /** Phase of a job in which its user waits. */
   enum WaitPhase {
-    /** From the first attempt to submit until some answer that settles it. */
+    /** From the first submission attempt until an answer that accepts or refuses the job. */
     ACCEPTED,
-    /** From the acceptance until its first task is on a machine. */
+    /** From the acceptance until the first task is on a machine. */
     BEGUN,
-    /** From when its last task has completed until its end is stored. */
+    /** From the completion of the last task until the end of the job is stored. */
     ENDED,
-    /** From when its user asks to cancel it until some answer that settles it. */
+    /** From the cancel request until an answer that settles it. */
     CANCELLED
   }
 
@@ -28,24 +29,28 @@
 
   JobWaitTimes(World world) {
     this.world = world;
-    for (WaitPhase step : WaitPhase.values()) {
-      waitingSince.put(step, new HashMap<>());
-      longest.put(step, 0.0);
+    for (WaitPhase phase : WaitPhase.values()) {
+      waitingSince.put(phase, new HashMap<>());
+      longest.put(phase, 0.0);
     }
   }
 
-  void waitStarted(WaitPhase step, JobId job) {
-    waitingSince.get(step).putIfAbsent(job, world.time.seconds());
+  /** Starts the wait of a job in a phase, unless it waits already. */
+  void waitStarted(WaitPhase phase, JobId job) {
+    waitingSince.get(phase).putIfAbsent(job, world.time.seconds());
   }
 
-  void waitEnded(WaitPhase step, JobId job) {
-    Double begun = waitingSince.get(step).remove(job);
-    if (begun != null) {
-      longest.merge(step, world.time.seconds() - begun, Math::max);
+  /** Ends the wait of a job in a phase, if it waits. */
+  void waitEnded(WaitPhase phase, JobId job) {
+    Double startedAt = waitingSince.get(phase).remove(job);
+    if (startedAt != null) {
+      longest.merge(phase, world.time.seconds() - startedAt, Math::max);
     }
   }
 
-  /** Its user was told that it is accepted; it may have begun before that. */
+  /**
+   * Records that a user was told of the acceptance of a job. The job may have started before that.
+   */
   void jobAccepted(JobId job) {
     waitEnded(WaitPhase.ACCEPTED, job);
     int tasks = world.specs.get(job).tasks();
@@ -57,12 +62,12 @@
     waitStarted(WaitPhase.BEGUN, job);
   }
 
-  /** It does not wait for this step any more, nor counts for having waited. */
-  void discardWait(WaitPhase step, JobId job) {
-    waitingSince.get(step).remove(job);
+  /** Removes the wait of a job in a phase without counting it. */
+  void discardWait(WaitPhase phase, JobId job) {
+    waitingSince.get(phase).remove(job);
   }
 
-  /** A task has completed; perhaps it was its job's last. */
+  /** Records that a task has completed, which may have been the last of its job. */
   void taskCompleted(JobId job) {
     int tasks = world.specs.get(job).tasks();
     for (int index = 0; index < tasks; index++) {
@@ -73,7 +78,7 @@
     waitStarted(WaitPhase.ENDED, job);
   }
 
-  /** To be called now and then: what has been stored as over waits for that no more. */
+  /** Ends the wait of jobs whose end has been stored. Called periodically. */
   void tick() {
     for (JobId job : Map.copyOf(waitingSince.get(WaitPhase.ENDED)).keySet()) {
       boolean stored =
@@ -88,18 +93,18 @@
     }
   }
 
-  /** The longest that any job has waited, or waits now. */
-  double longest(WaitPhase step) {
-    double most = longest.get(step);
-    for (double begun : waitingSince.get(step).values()) {
-      most = Math.max(most, world.time.seconds() - begun);
+  /** Returns the longest wait of any job in a phase, in seconds, including waits that go on. */
+  double longest(WaitPhase phase) {
+    double maxSeconds = longest.get(phase);
+    for (double startedAt : waitingSince.get(phase).values()) {
+      maxSeconds = Math.max(maxSeconds, world.time.seconds() - startedAt);
     }
-    return most;
+    return maxSeconds;
   }
 
-  /** How many wait for it now. */
-  int waitingCount(WaitPhase step) {
-    return waitingSince.get(step).size();
+  /** Returns the number of jobs that wait in a phase now. */
+  int waitingCount(WaitPhase phase) {
+    return waitingSince.get(phase).size();
   }
 
   static WaitPhase parsePhase(String name) {
@@ -109,9 +114,9 @@
   @Override
   public String toString() {
     StringBuilder text = new StringBuilder();
-    for (WaitPhase step : WaitPhase.values()) {
+    for (WaitPhase phase : WaitPhase.values()) {
       text.append(
-          String.format(Locale.ROOT, " %s %.1f (%d)", step, longest(step), waitingCount(step)));
+          String.format(Locale.ROOT, " %s %.1f (%d)", phase, longest(phase), waitingCount(phase)));
     }
     return text.toString().trim();
   }
--- a/src/main/java/org/oakwalk/model/LargeJobStartRule.java
+++ b/src/main/java/org/oakwalk/model/LargeJobStartRule.java
@@ -16,16 +16,19 @@
 import org.oakwalk.core.job.Resources;
 
 /**
- * Whether the largest jobs of each class begin in time. They are the top tenth by tasks times room,
- * one at least, and all that are as large as the smallest of these. A service has begun when all
- * replicas have, a gang when it runs whole, an array when as many tasks have as its team's limit
- * and the whole fleet allow at once. A start counts unless it is stopped by command soon after.
+ * Checks that the largest jobs of each class start in time. These are the top tenth by tasks times
+ * resources, at least one, and all jobs as large as the smallest of them. A service has started
+ * when all replicas have, a gang when all of its tasks run, an array when as many tasks have
+ * started as the team limit and the largest possible fleet allow at once. A start that is stopped
+ * on a leader's order soon after does not count.
  */
 final class LargeJobStartRule {
+  /** Time after the first submission attempt within which a large job has to start. */
   private static final double START_DEADLINE_SECONDS = 240;
+
   private static final double LARGEST_SHARE = 0.1;
 
-  /** A start that is stopped by command within so many seconds does not count. */
+  /** Time for which a task has to run, unless it ends by itself, for its start to count. */
   private static final double MIN_RUN_SECONDS = 30;
 
   private final World world;
@@ -38,7 +41,10 @@
     this.world = world;
   }
 
-  /** To be called when all machines of the beginning are there: the fleet can't be larger. */
+  /**
+   * Records the largest possible fleet: the initial machines and the remaining capacity of the
+   * cloud. Called when all initial machines have been created.
+   */
   void recordMaxFleet() {
     maxFleet.putAll(world.cloud.capacity);
     world.workers.values().forEach(worker -> maxFleet.merge(worker.market, 1, Integer::sum));
@@ -49,11 +55,14 @@
     countedStartAt.putIfAbsent(task, world.time.seconds());
   }
 
-  /** All tasks of a gang run. */
+  /** Records that all tasks of a gang run. */
   void gangStarted(JobId gang) {
     gangStartAt.putIfAbsent(gang, world.time.seconds());
   }
 
+  /**
+   * Records that a task was stopped on a leader's order, and discards its start if it was recent.
+   */
   void taskStoppedByCommand(TaskId task) {
     double now = world.time.seconds();
     if (now - lastStartAt.getOrDefault(task, 0.0) < MIN_RUN_SECONDS) {
@@ -64,7 +73,7 @@
     }
   }
 
-  /** The largest of these jobs, by class. */
+  /** Returns the largest of these jobs, by class. */
   Map<String, List<JobSpec>> largestByClass(List<JobSpec> jobs) {
     Map<String, List<JobSpec>> classes = new TreeMap<>();
     jobs.forEach(
@@ -72,18 +81,21 @@
     classes.replaceAll(
         (name, all) -> {
           int count = Math.max(1, (int) (all.size() * LARGEST_SHARE));
-          double least =
+          double minSize =
               all.stream()
                   .map(this::relativeSize)
                   .sorted((a, b) -> Double.compare(b, a))
                   .toList()
                   .get(count - 1);
-          return all.stream().filter(spec -> relativeSize(spec) >= least - 1e-9).toList();
+          return all.stream().filter(spec -> relativeSize(spec) >= minSize - 1e-9).toList();
         });
     return classes;
   }
 
-  /** Tasks times room, in the largest machines of each resource. */
+  /**
+   * Returns the tasks times the dominant resource share of one task, relative to the largest amount
+   * of each resource in any machine type.
+   */
   private double relativeSize(JobSpec spec) {
     Resources most =
         new Resources(
@@ -102,8 +114,8 @@
   }
 
   /**
-   * Classes whose largest jobs began too late, each with how; jobs that could still begin in time
-   * at the end don't count.
+   * Returns the classes whose largest jobs started too late, with a description of each. Jobs that
+   * could still start in time at the end of the scenario do not count.
    */
   Map<String, String> lateByClass(List<JobSpec> jobs) {
     Map<String, String> late = new TreeMap<>();
@@ -111,26 +123,28 @@
         .forEach(
             (name, largest) -> {
               for (JobSpec spec : largest) {
-                double asked = world.figures.submittedAt(spec.id());
+                double submittedAt = world.figures.submittedAt(spec.id());
                 Double at = startedAt(spec);
-                boolean over = asked + START_DEADLINE_SECONDS <= world.time.seconds();
-                if (over && (at == null || at - asked > START_DEADLINE_SECONDS)) {
-                  String how = at == null ? "not at all" : "after " + Math.round(at - asked) + " s";
+                boolean deadlinePassed =
+                    submittedAt + START_DEADLINE_SECONDS <= world.time.seconds();
+                if (deadlinePassed && (at == null || at - submittedAt > START_DEADLINE_SECONDS)) {
+                  String startTime =
+                      at == null ? "not at all" : "after " + Math.round(at - submittedAt) + " s";
                   late.put(
                       name,
                       String.format(
                           Locale.ROOT,
-                          "the largest of class %s: %s began %s",
+                          "largest jobs of class %s: %s started %s",
                           name,
                           spec.id(),
-                          how));
+                          startTime));
                 }
               }
             });
     return late;
   }
 
-  /** When the job had begun, or null. */
+  /** Returns when the job had started, in seconds, or null if it has not. */
   private Double startedAt(JobSpec spec) {
     if (spec.gang()) {
       return gangStartAt.get(spec.id());
@@ -145,6 +159,7 @@
     return starts.size() < needed ? null : starts.get(needed - 1);
   }
 
+  /** Returns how many tasks the team limit and the largest possible fleet allow at once. */
   private int maxTasksAtOnce(JobSpec spec) {
     Settings.Team team = world.settings.teams().get(spec.team());
     Resources limit =
@@ -152,14 +167,14 @@
             team.cpusMax() > 0 ? team.cpusMax() : Double.MAX_VALUE,
             team.gpusMax() > 0 ? team.gpusMax() : Double.MAX_VALUE,
             Double.MAX_VALUE);
-    int places = 0;
+    int slots = 0;
     for (Map.Entry<SimCloud.Market, Integer> part : maxFleet.entrySet()) {
       SimCloud.Market market = part.getKey();
       if (spec.allows(market.type(), market.zone(), market.spot())) {
         Resources room = world.cloud.types.get(market.type()).room();
-        places += part.getValue() * room.capacityFor(spec.resources());
+        slots += part.getValue() * room.capacityFor(spec.resources());
       }
     }
-    return Math.min(spec.tasks(), Math.min(places, limit.capacityFor(spec.resources())));
+    return Math.min(spec.tasks(), Math.min(slots, limit.capacityFor(spec.resources())));
   }
 }
--- a/src/main/java/org/oakwalk/model/PlanningWindowTracker.java
+++ b/src/main/java/org/oakwalk/model/PlanningWindowTracker.java
@@ -22,9 +22,12 @@
 import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 
-/** What was promised for each dawn, by the stored plan, and what was done by then. */
+/**
+ * Compares what the stored plan promised for each batch deadline with the work that was done by
+ * then.
+ */
 final class PlanningWindowTracker {
-  /** A group's work of one night. */
+  /** Work of one group of jobs in a planning window. */
   private static final class GroupResult {
     int tasks;
     int doneTasks;
@@ -33,7 +36,7 @@
     double doneWorkSeconds;
   }
 
-  /** One night, as it turned out. */
+  /** Result of one planning window. Shares are between 0 and 1. */
   record WindowResult(
       double workDoneShare,
       double promiseKeptShare,
@@ -48,21 +51,24 @@
   private final Map<String, PlanRow.Group> lastPlanned = new HashMap<>();
   private long revision = -1;
 
-  PlanningWindowTracker(World world, List<DawnTerms> dawns) {
+  PlanningWindowTracker(World world, List<DawnTerms> deadlines) {
     this.world = world;
-    this.deadlines = dawns;
+    this.deadlines = deadlines;
   }
 
-  /** Sets out to look at each dawn that comes before the scenario is over. */
+  /**
+   * Schedules a check at the opening and at the deadline of each planning window that closes before
+   * the end of the scenario.
+   */
   void scheduleChecks(double end) {
-    for (DawnTerms dawn : deadlines) {
-      Optional<Window> window = Window.next(dawn, world.wall(), world.settings.clockOff());
+    for (DawnTerms deadline : deadlines) {
+      Optional<Window> window = Window.next(deadline, world.wall(), world.settings.clockOff());
       while (window.isPresent() && seconds(window.get().dawn()) <= end) {
-        Window night = window.get();
-        world.time.at(Math.max(0, seconds(night.opens())), () -> windowOpens(dawn));
-        world.time.at(seconds(night.dawn()) - 0.001, () -> windowEnds(dawn, night));
-        WallTime next = new WallTime(night.dawn().millis() + 1);
-        window = Window.next(dawn, next, world.settings.clockOff());
+        Window current = window.get();
+        world.time.at(Math.max(0, seconds(current.opens())), () -> windowOpens(deadline));
+        world.time.at(seconds(current.dawn()) - 0.001, () -> windowEnds(deadline, current));
+        WallTime next = new WallTime(current.dawn().millis() + 1);
+        window = Window.next(deadline, next, world.settings.clockOff());
       }
     }
   }
@@ -71,11 +77,12 @@
     return world.time.seconds() + time.since(world.wall()).asSeconds();
   }
 
-  /** By when a job would have to be done if each were due at its dawn. */
+  /** Returns the time until the earliest deadline that covers a job, if there is one. */
   Optional<Span> timeToDeadline(JobSpec spec) {
     return deadlines.stream()
-        .filter(dawn -> dawn.covers(spec))
-        .flatMap(dawn -> Window.next(dawn, world.wall(), world.settings.clockOff()).stream())
+        .filter(deadline -> deadline.covers(spec))
+        .flatMap(
+            deadline -> Window.next(deadline, world.wall(), world.settings.clockOff()).stream())
         .map(window -> window.ends().since(world.wall()))
         .filter(left -> left.millis() > 0)
         .min(Span::compareTo);
@@ -84,55 +91,55 @@
   private int doneTaskCount(JobSpec spec) {
     int done = 0;
     for (int i = 0; i < spec.tasks(); i++) {
-      done += world.rules.hasCompleted(new TaskId(spec.id(), i)) ? 1 : 0;
+      done += world.rules.isCompleted(new TaskId(spec.id(), i)) ? 1 : 0;
     }
     return done;
   }
 
-  private void windowOpens(DawnTerms dawn) {
+  private void windowOpens(DawnTerms deadline) {
     Map<JobId, Integer> counts = new HashMap<>();
     for (JobSpec spec : world.specs.values()) {
-      if (dawn.covers(spec)) {
+      if (deadline.covers(spec)) {
         counts.put(spec.id(), doneTaskCount(spec));
       }
     }
-    doneAtOpening.put(dawn.name(), counts);
+    doneAtOpening.put(deadline.name(), counts);
   }
 
-  private void windowEnds(DawnTerms dawn, Window window) {
+  private void windowEnds(DawnTerms deadline, Window window) {
     Map<GroupKey, GroupResult> groups =
         new TreeMap<>((a, b) -> a.toString().compareTo(b.toString()));
-    Map<JobId, Integer> earlier = doneAtOpening.getOrDefault(dawn.name(), Map.of());
+    Map<JobId, Integer> doneEarlier = doneAtOpening.getOrDefault(deadline.name(), Map.of());
     for (JobSpec spec : world.specs.values()) {
-      if (!dawn.covers(spec)
+      if (!deadline.covers(spec)
           || world.rules.isCancelRequested(spec.id())
           || world.failing.contains(spec.id())) {
         continue;
       }
-      int begun = earlier.getOrDefault(spec.id(), 0);
+      int doneBefore = doneEarlier.getOrDefault(spec.id(), 0);
       GroupResult group = groups.computeIfAbsent(GroupKey.of(spec), key -> new GroupResult());
-      int done = doneTaskCount(spec) - begun;
-      group.tasks += spec.tasks() - begun;
+      int done = doneTaskCount(spec) - doneBefore;
+      group.tasks += spec.tasks() - doneBefore;
       group.doneTasks += done;
       double run = world.runSeconds(new TaskId(spec.id(), 0));
-      group.workSeconds += run * (spec.tasks() - begun);
+      group.workSeconds += run * (spec.tasks() - doneBefore);
       group.doneWorkSeconds += run * done;
     }
     groups.values().removeIf(group -> group.tasks == 0);
     int revisions = 0;
     double share = 1;
     for (PlanRow row : storedPlan()) {
-      if (row instanceof PlanRow.Night night
-          && night.dawn().equals(dawn.name())
-          && night.dawnAt().equals(window.dawn())) {
-        revisions = night.revisions();
-        share = night.share();
+      if (row instanceof PlanRow.Night stored
+          && stored.dawn().equals(deadline.name())
+          && stored.dawnAt().equals(window.dawn())) {
+        revisions = stored.revisions();
+        share = stored.share();
       }
     }
     if (revisions > 0) {
       for (PlanRow row : storedPlan()) {
         if (row instanceof PlanRow.Group planned
-            && planned.dawn().equals(dawn.name())
+            && planned.dawn().equals(deadline.name())
             && groups.containsKey(planned.key())) {
           groups.get(planned.key()).promisedTasks = planned.promised();
         }
@@ -144,7 +151,7 @@
     double kept =
         groups.values().stream().mapToDouble(g -> Math.min(g.doneTasks, g.promisedTasks)).sum();
     results
-        .computeIfAbsent(dawn.name(), name -> new ArrayList<>())
+        .computeIfAbsent(deadline.name(), name -> new ArrayList<>())
         .add(
             new WindowResult(
                 work <= 0 ? 1 : workDone / work,
@@ -154,6 +161,7 @@
                 groups));
   }
 
+  /** Returns the rows of the stored plan. */
   private List<PlanRow> storedPlan() {
     List<SharedRow> rows = new ArrayList<>();
     if (world.state.value(StoreKeys.sharedHead(Planner.RECORD)).orElse(null)
@@ -169,7 +177,10 @@
     return rows.stream().filter(PlanRow.class::isInstance).map(PlanRow.class::cast).toList();
   }
 
-  /** Looks whether a promise was taken back; to be called now and then. */
+  /**
+   * Checks a newly stored plan against the last one, and returns a description of a promise that
+   * was reduced. Called periodically.
+   */
   Optional<String> checkPromises() {
     if (deadlines.isEmpty()
         || !(world.state.value(StoreKeys.sharedHead(Planner.RECORD)).orElse(null)
@@ -179,54 +190,62 @@
     }
     revision = head.revision();
     List<PlanRow> rows = storedPlan();
-    Map<String, WallTime> dawnAt = new HashMap<>();
+    Map<String, WallTime> deadlineAt = new HashMap<>();
     for (PlanRow row : rows) {
-      if (row instanceof PlanRow.Night night) {
-        dawnAt.put(night.dawn(), night.dawnAt());
+      if (row instanceof PlanRow.Night stored) {
+        deadlineAt.put(stored.dawn(), stored.dawnAt());
       }
     }
-    Optional<String> broken = Optional.empty();
+    Optional<String> violation = Optional.empty();
     for (PlanRow row : rows) {
-      if (row instanceof PlanRow.Group group && dawnAt.containsKey(group.dawn())) {
-        String name = group.dawn() + dawnAt.get(group.dawn()) + group.key();
-        PlanRow.Group old = lastPlanned.put(name, group);
-        if (old != null && group.promised() < old.promised() && group.seen() >= old.seen()) {
-          broken =
-              Optional.of(group.key() + " was " + old.promised() + " and is " + group.promised());
+      if (row instanceof PlanRow.Group group && deadlineAt.containsKey(group.dawn())) {
+        String name = group.dawn() + deadlineAt.get(group.dawn()) + group.key();
+        PlanRow.Group previous = lastPlanned.put(name, group);
+        if (previous != null
+            && group.promised() < previous.promised()
+            && group.seen() >= previous.seen()) {
+          violation =
+              Optional.of(
+                  group.key()
+                      + " was promised "
+                      + previous.promised()
+                      + " tasks and now "
+                      + group.promised());
         }
-        if (old != null && group.startBy().millis() > old.startBy().millis()) {
-          broken = Optional.of(group.key() + " was to start earlier");
+        if (previous != null && group.startBy().millis() > previous.startBy().millis()) {
+          violation = Optional.of(group.key() + " had an earlier latest start before");
         }
       }
     }
-    return broken;
+    return violation;
   }
 
-  /** The last night of a dawn that is over. */
-  Optional<WindowResult> lastResult(String dawn) {
-    List<WindowResult> all = results.getOrDefault(dawn, List.of());
+  /** Returns the result of the last closed window of a deadline. */
+  Optional<WindowResult> lastResult(String deadline) {
+    List<WindowResult> all = results.getOrDefault(deadline, List.of());
     return all.isEmpty() ? Optional.empty() : Optional.of(all.get(all.size() - 1));
   }
 
+  /** Returns the metrics of all closed windows that had work, by name. */
   Map<String, Double> metrics() {
-    Map<String, Double> figures = new LinkedHashMap<>();
+    Map<String, Double> metrics = new LinkedHashMap<>();
     results.forEach(
         (name, all) -> {
           for (int i = 0; i < all.size(); i++) {
             if (all.get(i).groups().isEmpty()) {
               continue;
             }
-            String night = "dawn." + name + "." + (i + 1);
-            figures.put(night + ".work_done", all.get(i).workDoneShare());
-            figures.put(night + ".promise_kept", all.get(i).promiseKeptShare());
-            figures.put(night + ".share", all.get(i).plannedShare());
-            figures.put(night + ".revisions", (double) all.get(i).revisions());
+            String prefix = "dawn." + name + "." + (i + 1);
+            metrics.put(prefix + ".work_done", all.get(i).workDoneShare());
+            metrics.put(prefix + ".promise_kept", all.get(i).promiseKeptShare());
+            metrics.put(prefix + ".share", all.get(i).plannedShare());
+            metrics.put(prefix + ".revisions", (double) all.get(i).revisions());
           }
         });
-    return figures;
+    return metrics;
   }
 
-  /** Promised against done by group, a line each. */
+  /** Returns promised and completed tasks, one line for each group of each window. */
   List<String> report() {
     List<String> lines = new ArrayList<>();
     results.forEach(
@@ -237,7 +256,7 @@
               lines.add(
                   String.format(
                       Locale.ROOT,
-                      "dawn %s, night %d, %s: promised %d, done %d of %d tasks",
+                      "deadline %s, window %d, %s: promised %d, completed %d of %d tasks",
                       name,
                       i + 1,
                       entry.getKey(),
--- a/src/main/java/org/oakwalk/model/ProductTermsParser.java
+++ b/src/main/java/org/oakwalk/model/ProductTermsParser.java
@@ -15,7 +15,10 @@
 import org.oakwalk.core.product.HeadroomTerms;
 import org.oakwalk.core.product.ProductTerms;
 
-/** Dawns, headroom and exchanges as a scenario declares them in the operators' files. */
+/**
+ * Parses the batch deadlines, headroom and exchanges that a scenario declares in the operators'
+ * files.
+ */
 final class ProductTermsParser {
   private final List<Words> lines;
 
@@ -23,11 +26,11 @@
     this.lines = lines;
   }
 
-  /** The file's terms as a node finds them at this time. */
+  /** Returns the terms in the file of a node at this time. */
   ProductTerms termsFor(NodeId node, double seconds) {
     boolean declared = false;
     long version = 1;
-    List<DawnTerms> dawns = new ArrayList<>();
+    List<DawnTerms> deadlines = new ArrayList<>();
     List<HeadroomTerms> headrooms = new ArrayList<>();
     List<ExchangeTerms> exchanges = new ArrayList<>();
     for (Words line : lines) {
@@ -41,18 +44,18 @@
           declared = true;
           version = (long) line.number("version", 1);
         }
-        case "dawn" -> dawns.add(parseDeadline(line));
+        case "dawn" -> deadlines.add(parseDeadline(line));
         case "headroom" -> headrooms.add(parseHeadroom(line));
         case "exchange" -> exchanges.add(parseExchange(line));
         default -> {}
       }
     }
-    return !declared && dawns.isEmpty() && headrooms.isEmpty() && exchanges.isEmpty()
+    return !declared && deadlines.isEmpty() && headrooms.isEmpty() && exchanges.isEmpty()
         ? ProductTerms.NONE
-        : new ProductTerms(version, dawns, headrooms, exchanges);
+        : new ProductTerms(version, deadlines, headrooms, exchanges);
   }
 
-  /** All exchanges that are declared anywhere. */
+  /** Returns the exchanges of all lines, of any node and time. */
   List<ExchangeTerms> exchanges() {
     return lines.stream()
         .filter(line -> line.word(0).equals("exchange"))
@@ -60,15 +63,18 @@
         .toList();
   }
 
-  /** All dawns that are declared anywhere; of one name, the last. */
+  /**
+   * Returns the batch deadlines of all lines, of any node and time; of several with one name, the
+   * last.
+   */
   List<DawnTerms> batchDeadlines() {
-    Map<String, DawnTerms> dawns = new LinkedHashMap<>();
+    Map<String, DawnTerms> deadlines = new LinkedHashMap<>();
     for (Words line : lines) {
       if (line.word(0).equals("dawn")) {
-        dawns.put(line.word(1), parseDeadline(line));
+        deadlines.put(line.word(1), parseDeadline(line));
       }
     }
-    return List.copyOf(dawns.values());
+    return List.copyOf(deadlines.values());
   }
 
   private static DawnTerms parseDeadline(Words line) {
@@ -114,6 +120,7 @@
         Span.seconds(line.number("patience", 60)));
   }
 
+  /** Returns the comma-separated values of an option, or none if it is absent. */
   private static Set<String> parseSet(Words line, String name) {
     String text = line.text(name, "");
     return text.isEmpty() ? Set.of() : Set.of(text.split(","));
--- a/src/main/java/org/oakwalk/model/ScenarioMetrics.java
+++ b/src/main/java/org/oakwalk/model/ScenarioMetrics.java
@@ -15,23 +15,23 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.job.JobSpec;
 
-/** How well a scenario was served, by what workers do and users are told. */
+/** Measures how well a scenario was served, by what workers do and which answers users receive. */
 final class ScenarioMetrics {
-  /** Why a task left its machine before it was complete. */
+  /** Reason for which a task left its machine before it was complete. */
   enum StopCause {
-    /** The leader wanted it. */
+    /** The leader ordered the stop. */
     COMMAND,
-    /** Its user has cancelled the job. */
+    /** The user had cancelled the job. */
     CANCELLED,
-    /** The machine's lease ran out. */
+    /** The machine's lease expired. */
     LEASE,
-    /** The machine was returned or taken back. */
+    /** The machine was released, or reclaimed by the cloud. */
     GONE,
-    /** The machine died. */
+    /** The machine failed. */
     DIED
   }
 
-  /** Figures of one class of jobs. */
+  /** Metrics of one job class. */
   private static final class ClassMetrics {
     int jobs;
     int doneJobs;
@@ -68,41 +68,51 @@
     return classes.computeIfAbsent(spec.jobClass(), name -> new ClassMetrics());
   }
 
+  /** Records the first submission of a job. */
   void jobSubmitted(JobSpec spec) {
-    ClassMetrics service = metricsFor(spec);
-    service.jobs++;
+    ClassMetrics metrics = metricsFor(spec);
+    metrics.jobs++;
     submittedAt.put(spec.id(), world.time.seconds());
     if (spec.service()) {
       serviceJobs.add(spec.id());
     }
     if (deadlineSeconds(spec) != null) {
-      service.jobsWithDeadline++;
+      metrics.jobsWithDeadline++;
     }
   }
 
-  /** When somebody first tried to submit the job, in seconds; it has been tried. */
+  /**
+   * Returns when a user first tried to submit the job, in seconds. The job must have been
+   * submitted.
+   */
   double submittedAt(JobId job) {
     return submittedAt.get(job);
   }
 
-  /** When the job should be done, from its submission on, or null. */
+  /**
+   * Returns the time within which a job should be done after its submission, in seconds, or null if
+   * it has no deadline.
+   */
   private Double deadlineSeconds(JobSpec spec) {
-    Double best = spec.deadline().map(Span::asSeconds).orElse(null);
+    Double deadline = spec.deadline().map(Span::asSeconds).orElse(null);
     for (Settings.Objective objective : world.settings.objectives()) {
       if (objective.kind().equals("finished") && objective.jobClass().equals(spec.jobClass())) {
-        best = best == null ? objective.withinSeconds() : Math.min(best, objective.withinSeconds());
+        deadline =
+            deadline == null
+                ? objective.withinSeconds()
+                : Math.min(deadline, objective.withinSeconds());
       }
     }
-    return best;
+    return deadline;
   }
 
   void taskStarted(TaskId task, JobSpec spec) {
     runningTasks.merge(spec.id(), 1, Integer::sum);
     world.largest.taskStarted(task);
     lastStartAt = world.time.seconds();
-    ClassMetrics service = metricsFor(spec);
+    ClassMetrics metrics = metricsFor(spec);
     if (everStarted.add(task)) {
-      service.startedTasks++;
+      metrics.startedTasks++;
     }
     Double since = downSince.remove(task);
     if (since != null) {
@@ -110,6 +120,7 @@
     }
   }
 
+  /** Records that a task left its machine, for any reason. */
   void taskLeft(TaskId task, JobSpec spec) {
     runningTasks.merge(spec.id(), -1, Integer::sum);
     if (spec.service() && !cancelledAt.containsKey(spec.id())) {
@@ -117,8 +128,9 @@
     }
   }
 
-  void taskStopped(TaskId task, JobSpec spec, StopCause why) {
-    StopCause reason = cancelledAt.containsKey(task.job()) ? StopCause.CANCELLED : why;
+  /** Records that a task left its machine before it was complete. */
+  void taskStopped(TaskId task, JobSpec spec, StopCause cause) {
+    StopCause reason = cancelledAt.containsKey(task.job()) ? StopCause.CANCELLED : cause;
     stopCounts
         .computeIfAbsent(spec.team(), team -> new EnumMap<>(StopCause.class))
         .merge(reason, 1, Integer::sum);
@@ -128,19 +140,21 @@
     everCompleted.add(task);
   }
 
+  /** Records that a user was told that a job is done; only the first time counts. */
   void jobDone(JobId job, boolean first) {
     if (!first) {
       return;
     }
     JobSpec spec = world.specs.get(job);
-    ClassMetrics service = metricsFor(spec);
-    service.doneJobs++;
+    ClassMetrics metrics = metricsFor(spec);
+    metrics.doneJobs++;
     Double due = deadlineSeconds(spec);
     if (due != null && world.time.seconds() - submittedAt.get(job) <= due) {
-      service.jobsInTime++;
+      metrics.jobsInTime++;
     }
   }
 
+  /** Records that a user was told that a job is cancelled; it no longer counts as due. */
   void jobCancelled(JobId job) {
     if (cancelledAt.putIfAbsent(job, world.time.seconds()) == null) {
       JobSpec spec = world.specs.get(job);
@@ -151,18 +165,18 @@
     }
   }
 
-  /** To be called every half second. */
+  /** Adds up the metrics over time. Called every {@link #TICK_INTERVAL_MS}. */
   void tick() {
     double seconds = TICK_INTERVAL_MS / 1000.0;
     boolean waiting = false;
     for (JobId job : serviceJobs) {
       if (world.rules.isAccepted(job) && !cancelledAt.containsKey(job)) {
         JobSpec spec = world.specs.get(job);
-        ClassMetrics service = metricsFor(spec);
-        int up = runningTasks.getOrDefault(job, 0);
-        service.requestedReplicaSeconds += seconds * spec.tasks();
-        service.runningReplicaSeconds += seconds * Math.min(spec.tasks(), up);
-        waiting |= up < spec.tasks();
+        ClassMetrics metrics = metricsFor(spec);
+        int running = runningTasks.getOrDefault(job, 0);
+        metrics.requestedReplicaSeconds += seconds * spec.tasks();
+        metrics.runningReplicaSeconds += seconds * Math.min(spec.tasks(), running);
+        waiting |= running < spec.tasks();
       }
     }
     if (waiting) {
@@ -179,7 +193,10 @@
     }
   }
 
-  /** Jobs that are to be served: not withdrawn, not refused, and not such as fail everywhere. */
+  /**
+   * Returns the jobs that have to be served: neither cancelled nor refused, and not failing on
+   * every machine.
+   */
   List<JobSpec> jobsToServe() {
     return submittedAt.keySet().stream()
         .filter(job -> !cancelledAt.containsKey(job) && !world.failing.contains(job))
@@ -189,8 +206,9 @@
   }
 
   /**
-   * Classes and teams, and largest jobs of classes, of which less than half was served, each with
-   * how: of arrays and gangs the tasks that are done, of services the replicas that have begun.
+   * Returns the classes, teams and groups of largest jobs of which less than half was served, with
+   * a description of each. An array or gang is served by its completed tasks, a service by its
+   * started replicas.
    */
   Map<String, String> underserved() {
     Map<String, double[]> shares = new TreeMap<>();
@@ -210,7 +228,7 @@
                 name,
                 String.format(
                     Locale.ROOT,
-                    "%s is served by less than half: %.0f of %.0f",
+                    "%s: less than half of the tasks were served: %.0f of %.0f",
                     name,
                     share[0],
                     share[1]));
@@ -219,6 +237,7 @@
     return under;
   }
 
+  /** Adds the served and the requested tasks of a job to the share of that name. */
   private void addShare(Map<String, double[]> shares, String name, JobSpec spec) {
     double[] share = shares.computeIfAbsent(name, n -> new double[2]);
     for (int index = 0; index < spec.tasks(); index++) {
@@ -228,40 +247,40 @@
     share[1] += spec.tasks();
   }
 
-  /** The figures by name, in a fixed order. */
+  /** Returns the metrics by name, in a fixed order. */
   Map<String, Double> values() {
-    Map<String, Double> lines = new LinkedHashMap<>();
+    Map<String, Double> values = new LinkedHashMap<>();
     classes.forEach(
-        (name, service) -> {
-          lines.put(name + ".jobs", (double) service.jobs);
-          lines.put(name + ".tasks_started", (double) service.startedTasks);
-          if (service.requestedReplicaSeconds > 0) {
-            lines.put(
-                name + ".up", service.runningReplicaSeconds / service.requestedReplicaSeconds);
+        (name, metrics) -> {
+          values.put(name + ".jobs", (double) metrics.jobs);
+          values.put(name + ".tasks_started", (double) metrics.startedTasks);
+          if (metrics.requestedReplicaSeconds > 0) {
+            values.put(
+                name + ".up", metrics.runningReplicaSeconds / metrics.requestedReplicaSeconds);
           } else {
-            lines.put(
-                name + ".done", service.jobs == 0 ? 0 : service.doneJobs / (double) service.jobs);
+            values.put(
+                name + ".done", metrics.jobs == 0 ? 0 : metrics.doneJobs / (double) metrics.jobs);
           }
-          if (service.jobsWithDeadline > 0) {
-            lines.put(name + ".in_time", service.jobsInTime / (double) service.jobsWithDeadline);
+          if (metrics.jobsWithDeadline > 0) {
+            values.put(name + ".in_time", metrics.jobsInTime / (double) metrics.jobsWithDeadline);
           }
         });
     stopCounts.forEach(
         (team, reasons) ->
             reasons.forEach(
-                (why, count) ->
-                    lines.put(
-                        "stopped." + team + "." + why.name().toLowerCase(Locale.ROOT),
+                (cause, count) ->
+                    values.put(
+                        "stopped." + team + "." + cause.name().toLowerCase(Locale.ROOT),
                         (double) count)));
-    machineSeconds.forEach((kind, seconds) -> lines.put("machine_hours." + kind, seconds / 3600));
-    lines.put("state.requests", (double) world.state.requests());
-    lines.put("state.changes", (double) world.state.writes());
-    lines.put("cloud.rented", (double) world.cloud.rented);
-    lines.put("cloud.released", (double) world.cloud.released);
-    lines.put("machines_of_the_beginning_until_s", initialMachinesUntil);
-    lines.put("longest_replica_gap_s", longestReplicaGap);
-    lines.put("longest_gap_in_placing_s", longestStartGap);
-    lines.putAll(world.reportLoad.lines());
-    return lines;
+    machineSeconds.forEach((kind, seconds) -> values.put("machine_hours." + kind, seconds / 3600));
+    values.put("state.requests", (double) world.state.requests());
+    values.put("state.changes", (double) world.state.writes());
+    values.put("cloud.rented", (double) world.cloud.rented);
+    values.put("cloud.released", (double) world.cloud.released);
+    values.put("machines_of_the_beginning_until_s", initialMachinesUntil);
+    values.put("longest_replica_gap_s", longestReplicaGap);
+    values.put("longest_gap_in_placing_s", longestStartGap);
+    values.putAll(world.reportLoad.lines());
+    return values;
   }
 }
--- a/src/main/java/org/oakwalk/model/ScenarioPolicy.java
+++ b/src/main/java/org/oakwalk/model/ScenarioPolicy.java
@@ -17,9 +17,9 @@
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.product.ProductTerms;
 
-/** What stands in the operators' files of a scenario: a node reads its file when it starts. */
+/** Policy and product files of a scenario. A node reads its file when it starts. */
 final class ScenarioPolicy {
-  /** Within so many seconds every controller has seen a plan that stands in its file. */
+  /** Time within which every controller has seen a drain plan in its file. */
   private static final double MAX_PLAN_PROPAGATION_SECONDS = 20;
 
   private final Words settingsLine;
@@ -28,9 +28,11 @@
   private final List<Budget> budgets = new ArrayList<>();
 
   /**
-   * The files of a scenario.
+   * Creates the files of a scenario.
    *
-   * @param settingsLine its line of settings
+   * @param settingsLine settings line of the scenario
+   * @param lines lines of the scenario
+   * @param queueing queueing method of the controllers
    */
   ScenarioPolicy(Words base, List<Words> lines, Queueing order) {
     this.queueing = order;
@@ -43,13 +45,13 @@
     }
   }
 
-  /** The file as a node finds it at this time. */
+  /** Returns the policy in the file of a node at this time. */
   Policy policyFor(NodeId node, double seconds) {
     Policy policy = Policy.defaults();
     Map<String, DrainPlan> plans = new LinkedHashMap<>();
     for (Words line : lines) {
-      boolean here = line.text("on", node.value()).equals(node.value());
-      if (line.word(0).equals("drain") && here && line.number("from", 0) <= seconds) {
+      boolean appliesToNode = line.text("on", node.value()).equals(node.value());
+      if (line.word(0).equals("drain") && appliesToNode && line.number("from", 0) <= seconds) {
         plans.put(line.word(1), parseDrainPlan(line));
       }
     }
@@ -70,34 +72,40 @@
         : new ProductTerms(terms.version(), List.of(), terms.headrooms(), terms.exchanges());
   }
 
-  /** All dawns that some node's file declares at some time; of one name, the last. */
+  /**
+   * Returns the batch deadlines that the file of any node declares at any time; of several with one
+   * name, the last.
+   */
   List<DawnTerms> batchDeadlines() {
     return new ProductTermsParser(lines).batchDeadlines();
   }
 
-  /** By how much the time of day is ahead of the model's own. */
+  /** Returns the offset of the wall clock from the simulated time, in seconds. */
   double clockOffset() {
     return settingsLine.number("clock", 0);
   }
 
-  /** All exchanges that any file declares. */
+  /** Returns the exchanges that any file declares. */
   List<ExchangeTerms> exchanges() {
     return new ProductTermsParser(lines).exchanges();
   }
 
-  /** Whether any file declares a plan to empty machines. */
+  /** Whether any file declares a drain plan. */
   boolean hasDrainPlans() {
     return lines.stream().anyMatch(line -> line.word(0).equals("drain"));
   }
 
-  /** Whether room may be kept free for some jobs by what any file declares. */
+  /** Whether any file may reserve room for some jobs, by headroom or an exchange. */
   boolean mayReserveRoom() {
     return lines.stream()
         .map(line -> line.word(0))
         .anyMatch(word -> word.equals("headroom") || word.equals("exchange"));
   }
 
-  /** Whether a plan may be about a machine that was rented then: it takes none that come later. */
+  /**
+   * Whether a drain plan may select a machine that was rented at this time; a plan selects none
+   * that were rented after it.
+   */
   boolean mayDrain(double rentedSeconds) {
     return lines.stream()
         .filter(line -> line.word(0).equals("drain"))
--- a/src/main/java/org/oakwalk/model/ScenarioResult.java
+++ b/src/main/java/org/oakwalk/model/ScenarioResult.java
@@ -5,13 +5,14 @@
 import java.util.Set;
 
 /**
- * What came of a scenario.
+ * Result of a scenario run.
  *
- * @param violations rules that were broken, each with when and how
- * @param expectedViolations rules that the scenario breaks on purpose
- * @param failedExpectations expectations that did not hold, with their lines
- * @param metrics how well it served, by name, as {@code name value} pairs in a fixed order
- * @param planningReport what was promised for each dawn and what was done, a line for each group
+ * @param violations violated rules, each with the time and description of the first violation
+ * @param expectedViolations rules that the scenario violates on purpose
+ * @param failedExpectations messages of the expectations that did not hold
+ * @param metrics service metrics by name, in a fixed order
+ * @param planningReport promised and completed tasks by deadline window, one line for each group of
+ *     jobs
  */
 public record ScenarioResult(
     Map<String, String> violations,
@@ -20,23 +21,29 @@
     Map<String, Double> metrics,
     List<String> planningReport) {
 
-  /** Whether everything was as the scenario says. */
+  /** Whether all expectations held and exactly the expected rules were violated. */
   public boolean passed() {
     return failedExpectations.isEmpty() && violations.keySet().equals(expectedViolations);
   }
 
-  /** What was not as the scenario says, a line each. */
+  /**
+   * Returns the unexpected violations, missing violations and failed expectations, one line each.
+   */
   public String failureMessage() {
     StringBuilder text = new StringBuilder();
     violations.forEach(
-        (rule, how) -> {
+        (rule, description) -> {
           if (!expectedViolations.contains(rule)) {
-            text.append("rule ").append(rule).append(" broken at ").append(how).append('\n');
+            text.append("rule ")
+                .append(rule)
+                .append(" violated at ")
+                .append(description)
+                .append('\n');
           }
         });
     for (String rule : expectedViolations) {
       if (!violations.containsKey(rule)) {
-        text.append("rule ").append(rule).append(" should have been broken\n");
+        text.append("rule ").append(rule).append(" should have been violated\n");
       }
     }
     failedExpectations.forEach(line -> text.append(line).append('\n'));
--- a/src/main/java/org/oakwalk/model/StartAfterEndDetector.java
+++ b/src/main/java/org/oakwalk/model/StartAfterEndDetector.java
@@ -18,18 +18,18 @@
 import org.oakwalk.core.store.KeyChange;
 
 /**
- * Jobs that one life of a controller knows for certain to be done or cancelled: it has told
- * somebody so, or the state service has shown it the record. A start that it orders after that is
- * against the protocol, also if the task never comes to run. One that the same message stops again
- * is none: it only makes a start that is on its way void.
+ * Detects starts of tasks whose job has ended, as known for certain to one run of a controller
+ * process: it has told a user or peer so, or the state service has shown it the record. Ordering
+ * such a start violates the protocol, even if the task never runs. A start that a later order in
+ * the same message halts is allowed, since it only voids a start that is already on its way.
  */
 final class StartAfterEndDetector {
   private final Map<JobId, JobRecord.Phase> knownEnds = new HashMap<>();
 
-  /** A start that must not be ordered, and how its job has ended. */
+  /** A start that must not be ordered, with the end phase of its job. */
   record ForbiddenStart(Order order, JobRecord.Phase end) {}
 
-  /** An answer to a request reaches the controller. */
+  /** Records the job ends in an answer that reaches the controller. */
   void answerReceived(Request request, Answer answer) {
     if (answer instanceof Answer.Page page) {
       page.entries().stream().map(Entry::value).forEach(this::observeRecord);
@@ -53,7 +53,7 @@
     }
   }
 
-  /** The controller decides something; returns a start that it must not order. */
+  /** Checks an effect of the controller, and returns the forbidden start that it orders, if any. */
   Optional<ForbiddenStart> checkEffect(Effect effect) {
     if (effect instanceof Effect.Respond respond) {
       Response response = respond.response();
@@ -90,7 +90,7 @@
     }
     return orders.stream()
         .filter(order -> order instanceof Order.Run && knownEnds.containsKey(order.task().job()))
-        .filter(order -> ordersAfter(orders, order).noneMatch(each -> cancelsStart(each, order)))
+        .filter(order -> ordersAfter(orders, order).noneMatch(other -> cancelsStart(other, order)))
         .findFirst()
         .map(order -> new ForbiddenStart(order, knownEnds.get(order.task().job())));
   }
--- a/src/main/java/org/oakwalk/model/StarvationRule.java
+++ b/src/main/java/org/oakwalk/model/StarvationRule.java
@@ -13,18 +13,23 @@
 import org.oakwalk.core.job.Resources;
 
 /**
- * Whether a job is left waiting beside room that it may use, once all troubles are over. A task
- * counts as waiting while it is on no machine, not even for its image, and none of its job has
- * begun; the room has to be on one and the same machine all the while, or, for a gang, for all of
- * its tasks at once. It looks at machines, not at what controllers believe of them.
+ * Detects jobs that keep waiting although there is room that they may use, once all faults of the
+ * scenario are over. A task counts as waiting while it is on no machine, not even to fetch its
+ * image; a gang counts only if none of its tasks is on a machine. The room has to be available on
+ * one machine throughout, or, for a gang, for all of its tasks at once. The wait starts anew
+ * whenever a task of the job has been assigned. The rule looks at machines and not at the
+ * controllers' records.
  */
 final class StarvationRule {
+  /** Longest time for which a job may wait although there is room for it. */
   private static final double MAX_WAIT_SECONDS = 90;
 
-  /** Once in so many calls is enough. */
+  /** Interval between two checks, in ticks. */
   private static final int TICKS_PER_CHECK = 4;
 
-  /** What a task asks of its machine; jobs that ask the same share what is found. */
+  /**
+   * Requirements of a task on its machine. Jobs with equal requirements share the search result.
+   */
   private record TaskRequirements(
       Resources resources, Set<String> machineTypes, Optional<String> zone, boolean spotAllowed) {
     static TaskRequirements of(JobSpec spec) {
@@ -33,7 +38,7 @@
     }
   }
 
-  /** A job that waits: since when, and how many of its tasks do. */
+  /** A job with waiting tasks, since when in seconds, and their number. */
   private record WaitingJob(double since, int waitingTasks) {}
 
   private final World world;
@@ -42,7 +47,7 @@
   private double faultsEndAt;
   private int ticks;
 
-  /** Where tasks are at this moment, those that wait for their image included. */
+  /** The current machine of each assigned task, including tasks that wait for their image. */
   private final Map<TaskId, SimWorker> assignedMachines = new HashMap<>();
 
   private final Map<String, Resources> teamUsage = new HashMap<>();
@@ -57,21 +62,21 @@
     faultsEndAt = seconds;
   }
 
-  /** To be called now and then; returns what is broken. */
+  /** Looks for starved jobs in every fourth call, and returns a description of one, if any. */
   Optional<String> tick() {
     if (ticks++ % TICKS_PER_CHECK != 0
         || world.time.seconds() < faultsEndAt
         || world.plans.mayReserveRoom()) {
       return Optional.empty();
     }
-    look();
+    surveyMachines();
     for (JobId job : world.rules.acceptedJobs()) {
       if (!world.rules.isReportedEnded(job)
           && !world.rules.isCancelRequested(job)
           && !world.failing.contains(job)) {
-        Optional<String> left = look(world.specs.get(job));
-        if (left.isPresent()) {
-          return left;
+        Optional<String> starved = checkJob(world.specs.get(job));
+        if (starved.isPresent()) {
+          return starved;
         }
       }
     }
@@ -79,7 +84,7 @@
     return Optional.empty();
   }
 
-  private void look() {
+  private void surveyMachines() {
     assignedMachines.clear();
     teamUsage.clear();
     freeByMachine.clear();
@@ -98,7 +103,10 @@
     }
   }
 
-  /** Whether tasks may be expected to start there: it is up, sound, and nobody takes it away. */
+  /**
+   * Whether a worker should start tasks: it is running, healthy, has no reclaim notice and no drain
+   * plan may apply to it.
+   */
   private boolean acceptsTasks(SimWorker worker) {
     return worker.awake()
         && worker.sound()
@@ -106,7 +114,7 @@
         && !world.plans.mayDrain(worker.rentedSeconds());
   }
 
-  private Optional<String> look(JobSpec spec) {
+  private Optional<String> checkJob(JobSpec spec) {
     double now = world.time.seconds();
     int waiting = waitingTaskCount(spec);
     boolean mayStart = waiting > 0 && withinLimit(spec) && (!spec.gang() || gangFits(spec));
@@ -124,7 +132,11 @@
       return Optional.empty();
     }
     if (spec.gang()) {
-      return Optional.of(spec.id() + " waits since " + wait.since() + " s, and fits whole");
+      return Optional.of(
+          spec.id()
+              + " has been waiting since "
+              + wait.since()
+              + " s, and there is room for the whole gang");
     }
     return room.entrySet().stream()
         .filter(entry -> now - entry.getValue() >= MAX_WAIT_SECONDS)
@@ -133,11 +145,14 @@
         .map(
             entry ->
                 String.format(
-                    "%s waits since %.1f s, and %s has room since %.1f s",
+                    "%s has been waiting since %.1f s, and %s has had room since %.1f s",
                     spec.id(), wait.since(), entry.getKey().id, entry.getValue()));
   }
 
-  /** How many tasks are neither done nor anywhere; none of a gang that is partly somewhere. */
+  /**
+   * Returns the number of tasks that are neither complete nor assigned; 0 for a gang with any
+   * assigned task.
+   */
   private int waitingTaskCount(JobSpec spec) {
     int waiting = 0;
     for (int index = 0; index < spec.tasks(); index++) {
@@ -153,15 +168,19 @@
     return waiting;
   }
 
+  /** Whether the team limit allows one more task of the job, or the whole gang. */
   private boolean withinLimit(JobSpec spec) {
     Settings.Team team = world.settings.teams().get(spec.team());
-    Resources more = spec.resources().times(spec.gang() ? waitingTaskCount(spec) : 1);
-    Resources then = teamUsage.getOrDefault(spec.team(), Resources.NONE).plus(more);
-    return (team.cpusMax() <= 0 || then.cpus() <= team.cpusMax() + 1e-6)
-        && (team.gpusMax() <= 0 || then.gpus() <= team.gpusMax() + 1e-6);
+    Resources added = spec.resources().times(spec.gang() ? waitingTaskCount(spec) : 1);
+    Resources usage = teamUsage.getOrDefault(spec.team(), Resources.NONE).plus(added);
+    return (team.cpusMax() <= 0 || usage.cpus() <= team.cpusMax() + 1e-6)
+        && (team.gpusMax() <= 0 || usage.gpus() <= team.gpusMax() + 1e-6);
   }
 
-  /** Machines that have room for a task of this job, each with since when. */
+  /**
+   * Returns the machines with room for a task of the job, each with the time since which it has had
+   * it.
+   */
   private Map<SimWorker, Double> machinesWithRoom(JobSpec spec) {
     TaskRequirements need = TaskRequirements.of(spec);
     Map<SimWorker, Double> since = roomAvailableSince.computeIfAbsent(need, n -> new HashMap<>());
@@ -187,29 +206,31 @@
     if (!spec.oneZone() && !spec.spread()) {
       return true;
     }
-    int here = 0;
+    int inZone = 0;
     int elsewhere = 0;
     for (int index = 0; index < spec.tasks(); index++) {
       SimWorker at = assignedMachines.get(new TaskId(spec.id(), index));
       if (at != null) {
-        here += at.market.zone().equals(zone) ? 1 : 0;
+        inZone += at.market.zone().equals(zone) ? 1 : 0;
         elsewhere += at.market.zone().equals(zone) ? 0 : 1;
       }
     }
-    return (!spec.oneZone() || elsewhere == 0) && here < spec.maxTasksPerZone();
+    return (!spec.oneZone() || elsewhere == 0) && inZone < spec.maxTasksPerZone();
   }
 
-  /** Whether all tasks of a gang find room at once. */
+  /** Whether there is room for all waiting tasks of a gang at once. */
   private boolean gangFits(JobSpec spec) {
-    Map<String, Integer> places = new HashMap<>();
+    Map<String, Integer> slotsByZone = new HashMap<>();
     freeByMachine.forEach(
         (worker, room) -> {
           if (allows(spec, worker)) {
-            places.merge(worker.market.zone(), room.capacityFor(spec.resources()), Integer::sum);
+            slotsByZone.merge(
+                worker.market.zone(), room.capacityFor(spec.resources()), Integer::sum);
           }
         });
-    IntStream zones = places.values().stream().mapToInt(n -> Math.min(n, spec.maxTasksPerZone()));
-    int most = spec.oneZone() ? zones.max().orElse(0) : zones.sum();
-    return most >= waitingTaskCount(spec);
+    IntStream zones =
+        slotsByZone.values().stream().mapToInt(n -> Math.min(n, spec.maxTasksPerZone()));
+    int maxTasks = spec.oneZone() ? zones.max().orElse(0) : zones.sum();
+    return maxTasks >= waitingTaskCount(spec);
   }
 }
