--- a/src/main/java/org/oakwalk/model/Cancellations.java
+++ b/src/main/java/org/oakwalk/model/Cancellations.java
@@ -26,8 +26,8 @@
   private static final int MAX_HUNG_MACHINES = 8;
 
   /**
-   * Cancels a share of the jobs that complete until an end time, within a maximum delay after
-   * completion.
+   * Parameters of cancellations at completion: a share of the jobs that complete before an end
+   * time, each cancelled within a maximum delay.
    */
   private record CompletionCancels(
       long until, double share, double maxDelaySeconds, String jobClass) {}
--- a/src/main/java/org/oakwalk/model/ChangeHistory.java
+++ b/src/main/java/org/oakwalk/model/ChangeHistory.java
@@ -16,8 +16,8 @@
   /** Revision up to which changes may be missing. */
   private Revision truncatedThrough = Revision.NONE;
 
-  ChangeHistory(int most) {
-    this.guaranteedChanges = most;
+  ChangeHistory(int guaranteedChanges) {
+    this.guaranteedChanges = guaranteedChanges;
   }
 
   void add(KeyChange change) {
--- a/src/main/java/org/oakwalk/model/CommitAvailability.java
+++ b/src/main/java/org/oakwalk/model/CommitAvailability.java
@@ -5,7 +5,7 @@
 import org.oakwalk.core.port.Request;
 
 /**
- * Tells whether a user who gave up submitting had to. A submission is retried for up to 60 s in
+ * Determines whether users had to give up submitting. A submission is retried for up to 60 s in
  * total, and a job that was never accepted need not be done. That excuses the controllers only if
  * none of them could have stored the job in the meantime.
  */
@@ -23,7 +23,10 @@
     this.time = time;
   }
 
-  /** Records that a controller received an answer of the state service in time. */
+  /**
+   * Records the time at which a controller received the result of a transaction: committed, or
+   * rejected with a conflict.
+   */
   void answerReceived(Request request, Answer answer) {
     if (request instanceof Request.Commit
         && (answer instanceof Answer.Committed || answer instanceof Answer.Conflict)) {
--- a/src/main/java/org/oakwalk/model/ConsistencyProbes.java
+++ b/src/main/java/org/oakwalk/model/ConsistencyProbes.java
@@ -62,19 +62,19 @@
    * Records that a user was told the state of a job, by a node if known, and starts the probes for
    * it.
    */
-  void stateReported(JobId job, boolean ended, Optional<SimNode> by) {
-    ReportedState now = ended ? ReportedState.ENDED : ReportedState.ACCEPTED;
-    if (now.compareTo(reportedStates.getOrDefault(job, ReportedState.NONE)) <= 0) {
+  void stateReported(JobId job, boolean ended, Optional<SimNode> answeringNode) {
+    ReportedState state = ended ? ReportedState.ENDED : ReportedState.ACCEPTED;
+    if (state.compareTo(reportedStates.getOrDefault(job, ReportedState.NONE)) <= 0) {
       return;
     }
-    reportedStates.put(job, now);
+    reportedStates.put(job, state);
     if (!isActive() || !world.users.containsKey(job)) {
       return;
     }
-    int first = by.map(node -> world.indexOf(node.id) + 1).orElse(0);
-    if (restartsLeft > 0 && by.isPresent()) {
+    int first = answeringNode.map(node -> world.indexOf(node.id) + 1).orElse(0);
+    if (restartsLeft > 0 && answeringNode.isPresent()) {
       restartsLeft--;
-      world.time.after(0, () -> by.get().restart(restartDelay));
+      world.time.after(0, () -> answeringNode.get().restart(restartDelay));
     }
     if (!ended && random.nextDouble() < cancelShare) {
       world.time.after(intervalMillis, () -> world.users.get(job).cancel());
--- a/src/main/java/org/oakwalk/model/DelayInjector.java
+++ b/src/main/java/org/oakwalk/model/DelayInjector.java
@@ -14,6 +14,7 @@
  * a generator with a fixed seed, so that a scenario always runs the same way.
  */
 final class DelayInjector {
+  /** Shortest drawn delay. */
   private static final double MIN_DELAY_SECONDS = 2;
 
   /** Longest delay of a transaction that gets no answer, unless the scenario sets it. */
@@ -72,7 +73,7 @@
         writeFaults,
         node,
         MAX_WRITE_DELAY_SECONDS,
-        fault -> keys(commit).anyMatch(k -> k.startsWith(fault)));
+        prefix -> keys(commit).anyMatch(key -> key.startsWith(prefix)));
   }
 
   private static java.util.stream.Stream<String> keys(Request.Commit commit) {
--- a/src/main/java/org/oakwalk/model/FaultCombinations.java
+++ b/src/main/java/org/oakwalk/model/FaultCombinations.java
@@ -24,12 +24,12 @@
   private final List<String> lines = new ArrayList<>();
 
   FaultCombinations(
-      UniformRandomProvider random, int nodes, int machines, boolean zones, int cancel) {
+      UniformRandomProvider random, int nodes, int machines, boolean hasZones, int cancelSeconds) {
     this.random = random;
     this.nodes = nodes;
     this.machines = machines;
-    this.hasZones = zones;
-    this.cancelSeconds = cancel;
+    this.hasZones = hasZones;
+    this.cancelSeconds = cancelSeconds;
   }
 
   /**
--- a/src/main/java/org/oakwalk/model/InvariantChecker.java
+++ b/src/main/java/org/oakwalk/model/InvariantChecker.java
@@ -41,8 +41,13 @@
   private final Set<TaskId> completed = new HashSet<>();
   private final Map<JobId, Double> cancellationReportedAt = new HashMap<>();
   private final Map<JobId, Response.JobState> reportedFinalStates = new HashMap<>();
+
+  /** The {@link #answerCount} of the first answer with a final state. */
   private final Map<JobId, Long> finalAnswerNumbers = new HashMap<>();
+
+  /** The {@link #answerCount} of the first answer that showed that a job was accepted. */
   private final Map<JobId, Long> acceptedAnswerNumbers = new HashMap<>();
+
   private final Set<JobId> submitted = new HashSet<>();
   private final Set<JobId> accepted = new LinkedHashSet<>();
   private final Set<JobId> cancelRequested = new HashSet<>();
@@ -189,9 +194,9 @@
     }
     Map<String, Integer> zones = new HashMap<>();
     runningCopies.forEach(
-        (other, at) -> {
-          if (other.job().equals(task.job()) && !at.isEmpty()) {
-            zones.merge(at.get(0).machine().market.zone(), 1, Integer::sum);
+        (other, copies) -> {
+          if (other.job().equals(task.job()) && !copies.isEmpty()) {
+            zones.merge(copies.get(0).machine().market.zone(), 1, Integer::sum);
           }
         });
     if (spec.oneZone() && zones.size() > 1) {
@@ -248,7 +253,7 @@
     }
   }
 
-  /** Whether all work of a task has been done. */
+  /** Whether a worker has completed a task. */
   boolean isCompleted(TaskId task) {
     return completed.contains(task);
   }
--- a/src/main/java/org/oakwalk/model/LargeJobStartRule.java
+++ b/src/main/java/org/oakwalk/model/LargeJobStartRule.java
@@ -26,9 +26,10 @@
   /** Time after the first submission attempt within which a large job has to start. */
   private static final double START_DEADLINE_SECONDS = 240;
 
+  /** Share of the jobs of a class that count as its largest. */
   private static final double LARGEST_SHARE = 0.1;
 
-  /** Time for which a task has to run, unless it ends by itself, for its start to count. */
+  /** Time within which a stop on a leader's order invalidates a start. */
   private static final double MIN_RUN_SECONDS = 30;
 
   private final World world;
@@ -97,12 +98,12 @@
    * of each resource in any machine type.
    */
   private double relativeSize(JobSpec spec) {
-    Resources most =
+    Resources maximum =
         new Resources(
             maxAmount(room -> room.cpus()),
             maxAmount(room -> room.gpus()),
             maxAmount(room -> room.memoryGb()));
-    return spec.tasks() * spec.resources().dominantShare(most);
+    return spec.tasks() * spec.resources().dominantShare(maximum);
   }
 
   private double maxAmount(ToDoubleFunction<Resources> resource) {
--- a/src/main/java/org/oakwalk/model/ScenarioPolicy.java
+++ b/src/main/java/org/oakwalk/model/ScenarioPolicy.java
@@ -34,9 +34,9 @@
    * @param lines lines of the scenario
    * @param queueing queueing method of the controllers
    */
-  ScenarioPolicy(Words base, List<Words> lines, Queueing order) {
-    this.queueing = order;
-    this.settingsLine = base;
+  ScenarioPolicy(Words settingsLine, List<Words> lines, Queueing queueing) {
+    this.queueing = queueing;
+    this.settingsLine = settingsLine;
     this.lines = lines;
     for (Words line : lines) {
       if (line.word(0).equals("budget")) {
