--- a/src/main/java/org/oakwalk/model/Cancellations.java
+++ b/src/main/java/org/oakwalk/model/Cancellations.java
@@ -12,47 +12,62 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.job.JobSpec;
 
-/** Users who call jobs off all at once, or at the moment at which they end. */
+/**
+ * Simulates users who cancel many jobs at once, or cancel jobs at the moment of their completion.
+ */
 final class Cancellations {
-  /** Within so many seconds all users of a rush have asked. */
-  private static final double RUSH_SECONDS = 0.2;
+  /** Time within which all users of a burst send their cancel requests. */
+  private static final double BURST_SECONDS = 0.2;
 
-  /** A job that ends sooner than this is not called off in a rush. */
-  private static final double LONG_SECONDS = 10;
+  /** Least remaining run time of a job that is cancelled in a burst. */
+  private static final double MIN_SECONDS_LEFT = 10;
 
-  private static final int MOST_HANGING = 8;
+  /** Largest number of machines that a burst makes hang. */
+  private static final int MAX_HUNG_MACHINES = 8;
 
-  /** Until when a share of the jobs that end is called off, and how long after the end at most. */
-  private record AtEnd(long until, double share, double within, String jobClass) {}
+  /**
+   * Parameters of cancellations at completion: a share of the jobs that complete before an end
+   * time, each cancelled within a maximum delay.
+   */
+  private record CompletionCancels(
+      long until, double share, double maxDelaySeconds, String jobClass) {}
 
   private final World world;
   private final UniformRandomProvider random;
-  private final List<AtEnd> atEnd = new ArrayList<>();
+  private final List<CompletionCancels> completionCancels = new ArrayList<>();
 
   Cancellations(World world, long seed) {
     this.world = world;
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
   }
 
-  /** Plays a line {@code at SECONDS cancelnow N ...}: those that have longest to go are taken. */
-  void now(Words line) {
+  /**
+   * Executes a scenario line {@code at SECONDS cancelnow N ...}. The jobs with the longest
+   * remaining run time are cancelled.
+   */
+  void cancelNow(Words line) {
     String jobClass = line.text("class", "");
     List<JobSpec> jobs =
-        world.rules.acceptedInOrder().stream()
-            .filter(job -> !world.rules.over(job) && !world.rules.asked(job))
+        world.rules.acceptedJobs().stream()
+            .filter(job -> !world.rules.isReportedEnded(job) && !world.rules.isCancelRequested(job))
             .map(world.specs::get)
             .filter(spec -> jobClass.isEmpty() || spec.jobClass().equals(jobClass))
-            .filter(spec -> world.rules.on(spec.id()) > 0 && secondsLeft(spec) >= LONG_SECONDS)
+            .filter(
+                spec ->
+                    world.rules.runningTaskCount(spec.id()) > 0
+                        && secondsLeft(spec) >= MIN_SECONDS_LEFT)
             .sorted(Comparator.comparingDouble((JobSpec spec) -> -secondsLeft(spec)))
             .limit((int) line.number(3))
             .toList();
-    double hang = line.number("hang", 0);
-    if (hang > 0) {
-      machinesOf(jobs).stream().limit(MOST_HANGING).forEach(machine -> machine.hang(hang));
+    double hangSeconds = line.number("hang", 0);
+    if (hangSeconds > 0) {
+      machinesOf(jobs).stream()
+          .limit(MAX_HUNG_MACHINES)
+          .forEach(machine -> machine.hang(hangSeconds));
     }
     for (JobSpec spec : jobs) {
       world.time.after(
-          Math.round(1000 * RUSH_SECONDS * random.nextDouble()),
+          Math.round(1000 * BURST_SECONDS * random.nextDouble()),
           () -> world.users.get(spec.id()).cancel());
     }
   }
@@ -67,14 +82,14 @@
     return machines;
   }
 
-  /** How long the task that has most to do would still run. */
+  /** Returns the longest remaining run time of any task of a job, in seconds. */
   private double secondsLeft(JobSpec spec) {
     if (spec.service()) {
       return Double.MAX_VALUE;
     }
     return IntStream.range(0, spec.tasks())
         .mapToObj(index -> new TaskId(spec.id(), index))
-        .filter(task -> !world.rules.completed(task))
+        .filter(task -> !world.rules.isCompleted(task))
         .mapToDouble(this::secondsLeft)
         .max()
         .orElse(0);
@@ -89,34 +104,34 @@
             .orElse(0);
   }
 
-  /** Plays a line {@code at SECONDS cancelatend ...}. */
-  void atEnd(Words line) {
-    atEnd.add(
-        new AtEnd(
+  /** Executes a scenario line {@code at SECONDS cancelatend ...}. */
+  void cancelAtCompletion(Words line) {
+    completionCancels.add(
+        new CompletionCancels(
             world.time.now() + Math.round(1000 * line.number("for", 10)),
             line.number("share", 1),
             line.number("within", 0),
             line.text("class", "")));
   }
 
-  /** A task has completed, perhaps the last one of its job. */
-  void completed(JobId job) {
-    if (atEnd.isEmpty()) {
+  /** Records that a task has completed, which may have been the last of its job. */
+  void taskCompleted(JobId job) {
+    if (completionCancels.isEmpty()) {
       return;
     }
     JobSpec spec = world.specs.get(job);
-    boolean whole =
+    boolean jobComplete =
         IntStream.range(0, spec.tasks())
-            .allMatch(index -> world.rules.completed(new TaskId(job, index)));
-    if (!whole || world.rules.over(job) || world.rules.asked(job)) {
+            .allMatch(index -> world.rules.isCompleted(new TaskId(job, index)));
+    if (!jobComplete || world.rules.isReportedEnded(job) || world.rules.isCancelRequested(job)) {
       return;
     }
-    for (AtEnd each : atEnd) {
-      if (each.until() > world.time.now()
-          && (each.jobClass().isEmpty() || each.jobClass().equals(spec.jobClass()))
-          && random.nextDouble() < each.share()) {
-        long after = Math.round(1000 * each.within() * random.nextDouble());
-        world.time.after(after, () -> world.users.get(job).cancel());
+    for (CompletionCancels cancels : completionCancels) {
+      if (cancels.until() > world.time.now()
+          && (cancels.jobClass().isEmpty() || cancels.jobClass().equals(spec.jobClass()))
+          && random.nextDouble() < cancels.share()) {
+        long delay = Math.round(1000 * cancels.maxDelaySeconds() * random.nextDouble());
+        world.time.after(delay, () -> world.users.get(job).cancel());
         return;
       }
     }
--- a/src/main/java/org/oakwalk/model/ChangeHistory.java
+++ b/src/main/java/org/oakwalk/model/ChangeHistory.java
@@ -6,45 +6,50 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.store.KeyChange;
 
-/** The last changes of the state service, as many as it keeps. */
+/** Keeps the most recent changes of the simulated state service, at least the guaranteed number. */
 final class ChangeHistory {
-  private final int most;
-  private final List<KeyChange> kept = new ArrayList<>();
+  /** Number of recent changes that are always kept. */
+  private final int guaranteedChanges;
 
-  /** Up to this revision changes may be missing. */
-  private Revision cut = Revision.NONE;
+  private final List<KeyChange> changes = new ArrayList<>();
 
-  ChangeHistory(int most) {
-    this.most = most;
+  /** Revision up to which changes may be missing. */
+  private Revision truncatedThrough = Revision.NONE;
+
+  ChangeHistory(int guaranteedChanges) {
+    this.guaranteedChanges = guaranteedChanges;
   }
 
-  void add(KeyChange news) {
-    kept.add(news);
-    if (kept.size() > 2 * most) {
-      List<KeyChange> gone = kept.subList(0, kept.size() - most);
-      cut = gone.get(gone.size() - 1).revision();
-      gone.clear();
+  void add(KeyChange change) {
+    changes.add(change);
+    if (changes.size() > 2 * guaranteedChanges) {
+      List<KeyChange> dropped = changes.subList(0, changes.size() - guaranteedChanges);
+      truncatedThrough = dropped.get(dropped.size() - 1).revision();
+      dropped.clear();
     }
   }
 
-  /** Whether the service may have forgotten changes after this revision. */
-  boolean tooOld(Revision after) {
-    Revision oldest = kept.size() > most ? kept.get(kept.size() - most - 1).revision() : cut;
+  /** Whether changes after this revision may have been dropped. */
+  boolean isTruncatedAfter(Revision after) {
+    Revision oldest =
+        changes.size() > guaranteedChanges
+            ? changes.get(changes.size() - guaranteedChanges - 1).revision()
+            : truncatedThrough;
     return after.compareTo(oldest) < 0;
   }
 
-  /** What a watch has not told yet. */
-  List<KeyChange> since(Request.Watch watch) {
-    List<KeyChange> news = new ArrayList<>();
-    for (int i = kept.size() - 1; i >= 0 && later(kept.get(i), watch.after()); i--) {
-      if (kept.get(i).key().startsWith(watch.prefix())) {
-        news.add(0, kept.get(i));
+  /** Returns the changes that a watch has not delivered yet, in order. */
+  List<KeyChange> changesFor(Request.Watch watch) {
+    List<KeyChange> undelivered = new ArrayList<>();
+    for (int i = changes.size() - 1; i >= 0 && isAfter(changes.get(i), watch.after()); i--) {
+      if (changes.get(i).key().startsWith(watch.prefix())) {
+        undelivered.add(0, changes.get(i));
       }
     }
-    return news;
+    return undelivered;
   }
 
-  private static boolean later(KeyChange news, Revision than) {
-    return news.revision().compareTo(than) > 0;
+  private static boolean isAfter(KeyChange change, Revision revision) {
+    return change.revision().compareTo(revision) > 0;
   }
 }
--- a/src/main/java/org/oakwalk/model/ExchangeRule.java
+++ b/src/main/java/org/oakwalk/model/ExchangeRule.java
@@ -19,104 +19,112 @@
 import org.oakwalk.core.store.StoreKeys;
 
 /**
- * Checks exchanges by what is stored and by what jobs there are: nobody is taken from below its
- * guarantee, nothing is taken twice for one need, and nothing is owed once the need has gone.
+ * Checks capacity transfers against the stored records and the jobs: no job is taken from while it
+ * is within its team's guarantee, one demand is not served by two transfers, and no transfer stays
+ * open after the demand has ended.
  */
 final class ExchangeRule {
-  /** A job may have been within the guarantee for so long before a leader has to know. */
-  private static final double KNOWN_AFTER = 5;
+  /** Time in seconds after which a leader has to know that a job is within its team's guarantee. */
+  private static final double GUARANTEE_GRACE_SECONDS = 5;
 
-  /** Beside dwell and patience, for writes, saving and a change of leader. */
-  private static final double SETTLES_WITHIN = 30;
+  /**
+   * Time in seconds, beyond return delay and hold timeout, for writes, checkpoints and a change of
+   * leader.
+   */
+  private static final double SETTLEMENT_GRACE_SECONDS = 30;
 
   private final World world;
-  private final Set<TransferId> seen = new HashSet<>();
+  private final Set<TransferId> checkedTransfers = new HashSet<>();
   private final Map<JobId, Double> guaranteedSince = new HashMap<>();
-  private final Map<String, Double> needlessSince = new HashMap<>();
-  private double calmAfter;
+  private final Map<String, Double> demandEndedAt = new HashMap<>();
+  private double faultsEndAt;
 
   ExchangeRule(World world) {
     this.world = world;
   }
 
-  void calmAfter(double seconds) {
-    calmAfter = seconds;
+  void setFaultsEnd(double seconds) {
+    faultsEndAt = seconds;
   }
 
-  private List<CapacityTransfer> takes() {
+  private List<CapacityTransfer> storedTransfers() {
     return world.state.rows("exchange").stream().map(CapacityTransfer.class::cast).toList();
   }
 
-  /** Looks at what is stored now; returns the rules that are broken by it, and how. */
+  /** Checks the stored transfers, and returns the violated rules with a description of each. */
   Map<String, String> tick() {
-    Map<String, String> broken = new LinkedHashMap<>();
+    Map<String, String> violations = new LinkedHashMap<>();
     List<ExchangeTerms> terms = world.plans.exchanges();
     if (terms.isEmpty()) {
-      return broken;
+      return violations;
     }
-    survey();
+    updateGuarantees();
     Map<JobId, Integer> byTaker = new HashMap<>();
-    for (CapacityTransfer take : takes()) {
-      if (seen.add(take.id())) {
-        belowGuarantee(take).ifPresent(how -> broken.put("taken_below_guarantee", how));
+    for (CapacityTransfer transfer : storedTransfers()) {
+      if (checkedTransfers.add(transfer.id())) {
+        belowGuarantee(transfer)
+            .ifPresent(description -> violations.put("taken_below_guarantee", description));
       }
-      if (take.isPending() || take.state() == CapacityTransfer.State.TAKEN) {
-        int count = byTaker.merge(take.taker(), 1, Integer::sum);
-        if (count > world.specs.get(take.taker()).tasks()) {
-          broken.put("taken_twice", count + " takes are open for " + take.taker());
+      if (transfer.isPending() || transfer.state() == CapacityTransfer.State.TAKEN) {
+        int count = byTaker.merge(transfer.taker(), 1, Integer::sum);
+        if (count > world.specs.get(transfer.taker()).tasks()) {
+          violations.put("taken_twice", count + " transfers are open for " + transfer.taker());
         }
       }
     }
-    for (ExchangeTerms each : terms) {
-      debt(each).ifPresent(how -> broken.put("debt_left", how));
+    for (ExchangeTerms exchange : terms) {
+      unsettledTransfer(exchange)
+          .ifPresent(description -> violations.put("debt_left", description));
     }
-    return broken;
+    return violations;
   }
 
   /**
-   * A worker stops a task since it was told to. Where only takers could want its room, a take from
-   * its job has to be written down by then.
+   * Records that a worker stopped a task on a leader's order. If only takers could need its room, a
+   * transfer from its job has to be stored by then.
    */
-  Optional<String> stopped(TaskId task, JobSpec spec) {
-    boolean gives = world.plans.exchanges().stream().anyMatch(each -> each.isGiver(spec));
-    if (!gives || spec.gang() || world.plans.drains() || othersWant(spec)) {
+  Optional<String> taskStopped(TaskId task, JobSpec spec) {
+    boolean isGiver = world.plans.exchanges().stream().anyMatch(exchange -> exchange.isGiver(spec));
+    if (!isGiver || spec.gang() || world.plans.hasDrainPlans() || mayBePreempted(spec)) {
       return Optional.empty();
     }
-    return takes().stream().anyMatch(take -> take.giver().equals(spec.id()))
+    return storedTransfers().stream().anyMatch(transfer -> transfer.giver().equals(spec.id()))
         ? Optional.empty()
-        : Optional.of(task + " is stopped, and no take from its job is stored");
+        : Optional.of(task + " was stopped, and no transfer from its job is stored");
   }
 
   /**
-   * Whether a job that takes nothing may have it stopped all the same: one that is stored, also
-   * while its user has not been told so yet.
+   * Whether a job with a higher priority that is no taker may preempt a job. Such a job has to be
+   * stored, but its user need not have the answer yet.
    */
-  private boolean othersWant(JobSpec spec) {
+  private boolean mayBePreempted(JobSpec spec) {
     return world.specs.values().stream()
         .filter(other -> other.priority().compareTo(spec.priority()) > 0)
-        .filter(other -> world.plans.exchanges().stream().noneMatch(each -> each.isTaker(other)))
-        .anyMatch(other -> mayWant(other.id()));
+        .filter(
+            other ->
+                world.plans.exchanges().stream().noneMatch(exchange -> exchange.isTaker(other)))
+        .anyMatch(other -> mayNeedRoom(other.id()));
   }
 
   /**
-   * Whether a job may want room: as its user knows, or as is stored, which may be long before the
-   * user gets the answer, if ever.
+   * Whether a job may need room: it is stored as open, or its user has been told so. The record may
+   * be stored long before the user gets the answer, if it ever arrives.
    */
-  private boolean mayWant(JobId id) {
+  private boolean mayNeedRoom(JobId id) {
     boolean stored =
         world.state.value(StoreKeys.job(id)).orElse(null) instanceof JobRecord record
             && record.phase() == JobRecord.Phase.OPEN;
-    return stored || world.rules.accepted(id) && !world.rules.over(id);
+    return stored || world.rules.isAccepted(id) && !world.rules.isReportedEnded(id);
   }
 
-  /** Each team's first unfinished jobs that fit into its guarantee together. */
-  private void survey() {
+  /** Determines the first unfinished jobs of each team that together fit into its guarantee. */
+  private void updateGuarantees() {
     Set<JobId> within = new HashSet<>();
     for (Settings.Team team : world.settings.teams().values()) {
       Resources sum = Resources.NONE;
-      for (JobId id : world.rules.acceptedInOrder()) {
+      for (JobId id : world.rules.acceptedJobs()) {
         JobSpec spec = world.specs.get(id);
-        if (spec.team().equals(team.name()) && !world.rules.over(id)) {
+        if (spec.team().equals(team.name()) && !world.rules.isReportedEnded(id)) {
           sum = sum.plus(spec.resources().times(spec.tasks()));
           if (sum.cpus() > team.cpus() + 1e-6 || sum.gpus() > team.gpus() + 1e-6) {
             break;
@@ -129,32 +137,43 @@
     within.forEach(id -> guaranteedSince.putIfAbsent(id, world.time.seconds()));
   }
 
-  private Optional<String> belowGuarantee(CapacityTransfer take) {
-    Double since = guaranteedSince.get(take.giver());
-    String takers = world.specs.get(take.taker()).team();
-    boolean own = takers.equals(take.giverTeam());
-    return !own && since != null && world.time.seconds() - since > KNOWN_AFTER
-        ? Optional.of(take.giver() + " of " + take.giverTeam() + " is within its guarantee")
+  /** Returns a description if a transfer takes from a job within its team's guarantee. */
+  private Optional<String> belowGuarantee(CapacityTransfer transfer) {
+    Double since = guaranteedSince.get(transfer.giver());
+    String takerTeam = world.specs.get(transfer.taker()).team();
+    boolean sameTeam = takerTeam.equals(transfer.giverTeam());
+    return !sameTeam && since != null && world.time.seconds() - since > GUARANTEE_GRACE_SECONDS
+        ? Optional.of(transfer.giver() + " of " + transfer.giverTeam() + " is within its guarantee")
         : Optional.empty();
   }
 
-  private Optional<String> debt(ExchangeTerms each) {
+  /** Returns a description of a transfer that is open too long after its demand has ended. */
+  private Optional<String> unsettledTransfer(ExchangeTerms exchange) {
     boolean needed =
-        world.rules.acceptedInOrder().stream()
-            .anyMatch(id -> each.isTaker(world.specs.get(id)) && !world.rules.over(id));
+        world.rules.acceptedJobs().stream()
+            .anyMatch(
+                id -> exchange.isTaker(world.specs.get(id)) && !world.rules.isReportedEnded(id));
     if (needed) {
-      needlessSince.remove(each.name());
+      demandEndedAt.remove(exchange.name());
       return Optional.empty();
     }
-    double since = needlessSince.computeIfAbsent(each.name(), name -> world.time.seconds());
-    double until =
-        Math.max(since, calmAfter)
-            + each.returnDelay().asSeconds()
-            + each.holdTimeout().asSeconds()
-            + SETTLES_WITHIN;
-    return takes().stream()
-        .filter(take -> take.exchangeName().equals(each.name()) && world.time.seconds() > until)
+    double since = demandEndedAt.computeIfAbsent(exchange.name(), name -> world.time.seconds());
+    double settledBy =
+        Math.max(since, faultsEndAt)
+            + exchange.returnDelay().asSeconds()
+            + exchange.holdTimeout().asSeconds()
+            + SETTLEMENT_GRACE_SECONDS;
+    return storedTransfers().stream()
+        .filter(
+            transfer ->
+                transfer.exchangeName().equals(exchange.name()) && world.time.seconds() > settledBy)
         .findFirst()
-        .map(take -> "take " + take.id() + " from " + take.giver() + " is still open");
+        .map(
+            transfer ->
+                "transfer "
+                    + transfer.id()
+                    + " from "
+                    + transfer.giver()
+                    + " is still open after its demand has ended");
   }
 }
--- a/src/main/java/org/oakwalk/model/Expectations.java
+++ b/src/main/java/org/oakwalk/model/Expectations.java
@@ -9,46 +9,46 @@
 import org.oakwalk.core.TaskId;
 import org.oakwalk.core.port.Response;
 
-/** What a scenario expects to hold at some moment. */
+/** Evaluates the expect lines of a scenario. */
 final class Expectations {
   private final World world;
-  private final List<String> missed = new ArrayList<>();
+  private final List<String> failures = new ArrayList<>();
 
   Expectations(World world) {
     this.world = world;
   }
 
-  /** Looks whether what the line expects holds now. */
+  /** Records a failure unless the expectation of the line holds now. */
   void check(Words line) {
     if (!holds(line)) {
-      missed.add(
+      failures.add(
           String.format(
               Locale.ROOT,
               "line %d, %.0f s: expected %s (%s)",
               line.number(),
               world.time.seconds(),
               line.toString().trim(),
-              found(line)));
+              observedState(line)));
     }
   }
 
-  /** What did not hold when it was looked at. */
-  List<String> missed() {
-    return missed;
+  /** Returns a message for each expectation that did not hold. */
+  List<String> failures() {
+    return failures;
   }
 
-  private String found(Words line) {
+  private String observedState(Words line) {
     JobId job = new JobId(line.word(3));
-    return "on machines "
-        + world.rules.on(job)
-        + ", told "
-        + world.rules.told(job)
+    return "tasks on machines "
+        + world.rules.runningTaskCount(job)
+        + ", reported state "
+        + world.rules.reported(job)
         + ", starts "
         + world.rules.totalStarts()
-        + ", unheard "
+        + ", requests that a running controller did not answer in time "
         + world.unheard
-        + ", last start after a confirmed cancellation "
-        + world.rules.latestStart()
+        + ", latest start after a confirmed cancellation "
+        + world.rules.latestStartAfterCancel()
         + ", refusals "
         + world.refusals
         + ", machines "
@@ -59,31 +59,31 @@
         + world.cloud.released
         + ", writes "
         + world.state.writes()
-        + ", nights "
-        + world.nights.figures()
+        + ", planning windows "
+        + world.nights.metrics()
         + ", requests "
         + world.state.requests()
         + ", reads "
         + world.state.reads()
-        + ", too many "
+        + ", requests over the limit "
         + world.state.tooMany()
         + ", waits "
         + world.waits
-        + ", open "
+        + ", jobs awaiting their end "
         + world.users.values().stream().filter(SimUser::asks).count()
-        + ", reporting to the leader "
-        + reporting();
+        + ", workers reporting to the leader "
+        + workersReportingToLeader();
   }
 
   private boolean holds(Words line) {
-    String what = line.word(3);
-    switch (what) {
+    String subject = line.word(3);
+    switch (subject) {
       case "leader" -> {
         return world.leader().isPresent() == !line.has("none");
       }
       case "headroom" -> {
         int places =
-            CrowdedRule.rows(world).stream()
+            HeadroomRule.storedRows(world).stream()
                 .filter(row -> row.key().name().equals(line.word(4)))
                 .flatMap(row -> row.slotsByZone().entrySet().stream())
                 .filter(entry -> line.text("zone", entry.getKey()).equals(entry.getKey()))
@@ -92,11 +92,13 @@
         return places >= line.number("least", 0) && places <= line.number("most", 1e9);
       }
       case "machines" -> {
-        long up = world.workers.values().stream().filter(SimWorker::alive).count();
-        return up >= line.number("least", 0) && up <= line.number("most", 1e9);
+        long runningMachines = world.workers.values().stream().filter(SimWorker::alive).count();
+        return runningMachines >= line.number("least", 0)
+            && runningMachines <= line.number("most", 1e9);
       }
       case "reporting" -> {
-        return reporting() >= line.number("least", 0) && reporting() <= line.number("most", 1e9);
+        return workersReportingToLeader() >= line.number("least", 0)
+            && workersReportingToLeader() <= line.number("most", 1e9);
       }
       case "oldest" -> {
         return world.workers.values().stream()
@@ -110,11 +112,11 @@
         return !world.workers.get(new MachineId(line.word(4))).charged();
       }
       case "in" -> {
-        long there =
+        long inZone =
             world.workers.values().stream()
                 .filter(w -> w.charged() && w.market.zone().equals(line.word(4)))
                 .count();
-        return there >= line.number("least", 0) && there <= line.number("most", 1e9);
+        return inZone >= line.number("least", 0) && inZone <= line.number("most", 1e9);
       }
       case "rented" -> {
         return world.cloud.rented <= line.number("most", 1e9)
@@ -132,12 +134,12 @@
         return world.unheard <= line.number("most", 0);
       }
       case "over" -> {
-        return world.rules.acceptedInOrder().stream()
+        return world.rules.acceptedJobs().stream()
             .filter(job -> world.specs.get(job).jobClass().equals(line.word(4)))
-            .allMatch(world.rules::over);
+            .allMatch(world.rules::isReportedEnded);
       }
       case "laststart" -> {
-        return world.rules.latestStart() <= line.number("most", 0);
+        return world.rules.latestStartAfterCancel() <= line.number("most", 0);
       }
       case "refusals" -> {
         return world.refusals <= line.number("most", 0);
@@ -152,10 +154,11 @@
         return world.state.requests() <= line.number("most", 1e9);
       }
       case "waits" -> {
-        return world.waits.longest(Waits.step(line.word(4))) <= line.number("most", 0);
+        return world.waits.longest(JobWaitTimes.parsePhase(line.word(4))) <= line.number("most", 0);
       }
       case "waiting" -> {
-        return world.waits.waiting(Waits.step(line.word(4))) <= line.number("most", 0);
+        return world.waits.waitingCount(JobWaitTimes.parsePhase(line.word(4)))
+            <= line.number("most", 0);
       }
       case "open" -> {
         return world.users.values().stream().filter(SimUser::asks).count()
@@ -179,47 +182,47 @@
       case "dawn" -> {
         return world
             .nights
-            .last(line.word(4))
+            .lastResult(line.word(4))
             .filter(
-                night ->
-                    night.work() >= line.number("done", 0)
-                        && night.work() <= line.number("most", 1)
-                        && night.kept() >= line.number("kept", 0)
-                        && night.share() >= line.number("share", 0)
-                        && night.share() <= line.number("mostshare", 1)
-                        && night.revisions() >= line.number("least", 1)
-                        && night.revisions() <= line.number("revisions", 1e9))
+                window ->
+                    window.workDoneShare() >= line.number("done", 0)
+                        && window.workDoneShare() <= line.number("most", 1)
+                        && window.promiseKeptShare() >= line.number("kept", 0)
+                        && window.plannedShare() >= line.number("share", 0)
+                        && window.plannedShare() <= line.number("mostshare", 1)
+                        && window.revisions() >= line.number("least", 1)
+                        && window.revisions() <= line.number("revisions", 1e9))
             .isPresent();
       }
       case "writes" -> {
         return world.state.writes() <= line.number("most", 1e9);
       }
       default -> {
-        return jobHolds(new JobId(what), line);
+        return holdsForJob(new JobId(subject), line);
       }
     }
   }
 
-  /** Workers that report to the leader itself. */
-  private long reporting() {
+  /** Returns the number of workers that report directly to the leader. */
+  private long workersReportingToLeader() {
     return world
         .leader()
         .map(node -> world.workers.values().stream().filter(w -> w.reportsTo(node)).count())
         .orElse(0L);
   }
 
-  private boolean jobHolds(JobId job, Words line) {
+  private boolean holdsForJob(JobId job, Words line) {
     SimUser user = world.users.get(job);
     return switch (line.word(4)) {
-      case "done" -> world.rules.told(job) == Response.JobState.DONE;
-      case "served" -> world.rules.told(job) == Response.JobState.DONE || user.gaveUpInVain();
-      case "unaccepted" -> !world.rules.accepted(job);
-      case "open" -> world.rules.accepted(job) && world.rules.told(job) == null;
-      case "cancelled" -> world.rules.told(job) == Response.JobState.CANCELLED;
-      case "over" -> world.rules.over(job);
+      case "done" -> world.rules.reported(job) == Response.JobState.DONE;
+      case "served" -> world.rules.reported(job) == Response.JobState.DONE || user.gaveUpInVain();
+      case "unaccepted" -> !world.rules.isAccepted(job);
+      case "open" -> world.rules.isAccepted(job) && world.rules.reported(job) == null;
+      case "cancelled" -> world.rules.reported(job) == Response.JobState.CANCELLED;
+      case "over" -> world.rules.isReportedEnded(job);
       case "on" ->
-          world.rules.on(job) >= line.number("least", 0)
-              && world.rules.on(job) <= line.number("most", 1e9);
+          world.rules.runningTaskCount(job) >= line.number("least", 0)
+              && world.rules.runningTaskCount(job) <= line.number("most", 1e9);
       case "accepted" ->
           user.acceptedAfter != null && user.acceptedAfter <= line.number("within", 60);
       case "refused" -> user.refusedWith != null && user.refusedWith == (int) line.number(5);
@@ -227,24 +230,27 @@
         Double at = world.rules.firstStart(new TaskId(job, (int) line.number("task", 0)));
         yield at != null && at <= line.number("by", 1e9) && at >= line.number("after", 0);
       }
-      case "begun" -> begun(job, line);
+      case "begun" -> startedInTime(job, line);
       case "starts" -> {
-        int starts = world.rules.starts(new TaskId(job, (int) line.number("task", 0)));
+        int starts = world.rules.startCount(new TaskId(job, (int) line.number("task", 0)));
         yield starts >= line.number("least", 0) && starts <= line.number("most", 1e9);
       }
       default -> throw new IllegalArgumentException("unknown expectation: " + line);
     };
   }
 
-  /** Whether a share of the job's tasks has begun, that long after the first attempt to submit. */
-  private boolean begun(JobId job, Words line) {
+  /**
+   * Whether the expected share of the tasks of a job has started within the expected time after the
+   * first submission attempt.
+   */
+  private boolean startedInTime(JobId job, Words line) {
     int tasks = world.specs.get(job).tasks();
-    double by = world.figures.submittedAt(job) + line.number("within", 240);
-    int begun = 0;
+    double deadline = world.figures.submittedAt(job) + line.number("within", 240);
+    int started = 0;
     for (int index = 0; index < tasks; index++) {
       Double at = world.rules.firstStart(new TaskId(job, index));
-      begun += at != null && at <= by ? 1 : 0;
+      started += at != null && at <= deadline ? 1 : 0;
     }
-    return begun >= line.number("share", 1) * tasks;
+    return started >= line.number("share", 1) * tasks;
   }
 }
--- a/src/main/java/org/oakwalk/model/ProductLines.java
+++ b/src/main/java/org/oakwalk/model/ProductTermsParser.java
@@ -15,19 +15,22 @@
 import org.oakwalk.core.product.HeadroomTerms;
 import org.oakwalk.core.product.ProductTerms;
 
-/** Dawns, headroom and exchanges as a scenario declares them in the operators' files. */
-final class ProductLines {
+/**
+ * Parses the batch deadlines, headroom and exchanges that a scenario declares in the operators'
+ * files.
+ */
+final class ProductTermsParser {
   private final List<Words> lines;
 
-  ProductLines(List<Words> lines) {
+  ProductTermsParser(List<Words> lines) {
     this.lines = lines;
   }
 
-  /** The file's terms as a node finds them at this time. */
-  ProductTerms terms(NodeId node, double seconds) {
+  /** Returns the terms in the file of a node at this time. */
+  ProductTerms termsFor(NodeId node, double seconds) {
     boolean declared = false;
     long version = 1;
-    List<BatchDeadlineTerms> dawns = new ArrayList<>();
+    List<BatchDeadlineTerms> deadlines = new ArrayList<>();
     List<HeadroomTerms> headrooms = new ArrayList<>();
     List<ExchangeTerms> exchanges = new ArrayList<>();
     for (Words line : lines) {
@@ -41,37 +44,40 @@
           declared = true;
           version = (long) line.number("version", 1);
         }
-        case "dawn" -> dawns.add(dawn(line));
-        case "headroom" -> headrooms.add(headroom(line));
-        case "exchange" -> exchanges.add(exchange(line));
+        case "dawn" -> deadlines.add(parseDeadline(line));
+        case "headroom" -> headrooms.add(parseHeadroom(line));
+        case "exchange" -> exchanges.add(parseExchange(line));
         default -> {}
       }
     }
-    return !declared && dawns.isEmpty() && headrooms.isEmpty() && exchanges.isEmpty()
+    return !declared && deadlines.isEmpty() && headrooms.isEmpty() && exchanges.isEmpty()
         ? ProductTerms.NONE
-        : new ProductTerms(version, dawns, headrooms, exchanges);
+        : new ProductTerms(version, deadlines, headrooms, exchanges);
   }
 
-  /** All exchanges that are declared anywhere. */
+  /** Returns the exchanges of all lines, of any node and time. */
   List<ExchangeTerms> exchanges() {
     return lines.stream()
         .filter(line -> line.word(0).equals("exchange"))
-        .map(ProductLines::exchange)
+        .map(ProductTermsParser::parseExchange)
         .toList();
   }
 
-  /** All dawns that are declared anywhere; of one name, the last. */
-  List<BatchDeadlineTerms> dawns() {
-    Map<String, BatchDeadlineTerms> dawns = new LinkedHashMap<>();
+  /**
+   * Returns the batch deadlines of all lines, of any node and time; of several with one name, the
+   * last.
+   */
+  List<BatchDeadlineTerms> batchDeadlines() {
+    Map<String, BatchDeadlineTerms> deadlines = new LinkedHashMap<>();
     for (Words line : lines) {
       if (line.word(0).equals("dawn")) {
-        dawns.put(line.word(1), dawn(line));
+        deadlines.put(line.word(1), parseDeadline(line));
       }
     }
-    return List.copyOf(dawns.values());
+    return List.copyOf(deadlines.values());
   }
 
-  private static BatchDeadlineTerms dawn(Words line) {
+  private static BatchDeadlineTerms parseDeadline(Words line) {
     String by = line.text("by", "");
     double every = line.number("every", 0);
     return new BatchDeadlineTerms(
@@ -85,36 +91,37 @@
                     ZoneId.of(line.text("tz", "UTC")))),
         every > 0 ? Optional.of(Span.seconds(every)) : Optional.empty(),
         Span.seconds(line.number("lasts", every)),
-        texts(line, "classes"),
-        texts(line, "teams"),
+        parseSet(line, "classes"),
+        parseSet(line, "teams"),
         Span.seconds(line.number("margin", 0)),
         line.number("quantile", 0.9));
   }
 
-  private static HeadroomTerms headroom(Words line) {
+  private static HeadroomTerms parseHeadroom(Words line) {
     return new HeadroomTerms(
         line.word(1),
         Optional.ofNullable(line.text("class", null)),
         Optional.ofNullable(line.text("team", null)),
         (int) line.number("replicas", 0),
         line.number("share", 0),
-        texts(line, "zones"),
+        parseSet(line, "zones"),
         line.number("warm", 0));
   }
 
-  private static ExchangeTerms exchange(Words line) {
+  private static ExchangeTerms parseExchange(Words line) {
     return new ExchangeTerms(
         line.word(1),
-        texts(line, "takers"),
-        texts(line, "givers"),
-        texts(line, "teams"),
+        parseSet(line, "takers"),
+        parseSet(line, "givers"),
+        parseSet(line, "teams"),
         (int) line.number("most", 64),
         line.number("margin", 0.1),
         Span.seconds(line.number("dwell", 10)),
         Span.seconds(line.number("patience", 60)));
   }
 
-  private static Set<String> texts(Words line, String name) {
+  /** Returns the comma-separated values of an option, or none if it is absent. */
+  private static Set<String> parseSet(Words line, String name) {
     String text = line.text(name, "");
     return text.isEmpty() ? Set.of() : Set.of(text.split(","));
   }
