--- a/src/main/java/org/oakwalk/cli/ExperimentCommand.java
+++ b/src/main/java/org/oakwalk/cli/ExperimentCommand.java
@@ -10,10 +10,10 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import org.oakwalk.daemon.BadSettings;
-import org.oakwalk.model.Draw;
 import org.oakwalk.model.Outcome;
-import org.oakwalk.model.Queueing;
+import org.oakwalk.model.QueueOrder;
 import org.oakwalk.model.Scenario;
+import org.oakwalk.model.ScenarioGenerator;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
 import picocli.CommandLine.Model.CommandSpec;
@@ -98,12 +98,12 @@
     if (files.isEmpty()) {
       int[] range = range();
       for (int seed = range[0]; seed <= range[1]; seed++) {
-        Draw troubles = new Draw(seed);
-        troubles = roll ? troubles.withRoll() : troubles;
+        ScenarioGenerator troubles = new ScenarioGenerator(seed);
+        troubles = roll ? troubles.withRollingReplacement() : troubles;
         troubles = headroom ? troubles.withHeadroom() : troubles;
-        troubles = products ? troubles.withProducts() : troubles;
-        troubles = meetings ? troubles.withMeetings() : troubles;
-        troubles = hunts ? troubles.withHunts() : troubles;
+        troubles = products ? troubles.withProductTerms() : troubles;
+        troubles = meetings ? troubles.withOverlappingFaults() : troubles;
+        troubles = hunts ? troubles.withEdgeCaseFaults() : troubles;
         held &= play("seed " + seed, troubles.text());
       }
     }
@@ -140,16 +140,16 @@
   }
 
   private boolean play(String name, String text) throws BadSettings {
-    boolean held = play(name, text, Queueing.PLANNED);
+    boolean held = play(name, text, QueueOrder.PLANNED);
     if (orders) {
       // What a scenario expects of a plan need not hold without one.
-      play(name + " by score alone", text, Queueing.PLAIN);
-      play(name + " by earliest deadline", text, Queueing.EARLIEST_DUE);
+      play(name + " by score alone", text, QueueOrder.SCORE_ONLY);
+      play(name + " by earliest deadline", text, QueueOrder.EARLIEST_DEADLINE);
     }
     return held;
   }
 
-  private boolean play(String name, String text, Queueing order) throws BadSettings {
+  private boolean play(String name, String text, QueueOrder order) throws BadSettings {
     Outcome outcome;
     try {
       outcome = new Scenario(text, order).play();
--- a/src/main/java/org/oakwalk/model/Cancellations.java
+++ b/src/main/java/org/oakwalk/model/Cancellations.java
@@ -35,7 +35,7 @@
   }
 
   /** Plays a line {@code at SECONDS cancelnow N ...}: those that have longest to go are taken. */
-  void now(Words line) {
+  void now(ScenarioLine line) {
     String jobClass = line.text("class", "");
     List<JobSpec> jobs =
         world.rules.acceptedInOrder().stream()
@@ -61,7 +61,7 @@
     Set<SimWorker> machines = new LinkedHashSet<>();
     for (JobSpec spec : jobs) {
       world.workers.values().stream()
-          .filter(worker -> worker.alive() && worker.holds(spec.id()))
+          .filter(worker -> worker.isAlive() && worker.holdsTaskOf(spec.id()))
           .forEach(machines::add);
     }
     return machines;
@@ -82,15 +82,15 @@
 
   private double secondsLeft(TaskId task) {
     return world.runSeconds(task)
-        - world.saved.getOrDefault(task, 0.0)
+        - world.checkpointedSeconds.getOrDefault(task, 0.0)
         - world.workers.values().stream()
-            .mapToDouble(worker -> worker.secondsRun(task))
+            .mapToDouble(worker -> worker.workedSeconds(task))
             .max()
             .orElse(0);
   }
 
   /** Plays a line {@code at SECONDS cancelatend ...}. */
-  void atEnd(Words line) {
+  void atEnd(ScenarioLine line) {
     atEnd.add(
         new AtEnd(
             world.time.now() + Math.round(1000 * line.number("for", 10)),
--- a/src/main/java/org/oakwalk/model/CloseLooks.java
+++ b/src/main/java/org/oakwalk/model/CloseLooks.java
@@ -44,7 +44,7 @@
   }
 
   /** From now on users look closely, as the line says. */
-  void begin(Words line) {
+  void begin(ScenarioLine line) {
     end = world.time.now() + Math.round(1000 * line.number("for", 10));
     gap = Math.round(line.number("every", 5));
     rounds = (int) line.number("rounds", 3);
@@ -98,8 +98,8 @@
   private void ask(SimNode node, UserRequest request) {
     boolean submission = request instanceof UserRequest.Submit;
     long asked = world.rules.moment();
-    long gone = world.time.now() + SimUser.waits(request);
-    node.ask(
+    long gone = world.time.now() + SimUser.timeoutMillis(request);
+    node.receiveUserRequest(
         request,
         response -> {
           if (world.time.now() <= gone) {
--- a/src/main/java/org/oakwalk/model/CrowdedRule.java
+++ b/src/main/java/org/oakwalk/model/CrowdedRule.java
@@ -64,7 +64,7 @@
     void recount(long at, long window) {
       places.forEach(
           (worker, count) -> {
-            if (!worker.alive()) {
+            if (!worker.isAlive()) {
               losses.putIfAbsent(worker, new Loss(at, count));
             }
           });
@@ -140,14 +140,14 @@
   }
 
   private static Resources free(SimWorker worker) {
-    return worker.type.room().minus(worker.used());
+    return worker.type.room().minus(worker.usedResources());
   }
 
   private static boolean takes(HeadroomRow row, String zone, SimWorker worker) {
-    return worker.market.zone().equals(zone)
-        && worker.alive()
+    return worker.pool.zone().equals(zone)
+        && worker.isAlive()
         && (row.types().isEmpty() || row.types().contains(worker.type.name()))
-        && (row.spot() || !worker.market.spot());
+        && (row.spot() || !worker.pool.spot());
   }
 
   /** A worker has room again. */
@@ -164,7 +164,7 @@
 
   private Optional<String> look(SimWorker worker, Resources taken, boolean batch) {
     Optional<String> breach = Optional.empty();
-    String zone = worker.market.zone();
+    String zone = worker.pool.zone();
     long now = world.time.now();
     for (HeadroomRow row : rows(world)) {
       Account account = accounts.get(new Spot(row.key(), zone));
--- a/src/main/java/org/oakwalk/model/Hunt.java
+++ b/src/main/java/org/oakwalk/model/EdgeCaseFaults.java
@@ -10,73 +10,73 @@
  * two others of any kind join, while teams stand at their limits, arrays are bound to a zone, jobs
  * come to their ends, and users cancel, repeat and look closely.
  */
-final class Hunt {
+final class EdgeCaseFaults {
   /** Troubles go on until then at most; what they have made late comes after that. */
-  private static final int OVER = 80;
+  private static final int LAST_FAULT_SECONDS = 80;
 
   /** The newer kinds of trouble. */
-  private enum Kind {
-    MUTE_MACHINES,
-    RUSH,
-    RUSH_AS_REFUSED,
-    RUSH_AT_THE_LIMIT,
-    AT_THE_END,
-    CLOSE_LOOKS,
-    ODD_REQUESTS,
-    LOST_ANSWERS,
-    KEPT_REPORTS,
+  private enum FaultKind {
+    LOST_REPORTS,
+    CANCEL_BURST,
+    CANCEL_BURST_DURING_OUTAGE,
+    CANCEL_BURST_AT_QUOTA,
+    CANCEL_AT_END,
+    RAPID_QUERIES,
+    UNUSUAL_REQUESTS,
+    LATE_WRITES,
+    REPLAYED_REPORTS,
     QUICK_BOOTS,
-    ZONE_LOSES_MACHINES,
-    STREAM,
+    MACHINE_LOSSES,
+    JOB_STREAM,
     OVERLOAD,
-    TEN_LEADERS,
-    ALL_AWAY,
-    ZONE_APART,
-    OLD_STARTS
+    REPEATED_FAILOVER,
+    FULL_RESTART,
+    ZONE_PARTITION,
+    DUPLICATE_STARTS
   }
 
   private final UniformRandomProvider random;
   private final FaultCombinations combinations;
   private final int nodes;
   private final boolean zones;
-  private final int cancel;
+  private final int cancelDeadlineSeconds;
   private final List<String> lines = new ArrayList<>();
-  private final List<String> finite = new ArrayList<>();
+  private final List<String> finiteJobs = new ArrayList<>();
   private boolean stream;
-  private int full;
-  private int ends = Draw.LAST_TROUBLE_ENDS;
+  private int fullTeamQuota;
+  private int lastFaultEnd = ScenarioGenerator.LAST_FAULT_END_SECONDS;
 
-  Hunt(UniformRandomProvider random, int nodes, int machines, boolean zones, int cancel) {
+  EdgeCaseFaults(UniformRandomProvider random, int nodes, int machines, boolean zones, int cancel) {
     this.random = random;
     this.combinations = new FaultCombinations(random, nodes, machines, zones, cancel);
     this.nodes = nodes;
     this.zones = zones;
-    this.cancel = cancel;
+    this.cancelDeadlineSeconds = cancel;
   }
 
   /** Limits of the teams that have none else: all stand at theirs, or one, or none. */
-  List<String> teams() {
+  List<String> teamLines() {
     boolean all = random.nextInt(3) == 0;
-    full = 5 + random.nextInt(3);
+    fullTeamQuota = 5 + random.nextInt(3);
     return List.of(
         all ? "team crew max=" + (22 + random.nextInt(8)) : "team crew",
         "team small max=6",
         all ? "team guests max=" + (2 + random.nextInt(3)) : "team guests",
-        "team full max=" + full);
+        "team full max=" + fullTeamQuota);
   }
 
   /** The jobs and the troubles. */
-  List<String> lines() {
+  List<String> jobAndFaultLines() {
     int at = 10 + random.nextInt(20);
     int lasts = 6 + random.nextInt(30);
-    jobs(at, lasts);
-    Kind[] kinds = Kind.values();
-    trouble(kinds[random.nextInt(kinds.length)], at, lasts);
+    addJobs(at, lasts);
+    FaultKind[] kinds = FaultKind.values();
+    addFault(kinds[random.nextInt(kinds.length)], at, lasts);
     int others = 1 + random.nextInt(2);
     for (int i = 0; i < others; i++) {
       int begins = at + random.nextInt(lasts - 2);
       if (random.nextBoolean()) {
-        trouble(kinds[random.nextInt(kinds.length)], begins, 3 + random.nextInt(30));
+        addFault(kinds[random.nextInt(kinds.length)], begins, 3 + random.nextInt(30));
       } else {
         lines.addAll(combinations.anyTrouble(begins, 3 + random.nextInt(30)));
       }
@@ -86,21 +86,22 @@
   }
 
   /** Names of the jobs that have to be done in the end. */
-  List<String> finite() {
-    finite.addAll(combinations.finite());
-    return finite;
+  List<String> finiteJobs() {
+    finiteJobs.addAll(combinations.finite());
+    return finiteJobs;
   }
 
   /** When the last trouble is over. */
-  int ends() {
-    return ends;
+  int lastFaultEnd() {
+    return lastFaultEnd;
   }
 
   /** What has to hold in the end, but for jobs that have to be done. */
-  List<String> expected(int end) {
+  List<String> expectationLines(int end) {
     List<String> expected = new ArrayList<>(List.of("at " + end + " expect over ends"));
     // Nothing of the limit may be lost to what is long gone.
-    expected.add("at " + (ends + 4) + " submit j-49 service tasks=" + full + " team=full");
+    expected.add(
+        "at " + (lastFaultEnd + 4) + " submit j-49 service tasks=" + fullTeamQuota + " team=full");
     expected.add("at " + end + " expect j-49 begun within=100");
     if (stream) {
       expected.add("at " + end + " expect over stream");
@@ -108,183 +109,187 @@
     return expected;
   }
 
-  private void jobs(int at, int lasts) {
+  private void addJobs(int at, int lasts) {
     for (int i = 0; i < 4; i++) {
-      add(
+      addLine(
           "at %d submit j-4%d service class=spare tasks=%d team=%s",
           4 + random.nextInt(at - 5), i, 1 + random.nextInt(2), i % 2 == 0 ? "full" : "crew");
-      add("at %d cancel j-4%d", Draw.LAST_TROUBLE_ENDS + 1, i);
+      addLine("at %d cancel j-4%d", ScenarioGenerator.LAST_FAULT_END_SECONDS + 1, i);
     }
     // The team has more to do than it may at once.
-    add("at 5 submit j-45 array tasks=%d run=4 team=full", 20 + random.nextInt(16));
-    finite.add("j-45");
-    add(
+    addLine("at 5 submit j-45 array tasks=%d run=4 team=full", 20 + random.nextInt(16));
+    finiteJobs.add("j-45");
+    addLine(
         "at %d submit j-46 array tasks=%d run=%d %s",
         4 + random.nextInt(at),
         3 + random.nextInt(6),
         4 + random.nextInt(20),
         zones ? "zone=" + (random.nextBoolean() ? "a" : "b") : "");
-    finite.add("j-46");
-    add(
+    finiteJobs.add("j-46");
+    addLine(
         "at %d submit j-47 array tasks=%d run=%d onezone %s",
         4 + random.nextInt(at),
         3 + random.nextInt(6),
         4 + random.nextInt(20),
         random.nextBoolean() ? "saves=4 save=1" : "");
-    finite.add("j-47");
+    finiteJobs.add("j-47");
     int first = Math.max(4, at - 4);
-    int until = Math.min(OVER - 5, first + 5 + lasts);
+    int until = Math.min(LAST_FAULT_SECONDS - 5, first + 5 + lasts);
     int tenths = 10 + random.nextInt(10);
-    add(
+    addLine(
         "every %.1f %d %d 500 array class=ends tasks=%d run=%s",
         tenths / 10.0, first, until, 1 + random.nextInt(3), random.nextBoolean() ? "3" : "2,5,8");
     for (int i = 0; i * tenths < 10 * (until - first); i += 2) {
       // Their users ask again long after, and may not be told anything else.
-      add("at %.1f submit j-%d array", Draw.LAST_TROUBLE_ENDS + 3 + i / 10.0, 500 + i);
+      addLine(
+          "at %.1f submit j-%d array",
+          ScenarioGenerator.LAST_FAULT_END_SECONDS + 3 + i / 10.0, 500 + i);
     }
   }
 
-  private void trouble(Kind kind, int at, int drawn) {
-    int lasts = Math.max(1, Math.min(drawn, OVER - at));
+  private void addFault(FaultKind kind, int at, int drawn) {
+    int lasts = Math.max(1, Math.min(drawn, LAST_FAULT_SECONDS - at));
     String node = random.nextBoolean() ? "leading" : "node-" + random.nextInt(nodes);
     switch (kind) {
-      case MUTE_MACHINES -> add("at %d noreports %s for=%d", at, combinations.some(), lasts);
-      case RUSH -> rush(at + random.nextDouble(), Math.min(lasts, 1 + random.nextInt(14)));
-      case RUSH_AS_REFUSED -> rushAsRefused(at);
-      case RUSH_AT_THE_LIMIT -> rushAtTheLimit(at, lasts);
-      case AT_THE_END -> atTheEnd(at, lasts);
-      case CLOSE_LOOKS ->
-          add(
+      case LOST_REPORTS -> addLine("at %d noreports %s for=%d", at, combinations.some(), lasts);
+      case CANCEL_BURST ->
+          addCancelBurst(at + random.nextDouble(), Math.min(lasts, 1 + random.nextInt(14)));
+      case CANCEL_BURST_DURING_OUTAGE -> addCancelBurstDuringOutage(at);
+      case CANCEL_BURST_AT_QUOTA -> addCancelBurstAtQuota(at, lasts);
+      case CANCEL_AT_END -> addCancelAtEnd(at, lasts);
+      case RAPID_QUERIES ->
+          addLine(
               "at %d closelooks for=%d every=%d rounds=%d early=%.1f %s",
               at,
               lasts,
               1 + random.nextInt(20),
               1 + random.nextInt(3),
               random.nextInt(3) * 0.2,
-              random.nextInt(3) == 0 ? "ends=1 back=" + tenths() : "");
-      case ODD_REQUESTS -> add("at %d oddrequests for=%d", at, lasts);
-      case LOST_ANSWERS ->
-          add("at %d latewrites %s for=%d atonce share=%s", at, node, lasts, share());
-      case KEPT_REPORTS -> keptReports(at, lasts);
-      case QUICK_BOOTS -> quickBoots(at, lasts);
-      case ZONE_LOSES_MACHINES -> {
+              random.nextInt(3) == 0 ? "ends=1 back=" + shortDelaySeconds() : "");
+      case UNUSUAL_REQUESTS -> addLine("at %d oddrequests for=%d", at, lasts);
+      case LATE_WRITES ->
+          addLine("at %d latewrites %s for=%d atonce share=%s", at, node, lasts, randomShare());
+      case REPLAYED_REPORTS -> addReplayedReports(at, lasts);
+      case QUICK_BOOTS -> addQuickBoots(at, lasts);
+      case MACHINE_LOSSES -> {
         for (int i = 0; i < 2 + random.nextInt(2); i++) {
-          add(
+          addLine(
               "at %.1f %s %s",
               at + random.nextDouble() * 3,
               random.nextBoolean() ? "die" : "take",
               combinations.host());
         }
       }
-      case STREAM -> stream(at, lasts);
-      case OVERLOAD -> overload(at, lasts);
-      case TEN_LEADERS -> {
+      case JOB_STREAM -> addJobStream(at, lasts);
+      case OVERLOAD -> addOverload(at, lasts);
+      case REPEATED_FAILOVER -> {
         double gap = Math.max(0.6, lasts / 10.0);
-        add("every %.1f %d %d restart leading after=%s", gap, at, at + lasts, tenths());
+        addLine(
+            "every %.1f %d %d restart leading after=%s", gap, at, at + lasts, shortDelaySeconds());
         if (random.nextBoolean()) {
-          add("at %.1f outage state for=%d", at + random.nextDouble() * 3, Math.min(lasts, 15));
+          addLine("at %.1f outage state for=%d", at + random.nextDouble() * 3, Math.min(lasts, 15));
         }
       }
-      case ALL_AWAY -> add("at %d restart all after=%d", at, 8 + random.nextInt(16));
-      case ZONE_APART -> zoneApart(at);
-      default -> oldStarts(at, lasts);
+      case FULL_RESTART -> addLine("at %d restart all after=%d", at, 8 + random.nextInt(16));
+      case ZONE_PARTITION -> addZonePartition(at);
+      default -> addDuplicateStarts(at, lasts);
     }
   }
 
-  private void rush(double at, int hang) {
-    add(
+  private void addCancelBurst(double at, int hang) {
+    addLine(
         "at %.2f cancelnow %d class=spare%s",
         at, 1 + random.nextInt(4), random.nextBoolean() ? " hang=" + hang : "");
   }
 
   /** The leader alone is refused, or stands still, as users cancel; then all are, for very long. */
-  private void rushAsRefused(int at) {
-    int out = Math.min(OVER - at - 2, cancel - 5 + random.nextInt(15));
+  private void addCancelBurstDuringOutage(int at) {
+    int out = Math.min(LAST_FAULT_SECONDS - at - 2, cancelDeadlineSeconds - 5 + random.nextInt(15));
     if (random.nextInt(3) == 0) {
-      add("at %d freeze leading for=%d", at, 2 + random.nextInt(8));
+      addLine("at %d freeze leading for=%d", at, 2 + random.nextInt(8));
     } else {
-      add("at %d refuse leading for=%d", at, 2 + random.nextInt(14));
+      addLine("at %d refuse leading for=%d", at, 2 + random.nextInt(14));
     }
-    rush(at + (random.nextBoolean() ? 0 : random.nextDouble()), 1 + random.nextInt(12));
-    add("at %.1f outage state for=%d", at + 0.5 + random.nextDouble(), out);
+    addCancelBurst(at + (random.nextBoolean() ? 0 : random.nextDouble()), 1 + random.nextInt(12));
+    addLine("at %.1f outage state for=%d", at + 0.5 + random.nextDouble(), out);
   }
 
   /** Teams wait for room of jobs whose machines hang or are cut off, and the leader changes. */
-  private void rushAtTheLimit(int at, int lasts) {
+  private void addCancelBurstAtQuota(int at, int lasts) {
     for (int i = 0; i < 3; i++) {
       String hold = random.nextBoolean() ? "hold" : "";
-      add("at %d cut nodes %s for=%d %s", at, combinations.host(), lasts, hold);
+      addLine("at %d cut nodes %s for=%d %s", at, combinations.host(), lasts, hold);
     }
-    add("at %d cancelnow 4 class=spare hang=%d", at, 1 + random.nextInt(12));
+    addLine("at %d cancelnow 4 class=spare hang=%d", at, 1 + random.nextInt(12));
     int changes = 1 + random.nextInt(3);
-    add(
+    addLine(
         "at %.1f restart leading after=%s times=%d every=%d",
-        at + random.nextDouble() * 3, tenths(), changes, 2 + random.nextInt(5));
+        at + random.nextDouble() * 3, shortDelaySeconds(), changes, 2 + random.nextInt(5));
   }
 
   /** Jobs are called off as they end, while what is written of it may be late. */
-  private void atTheEnd(int at, int lasts) {
-    add(
+  private void addCancelAtEnd(int at, int lasts) {
+    addLine(
         "at %d cancelatend class=ends for=%d share=%s within=%s",
-        at, lasts, share(), random.nextBoolean() ? "0" : "1.5");
+        at, lasts, randomShare(), random.nextBoolean() ? "0" : "1.5");
     if (random.nextBoolean()) {
-      add("at %d latewrites leading for=%d share=%s key=oak/a/job/", at, lasts, share());
+      addLine("at %d latewrites leading for=%d share=%s key=oak/a/job/", at, lasts, randomShare());
     }
   }
 
   /** Old reports reach the next leader first, while it may hear nothing newer of these machines. */
-  private void keptReports(int at, int lasts) {
+  private void addReplayedReports(int at, int lasts) {
     String some = combinations.some();
-    add(
+    addLine(
         "at %d latereports %s for=%d fornext share=%s %s",
-        at, some, lasts, share(), random.nextBoolean() ? "acted" : "");
+        at, some, lasts, randomShare(), random.nextBoolean() ? "acted" : "");
     double ends = at + random.nextDouble() * lasts;
     if (random.nextBoolean()) {
-      add("at %.1f cut nodes %s for=%d", Math.max(at, ends - 1), some, 3 + random.nextInt(15));
+      addLine("at %.1f cut nodes %s for=%d", Math.max(at, ends - 1), some, 3 + random.nextInt(15));
     }
-    add("at %.1f restart leading after=%s", ends, tenths());
+    addLine("at %.1f restart leading after=%s", ends, shortDelaySeconds());
   }
 
   /** New machines get work while writes lag, and the leader ends. */
-  private void quickBoots(int at, int lasts) {
-    add("at %d quickboots %.1f", at, 0.2 + 0.3 * random.nextInt(6));
-    add(
+  private void addQuickBoots(int at, int lasts) {
+    addLine("at %d quickboots %.1f", at, 0.2 + 0.3 * random.nextInt(6));
+    addLine(
         "at %d submit j-48 array tasks=%d run=%d",
         at, 10 + random.nextInt(20), 3 + random.nextInt(6));
-    if (!finite.contains("j-48")) {
-      finite.add("j-48");
+    if (!finiteJobs.contains("j-48")) {
+      finiteJobs.add("j-48");
     }
     switch (random.nextInt(3)) {
-      case 0 -> add("at %d latewrites leading for=%d share=%s", at, lasts, share());
-      case 1 -> add("at %d slownet nodes state for=%d by=0.9", at, lasts);
-      default -> add("at %d laterentals for=%d after=%d", at, lasts, random.nextInt(4));
+      case 0 -> addLine("at %d latewrites leading for=%d share=%s", at, lasts, randomShare());
+      case 1 -> addLine("at %d slownet nodes state for=%d by=0.9", at, lasts);
+      default -> addLine("at %d laterentals for=%d after=%d", at, lasts, random.nextInt(4));
     }
-    add("at %.1f restart leading after=%s", at + random.nextDouble() * 4, tenths());
+    addLine("at %.1f restart leading after=%s", at + random.nextDouble() * 4, shortDelaySeconds());
   }
 
   /** One-task jobs, four a second, a quarter of which is cancelled. */
-  private void stream(int at, int lasts) {
+  private void addJobStream(int at, int lasts) {
     if (stream) {
       return;
     }
     stream = true;
     int until = at + Math.min(lasts, 25);
-    add(
+    addLine(
         "every 0.25 %d %d 1000 array class=stream tasks=1 run=%d",
         at, until, 1 + random.nextInt(4));
     for (int i = 0; i < 4 * (until - at); i += 4) {
-      add("at %.2f cancel j-%d", at + i / 4.0 + random.nextDouble() * 5, 1000 + i);
+      addLine("at %.2f cancel j-%d", at + i / 4.0 + random.nextDouble() * 5, 1000 + i);
     }
   }
 
   /** More work than room, urgent and not, over slow links. */
-  private void overload(int at, int lasts) {
+  private void addOverload(int at, int lasts) {
     for (int i = 0; i < 3; i++) {
       String job = "j-6" + i;
-      if (!finite.contains(job)) {
-        finite.add(job);
+      if (!finiteJobs.contains(job)) {
+        finiteJobs.add(job);
       }
-      add(
+      addLine(
           "at %d submit %s array tasks=%d run=%d priority=%s",
           at + i,
           job,
@@ -292,40 +297,40 @@
           2 + random.nextInt(6),
           List.of("low", "normal", "high").get(i));
     }
-    add(
+    addLine(
         "at %d slownet nodes %s for=%d by=%s",
-        at, random.nextBoolean() ? "workers" : "everybody", lasts, tenths());
+        at, random.nextBoolean() ? "workers" : "everybody", lasts, shortDelaySeconds());
   }
 
-  private void zoneApart(int at) {
-    int lasts = Math.min(OVER - at, 11 + random.nextInt(30));
+  private void addZonePartition(int at) {
+    int lasts = Math.min(LAST_FAULT_SECONDS - at, 11 + random.nextInt(30));
     if (zones) {
-      add("at %d cut zone:a zone:b for=%d %s", at, lasts, random.nextBoolean() ? "hold" : "");
+      addLine("at %d cut zone:a zone:b for=%d %s", at, lasts, random.nextBoolean() ? "hold" : "");
       if (random.nextBoolean()) {
-        add("at %d cut zone:b state for=%d", at + random.nextInt(5), Math.max(1, lasts - 5));
+        addLine("at %d cut zone:b state for=%d", at + random.nextInt(5), Math.max(1, lasts - 5));
       }
     } else {
-      add("at %d cut nodes workers for=%d", at, lasts);
+      addLine("at %d cut nodes workers for=%d", at, lasts);
     }
   }
 
   /** Starts by command come once more, however long after. */
-  private void oldStarts(int at, int lasts) {
+  private void addDuplicateStarts(int at, int lasts) {
     int after = 1 + random.nextInt(100);
     int shortly = Math.min(lasts, 12);
-    add("at %d copies nodes workers for=%d after=%d runs", at, shortly, after);
-    ends = Math.max(ends, at + shortly + after);
+    addLine("at %d copies nodes workers for=%d after=%d runs", at, shortly, after);
+    lastFaultEnd = Math.max(lastFaultEnd, at + shortly + after);
   }
 
-  private String share() {
+  private String randomShare() {
     return String.format(Locale.ROOT, "%.1f", 0.2 + 0.2 * random.nextInt(5));
   }
 
-  private String tenths() {
+  private String shortDelaySeconds() {
     return String.format(Locale.ROOT, "%.1f", 0.1 + 0.1 * random.nextInt(8));
   }
 
-  private void add(String format, Object... words) {
+  private void addLine(String format, Object... words) {
     lines.add(String.format(Locale.ROOT, format, words).trim());
   }
 }
--- a/src/main/java/org/oakwalk/model/Expectations.java
+++ b/src/main/java/org/oakwalk/model/Expectations.java
@@ -19,7 +19,7 @@
   }
 
   /** Looks whether what the line expects holds now. */
-  void check(Words line) {
+  void check(ScenarioLine line) {
     if (!holds(line)) {
       missed.add(
           String.format(
@@ -37,7 +37,7 @@
     return missed;
   }
 
-  private String found(Words line) {
+  private String found(ScenarioLine line) {
     JobId job = new JobId(line.word(3));
     return "on machines "
         + world.rules.on(job)
@@ -46,40 +46,40 @@
         + ", starts "
         + world.rules.totalStarts()
         + ", unheard "
-        + world.unheard
+        + world.unansweredRequests
         + ", last start after a confirmed cancellation "
         + world.rules.latestStart()
         + ", refusals "
-        + world.refusals
+        + world.refusedStarts
         + ", machines "
-        + world.workers.values().stream().filter(SimWorker::alive).count()
+        + world.workers.values().stream().filter(SimWorker::isAlive).count()
         + ", rented "
-        + world.cloud.rented
+        + world.cloud.rentedCount
         + ", released "
-        + world.cloud.released
+        + world.cloud.releasedCount
         + ", writes "
-        + world.state.writes()
+        + world.state.writeCount()
         + ", nights "
         + world.nights.figures()
         + ", requests "
-        + world.state.requests()
+        + world.state.requestCount()
         + ", reads "
-        + world.state.reads()
+        + world.state.pollCount()
         + ", too many "
-        + world.state.tooMany()
+        + world.state.rateLimitedCount()
         + ", waits "
         + world.waits
         + ", open "
-        + world.users.values().stream().filter(SimUser::asks).count()
+        + world.users.values().stream().filter(SimUser::isPolling).count()
         + ", reporting to the leader "
         + reporting();
   }
 
-  private boolean holds(Words line) {
+  private boolean holds(ScenarioLine line) {
     String what = line.word(3);
     switch (what) {
       case "leader" -> {
-        return world.leader().isPresent() == !line.has("none");
+        return world.leader().isPresent() == !line.hasWord("none");
       }
       case "headroom" -> {
         int places =
@@ -92,7 +92,7 @@
         return places >= line.number("least", 0) && places <= line.number("most", 1e9);
       }
       case "machines" -> {
-        long up = world.workers.values().stream().filter(SimWorker::alive).count();
+        long up = world.workers.values().stream().filter(SimWorker::isAlive).count();
         return up >= line.number("least", 0) && up <= line.number("most", 1e9);
       }
       case "reporting" -> {
@@ -100,36 +100,36 @@
       }
       case "oldest" -> {
         return world.workers.values().stream()
-            .filter(SimWorker::charged)
+            .filter(SimWorker::isBilled)
             .noneMatch(worker -> worker.id.value().compareTo(line.word(4)) < 0);
       }
       case "kept" -> {
-        return world.workers.get(new MachineId(line.word(4))).charged();
+        return world.workers.get(new MachineId(line.word(4))).isBilled();
       }
       case "gone" -> {
-        return !world.workers.get(new MachineId(line.word(4))).charged();
+        return !world.workers.get(new MachineId(line.word(4))).isBilled();
       }
       case "in" -> {
         long there =
             world.workers.values().stream()
-                .filter(w -> w.charged() && w.market.zone().equals(line.word(4)))
+                .filter(w -> w.isBilled() && w.pool.zone().equals(line.word(4)))
                 .count();
         return there >= line.number("least", 0) && there <= line.number("most", 1e9);
       }
       case "rented" -> {
-        return world.cloud.rented <= line.number("most", 1e9)
-            && world.cloud.rented >= line.number("least", 0);
+        return world.cloud.rentedCount <= line.number("most", 1e9)
+            && world.cloud.rentedCount >= line.number("least", 0);
       }
       case "releases" -> {
-        return world.cloud.released <= line.number("most", 1e9)
-            && world.cloud.released >= line.number("least", 0);
+        return world.cloud.releasedCount <= line.number("most", 1e9)
+            && world.cloud.releasedCount >= line.number("least", 0);
       }
       case "starts" -> {
         return world.rules.totalStarts() >= line.number("least", 0)
             && world.rules.totalStarts() <= line.number("most", 1e9);
       }
       case "unheard" -> {
-        return world.unheard <= line.number("most", 0);
+        return world.unansweredRequests <= line.number("most", 0);
       }
       case "over" -> {
         return world.rules.acceptedInOrder().stream()
@@ -140,16 +140,16 @@
         return world.rules.latestStart() <= line.number("most", 0);
       }
       case "refusals" -> {
-        return world.refusals <= line.number("most", 0);
+        return world.refusedStarts <= line.number("most", 0);
       }
       case "reruns" -> {
-        return world.reruns <= line.number("most", 0);
+        return world.clearedTaskRestarts <= line.number("most", 0);
       }
       case "listed" -> {
-        return world.reportLoad.mostEnded() <= line.number("most", 0);
+        return world.workerTraffic.maxEndedTasks() <= line.number("most", 0);
       }
       case "requests" -> {
-        return world.state.requests() <= line.number("most", 1e9);
+        return world.state.requestCount() <= line.number("most", 1e9);
       }
       case "waits" -> {
         return world.waits.longest(Waits.step(line.word(4))) <= line.number("most", 0);
@@ -158,23 +158,23 @@
         return world.waits.waiting(Waits.step(line.word(4))) <= line.number("most", 0);
       }
       case "open" -> {
-        return world.users.values().stream().filter(SimUser::asks).count()
+        return world.users.values().stream().filter(SimUser::isPolling).count()
             <= line.number("most", 0);
       }
       case "toomany" -> {
-        return world.state.tooMany() <= line.number("most", 0);
+        return world.state.rateLimitedCount() <= line.number("most", 0);
       }
       case "reads" -> {
-        return world.state.reads() <= line.number("most", 1e9);
+        return world.state.pollCount() <= line.number("most", 1e9);
       }
       case "answered" -> {
         double since = world.time.seconds() - line.number("within", 75);
         return world.users.values().stream()
-            .filter(user -> !line.has("open") || user.asks())
-            .allMatch(user -> user.answeredAt() >= since);
+            .filter(user -> !line.hasWord("open") || user.isPolling())
+            .allMatch(user -> user.lastAnsweredAt() >= since);
       }
       case "keys" -> {
-        return world.state.keys(line.word(4)) <= line.number("most", 0);
+        return world.state.countKeys(line.word(4)) <= line.number("most", 0);
       }
       case "dawn" -> {
         return world
@@ -192,7 +192,7 @@
             .isPresent();
       }
       case "writes" -> {
-        return world.state.writes() <= line.number("most", 1e9);
+        return world.state.writeCount() <= line.number("most", 1e9);
       }
       default -> {
         return jobHolds(new JobId(what), line);
@@ -208,11 +208,11 @@
         .orElse(0L);
   }
 
-  private boolean jobHolds(JobId job, Words line) {
+  private boolean jobHolds(JobId job, ScenarioLine line) {
     SimUser user = world.users.get(job);
     return switch (line.word(4)) {
       case "done" -> world.rules.told(job) == Response.JobState.DONE;
-      case "served" -> world.rules.told(job) == Response.JobState.DONE || user.gaveUpInVain();
+      case "served" -> world.rules.told(job) == Response.JobState.DONE || user.gaveUpUnstored();
       case "unaccepted" -> !world.rules.accepted(job);
       case "open" -> world.rules.accepted(job) && world.rules.told(job) == null;
       case "cancelled" -> world.rules.told(job) == Response.JobState.CANCELLED;
@@ -221,8 +221,8 @@
           world.rules.on(job) >= line.number("least", 0)
               && world.rules.on(job) <= line.number("most", 1e9);
       case "accepted" ->
-          user.acceptedAfter != null && user.acceptedAfter <= line.number("within", 60);
-      case "refused" -> user.refusedWith != null && user.refusedWith == (int) line.number(5);
+          user.acceptanceSeconds != null && user.acceptanceSeconds <= line.number("within", 60);
+      case "refused" -> user.refusalStatus != null && user.refusalStatus == (int) line.number(5);
       case "started" -> {
         Double at = world.rules.firstStart(new TaskId(job, (int) line.number("task", 0)));
         yield at != null && at <= line.number("by", 1e9) && at >= line.number("after", 0);
@@ -237,7 +237,7 @@
   }
 
   /** Whether a share of the job's tasks has begun, that long after the first attempt to submit. */
-  private boolean begun(JobId job, Words line) {
+  private boolean begun(JobId job, ScenarioLine line) {
     int tasks = world.specs.get(job).tasks();
     double by = world.figures.submittedAt(job) + line.number("within", 240);
     int begun = 0;
--- a/src/main/java/org/oakwalk/model/FaultCombinations.java
+++ b/src/main/java/org/oakwalk/model/FaultCombinations.java
@@ -8,7 +8,7 @@
 
 /**
  * Draws troubles that overlap in time, two or three of them, while users cancel. Everything is over
- * by {@link Draw#LAST_TROUBLE_ENDS}, with what comes late.
+ * by {@link ScenarioGenerator#LAST_FAULT_END_SECONDS}, with what comes late.
  */
 final class FaultCombinations {
   /** Troubles go on until then at most; what they have made late comes after that. */
--- a/src/main/java/org/oakwalk/model/Figures.java
+++ b/src/main/java/org/oakwalk/model/Figures.java
@@ -171,10 +171,10 @@
       lastStart = world.time.seconds();
     }
     for (SimWorker worker : world.workers.values()) {
-      if (worker.charged()) {
-        lastOfTheFirst = worker.first ? world.time.seconds() : lastOfTheFirst;
-        String kind = worker.market.spot() ? "spot" : "ordinary";
-        machineSeconds.merge(worker.alive() ? kind : kind + "_booting", seconds, Double::sum);
+      if (worker.isBilled()) {
+        lastOfTheFirst = worker.initial ? world.time.seconds() : lastOfTheFirst;
+        String kind = worker.pool.spot() ? "spot" : "ordinary";
+        machineSeconds.merge(worker.isAlive() ? kind : kind + "_booting", seconds, Double::sum);
       }
     }
   }
@@ -182,8 +182,8 @@
   /** Jobs that are to be served: not withdrawn, not refused, and not such as fail everywhere. */
   List<JobSpec> wanted() {
     return submitted.keySet().stream()
-        .filter(job -> !withdrawn.containsKey(job) && !world.failing.contains(job))
-        .filter(job -> world.users.get(job).refusedWith == null)
+        .filter(job -> !withdrawn.containsKey(job) && !world.failingJobs.contains(job))
+        .filter(job -> world.users.get(job).refusalStatus == null)
         .map(world.specs::get)
         .toList();
   }
@@ -252,14 +252,14 @@
                         "stopped." + team + "." + why.name().toLowerCase(Locale.ROOT),
                         (double) count)));
     machineSeconds.forEach((kind, seconds) -> lines.put("machine_hours." + kind, seconds / 3600));
-    lines.put("state.requests", (double) world.state.requests());
-    lines.put("state.changes", (double) world.state.writes());
-    lines.put("cloud.rented", (double) world.cloud.rented);
-    lines.put("cloud.released", (double) world.cloud.released);
+    lines.put("state.requests", (double) world.state.requestCount());
+    lines.put("state.changes", (double) world.state.writeCount());
+    lines.put("cloud.rented", (double) world.cloud.rentedCount);
+    lines.put("cloud.released", (double) world.cloud.releasedCount);
     lines.put("machines_of_the_beginning_until_s", lastOfTheFirst);
     lines.put("longest_replica_gap_s", worstReplicaGap);
     lines.put("longest_gap_in_placing_s", longestWithoutStart);
-    lines.putAll(world.reportLoad.lines());
+    lines.putAll(world.workerTraffic.figures());
     return lines;
   }
 }
--- a/src/main/java/org/oakwalk/model/Forgery.java
+++ b/src/main/java/org/oakwalk/model/ForgedMessages.java
@@ -12,21 +12,21 @@
 import org.oakwalk.core.port.Request;
 
 /** What can't be true reaches the controllers in somebody's name. */
-final class Forgery {
-  private static final long STRANGE = Long.MAX_VALUE - 1;
+final class ForgedMessages {
+  private static final long UNISSUED_NUMBER = Long.MAX_VALUE - 1;
 
-  private Forgery() {}
+  private ForgedMessages() {}
 
   /** A worker takes over a token that no controller was granted, and reports it from then on. */
-  static void mislead(SimWorker worker, long token) {
-    worker.command(
+  static void sendForgedToken(SimWorker worker, long token) {
+    worker.receiveCommand(
         new Request.Command(
             worker.address(), new Token(token), new SessionId(worker.session()), List.of()),
         answer -> {});
   }
 
   /** A report in a worker's name that it did not send, some of its fields as the line says. */
-  static void report(SimWorker worker, Words line, List<SimNode> to) {
+  static void sendForgedReport(SimWorker worker, ScenarioLine line, List<SimNode> to) {
     Report real = worker.snapshot();
     List<Report.Piece> pieces = new ArrayList<>(real.pieces());
     String task = line.text("piece", "");
@@ -34,7 +34,7 @@
       pieces.add(
           new Report.Piece(
               TaskId.parse(task).orElseThrow(),
-              new Attempt(STRANGE),
+              new Attempt(UNISSUED_NUMBER),
               Report.PieceState.RUNNING,
               null));
     }
@@ -45,19 +45,19 @@
             real.type(),
             real.zone(),
             real.spot(),
-            line.has("shift") ? new SessionId(STRANGE) : real.session(),
-            line.has("tick") ? STRANGE : real.sequence(),
-            line.has("baton") ? new Token(STRANGE) : real.token(),
+            line.hasWord("shift") ? new SessionId(UNISSUED_NUMBER) : real.session(),
+            line.hasWord("tick") ? UNISSUED_NUMBER : real.sequence(),
+            line.hasWord("baton") ? new Token(UNISSUED_NUMBER) : real.token(),
             Optional.empty(),
             pieces);
-    to.forEach(node -> node.report(forged, response -> {}));
+    to.forEach(node -> node.receiveReport(forged, response -> {}));
   }
 
   /** A digest in a peer's name, with a token that no controller was granted. */
-  static void digest(SimNode from, long token, List<SimNode> to) {
+  static void sendForgedDigest(SimNode from, long token, List<SimNode> to) {
     PeerMessage.Digest digest =
         new PeerMessage.Digest(
             from.id, new Token(token), true, java.util.Map.of(), java.util.Set.of());
-    to.forEach(node -> node.told(digest));
+    to.forEach(node -> node.receivePeerMessage(digest));
   }
 }
--- a/src/main/java/org/oakwalk/model/Gangs.java
+++ b/src/main/java/org/oakwalk/model/Gangs.java
@@ -56,7 +56,7 @@
     if (!gang.begun && gang.members.size() + gang.completed == gang.size) {
       gang.begun = true;
       world.largest.runsWhole(spec.id());
-      new LinkedHashMap<>(gang.members).forEach((each, member) -> member.machine().begin(each));
+      new LinkedHashMap<>(gang.members).forEach((each, member) -> member.machine().beginWork(each));
     }
   }
 
@@ -109,6 +109,7 @@
     List<SimWorker> machines =
         gang.members.values().stream().map(Member::machine).distinct().toList();
     String first = machines.get(0).address();
-    return machines.stream().allMatch(m -> !m.hangs() && !world.network.parted(first, m.address()));
+    return machines.stream()
+        .allMatch(m -> !m.isHung() && !world.network.isPartitioned(first, m.address()));
   }
 }
--- a/src/main/java/org/oakwalk/model/Hosts.java
+++ b/src/main/java/org/oakwalk/model/HostSelector.java
@@ -9,10 +9,10 @@
 import org.oakwalk.core.TaskId;
 
 /** Whom the words of a scenario mean at the moment. */
-final class Hosts {
+final class HostSelector {
   private final World world;
 
-  Hosts(World world) {
+  HostSelector(World world) {
     this.world = world;
   }
 
@@ -20,7 +20,7 @@
   List<SimNode> nodes(String name) {
     return switch (name) {
       case "all" -> world.nodes;
-      case "down" -> world.nodes.stream().filter(node -> !node.up()).toList();
+      case "down" -> world.nodes.stream().filter(node -> !node.isUp()).toList();
       case "leader" -> List.of(leader());
       case "leading" -> world.leader().map(List::of).orElse(List.of());
       case "followers" -> world.nodes.stream().filter(node -> node != leader()).toList();
@@ -51,7 +51,7 @@
     if (name.startsWith("zone:")) {
       String zone = name.substring(5);
       return host ->
-          world.workerAt(host).map(w -> w.market.zone().equals(zone)).orElse(false)
+          world.workerAt(host).map(w -> w.pool.zone().equals(zone)).orElse(false)
               || world.nodes.stream()
                   .anyMatch(n -> n.id.value().equals(host) && n.zone.equals(zone));
     }
--- a/src/main/java/org/oakwalk/model/Largest.java
+++ b/src/main/java/org/oakwalk/model/Largest.java
@@ -32,7 +32,7 @@
   private final Map<TaskId, Double> lastStart = new HashMap<>();
   private final Map<TaskId, Double> counted = new HashMap<>();
   private final Map<JobId, Double> whole = new HashMap<>();
-  private final Map<SimCloud.Market, Integer> fleet = new HashMap<>();
+  private final Map<SimCloud.CapacityPool, Integer> fleet = new HashMap<>();
 
   Largest(World world) {
     this.world = world;
@@ -41,7 +41,7 @@
   /** To be called when all machines of the beginning are there: the fleet can't be larger. */
   void begin() {
     fleet.putAll(world.cloud.capacity);
-    world.workers.values().forEach(worker -> fleet.merge(worker.market, 1, Integer::sum));
+    world.workers.values().forEach(worker -> fleet.merge(worker.pool, 1, Integer::sum));
   }
 
   void started(TaskId task) {
@@ -151,8 +151,8 @@
             team.gpusMax() > 0 ? team.gpusMax() : Double.MAX_VALUE,
             Double.MAX_VALUE);
     int places = 0;
-    for (Map.Entry<SimCloud.Market, Integer> part : fleet.entrySet()) {
-      SimCloud.Market market = part.getKey();
+    for (Map.Entry<SimCloud.CapacityPool, Integer> part : fleet.entrySet()) {
+      SimCloud.CapacityPool market = part.getKey();
       if (spec.allows(market.type(), market.zone(), market.spot())) {
         Resources room = world.cloud.types.get(market.type()).room();
         places += part.getValue() * room.capacityFor(spec.resources());
--- a/src/main/java/org/oakwalk/model/Lateness.java
+++ b/src/main/java/org/oakwalk/model/Lateness.java
@@ -41,21 +41,21 @@
   }
 
   /** From now on transactions of these nodes are late, as the line says. */
-  void writes(Predicate<String> nodes, Words line) {
+  void writes(Predicate<String> nodes, ScenarioLine line) {
     writes.add(late(nodes, line));
   }
 
   /** From now on reports of these machines come once more, as the line says. */
-  void reports(Predicate<String> machines, Words line) {
+  void reports(Predicate<String> machines, ScenarioLine line) {
     reports.add(late(machines, line));
   }
 
-  private Late late(Predicate<String> hosts, Words line) {
+  private Late late(Predicate<String> hosts, ScenarioLine line) {
     return new Late(
         hosts,
         time.now() + Math.round(1000 * line.number("for", 10)),
         line.number("share", 1),
-        line.has("atonce") ? 0 : line.number("after", -1),
+        line.hasWord("atonce") ? 0 : line.number("after", -1),
         line.text("key", ""));
   }
 
--- a/src/main/java/org/oakwalk/model/Nights.java
+++ b/src/main/java/org/oakwalk/model/Nights.java
@@ -52,7 +52,7 @@
   /** Sets out to look at each dawn that comes before the scenario is over. */
   void begin(double end) {
     for (DawnTerms dawn : dawns) {
-      Optional<Window> window = Window.next(dawn, world.wall(), world.settings.clockOff());
+      Optional<Window> window = Window.next(dawn, world.wallClock(), world.settings.clockOff());
       while (window.isPresent() && seconds(window.get().dawn()) <= end) {
         Window night = window.get();
         world.time.at(Math.max(0, seconds(night.opens())), () -> opens(dawn));
@@ -64,15 +64,15 @@
   }
 
   private double seconds(WallTime time) {
-    return world.time.seconds() + time.since(world.wall()).asSeconds();
+    return world.time.seconds() + time.since(world.wallClock()).asSeconds();
   }
 
   /** By when a job would have to be done if each were due at its dawn. */
   Optional<Span> due(JobSpec spec) {
     return dawns.stream()
         .filter(dawn -> dawn.covers(spec))
-        .flatMap(dawn -> Window.next(dawn, world.wall(), world.settings.clockOff()).stream())
-        .map(window -> window.ends().since(world.wall()))
+        .flatMap(dawn -> Window.next(dawn, world.wallClock(), world.settings.clockOff()).stream())
+        .map(window -> window.ends().since(world.wallClock()))
         .filter(left -> left.millis() > 0)
         .min(Span::compareTo);
   }
@@ -99,7 +99,9 @@
     Map<GroupKey, Group> groups = new TreeMap<>((a, b) -> a.toString().compareTo(b.toString()));
     Map<JobId, Integer> earlier = before.getOrDefault(dawn.name(), Map.of());
     for (JobSpec spec : world.specs.values()) {
-      if (!dawn.covers(spec) || world.rules.asked(spec.id()) || world.failing.contains(spec.id())) {
+      if (!dawn.covers(spec)
+          || world.rules.asked(spec.id())
+          || world.failingJobs.contains(spec.id())) {
         continue;
       }
       int begun = earlier.getOrDefault(spec.id(), 0);
--- a/src/main/java/org/oakwalk/model/OddRequests.java
+++ b/src/main/java/org/oakwalk/model/OddRequests.java
@@ -40,7 +40,7 @@
   }
 
   /** Plays a line {@code at SECONDS oddrequests for=S}. */
-  void begin(Words line) {
+  void begin(ScenarioLine line) {
     again(world.time.seconds() + line.number("for", 10));
   }
 
@@ -107,10 +107,10 @@
         };
     world.time.after(ANSWER_WAIT, retry);
     world
-        .someNode()
+        .loadBalancedNode()
         .ifPresent(
             node ->
-                node.ask(
+                node.receiveUserRequest(
                     new UserRequest.Submit(job, spec, spec.isEmpty() ? "a field is missing" : ""),
                     response -> {
                       if (!over[0]) {
--- a/src/main/java/org/oakwalk/model/Plans.java
+++ b/src/main/java/org/oakwalk/model/Plans.java
@@ -22,9 +22,9 @@
   /** Within so many seconds every controller has seen a plan that stands in its file. */
   private static final double PLAN_SEEN_SECONDS = 20;
 
-  private final Words base;
-  private final List<Words> lines;
-  private final Queueing order;
+  private final ScenarioLine base;
+  private final List<ScenarioLine> lines;
+  private final QueueOrder order;
   private final List<Budget> budgets = new ArrayList<>();
 
   /**
@@ -32,11 +32,11 @@
    *
    * @param base its line of settings
    */
-  Plans(Words base, List<Words> lines, Queueing order) {
+  Plans(ScenarioLine base, List<ScenarioLine> lines, QueueOrder order) {
     this.order = order;
     this.base = base;
     this.lines = lines;
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       if (line.word(0).equals("budget")) {
         budgets.add(budget(line));
       }
@@ -47,7 +47,7 @@
   Policy policy(NodeId node, double seconds) {
     Policy policy = Policy.defaults();
     Map<String, DrainPlan> plans = new LinkedHashMap<>();
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       boolean here = line.text("on", node.value()).equals(node.value());
       if (line.word(0).equals("drain") && here && line.number("from", 0) <= seconds) {
         plans.put(line.word(1), plan(line));
@@ -61,7 +61,7 @@
         policy.capacity(),
         (int) base.number("open", policy.mostOpenJobs()),
         new Drains(List.copyOf(plans.values()), budgets),
-        order == Queueing.PLANNED ? terms : withoutDawns(terms));
+        order == QueueOrder.PLANNED ? terms : withoutDawns(terms));
   }
 
   private static ProductTerms withoutDawns(ProductTerms terms) {
@@ -108,7 +108,7 @@
     return budgets;
   }
 
-  private static Budget budget(Words line) {
+  private static Budget budget(ScenarioLine line) {
     int stops = (int) line.number("stops", -1);
     return new Budget(
         line.word(1),
@@ -117,7 +117,7 @@
         stops < 0 ? Optional.empty() : Optional.of(stops));
   }
 
-  private static DrainPlan plan(Words line) {
+  private static DrainPlan plan(ScenarioLine line) {
     String kind = line.text("kind", "");
     return new DrainPlan(
         line.word(1),
@@ -136,7 +136,7 @@
         Span.seconds(line.number("workwaits", 15)));
   }
 
-  private static Set<String> texts(Words line, String name) {
+  private static Set<String> texts(ScenarioLine line, String name) {
     String text = line.text(name, "");
     return text.isEmpty() ? Set.of() : Set.of(text.split(","));
   }
--- a/src/main/java/org/oakwalk/model/ProductLines.java
+++ b/src/main/java/org/oakwalk/model/ProductLines.java
@@ -17,9 +17,9 @@
 
 /** Dawns, headroom and exchanges as a scenario declares them in the operators' files. */
 final class ProductLines {
-  private final List<Words> lines;
+  private final List<ScenarioLine> lines;
 
-  ProductLines(List<Words> lines) {
+  ProductLines(List<ScenarioLine> lines) {
     this.lines = lines;
   }
 
@@ -30,7 +30,7 @@
     List<DawnTerms> dawns = new ArrayList<>();
     List<HeadroomTerms> headrooms = new ArrayList<>();
     List<ExchangeTerms> exchanges = new ArrayList<>();
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       if (!line.text("on", node.value()).equals(node.value())
           || line.number("from", 0) > seconds
           || line.number("until", Double.MAX_VALUE) <= seconds) {
@@ -63,7 +63,7 @@
   /** All dawns that are declared anywhere; of one name, the last. */
   List<DawnTerms> dawns() {
     Map<String, DawnTerms> dawns = new LinkedHashMap<>();
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       if (line.word(0).equals("dawn")) {
         dawns.put(line.word(1), dawn(line));
       }
@@ -71,7 +71,7 @@
     return List.copyOf(dawns.values());
   }
 
-  private static DawnTerms dawn(Words line) {
+  private static DawnTerms dawn(ScenarioLine line) {
     String by = line.text("by", "");
     double every = line.number("every", 0);
     return new DawnTerms(
@@ -91,7 +91,7 @@
         line.number("quantile", 0.9));
   }
 
-  private static HeadroomTerms headroom(Words line) {
+  private static HeadroomTerms headroom(ScenarioLine line) {
     return new HeadroomTerms(
         line.word(1),
         Optional.ofNullable(line.text("class", null)),
@@ -102,7 +102,7 @@
         line.number("warm", 0));
   }
 
-  private static ExchangeTerms exchange(Words line) {
+  private static ExchangeTerms exchange(ScenarioLine line) {
     return new ExchangeTerms(
         line.word(1),
         texts(line, "takers"),
@@ -114,7 +114,7 @@
         Span.seconds(line.number("patience", 60)));
   }
 
-  private static Set<String> texts(Words line, String name) {
+  private static Set<String> texts(ScenarioLine line, String name) {
     String text = line.text(name, "");
     return text.isEmpty() ? Set.of() : Set.of(text.split(","));
   }
--- a/src/main/java/org/oakwalk/model/Rules.java
+++ b/src/main/java/org/oakwalk/model/Rules.java
@@ -169,7 +169,7 @@
   }
 
   private void checkPlace(SimWorker machine, TaskId task, JobSpec spec) {
-    if (!spec.allows(machine.type.name(), machine.market.zone(), machine.market.spot())) {
+    if (!spec.allows(machine.type.name(), machine.pool.zone(), machine.pool.spot())) {
       breaks("wrong_place", task + " on " + machine.id);
     }
     if (!spec.oneZone() && !spec.spread()) {
@@ -179,13 +179,13 @@
     places.forEach(
         (other, at) -> {
           if (other.job().equals(task.job()) && !at.isEmpty()) {
-            zones.merge(at.get(0).machine().market.zone(), 1, Integer::sum);
+            zones.merge(at.get(0).machine().pool.zone(), 1, Integer::sum);
           }
         });
     if (spec.oneZone() && zones.size() > 1) {
       breaks("wrong_place", task + " is in a second zone");
     }
-    if (zones.getOrDefault(machine.market.zone(), 0) > spec.maxTasksPerZone()) {
+    if (zones.getOrDefault(machine.pool.zone(), 0) > spec.maxTasksPerZone()) {
       breaks("wrong_place", task + " is one too many in its zone");
     }
   }
@@ -207,7 +207,7 @@
     if (!toldCancelled.containsKey(task.job())
         && !cancelAsked.contains(task.job())
         && !completed.contains(task)
-        && !machine.noticed()) {
+        && !machine.hasReclaimNotice()) {
       budgets.stopped(task, spec).ifPresent(how -> breaks("budget", how));
       exchanges.stopped(task, spec).ifPresent(how -> breaks("taken_unwritten", how));
     }
--- a/src/main/java/org/oakwalk/model/Scenario.java
+++ b/src/main/java/org/oakwalk/model/Scenario.java
@@ -34,12 +34,12 @@
  * lines are described in src/test/resources/scenarios/README.
  */
 public final class Scenario {
-  private final List<Words> lines = new ArrayList<>();
-  private final Queueing order;
+  private final List<ScenarioLine> lines = new ArrayList<>();
+  private final QueueOrder queueOrder;
   private World world;
-  private Hosts hosts;
+  private HostSelector hostSelector;
   private Expectations expectations;
-  private final Set<String> expectedBroken = new TreeSet<>();
+  private final Set<String> expectedViolations = new TreeSet<>();
 
   /**
    * A scenario that has not been played.
@@ -47,18 +47,18 @@
    * @param text the lines of its file
    */
   public Scenario(String text) {
-    this(text, Queueing.PLANNED);
+    this(text, QueueOrder.PLANNED);
   }
 
   /** A scenario that is played by another order. */
-  public Scenario(String text, Queueing order) {
-    this.order = order;
+  public Scenario(String text, QueueOrder order) {
+    this.queueOrder = order;
     int number = 0;
     for (String line : text.split("\n")) {
       number++;
       String plain = line.contains("#") ? line.substring(0, line.indexOf('#')) : line;
       if (!plain.isBlank()) {
-        lines.add(new Words(plain, number));
+        lines.add(new ScenarioLine(plain, number));
       }
     }
   }
@@ -69,29 +69,29 @@
    * @throws IllegalArgumentException if a line can't be understood
    */
   public Outcome play() {
-    Words base =
+    ScenarioLine base =
         lines.stream()
             .filter(l -> l.word(0).equals("settings"))
             .findFirst()
-            .orElse(new Words("settings", 0));
-    Plans plans = new Plans(base, lines, order);
+            .orElse(new ScenarioLine("settings", 0));
+    Plans plans = new Plans(base, lines, queueOrder);
     world = new World(settings(base), plans, base);
-    hosts = new Hosts(world);
+    hostSelector = new HostSelector(world);
     expectations = new Expectations(world);
     double end = 60;
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       switch (line.word(0)) {
         case "settings", "team", "wait", "finished", "drain", "budget", "unserved", "late" -> {}
         case "product", "dawn", "headroom", "exchange" -> {}
-        case "type" -> type(line);
-        case "capacity" -> capacity(line);
-        case "machine" -> machines(line);
-        case "at" -> world.time.at(line.number(1), () -> act(line));
-        case "every" -> every(line);
+        case "type" -> defineType(line);
+        case "capacity" -> defineCapacity(line);
+        case "machine" -> createMachines(line);
+        case "at" -> world.time.at(line.number(1), () -> runAction(line));
+        case "every" -> scheduleRepeated(line);
         case "end" -> end = line.number(1);
         case "broken" -> {
           for (int i = 1; i < line.size(); i++) {
-            expectedBroken.add(line.word(i));
+            expectedViolations.add(line.word(i));
           }
         }
         default -> throw new IllegalArgumentException("unknown line: " + line);
@@ -99,14 +99,15 @@
     }
     world.rules.calmAfter(Troubles.end(lines));
     world.nights.begin(end);
-    world.begin();
+    world.start();
     world.time.runUntil(end);
     List<String> missed = new ArrayList<>(expectations.missed());
-    missed.addAll(unlessNamed("unserved", world.figures.underserved()));
-    missed.addAll(unlessNamed("late", world.largest.late(world.figures.wanted())));
+    missed.addAll(undeclaredFailures("unserved", world.figures.underserved()));
+    missed.addAll(undeclaredFailures("late", world.largest.late(world.figures.wanted())));
     Map<String, Double> figures = new LinkedHashMap<>(world.figures.lines());
     figures.putAll(world.nights.figures());
-    return new Outcome(world.rules.broken(), expectedBroken, missed, figures, world.nights.table());
+    return new Outcome(
+        world.rules.broken(), expectedViolations, missed, figures, world.nights.table());
   }
 
   /**
@@ -114,12 +115,12 @@
    * that begin with this word; a line that names none stands for all. It is wrong as well when such
    * a line stands there without need.
    */
-  private List<String> unlessNamed(String word, Map<String, String> wrong) {
+  private List<String> undeclaredFailures(String word, Map<String, String> wrong) {
     Map<String, String> left = new LinkedHashMap<>(wrong);
     List<String> missed = new ArrayList<>();
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       if (line.word(0).equals(word)) {
-        String name = line.rest(1);
+        String name = line.wordsFrom(1);
         if (name.isEmpty() ? wrong.isEmpty() : !wrong.containsKey(name)) {
           missed.add(String.format("line %d: nothing is %s as it says", line.number(), word));
         }
@@ -134,11 +135,11 @@
    * Submits like jobs one after the other: every GAP FROM UNTIL FIRST SHAPE ...; or does something
    * again and again: every GAP FROM UNTIL ACTION ...
    */
-  private void every(Words line) {
-    if (line.repeats()) {
+  private void scheduleRepeated(ScenarioLine line) {
+    if (line.repeatsAction()) {
       for (double at = line.number(2); at < line.number(3); at += line.number(1)) {
-        Words action = line.at(at);
-        world.time.at(at, () -> act(action));
+        ScenarioLine action = line.actionAt(at);
+        world.time.at(at, () -> runAction(action));
       }
       return;
     }
@@ -146,12 +147,12 @@
     for (double at = line.number(2); at < line.number(3); at += line.number(1)) {
       JobId job = new JobId("j-" + number++);
       world.time.at(at, () -> submit(line, job, line.word(5)));
-      cancelledOfMany(line, job, number - 1, at);
+      scheduleCancellation(line, job, number - 1, at);
     }
   }
 
   /** Each Nth of a row of jobs is cancelled, so many seconds after it was submitted, in turn. */
-  private void cancelledOfMany(Words line, JobId job, int number, double at) {
+  private void scheduleCancellation(ScenarioLine line, JobId job, int number, double at) {
     int nth = (int) line.number("cancels", 0);
     if (nth > 0 && number % nth == 0) {
       String[] times = line.text("by", "3").split(",");
@@ -160,9 +161,9 @@
     }
   }
 
-  private Settings settings(Words base) {
+  private Settings settings(ScenarioLine base) {
     Map<String, Settings.Team> teams = new LinkedHashMap<>();
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       if (line.word(0).equals("team")) {
         teams.put(
             line.word(1),
@@ -196,7 +197,7 @@
 
   private List<Settings.Objective> objectives() {
     List<Settings.Objective> objectives = new ArrayList<>();
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       if (line.word(0).equals("wait") || line.word(0).equals("finished")) {
         objectives.add(
             new Settings.Objective(line.word(0), line.word(1), line.number("within", 5), 0.9, 1));
@@ -205,7 +206,7 @@
     return objectives;
   }
 
-  private void type(Words line) {
+  private void defineType(ScenarioLine line) {
     world.cloud.types.put(
         line.word(1),
         new MachineType(
@@ -219,37 +220,44 @@
             List.copyOf(world.settings.zones())));
   }
 
-  private void capacity(Words line) {
-    world.cloud.capacity.put(market(line, false), (int) line.number(3));
-    world.cloud.capacity.put(market(line, true), (int) line.number("spot", 0));
+  private void defineCapacity(ScenarioLine line) {
+    world.cloud.capacity.put(capacityPool(line, false), (int) line.number(3));
+    world.cloud.capacity.put(capacityPool(line, true), (int) line.number("spot", 0));
   }
 
-  private static SimCloud.Market market(Words line, boolean spot) {
-    return new SimCloud.Market(line.word(1), line.word(2), spot);
+  private static SimCloud.CapacityPool capacityPool(ScenarioLine line, boolean spot) {
+    return new SimCloud.CapacityPool(line.word(1), line.word(2), spot);
   }
 
-  private void machines(Words line) {
+  private void createMachines(ScenarioLine line) {
     for (int i = 0; i < line.number(3); i++) {
-      world.cloud.create(market(line, line.has("spot")), 0).first = true;
+      world.cloud.createMachine(capacityPool(line, line.hasWord("spot")), 0).initial = true;
     }
   }
 
   /** Plays one line that begins with {@code at SECONDS}. */
-  private void act(Words line) {
+  private void runAction(ScenarioLine line) {
     switch (line.word(2)) {
       case "submit" -> submit(line, new JobId(line.word(3)), line.word(4));
       case "cancel" -> cancel(line);
-      case "crash" -> hosts.nodes(line.word(3)).forEach(SimNode::crash);
+      case "crash" -> hostSelector.nodes(line.word(3)).forEach(SimNode::crash);
       case "restart" -> restart(line);
       case "refuse" ->
-          hosts.nodes(line.word(3)).forEach(node -> node.refuse(line.number("for", 10)));
+          hostSelector
+              .nodes(line.word(3))
+              .forEach(node -> node.refuseStateRequests(line.number("for", 10)));
       case "freeze" ->
-          hosts.nodes(line.word(3)).forEach(node -> node.freeze(line.number("for", 10)));
-      case "full" -> hosts.nodes(line.word(3)).forEach(node -> node.full(line.number("for", 10)));
+          hostSelector.nodes(line.word(3)).forEach(node -> node.freeze(line.number("for", 10)));
+      case "full" ->
+          hostSelector
+              .nodes(line.word(3))
+              .forEach(node -> node.exhaustSockets(line.number("for", 10)));
       case "crowd" ->
-          hosts
+          hostSelector
               .nodes(line.word(3))
-              .forEach(node -> node.crowd((int) line.number("workers", 0), line.number("for", 10)));
+              .forEach(
+                  node ->
+                      node.limitWorkers((int) line.number("workers", 0), line.number("for", 10)));
       case "outage" -> {
         if (line.word(3).equals("state")) {
           world.state.outage(line.number("for", 10));
@@ -257,57 +265,59 @@
           world.cloud.outage(line.number("for", 10));
         }
       }
-      case "die" -> hosts.worker(line.word(3)).die();
+      case "die" -> hostSelector.worker(line.word(3)).die();
       case "take" -> world.cloud.remove(new MachineId(line.word(3)));
-      case "hang" -> hosts.worker(line.word(3)).hang(line.number("for", 10));
-      case "notice" -> hosts.worker(line.word(3)).notice(line.number("in", 10));
-      case "faulty" -> hosts.worker(line.word(3)).faulty();
-      case "slow" -> hosts.worker(line.word(3)).slow(line.number("factor", 3));
+      case "hang" -> hostSelector.worker(line.word(3)).hang(line.number("for", 10));
+      case "notice" -> hostSelector.worker(line.word(3)).giveReclaimNotice(line.number("in", 10));
+      case "faulty" -> hostSelector.worker(line.word(3)).makeFaulty();
+      case "slow" -> hostSelector.worker(line.word(3)).slowDown(line.number("factor", 3));
       case "failboots" -> world.cloud.failBoots((int) line.number(3), line.text("zone", ""));
-      case "slowboots" -> world.cloud.slowBoots(line.number(3));
+      case "slowboots" -> world.cloud.slowDownBoots(line.number(3));
       case "misled" ->
-          Forgery.mislead(hosts.worker(line.word(3)), Long.parseLong(line.text("baton", "0")));
+          ForgedMessages.sendForgedToken(
+              hostSelector.worker(line.word(3)), Long.parseLong(line.text("baton", "0")));
       case "forged" ->
-          Forgery.report(hosts.worker(line.word(3)), line, hosts.nodes(line.text("to", "all")));
+          ForgedMessages.sendForgedReport(
+              hostSelector.worker(line.word(3)), line, hostSelector.nodes(line.text("to", "all")));
       case "forgeddigest" ->
-          Forgery.digest(
-              hosts.nodes(line.word(3)).get(0),
+          ForgedMessages.sendForgedDigest(
+              hostSelector.nodes(line.word(3)).get(0),
               Long.parseLong(line.text("token", "0")),
-              hosts.nodes(line.text("to", "all")));
-      case "forget" -> world.state.forget(line.word(3));
-      case "damage" -> world.state.damage(line.word(3));
+              hostSelector.nodes(line.text("to", "all")));
+      case "forget" -> world.state.loseKey(line.word(3));
+      case "damage" -> world.state.corruptValues(line.word(3));
       case "limit" ->
           world.cloud.capacity.put(
-              new SimCloud.Market(line.word(3), line.word(4), line.has("spot")),
+              new SimCloud.CapacityPool(line.word(3), line.word(4), line.hasWord("spot")),
               (int) line.number(5));
       case "mute" -> world.users.get(new JobId(line.word(3))).mute();
-      case "rogue" -> rogue(line);
-      case "roguehalt" -> rogueHalt(TaskId.parse(line.word(3)).orElseThrow());
-      case "roguetake" -> rogueTake(line);
-      case "lie" -> lie(line);
+      case "rogue" -> sendUnauthorizedStart(line);
+      case "roguehalt" -> sendUnauthorizedHalt(TaskId.parse(line.word(3)).orElseThrow());
+      case "roguetake" -> storeUnauthorizedTransfer(line);
+      case "lie" -> deliverFalseResponse(line);
       case "expect" -> expectations.check(line);
       default -> {
-        if (!new Disturbances(world, hosts).play(line)) {
+        if (!new MessageFaultActions(world, hostSelector).play(line)) {
           throw new IllegalArgumentException("unknown action: " + line);
         }
       }
     }
   }
 
-  private void cancel(Words line) {
+  private void cancel(ScenarioLine line) {
     SimUser user = world.users.get(new JobId(line.word(3)));
     String first = line.text("on", "");
-    List<SimNode> asked = first.isEmpty() ? List.of() : hosts.nodes(first);
+    List<SimNode> asked = first.isEmpty() ? List.of() : hostSelector.nodes(first);
     if (asked.isEmpty()) {
       user.cancel();
     } else {
-      user.cancelAt(asked.get(0));
+      user.cancelVia(asked.get(0));
     }
   }
 
   /** They end and are back some time later, perhaps again and again; the same each time. */
-  private void restart(Words line) {
-    List<SimNode> who = List.copyOf(hosts.nodes(line.word(3)));
+  private void restart(ScenarioLine line) {
+    List<SimNode> who = List.copyOf(hostSelector.nodes(line.word(3)));
     for (int i = 0; i < line.number("times", 1); i++) {
       world.time.after(
           Math.round(i * line.number("every", 1) * 1000),
@@ -315,7 +325,7 @@
     }
   }
 
-  private void submit(Words line, JobId id, String shape) {
+  private void submit(ScenarioLine line, JobId id, String shape) {
     String due = line.text("due", "");
     double[] runs =
         Stream.of(line.text("run", "5").split(",")).mapToDouble(Double::parseDouble).toArray();
@@ -335,32 +345,32 @@
             new Resources(line.number("cpus", 1), line.number("gpus", 0), line.number("mem", 1)),
             types.isEmpty() ? Set.of() : Set.of(types.split(",")),
             Optional.ofNullable(line.text("zone", null)),
-            line.has("onezone"),
-            line.has("spread"),
-            line.has("spot"),
+            line.hasWord("onezone"),
+            line.hasWord("spread"),
+            line.hasWord("spot"),
             line.text("image", "img"),
             line.number("gb", 0),
             Span.seconds(guess),
             Span.seconds(line.number("saves", 0)),
             Span.seconds(line.number("save", 0)),
             due.isEmpty() ? Optional.empty() : Optional.of(Span.seconds(Double.parseDouble(due))));
-    spec = order == Queueing.EARLIEST_DUE ? dueAtDawn(spec) : spec;
+    spec = queueOrder == QueueOrder.EARLIEST_DEADLINE ? withWindowDeadline(spec) : spec;
     if (world.users.containsKey(id)) {
       world.users.get(id).submit();
       return;
     }
     world.specs.put(id, spec);
-    if (line.has("fails")) {
-      world.failing.add(id);
+    if (line.hasWord("fails")) {
+      world.failingJobs.add(id);
     }
-    world.run(id, runs);
+    world.setRunTimes(id, runs);
     SimUser user = new SimUser(world, spec);
     world.users.put(id, user);
     user.submit();
   }
 
   /** The same job, due at its dawn if that is earlier than its own deadline. */
-  private JobSpec dueAtDawn(JobSpec spec) {
+  private JobSpec withWindowDeadline(JobSpec spec) {
     Optional<Span> dawn =
         world
             .nights
@@ -390,24 +400,26 @@
   }
 
   /** Somebody who holds the token but keeps no rule; shows that the checker sees it. */
-  private void rogue(Words line) {
+  private void sendUnauthorizedStart(ScenarioLine line) {
     TaskId task = TaskId.parse(line.word(3)).orElseThrow();
-    SimWorker worker = hosts.worker(line.word(4));
+    SimWorker worker = hostSelector.worker(line.word(4));
     if (!line.text("by", "").isEmpty()) {
-      hosts.nodes(line.text("by", "")).forEach(node -> node.orderStart(task, worker));
+      hostSelector
+          .nodes(line.text("by", ""))
+          .forEach(node -> node.sendUndecidedStart(task, worker));
       return;
     }
     Token token = new Token(Long.MAX_VALUE >> 30);
-    worker.command(
+    worker.receiveCommand(
         new Request.Command(
             worker.address(), token, SessionId.FIRST, List.of(new Order.Run(task, new Attempt(1)))),
         answer -> {});
   }
 
   /** Somebody who may stops a task without being asked to. */
-  private void rogueHalt(TaskId task) {
-    SimWorker worker = hosts.worker("of:" + task);
-    worker.command(
+  private void sendUnauthorizedHalt(TaskId task) {
+    SimWorker worker = hostSelector.worker("of:" + task);
+    worker.receiveCommand(
         new Request.Command(
             worker.address(),
             new Token(worker.token()),
@@ -417,10 +429,10 @@
   }
 
   /** Somebody writes down a take that no leader made, from one job for another. */
-  private void rogueTake(Words line) {
+  private void storeUnauthorizedTransfer(ScenarioLine line) {
     JobSpec giver = world.specs.get(new JobId(line.word(3)));
     JobSpec taker = world.specs.get(new JobId(line.word(4)));
-    world.state.add(
+    world.state.appendRow(
         "exchange",
         new Take(
             new TakeId(new Token(Long.MAX_VALUE >> 30), world.state.rows("exchange").size()),
@@ -436,7 +448,7 @@
             new WallTime(0)));
   }
 
-  private void lie(Words line) {
+  private void deliverFalseResponse(ScenarioLine line) {
     JobId job = new JobId(line.word(3));
     Response answer =
         line.word(4).equals("404")
--- a/src/main/java/org/oakwalk/model/Words.java
+++ b/src/main/java/org/oakwalk/model/ScenarioLine.java
@@ -6,13 +6,13 @@
 import java.util.Map;
 
 /** A line of a scenario: plain words, and settings of the form {@code name=value}. */
-final class Words {
+final class ScenarioLine {
   private final String line;
   private final int number;
-  private final List<String> plain = new ArrayList<>();
+  private final List<String> words = new ArrayList<>();
   private final Map<String, String> settings = new HashMap<>();
 
-  Words(String line, int number) {
+  ScenarioLine(String line, int number) {
     this.line = line;
     this.number = number;
     for (String word : line.trim().split("\\s+")) {
@@ -20,7 +20,7 @@
       if (equals > 0) {
         settings.put(word.substring(0, equals), word.substring(equals + 1));
       } else {
-        plain.add(word);
+        words.add(word);
       }
     }
   }
@@ -31,34 +31,34 @@
   }
 
   /** Whether a line that begins with {@code every} repeats an action, and is no row of jobs. */
-  boolean repeats() {
+  boolean repeatsAction() {
     return !word(4).matches("[0-9]+");
   }
 
   /** Of a line {@code every GAP FROM UNTIL ACTION ...}, the line {@code at SECONDS ACTION ...}. */
-  Words at(double seconds) {
+  ScenarioLine actionAt(double seconds) {
     String action = line.trim().split("\\s+", 5)[4];
-    return new Words("at " + seconds + " " + action, number);
+    return new ScenarioLine("at " + seconds + " " + action, number);
   }
 
   String word(int index) {
-    if (index >= plain.size()) {
+    if (index >= words.size()) {
       throw new IllegalArgumentException("too short: " + line);
     }
-    return plain.get(index);
+    return words.get(index);
   }
 
   /** The plain words from this one on, with blanks between. */
-  String rest(int index) {
-    return String.join(" ", plain.subList(Math.min(index, plain.size()), plain.size()));
+  String wordsFrom(int index) {
+    return String.join(" ", words.subList(Math.min(index, words.size()), words.size()));
   }
 
   int size() {
-    return plain.size();
+    return words.size();
   }
 
-  boolean has(String word) {
-    return plain.contains(word);
+  boolean hasWord(String word) {
+    return words.contains(word);
   }
 
   double number(int index) {
--- a/src/main/java/org/oakwalk/model/SimCloud.java
+++ b/src/main/java/org/oakwalk/model/SimCloud.java
@@ -17,32 +17,32 @@
 /** Stand-in for the cloud, after its published protocol. */
 final class SimCloud {
   /** A place where machines of one sort can be had. */
-  record Market(String type, String zone, boolean spot) {}
+  record CapacityPool(String type, String zone, boolean spot) {}
 
-  private static final long DEATH_SHOWS = 30_000;
+  private static final long FAILURE_DETECTION_MILLIS = 30_000;
   private static final double GOLDEN_RATIO = 0.618;
 
   private final World world;
   final Map<String, MachineType> types = new LinkedHashMap<>();
-  final Map<Market, Integer> capacity = new HashMap<>();
+  final Map<CapacityPool, Integer> capacity = new HashMap<>();
   private final Map<MachineId, SimWorker> machines = new LinkedHashMap<>();
-  private final Map<AskId, List<MachineId>> asks = new HashMap<>();
-  private final long lag;
+  private final Map<AskId, List<MachineId>> rentalsByRequest = new HashMap<>();
+  private final long listLagMillis;
   private long downUntil;
-  private int numbers;
-  private int bootTrouble;
-  private String bootTroubleZone = "";
+  private int machineCount;
+  private int failingBoots;
+  private String failingBootsZone = "";
   private double bootFactor = 1;
-  private double quickestWithin = -1;
-  private int quickOnes;
-  private long rentalsLateUntil;
-  private long rentalsLateBy;
-  int rented;
-  int released;
+  private double quickBootMaxSeconds = -1;
+  private int quickBootCount;
+  private long rentalsDelayedUntil;
+  private long rentalDelayMillis;
+  int rentedCount;
+  int releasedCount;
 
   SimCloud(World world, double lagSeconds) {
     this.world = world;
-    this.lag = Math.round(lagSeconds * 1000);
+    this.listLagMillis = Math.round(lagSeconds * 1000);
   }
 
   void outage(double seconds) {
@@ -51,12 +51,12 @@
 
   /** The next so many machines never come up, in this zone or in any. */
   void failBoots(int count, String zone) {
-    bootTrouble = count;
-    bootTroubleZone = zone;
+    failingBoots = count;
+    failingBootsZone = zone;
   }
 
   /** Boots of machines that are rented from now on take so many times as long. */
-  void slowBoots(double factor) {
+  void slowDownBoots(double factor) {
     bootFactor = factor;
   }
 
@@ -64,34 +64,34 @@
    * Machines that are rented from now on are up within so many seconds, the first one before the
    * rental is answered.
    */
-  void quickBoots(double within) {
-    quickestWithin = within;
+  void setQuickBoots(double within) {
+    quickBootMaxSeconds = within;
   }
 
   /** Rentals that are asked for meanwhile get no answer, and are carried out so much later. */
-  void lateRentals(double seconds, double after) {
-    rentalsLateUntil = world.time.now() + Math.round(seconds * 1000);
-    rentalsLateBy = Math.round(after * 1000);
+  void delayRentals(double seconds, double after) {
+    rentalsDelayedUntil = world.time.now() + Math.round(seconds * 1000);
+    rentalDelayMillis = Math.round(after * 1000);
   }
 
   private double bootSeconds(MachineType type) {
-    if (quickestWithin < 0) {
+    if (quickBootMaxSeconds < 0) {
       return type.bootTime().asSeconds();
     }
     // Spread evenly, however many there are.
-    double share = quickOnes++ * GOLDEN_RATIO % 1;
-    return quickestWithin * share / bootFactor;
+    double share = quickBootCount++ * GOLDEN_RATIO % 1;
+    return quickBootMaxSeconds * share / bootFactor;
   }
 
-  SimWorker create(Market market, double bootSeconds) {
-    MachineId id = new MachineId(String.format("host-%06d", numbers++));
+  SimWorker createMachine(CapacityPool market, double bootSeconds) {
+    MachineId id = new MachineId(String.format("host-%06d", machineCount++));
     SimWorker worker = new SimWorker(world, id, types.get(market.type()), market);
     machines.put(id, worker);
     world.workers.put(id, worker);
-    boolean here = bootTroubleZone.isEmpty() || bootTroubleZone.equals(market.zone());
-    if (bootTrouble > 0 && bootSeconds > 0 && here) {
-      bootTrouble--;
-    } else if (bootSeconds <= 0 && quickestWithin >= 0) {
+    boolean here = failingBootsZone.isEmpty() || failingBootsZone.equals(market.zone());
+    if (failingBoots > 0 && bootSeconds > 0 && here) {
+      failingBoots--;
+    } else if (bootSeconds <= 0 && quickBootMaxSeconds >= 0) {
       worker.boot();
     } else {
       world.time.after(Math.round(bootSeconds * bootFactor * 1000), worker::boot);
@@ -105,19 +105,19 @@
     } else if (request instanceof Request.FetchCatalog) {
       then.accept(new Answer.Catalog(types));
     } else if (request instanceof Request.Rent rent) {
-      if (world.time.now() < rentalsLateUntil) {
-        world.time.after(rentalsLateBy, () -> rent(rent));
+      if (world.time.now() < rentalsDelayedUntil) {
+        world.time.after(rentalDelayMillis, () -> rent(rent));
       } else {
         then.accept(rent(rent));
       }
     } else if (request instanceof Request.Release release) {
-      released += release.machines().size();
+      releasedCount += release.machines().size();
       for (MachineId id : release.machines()) {
         remove(id);
       }
       then.accept(new Answer.Ok());
     } else if (request instanceof Request.ListRentals) {
-      then.accept(list());
+      then.accept(listRentals());
     }
   }
 
@@ -125,17 +125,17 @@
   void remove(MachineId id) {
     SimWorker worker = machines.get(id);
     if (worker != null && worker.goneAt == Long.MAX_VALUE) {
-      worker.vanish();
-      capacity.merge(worker.market, 1, Integer::sum);
+      worker.markGone();
+      capacity.merge(worker.pool, 1, Integer::sum);
     }
   }
 
   private Answer rent(Request.Rent rent) {
-    List<MachineId> known = asks.get(rent.ask());
+    List<MachineId> known = rentalsByRequest.get(rent.ask());
     if (known != null) {
       return new Answer.Rented(known);
     }
-    Market market = new Market(rent.type(), rent.zone(), rent.spot());
+    CapacityPool market = new CapacityPool(rent.type(), rent.zone(), rent.spot());
     int count = Math.min(rent.count(), capacity.getOrDefault(market, 0));
     if (count == 0) {
       return new Answer.Refused(503, "no capacity");
@@ -143,20 +143,20 @@
     capacity.merge(market, -count, Integer::sum);
     List<MachineId> ids = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      ids.add(create(market, bootSeconds(types.get(rent.type()))).id);
+      ids.add(createMachine(market, bootSeconds(types.get(rent.type()))).id);
     }
-    rented += count;
-    asks.put(rent.ask(), ids);
+    rentedCount += count;
+    rentalsByRequest.put(rent.ask(), ids);
     return new Answer.Rented(ids);
   }
 
-  private Answer list() {
-    long moment = world.time.now() - lag;
+  private Answer listRentals() {
+    long moment = world.time.now() - listLagMillis;
     List<Rental> rentals = new ArrayList<>();
     for (SimWorker worker : machines.values()) {
       if (worker.rentedAt <= moment && worker.goneAt > moment) {
         Rental.Status status =
-            worker.diedAt + DEATH_SHOWS < moment
+            worker.diedAt + FAILURE_DETECTION_MILLIS < moment
                 ? Rental.Status.FAILED
                 : worker.bootedAt <= moment ? Rental.Status.RUNNING : Rental.Status.BOOTING;
         rentals.add(
@@ -164,8 +164,8 @@
                 worker.id,
                 worker.address(),
                 worker.type.name(),
-                worker.market.zone(),
-                worker.market.spot(),
+                worker.pool.zone(),
+                worker.pool.spot(),
                 status,
                 Span.millis(moment - worker.rentedAt)));
       }
--- a/src/main/java/org/oakwalk/model/SimNode.java
+++ b/src/main/java/org/oakwalk/model/SimNode.java
@@ -35,12 +35,12 @@
   /** Where the log's pattern finds the simulated time and the controller. */
   private static final String LOG_CONTEXT = "simulated";
 
-  private static final long TICK = 50;
-  private static final long PUMP = 10;
-  private static final long STATE_WAIT = 1200;
-  private static final long WATCH_GRACE = 1500;
-  private static final long OTHER_WAIT = 3000;
-  private static final long BETWEEN_MILLIS = 110;
+  private static final long TICK_MILLIS = 50;
+  private static final long QUEUE_POLL_MILLIS = 10;
+  private static final long STATE_TIMEOUT_MILLIS = 1200;
+  private static final long WATCH_TIMEOUT_MARGIN_MILLIS = 1500;
+  private static final long REQUEST_TIMEOUT_MILLIS = 3000;
+  private static final long SENDS_HELD_MILLIS = 110;
   private static final long UNHEALTHY_AFTER_MILLIS = 2000;
 
   private final World world;
@@ -52,27 +52,27 @@
   /** Where requests to the state service wait for its rates, if it keeps to any. */
   private RequestQueue line;
 
-  private int life;
-  private int ends;
+  private int incarnation;
+  private int stopCount;
   private boolean up;
-  private long exchanges;
-  private final Map<ExchangeId, Consumer<Response>> open = new HashMap<>();
+  private long lastRequestId;
+  private final Map<ExchangeId, Consumer<Response>> pendingResponses = new HashMap<>();
   private long refusedByStateUntil;
-  private long fullUntil;
-  private long crowdedUntil;
-  private int mostWorkers;
-  private final Set<MachineId> leaving = new HashSet<>();
-  private Stillness stillness = Stillness.NONE;
-  private long stoodSince;
-  private final List<Runnable> waiting = new ArrayList<>();
-  private final List<Runnable> unsent = new ArrayList<>();
+  private long socketsExhaustedUntil;
+  private long workerLimitUntil;
+  private int maxWorkers;
+  private final Set<MachineId> redirectedWorkers = new HashSet<>();
+  private FreezeState freezeState = FreezeState.RUNNING;
+  private long frozenSince;
+  private final List<Runnable> deferredInput = new ArrayList<>();
+  private final List<Runnable> deferredOutput = new ArrayList<>();
 
   /** Whether the process runs, or stands still while its clocks go on. */
-  private enum Stillness {
-    NONE,
+  private enum FreezeState {
+    RUNNING,
     /** About to stop: what it decides from here on leaves it only when it goes on. */
-    BETWEEN,
-    STILL
+    SENDS_HELD,
+    FROZEN
   }
 
   SimNode(World world, NodeId id, String zone) {
@@ -81,36 +81,36 @@
     this.zone = zone;
   }
 
-  boolean up() {
+  boolean isUp() {
     return up;
   }
 
-  boolean leads() {
+  boolean isLeader() {
     return controller.leads();
   }
 
   void start() {
-    life++;
+    incarnation++;
     up = true;
-    open.clear();
-    forgetStillness();
+    pendingResponses.clear();
+    clearFreeze();
     knownEnds = new KnownEnds();
     controller =
         new Controller(
             world.settingsOf(this),
             world.plans.policy(id, world.time.seconds()),
-            id + "-life-" + life);
-    if (world.limited) {
+            id + "-life-" + incarnation);
+    if (world.rateLimited) {
       line = new RequestQueue(world.settingsOf(this), world.time.now(), this::sendState);
-      pump(life);
+      pumpQueue(incarnation);
     }
-    tick(life);
+    tick(incarnation);
   }
 
   /** It ends, and is back some time later unless something else has happened to it by then. */
   void restart(double after) {
     crash();
-    int of = ++ends;
+    int of = ++stopCount;
     if (after <= 0) {
       start();
       return;
@@ -118,23 +118,23 @@
     world.time.after(
         Math.round(after * 1000),
         () -> {
-          if (of == ends && !up) {
+          if (of == stopCount && !up) {
             start();
           }
         });
   }
 
   void crash() {
-    ends++;
+    stopCount++;
     up = false;
-    open.clear();
-    forgetStillness();
+    pendingResponses.clear();
+    clearFreeze();
   }
 
-  private void forgetStillness() {
-    stillness = Stillness.NONE;
-    waiting.clear();
-    unsent.clear();
+  private void clearFreeze() {
+    freezeState = FreezeState.RUNNING;
+    deferredInput.clear();
+    deferredOutput.clear();
   }
 
   /**
@@ -143,95 +143,96 @@
    * take what came in meanwhile, in an order of its own: timers that are due before the rest.
    */
   void freeze(double seconds) {
-    int of = life;
-    stillness = Stillness.BETWEEN;
+    int of = incarnation;
+    freezeState = FreezeState.SENDS_HELD;
     world.time.after(
-        BETWEEN_MILLIS,
+        SENDS_HELD_MILLIS,
         () -> {
-          if (of == life && up) {
-            stillness = Stillness.STILL;
-            stoodSince = world.time.now();
-            world.time.after(Math.round(seconds * 1000), () -> goOn(of));
+          if (of == incarnation && up) {
+            freezeState = FreezeState.FROZEN;
+            frozenSince = world.time.now();
+            world.time.after(Math.round(seconds * 1000), () -> resume(of));
           }
         });
   }
 
-  private void goOn(int of) {
-    if (of == life && up) {
-      List<Runnable> late = new ArrayList<>(unsent);
+  private void resume(int of) {
+    if (of == incarnation && up) {
+      List<Runnable> late = new ArrayList<>(deferredOutput);
       late.add(() -> handle(new Event.Tick()));
-      late.addAll(waiting);
-      forgetStillness();
+      late.addAll(deferredInput);
+      clearFreeze();
       late.forEach(Runnable::run);
     }
   }
 
   /** Whether the load balancer would still take it for healthy. */
-  boolean healthy() {
+  boolean isHealthy() {
     return up
-        && (stillness != Stillness.STILL || world.time.now() - stoodSince < UNHEALTHY_AFTER_MILLIS);
+        && (freezeState != FreezeState.FROZEN
+            || world.time.now() - frozenSince < UNHEALTHY_AFTER_MILLIS);
   }
 
   /** Whether it does anything at present. */
-  boolean active() {
-    return up && stillness != Stillness.STILL;
+  boolean isResponsive() {
+    return up && freezeState != FreezeState.FROZEN;
   }
 
   /** Runs something in the process, now or when it goes on. */
-  private void inside(Runnable action) {
-    if (stillness == Stillness.STILL) {
-      waiting.add(action);
+  private void runOrDefer(Runnable action) {
+    if (freezeState == FreezeState.FROZEN) {
+      deferredInput.add(action);
     } else {
       action.run();
     }
   }
 
   /** Something leaves the process, now or when it goes on. */
-  private void outside(Runnable action) {
-    if (stillness == Stillness.BETWEEN) {
-      unsent.add(action);
+  private void sendOrDefer(Runnable action) {
+    if (freezeState == FreezeState.SENDS_HELD) {
+      deferredOutput.add(action);
     } else {
       action.run();
     }
   }
 
   /** The state service answers 503 to this node alone, and its open watches wait meanwhile. */
-  void refuse(double seconds) {
+  void refuseStateRequests(double seconds) {
     refusedByStateUntil = world.time.now() + Math.round(seconds * 1000);
   }
 
   /** It has no free sockets: nobody new gets through to it, while it reaches everybody. */
-  void full(double seconds) {
-    fullUntil = world.time.now() + Math.round(seconds * 1000);
+  void exhaustSockets(double seconds) {
+    socketsExhaustedUntil = world.time.now() + Math.round(seconds * 1000);
   }
 
   /** It has sockets for so many workers and no more. */
-  void crowd(int workers, double seconds) {
-    mostWorkers = workers;
-    crowdedUntil = world.time.now() + Math.round(seconds * 1000);
+  void limitWorkers(int workers, double seconds) {
+    maxWorkers = workers;
+    workerLimitUntil = world.time.now() + Math.round(seconds * 1000);
   }
 
   /** Whether this worker has to go; those that were told so count no more. */
-  private boolean crowded(MachineId worker) {
-    leaving.removeIf(told -> !world.workers.get(told).reportsTo(this));
+  private boolean shouldRedirect(MachineId worker) {
+    redirectedWorkers.removeIf(told -> !world.workers.get(told).reportsTo(this));
     boolean crowded =
-        world.time.now() < crowdedUntil
+        world.time.now() < workerLimitUntil
             && world.workers.values().stream()
-                    .filter(w -> w.reportsTo(this) && !leaving.contains(w.id))
+                    .filter(w -> w.reportsTo(this) && !redirectedWorkers.contains(w.id))
                     .count()
-                > mostWorkers;
+                > maxWorkers;
     if (crowded) {
-      leaving.add(worker);
+      redirectedWorkers.add(worker);
     }
     return crowded;
   }
 
   private void tick(int of) {
-    if (up && of == life) {
-      if (stillness != Stillness.STILL) {
+    if (up && of == incarnation) {
+      if (freezeState != FreezeState.FROZEN) {
         handle(new Event.Tick());
       }
-      world.time.after(TICK, () -> tick(of));
+      world.time.after(TICK_MILLIS, () -> tick(of));
     }
   }
 
@@ -239,31 +240,31 @@
     boolean led = controller.leads();
     List<Effect> effects = decide(event);
     if (!led && controller.leads()) {
-      world.keptReports.rises();
+      world.reportReplay.leadershipGained();
     }
-    effects.forEach(this::carryOut);
+    effects.forEach(this::execute);
   }
 
   /** What the core makes of an event; its log lines name the controller and the simulated time. */
   private List<Effect> decide(Event event) {
     MDC.put(LOG_CONTEXT, " [" + world.time.seconds() + " s " + id + "]");
     try {
-      return controller.handle(event, new Moment(world.time.now()), world.wall());
+      return controller.handle(event, new Moment(world.time.now()), world.wallClock());
     } finally {
       MDC.remove(LOG_CONTEXT);
     }
   }
 
-  private void carryOut(Effect effect) {
+  private void execute(Effect effect) {
     knownEnds.decides(effect).ifPresent(start -> world.rules.startsEnded(this, start));
     if (effect instanceof Effect.Respond respond) {
-      Consumer<Response> then = open.remove(respond.exchange());
+      Consumer<Response> then = pendingResponses.remove(respond.exchange());
       if (then != null) {
-        outside(() -> then.accept(respond.response()));
+        sendOrDefer(() -> then.accept(respond.response()));
       }
     } else if (effect instanceof Effect.Call call) {
-      int of = life;
-      outside(() -> call(call, of));
+      int of = incarnation;
+      sendOrDefer(() -> call(call, of));
     }
   }
 
@@ -271,10 +272,10 @@
     boolean[] answered = new boolean[1];
     Consumer<Answer> then =
         answer -> {
-          if (!answered[0] && up && of == life) {
+          if (!answered[0] && up && of == incarnation) {
             answered[0] = true;
             world.givenUp.answered(call.request(), answer);
-            inside(
+            runOrDefer(
                 () -> {
                   knownEnds.answered(call.request(), answer);
                   handle(new Event.Answered(call.call(), answer));
@@ -283,31 +284,33 @@
         };
     Request request = call.request();
     if (request instanceof Request.State state) {
-      if (world.limited) {
+      if (world.rateLimited) {
         line.enqueue(state, world.time.now(), then);
       } else {
         sendState(state, then);
       }
     } else if (request instanceof Request.Cloud cloud) {
-      world.time.after(OTHER_WAIT, () -> then.accept(new Answer.Nothing("timeout")));
-      there("cloud", back("cloud", then), reply -> world.cloud.serve(cloud, reply));
+      world.time.after(REQUEST_TIMEOUT_MILLIS, () -> then.accept(new Answer.Nothing("timeout")));
+      sendRequest("cloud", replyVia("cloud", then), reply -> world.cloud.serve(cloud, reply));
     } else if (request instanceof Request.Command command) {
-      world.time.after(OTHER_WAIT, () -> then.accept(new Answer.Nothing("timeout")));
-      Consumer<Answer> reply = back(command.address(), then);
+      world.time.after(REQUEST_TIMEOUT_MILLIS, () -> then.accept(new Answer.Nothing("timeout")));
+      Consumer<Answer> reply = replyVia(command.address(), then);
       world.network.send(
           id.value(),
           command.address(),
-          () -> world.workerAt(command.address()).ifPresent(w -> w.command(command, reply)),
+          () -> world.workerAt(command.address()).ifPresent(w -> w.receiveCommand(command, reply)),
           runsToo ->
-              world.workerAt(command.address()).ifPresent(w -> w.commandAgain(command, runsToo)));
+              world
+                  .workerAt(command.address())
+                  .ifPresent(w -> w.receiveDuplicateCommand(command, runsToo)));
     } else if (request instanceof Request.Tell tell) {
-      world.time.after(STATE_WAIT, () -> then.accept(new Answer.Nothing("timeout")));
-      there(
+      world.time.after(STATE_TIMEOUT_MILLIS, () -> then.accept(new Answer.Nothing("timeout")));
+      sendRequest(
           tell.node().value(),
-          back(tell.node().value(), then),
+          replyVia(tell.node().value(), then),
           reply -> {
             SimNode peer = world.node(tell.node());
-            peer.take(
+            peer.receive(
                 exchange -> new Event.PeerSays(exchange, tell.message()),
                 response -> {
                   if (response instanceof Response.ToPeer toPeer) {
@@ -319,9 +322,9 @@
   }
 
   /** A start leaves it that its core did not decide. */
-  void orderStart(TaskId task, SimWorker worker) {
+  void sendUndecidedStart(TaskId task, SimWorker worker) {
     List<Order> orders = List.of(new Order.Run(task, new Attempt(Long.MAX_VALUE >> 1)));
-    carryOut(
+    execute(
         new Effect.Call(
             new CallId(Long.MAX_VALUE),
             new Request.Command(
@@ -342,13 +345,13 @@
         };
     long hold = request instanceof Request.Watch watch ? watch.hold().millis() : 0;
     world.time.after(
-        hold > 0 ? hold + WATCH_GRACE : STATE_WAIT,
+        hold > 0 ? hold + WATCH_TIMEOUT_MARGIN_MILLIS : STATE_TIMEOUT_MILLIS,
         () -> once.accept(new Answer.Nothing("timeout")));
-    there(
+    sendRequest(
         "state",
-        back("state", once),
+        replyVia("state", once),
         reply -> {
-          if (refusedByState()) {
+          if (isRefusedByState()) {
             reply.accept(new Answer.Refused(503, "refused"));
           } else {
             serveState(request, reply);
@@ -357,79 +360,80 @@
   }
 
   /** Sends what the rates allow by now, as the event loop does whenever something has happened. */
-  private void pump(int of) {
-    if (up && of == life) {
-      if (stillness == Stillness.NONE) {
+  private void pumpQueue(int of) {
+    if (up && of == incarnation) {
+      if (freezeState == FreezeState.RUNNING) {
         line.setTime(world.time.now());
         line.sendDue(world.time.now());
       }
-      world.time.after(PUMP, () -> pump(of));
+      world.time.after(QUEUE_POLL_MILLIS, () -> pumpQueue(of));
     }
   }
 
-  private boolean refusedByState() {
+  private boolean isRefusedByState() {
     return world.time.now() < refusedByStateUntil;
   }
 
   /** Nobody is told what becomes of a transaction that is carried out late. */
   private void serveState(Request.State request, Consumer<Answer> reply) {
     OptionalLong late =
-        world.state.down() ? OptionalLong.empty() : world.lateness.ofWrite(id.value(), request);
+        world.state.isDown() ? OptionalLong.empty() : world.lateness.ofWrite(id.value(), request);
     if (late.isPresent()) {
-      world.time.after(late.getAsLong(), () -> world.state.serveLate((Request.Commit) request));
+      world.time.after(late.getAsLong(), () -> world.state.commitLate((Request.Commit) request));
     } else {
-      world.state.serve(request, reply, this::refusedByState);
+      world.state.serve(request, reply, this::isRefusedByState);
     }
   }
 
-  private Consumer<Answer> back(String from, Consumer<Answer> then) {
+  private Consumer<Answer> replyVia(String from, Consumer<Answer> then) {
     return answer -> world.network.send(from, id.value(), () -> then.accept(answer));
   }
 
-  private void there(String to, Consumer<Answer> reply, Consumer<Consumer<Answer>> serve) {
+  private void sendRequest(String to, Consumer<Answer> reply, Consumer<Consumer<Answer>> serve) {
     world.network.send(id.value(), to, () -> serve.accept(reply));
   }
 
-  private void take(java.util.function.Function<ExchangeId, Event> event, Consumer<Response> then) {
+  private void receive(
+      java.util.function.Function<ExchangeId, Event> event, Consumer<Response> then) {
     if (up) {
-      ExchangeId exchange = new ExchangeId(++exchanges);
-      open.put(exchange, then);
-      inside(() -> handle(event.apply(exchange)));
+      ExchangeId exchange = new ExchangeId(++lastRequestId);
+      pendingResponses.put(exchange, then);
+      runOrDefer(() -> handle(event.apply(exchange)));
     }
   }
 
-  void report(Report report, Consumer<Response> then) {
-    if (world.time.now() < fullUntil) {
+  void receiveReport(Report report, Consumer<Response> then) {
+    if (world.time.now() < socketsExhaustedUntil) {
       return;
     }
-    boolean crowded = crowded(report.machine());
-    take(
+    boolean crowded = shouldRedirect(report.machine());
+    receive(
         exchange -> new Event.WorkerReports(exchange, report, crowded),
         response -> {
           if (response instanceof Response.Orders) {
-            leaving.remove(report.machine());
+            redirectedWorkers.remove(report.machine());
           }
           then.accept(response);
         });
   }
 
   /** An old report comes once more; its answer goes to nobody. */
-  void reportAgain(Report report) {
-    if (world.time.now() >= fullUntil) {
-      take(exchange -> new Event.WorkerReports(exchange, report, false), response -> {});
+  void receiveDuplicateReport(Report report) {
+    if (world.time.now() >= socketsExhaustedUntil) {
+      receive(exchange -> new Event.WorkerReports(exchange, report, false), response -> {});
     }
   }
 
-  void ask(UserRequest request, Consumer<Response> then) {
-    take(exchange -> new Event.UserAsks(exchange, request), then);
+  void receiveUserRequest(UserRequest request, Consumer<Response> then) {
+    receive(exchange -> new Event.UserAsks(exchange, request), then);
   }
 
   /** Another controller says something, or somebody in its name. */
-  void told(PeerMessage message) {
-    take(exchange -> new Event.PeerSays(exchange, message), response -> {});
+  void receivePeerMessage(PeerMessage message) {
+    receive(exchange -> new Event.PeerSays(exchange, message), response -> {});
   }
 
-  void health(Consumer<Response> then) {
-    take(Event.HealthAsked::new, then);
+  void checkHealth(Consumer<Response> then) {
+    receive(Event.HealthAsked::new, then);
   }
 }
--- a/src/main/java/org/oakwalk/model/SimState.java
+++ b/src/main/java/org/oakwalk/model/SimState.java
@@ -27,77 +27,81 @@
 
 /** Stand-in for the state service, after its published protocol. */
 final class SimState {
-  private static final int PAGE = 200;
+  private static final int PAGE_SIZE = 200;
 
-  private record Kept(StoredValue value, long stamp, Long hold) {}
+  private record StoredEntry(StoredValue value, long revision, Long leaseId) {}
 
-  private static final class Hold {
-    long ttl;
-    long end;
+  private static final class StoredLease {
+    long ttlMillis;
+    long expiresAt;
   }
 
   /** An open watch. It waits while its node is refused, and then tells all that it has missed. */
-  private record Watcher(
-      Request.Watch request, Consumer<Answer> then, long end, BooleanSupplier refused) {}
+  private record PendingWatch(
+      Request.Watch request,
+      Consumer<Answer> callback,
+      long expiresAt,
+      BooleanSupplier nodeRefused) {}
 
   private final Timeline time;
-  private final TreeMap<String, Kept> keys = new TreeMap<>();
-  private final Map<Long, Hold> holds = new HashMap<>();
+  private final TreeMap<String, StoredEntry> keys = new TreeMap<>();
+  private final Map<Long, StoredLease> leases = new HashMap<>();
   private final ChangeHistory history;
-  private final Optional<StoreRates> rates;
-  private final List<Watcher> watchers = new ArrayList<>();
-  private final Set<Watcher> behind = Collections.newSetFromMap(new IdentityHashMap<>());
-  private long epoch;
-  private long holdNumbers;
+  private final Optional<StoreRateLimiter> rateLimiter;
+  private final List<PendingWatch> pendingWatches = new ArrayList<>();
+  private final Set<PendingWatch> delayedWatches =
+      Collections.newSetFromMap(new IdentityHashMap<>());
+  private long revision;
+  private long lastLeaseId;
   private long downUntil;
-  private int writes;
-  private int requests;
-  private int reads;
-  private int tooMany;
+  private int writeCount;
+  private int requestCount;
+  private int pollCount;
+  private int rateLimitedCount;
 
   /**
    * A service without any keys.
    *
-   * @param rates how much it takes a second; without them any amount
+   * @param rateLimiter how much it takes a second; without them any amount
    * @param changes how many it keeps for watches
    */
-  SimState(Timeline time, Optional<StoreRates> rates, int changes) {
+  SimState(Timeline time, Optional<StoreRateLimiter> rates, int changes) {
     this.time = time;
-    this.rates = rates;
+    this.rateLimiter = rates;
     this.history = new ChangeHistory(changes);
     time.after(50, this::tick);
   }
 
-  int writes() {
-    return writes;
+  int writeCount() {
+    return writeCount;
   }
 
-  int requests() {
-    return requests;
+  int requestCount() {
+    return requestCount;
   }
 
   /** Requests that ask what is new without waiting for it. */
-  int reads() {
-    return reads;
+  int pollCount() {
+    return pollCount;
   }
 
   /** Requests that were refused as too much. */
-  int tooMany() {
-    return tooMany;
+  int rateLimitedCount() {
+    return rateLimitedCount;
   }
 
   /** What is stored. */
   Optional<StoredValue> value(String key) {
-    return Optional.ofNullable(keys.get(key)).map(Kept::value);
+    return Optional.ofNullable(keys.get(key)).map(StoredEntry::value);
   }
 
   /** How many keys there are below a prefix. */
-  long keys(String prefix) {
+  long countKeys(String prefix) {
     return keys.keySet().stream().filter(key -> key.startsWith(prefix)).count();
   }
 
   /** Whether a job is stored, and not as over. */
-  boolean open(JobId job) {
+  boolean isOpen(JobId job) {
     return value(StoreKeys.job(job)).orElse(null) instanceof JobRecord record
         && record.phase() == JobRecord.Phase.OPEN;
   }
@@ -118,76 +122,76 @@
   }
 
   /** Adds a row to a record, which no leader would do this way. */
-  void add(String name, SharedRow row) {
+  void appendRow(String name, SharedRow row) {
     List<SharedRow> rows = new ArrayList<>(rows(name));
     rows.add(row);
-    epoch++;
+    revision++;
     keys.put(
         StoreKeys.sharedHead(name),
-        new Kept(new StoredValue.SharedHead(epoch, 0, 0, rows), epoch, null));
+        new StoredEntry(new StoredValue.SharedHead(revision, 0, 0, rows), revision, null));
   }
 
-  boolean down() {
+  boolean isDown() {
     return time.now() < downUntil;
   }
 
   /** After an outage every lease has its full time again. */
   void outage(double seconds) {
     downUntil = time.now() + Math.round(seconds * 1000);
-    holds.values().forEach(hold -> hold.end = downUntil + hold.ttl);
+    leases.values().forEach(hold -> hold.expiresAt = downUntil + hold.ttlMillis);
   }
 
   private void tick() {
-    if (!down()) {
+    if (!isDown()) {
       List<Long> ended = new ArrayList<>();
-      holds.forEach(
+      leases.forEach(
           (id, hold) -> {
-            if (hold.end < time.now()) {
+            if (hold.expiresAt < time.now()) {
               ended.add(id);
             }
           });
-      ended.forEach(this::endHold);
-      for (Watcher watcher : List.copyOf(watchers)) {
-        if (watcher.refused().getAsBoolean()) {
-          behind.add(watcher);
-        } else if (behind.remove(watcher) && tell(watcher)) {
+      ended.forEach(this::endLease);
+      for (PendingWatch watcher : List.copyOf(pendingWatches)) {
+        if (watcher.nodeRefused().getAsBoolean()) {
+          delayedWatches.add(watcher);
+        } else if (delayedWatches.remove(watcher) && notifyWatch(watcher)) {
           continue;
-        } else if (watcher.end() <= time.now()) {
-          watchers.remove(watcher);
-          watcher.then().accept(new Answer.Changes(new Revision(epoch), List.of()));
+        } else if (watcher.expiresAt() <= time.now()) {
+          pendingWatches.remove(watcher);
+          watcher.callback().accept(new Answer.Changes(new Revision(revision), List.of()));
         }
       }
     }
     time.after(50, this::tick);
   }
 
-  private void endHold(long id) {
-    holds.remove(id);
+  private void endLease(long id) {
+    leases.remove(id);
     List<String> gone = new ArrayList<>();
     keys.forEach(
         (key, kept) -> {
-          if (kept.hold() != null && kept.hold() == id) {
+          if (kept.leaseId() != null && kept.leaseId() == id) {
             gone.add(key);
           }
         });
     if (!gone.isEmpty()) {
-      epoch++;
+      revision++;
       gone.forEach(this::remove);
-      wake();
+      notifyWatches();
     }
   }
 
   private void remove(String key) {
     keys.remove(key);
-    history.add(new KeyChange(key, Optional.empty(), new Revision(epoch)));
+    history.add(new KeyChange(key, Optional.empty(), new Revision(revision)));
   }
 
   /** A transaction is carried out late, to nobody's knowledge; an outage holds it up as well. */
-  void serveLate(Request.Commit commit) {
-    if (down()) {
-      time.after(downUntil - time.now(), () -> serveLate(commit));
+  void commitLate(Request.Commit commit) {
+    if (isDown()) {
+      time.after(downUntil - time.now(), () -> commitLate(commit));
     } else {
-      requests++;
+      requestCount++;
       commit(commit);
     }
   }
@@ -198,12 +202,12 @@
    * @param refused whether the node that asks is refused at present, alone
    */
   void serve(Request.State request, Consumer<Answer> then, BooleanSupplier refused) {
-    requests++;
-    reads += request instanceof Request.Watch watch && watch.hold().millis() == 0 ? 1 : 0;
-    if (down()) {
+    requestCount++;
+    pollCount += request instanceof Request.Watch watch && watch.hold().millis() == 0 ? 1 : 0;
+    if (isDown()) {
       then.accept(new Answer.Refused(503, "down"));
-    } else if (rates.isPresent() && !rates.get().takes(request.writes())) {
-      tooMany++;
+    } else if (rateLimiter.isPresent() && !rateLimiter.get().tryAcquire(request.writes())) {
+      rateLimitedCount++;
       then.accept(new Answer.Refused(429, "too many"));
     } else if (request instanceof Request.ReadPage read) {
       then.accept(page(read));
@@ -212,39 +216,39 @@
     } else if (request instanceof Request.Commit commit) {
       then.accept(commit(commit));
     } else if (request instanceof Request.Grant grant) {
-      Hold hold = new Hold();
-      hold.ttl = grant.ttl().millis();
-      hold.end = time.now() + hold.ttl;
-      holds.put(++holdNumbers, hold);
-      then.accept(new Answer.Granted(new HoldId(holdNumbers)));
+      StoredLease hold = new StoredLease();
+      hold.ttlMillis = grant.ttl().millis();
+      hold.expiresAt = time.now() + hold.ttlMillis;
+      leases.put(++lastLeaseId, hold);
+      then.accept(new Answer.Granted(new HoldId(lastLeaseId)));
     } else if (request instanceof Request.Renew renew) {
-      Hold hold = holds.get(renew.hold().value());
+      StoredLease hold = leases.get(renew.hold().value());
       if (hold == null) {
         then.accept(new Answer.Refused(404, "no such lease"));
       } else {
-        hold.end = time.now() + hold.ttl;
+        hold.expiresAt = time.now() + hold.ttlMillis;
         then.accept(new Answer.Ok());
       }
     } else if (request instanceof Request.Drop drop) {
-      endHold(drop.hold().value());
+      endLease(drop.hold().value());
       then.accept(new Answer.Ok());
     }
   }
 
   private Answer page(Request.ReadPage read) {
     List<Entry> entries = new ArrayList<>();
-    for (Map.Entry<String, Kept> entry :
+    for (Map.Entry<String, StoredEntry> entry :
         keys.tailMap(read.after().orElse(read.prefix()), read.after().isEmpty()).entrySet()) {
       if (!entry.getKey().startsWith(read.prefix())) {
         break;
       }
-      if (entries.size() == PAGE) {
-        return new Answer.Page(entries, true, new Revision(epoch));
+      if (entries.size() == PAGE_SIZE) {
+        return new Answer.Page(entries, true, new Revision(revision));
       }
-      Kept kept = entry.getValue();
-      entries.add(new Entry(entry.getKey(), kept.value(), new Revision(kept.stamp())));
+      StoredEntry kept = entry.getValue();
+      entries.add(new Entry(entry.getKey(), kept.value(), new Revision(kept.revision())));
     }
-    return new Answer.Page(entries, false, new Revision(epoch));
+    return new Answer.Page(entries, false, new Revision(revision));
   }
 
   private void watch(Request.Watch watch, Consumer<Answer> then, BooleanSupplier refused) {
@@ -252,18 +256,19 @@
     if (history.tooOld(watch.after())) {
       then.accept(new Answer.Refused(410, "too old"));
     } else if (!news.isEmpty() || watch.hold().millis() == 0) {
-      then.accept(new Answer.Changes(new Revision(epoch), news));
+      then.accept(new Answer.Changes(new Revision(revision), news));
     } else {
-      watchers.add(new Watcher(watch, then, time.now() + watch.hold().millis(), refused));
+      pendingWatches.add(
+          new PendingWatch(watch, then, time.now() + watch.hold().millis(), refused));
     }
   }
 
   private Answer commit(Request.Commit commit) {
-    writes += commit.changes().size();
+    writeCount += commit.changes().size();
     List<String> failed = new ArrayList<>();
     for (Guard guard : commit.guards()) {
-      Kept kept = keys.get(guard.key());
-      if ((kept == null ? 0 : kept.stamp()) != guard.revision().value()) {
+      StoredEntry kept = keys.get(guard.key());
+      if ((kept == null ? 0 : kept.revision()) != guard.revision().value()) {
         failed.add(guard.key());
       }
     }
@@ -273,69 +278,70 @@
     for (Change change : commit.changes()) {
       if (change instanceof Change.Put put
           && put.lease().isPresent()
-          && !holds.containsKey(put.lease().get().value())) {
+          && !leases.containsKey(put.lease().get().value())) {
         return new Answer.Refused(400, "no such lease");
       }
     }
-    epoch++;
+    revision++;
     for (Change change : commit.changes()) {
       if (change instanceof Change.Put put) {
         keys.put(
-            put.key(), new Kept(put.value(), epoch, put.lease().map(HoldId::value).orElse(null)));
-        history.add(new KeyChange(put.key(), Optional.of(put.value()), new Revision(epoch)));
+            put.key(),
+            new StoredEntry(put.value(), revision, put.lease().map(HoldId::value).orElse(null)));
+        history.add(new KeyChange(put.key(), Optional.of(put.value()), new Revision(revision)));
       } else if (change instanceof Change.Remove remove) {
         remove(remove.key());
       }
     }
-    wake();
-    return new Answer.Committed(new Revision(epoch));
+    notifyWatches();
+    return new Answer.Committed(new Revision(revision));
   }
 
   /** A key is lost. */
-  void forget(String key) {
-    epoch++;
+  void loseKey(String key) {
+    revision++;
     remove(key);
-    wake();
+    notifyWatches();
   }
 
   /** Values below this prefix become such as no version can read. */
-  void damage(String prefix) {
-    epoch++;
-    for (Map.Entry<String, Kept> entry : keys.tailMap(prefix).entrySet()) {
+  void corruptValues(String prefix) {
+    revision++;
+    for (Map.Entry<String, StoredEntry> entry : keys.tailMap(prefix).entrySet()) {
       if (entry.getKey().startsWith(prefix)) {
         StoredValue.Unreadable value = new StoredValue.Unreadable("damaged");
-        entry.setValue(new Kept(value, epoch, entry.getValue().hold()));
-        history.add(new KeyChange(entry.getKey(), Optional.of(value), new Revision(epoch)));
+        entry.setValue(new StoredEntry(value, revision, entry.getValue().leaseId()));
+        history.add(new KeyChange(entry.getKey(), Optional.of(value), new Revision(revision)));
       }
     }
-    wake();
+    notifyWatches();
   }
 
-  private void wake() {
-    for (Watcher watcher : List.copyOf(watchers)) {
-      if (watcher.refused().getAsBoolean()) {
-        behind.add(watcher);
+  private void notifyWatches() {
+    for (PendingWatch watcher : List.copyOf(pendingWatches)) {
+      if (watcher.nodeRefused().getAsBoolean()) {
+        delayedWatches.add(watcher);
       } else {
-        tell(watcher);
+        notifyWatch(watcher);
       }
     }
   }
 
   /** Answers a watch if there is anything new for it. */
-  private boolean tell(Watcher watcher) {
+  private boolean notifyWatch(PendingWatch watcher) {
     List<KeyChange> news = history.since(watcher.request());
     if (history.tooOld(watcher.request().after())) {
-      watchers.remove(watcher);
-      behind.remove(watcher);
-      watcher.then().accept(new Answer.Refused(410, "too old"));
+      pendingWatches.remove(watcher);
+      delayedWatches.remove(watcher);
+      watcher.callback().accept(new Answer.Refused(410, "too old"));
       return true;
     }
     if (news.isEmpty()) {
       return false;
     }
-    watchers.remove(watcher);
-    behind.remove(watcher);
-    watcher.then().accept(new Answer.Changes(new Revision(epoch), news));
+    pendingWatches.remove(watcher);
+    delayedWatches.remove(watcher);
+    watcher.callback().accept(new Answer.Changes(new Revision(revision), news));
     return true;
   }
 }
--- a/src/main/java/org/oakwalk/model/SimUser.java
+++ b/src/main/java/org/oakwalk/model/SimUser.java
@@ -9,30 +9,30 @@
 
 /** A user with one job: submits, polls, and perhaps cancels, asking again where that helps. */
 final class SimUser {
-  private static final long POLL = 5000;
-  private static final long QUERY_WAIT = 2000;
-  private static final long OTHER_WAIT = 5000;
-  private static final double GIVES_UP = 60;
+  private static final long POLL_INTERVAL_MILLIS = 5000;
+  private static final long QUERY_TIMEOUT_MILLIS = 2000;
+  private static final long REQUEST_TIMEOUT_MILLIS = 5000;
+  private static final double GIVE_UP_SECONDS = 60;
 
   private final World world;
   private final JobSpec spec;
   private final JobId job;
-  private final double began;
+  private final double createdAtSeconds;
   private boolean polling;
-  private double answeredAt;
+  private double lastAnsweredAt;
   private boolean muted;
   private boolean gaveUp;
-  private final long firstTry;
-  private long lastTry;
-  Double acceptedAfter;
-  Integer refusedWith;
+  private final long firstAttempt;
+  private long lastAttempt;
+  Double acceptanceSeconds;
+  Integer refusalStatus;
 
   SimUser(World world, JobSpec spec) {
     this.world = world;
     this.spec = spec;
     this.job = spec.id();
-    this.began = world.time.seconds();
-    this.firstTry = world.time.now();
+    this.createdAtSeconds = world.time.seconds();
+    this.firstAttempt = world.time.now();
   }
 
   void submit() {
@@ -42,12 +42,12 @@
     }
     world.closeLooks.asks(job);
     gaveUp = false;
-    repeat(
+    sendUntilSettled(
         new UserRequest.Submit(job, Optional.of(spec), ""),
         world.time.seconds(),
         response -> {
-          if (response instanceof Response.JobStatus && acceptedAfter == null) {
-            acceptedAfter = world.time.seconds() - began;
+          if (response instanceof Response.JobStatus && acceptanceSeconds == null) {
+            acceptanceSeconds = world.time.seconds() - createdAtSeconds;
             world.waits.accepted(job);
             if (!polling) {
               polling = true;
@@ -55,7 +55,7 @@
             }
           }
           if (response instanceof Response.Problem problem && problem.status() < 429) {
-            refusedWith = problem.status();
+            refusalStatus = problem.status();
             world.waits.ends(Waits.Step.ACCEPTED, job);
             return true;
           }
@@ -64,28 +64,28 @@
   }
 
   /** Seconds at which a question was last answered with the job's state. */
-  double answeredAt() {
-    return answeredAt;
+  double lastAnsweredAt() {
+    return lastAnsweredAt;
   }
 
   /**
    * Whether it tried to submit the job for as long as a user does, was never told that it is
    * accepted nor why not, and no controller could have stored it.
    */
-  boolean gaveUpInVain() {
+  boolean gaveUpUnstored() {
     return gaveUp
-        && acceptedAfter == null
-        && refusedWith == null
-        && world.givenUp.inVain(firstTry, lastTry);
+        && acceptanceSeconds == null
+        && refusalStatus == null
+        && world.givenUp.inVain(firstAttempt, lastAttempt);
   }
 
   /** Whether the job was accepted, and its user has not been told yet that it is over. */
-  boolean asks() {
+  boolean isPolling() {
     return polling && world.rules.told(job) == null;
   }
 
   void cancel() {
-    if (acceptedAfter == null && world.time.seconds() - began < GIVES_UP) {
+    if (acceptanceSeconds == null && world.time.seconds() - createdAtSeconds < GIVE_UP_SECONDS) {
       // Nobody cancels what has not been accepted yet.
       world.time.after(1000, this::cancel);
       return;
@@ -94,7 +94,7 @@
     world.closeLooks.asks(job);
     world.waits.gone(Waits.Step.BEGUN, job);
     world.waits.begins(Waits.Step.CANCELLED, job);
-    repeat(
+    sendUntilSettled(
         new UserRequest.Withdraw(job),
         world.time.seconds(),
         response -> {
@@ -111,9 +111,9 @@
   }
 
   /** The first request goes to this node, repeated ones go where the load balancer sends them. */
-  void cancelAt(SimNode first) {
+  void cancelVia(SimNode first) {
     world.rules.asksToCancel(job);
-    ask(
+    send(
         new UserRequest.Withdraw(job),
         Optional.of(first),
         response -> {
@@ -123,18 +123,18 @@
         });
   }
 
-  private void repeat(UserRequest request, double since, Predicate<Response> settled) {
+  private void sendUntilSettled(UserRequest request, double since, Predicate<Response> settled) {
     boolean submits = request instanceof UserRequest.Submit;
-    if (world.time.seconds() - since > GIVES_UP) {
+    if (world.time.seconds() - since > GIVE_UP_SECONDS) {
       gaveUp |= submits;
       return;
     }
-    lastTry = submits ? world.time.now() : lastTry;
-    ask(
+    lastAttempt = submits ? world.time.now() : lastAttempt;
+    send(
         request,
         response -> {
           if (response == null || !settled.test(response)) {
-            world.time.after(1000, () -> repeat(request, since, settled));
+            world.time.after(1000, () -> sendUntilSettled(request, since, settled));
           }
         });
   }
@@ -145,43 +145,43 @@
   }
 
   private void poll() {
-    ask(
+    send(
         new UserRequest.Query(job),
         response -> {
           if (world.rules.told(job) == null) {
-            world.time.after(POLL, this::poll);
+            world.time.after(POLL_INTERVAL_MILLIS, this::poll);
           }
         });
   }
 
   /** For how many milliseconds a user waits for an answer. */
-  static long waits(UserRequest request) {
-    return request instanceof UserRequest.Query ? QUERY_WAIT : OTHER_WAIT;
+  static long timeoutMillis(UserRequest request) {
+    return request instanceof UserRequest.Query ? QUERY_TIMEOUT_MILLIS : REQUEST_TIMEOUT_MILLIS;
   }
 
   /** Asks some node; calls back once, with null if no answer comes. */
-  private void ask(UserRequest request, java.util.function.Consumer<Response> then) {
-    ask(request, muted ? Optional.empty() : world.someNode(), then);
+  private void send(UserRequest request, java.util.function.Consumer<Response> then) {
+    send(request, muted ? Optional.empty() : world.loadBalancedNode(), then);
   }
 
-  private void ask(
+  private void send(
       UserRequest request, Optional<SimNode> node, java.util.function.Consumer<Response> then) {
     long asked = world.rules.moment();
     boolean[] over = new boolean[1];
     world.time.after(
-        waits(request),
+        timeoutMillis(request),
         () -> {
           if (!over[0]) {
             over[0] = true;
-            world.unheard += node.filter(SimNode::active).isPresent() ? 1 : 0;
+            world.unansweredRequests += node.filter(SimNode::isResponsive).isPresent() ? 1 : 0;
             then.accept(null);
           }
         });
-    world.network.sendAgain(
-        "users", node.map(n -> n.id.value()).orElse(""), runsToo -> askAgain(request));
+    world.network.sendDuplicates(
+        "users", node.map(n -> n.id.value()).orElse(""), runsToo -> sendDuplicate(request));
     node.ifPresent(
         chosen ->
-            chosen.ask(
+            chosen.receiveUserRequest(
                 request,
                 response -> {
                   if (!over[0]) {
@@ -189,7 +189,7 @@
                     world.rules.told(
                         job, request instanceof UserRequest.Submit, asked, response, node);
                     if (response instanceof Response.JobStatus) {
-                      answeredAt = world.time.seconds();
+                      lastAnsweredAt = world.time.seconds();
                     }
                     then.accept(response);
                   }
@@ -197,13 +197,13 @@
   }
 
   /** A late copy of a request: nobody waits for the answer any more, but it must not be wrong. */
-  private void askAgain(UserRequest request) {
+  private void sendDuplicate(UserRequest request) {
     long asked = world.rules.moment();
     world
-        .someNode()
+        .loadBalancedNode()
         .ifPresent(
             node ->
-                node.ask(
+                node.receiveUserRequest(
                     request,
                     response ->
                         world.rules.toldAgain(
--- a/src/main/java/org/oakwalk/model/SimWorker.java
+++ b/src/main/java/org/oakwalk/model/SimWorker.java
@@ -29,7 +29,7 @@
     JobSpec spec;
     Report.PieceState state;
     Report.Cause cause;
-    private long began = Long.MAX_VALUE;
+    private long startedAt = Long.MAX_VALUE;
 
     boolean ended() {
       return state == Report.PieceState.ENDED;
@@ -37,38 +37,38 @@
   }
 
   /** Whether it was there from the beginning. */
-  boolean first;
+  boolean initial;
 
   private final World world;
   final MachineId id;
   final MachineType type;
-  final SimCloud.Market market;
+  final SimCloud.CapacityPool pool;
   final long rentedAt;
   long bootedAt = Long.MAX_VALUE;
   long goneAt = Long.MAX_VALUE;
   long diedAt = Long.MAX_VALUE / 2;
   final Map<TaskId, Task> tasks = new LinkedHashMap<>();
-  private final Images images;
-  private final Reporting reporting;
+  private final SimImageCache imageCache;
+  private final ReportSender reportSender;
   private long session = 1;
   private long sequence;
   private long token;
   private long renewedAt;
   private long lastTokenChange = Long.MIN_VALUE / 2;
-  private long hangsUntil;
-  private long noticeAt = Long.MAX_VALUE;
+  private long hungUntil;
+  private long reclaimAt = Long.MAX_VALUE;
   private boolean faulty;
-  private double slowness = 1;
-  private final List<Runnable> held = new ArrayList<>();
+  private double slowdown = 1;
+  private final List<Runnable> deferred = new ArrayList<>();
 
-  SimWorker(World world, MachineId id, MachineType type, SimCloud.Market market) {
+  SimWorker(World world, MachineId id, MachineType type, SimCloud.CapacityPool market) {
     this.world = world;
     this.id = id;
     this.type = type;
-    this.market = market;
+    this.pool = market;
     this.rentedAt = world.time.now();
-    this.images = new Images(world.time, type);
-    this.reporting = new Reporting(world, this);
+    this.imageCache = new SimImageCache(world.time, type);
+    this.reportSender = new ReportSender(world, this);
   }
 
   String address() {
@@ -83,22 +83,22 @@
     return session;
   }
 
-  boolean alive() {
+  boolean isAlive() {
     return bootedAt <= world.time.now() && goneAt > world.time.now() && diedAt > world.time.now();
   }
 
   /** Whether this node is the one that it reports to. */
   boolean reportsTo(SimNode to) {
-    return alive() && reporting.to() == to;
+    return isAlive() && reportSender.target() == to;
   }
 
   /** Whether it does anything at present. */
-  boolean awake() {
-    return alive() && !hangs();
+  boolean isResponsive() {
+    return isAlive() && !isHung();
   }
 
   /** Whether the cloud charges for it. */
-  boolean charged() {
+  boolean isBilled() {
     return goneAt > world.time.now() && diedAt > world.time.now();
   }
 
@@ -107,89 +107,89 @@
       bootedAt = world.time.now();
       renewedAt = bootedAt;
       world.rules.freesRoom(this);
-      step();
+      tick();
     }
   }
 
-  void vanish() {
+  void markGone() {
     goneAt = world.time.now();
-    endAll(Figures.Stop.GONE);
+    endAllTasks(Figures.Stop.GONE);
   }
 
   void die() {
     diedAt = world.time.now();
-    endAll(Figures.Stop.DIED);
+    endAllTasks(Figures.Stop.DIED);
   }
 
   void hang(double seconds) {
-    hangsUntil = Math.max(hangsUntil, world.time.now() + Math.round(seconds * 1000));
+    hungUntil = Math.max(hungUntil, world.time.now() + Math.round(seconds * 1000));
     world.time.after(
         Math.round(seconds * 1000),
         () -> {
-          expire();
-          List<Runnable> late = List.copyOf(held);
-          held.clear();
+          expireLease();
+          List<Runnable> late = List.copyOf(deferred);
+          deferred.clear();
           late.forEach(Runnable::run);
         });
   }
 
-  void notice(double seconds) {
-    noticeAt = world.time.now() + Math.round(seconds * 1000);
-    reporting.changed();
+  void giveReclaimNotice(double seconds) {
+    reclaimAt = world.time.now() + Math.round(seconds * 1000);
+    reportSender.markChanged();
     world.time.after(Math.round(seconds * 1000), () -> world.cloud.remove(id));
   }
 
-  void faulty() {
+  void makeFaulty() {
     faulty = true;
   }
 
-  void slow(double factor) {
-    slowness = factor;
+  void slowDown(double factor) {
+    slowdown = factor;
   }
 
   /** Whether its tasks neither fail nor run more slowly than elsewhere. */
-  boolean sound() {
-    return !faulty && slowness <= 1;
+  boolean isHealthy() {
+    return !faulty && slowdown <= 1;
   }
 
   /** When it was rented, in seconds. */
-  double rentedSeconds() {
+  double rentedAtSeconds() {
     return world.time.seconds() - (world.time.now() - rentedAt) / 1000.0;
   }
 
   /** Whether the cloud has given notice that it takes the machine. */
-  boolean noticed() {
-    return noticeAt != Long.MAX_VALUE;
+  boolean hasReclaimNotice() {
+    return reclaimAt != Long.MAX_VALUE;
   }
 
-  boolean hangs() {
-    return world.time.now() < hangsUntil;
+  boolean isHung() {
+    return world.time.now() < hungUntil;
   }
 
-  private void endAll(Figures.Stop why) {
+  private void endAllTasks(Figures.Stop why) {
     for (Map.Entry<TaskId, Task> entry : new LinkedHashMap<>(tasks).entrySet()) {
-      if (occupies(entry.getValue())) {
+      if (isExecuting(entry.getValue())) {
         world.figures.stopped(entry.getKey(), entry.getValue().spec, why);
       }
-      leaves(entry.getKey(), entry.getValue(), false);
+      releaseTask(entry.getKey(), entry.getValue(), false);
     }
     tasks.clear();
   }
 
-  private static boolean occupies(Task task) {
+  private static boolean isExecuting(Task task) {
     return task.state == Report.PieceState.GATHERING
         || task.state == Report.PieceState.RUNNING
         || task.state == Report.PieceState.FLUSHING;
   }
 
   /** The task neither runs here nor waits here any more. */
-  private void leaves(TaskId id, Task task, boolean done) {
+  private void releaseTask(TaskId id, Task task, boolean done) {
     if (task.spec == null || task.ended()) {
       return;
     }
-    images.drop(id, task.spec);
-    save(id, task, false);
-    if (occupies(task)) {
+    imageCache.release(id, task.spec);
+    recordProgress(id, task, false);
+    if (isExecuting(task)) {
       world.rules.left(this, id);
       if (task.spec.gang()) {
         world.gangs.left(id, task.attempt, done);
@@ -198,35 +198,35 @@
   }
 
   /** What the task has done here counts when it starts again, as far as it was saved. */
-  private void save(TaskId id, Task task, boolean all) {
+  private void recordProgress(TaskId id, Task task, boolean all) {
     double every = task.spec.checkpointInterval().asSeconds();
-    if (every > 0 && task.began <= world.time.now()) {
-      double ran = (world.time.now() - task.began) / 1000.0 / slowness;
-      world.saved.merge(id, all ? ran : Math.floor(ran / every) * every, Double::sum);
+    if (every > 0 && task.startedAt <= world.time.now()) {
+      double ran = (world.time.now() - task.startedAt) / 1000.0 / slowdown;
+      world.checkpointedSeconds.merge(id, all ? ran : Math.floor(ran / every) * every, Double::sum);
     }
-    task.began = Long.MAX_VALUE;
+    task.startedAt = Long.MAX_VALUE;
   }
 
-  private void expire() {
+  private void expireLease() {
     long lease = world.settings.workers().lease().millis();
-    if (alive() && world.time.now() - renewedAt > lease) {
-      endAll(Figures.Stop.LEASE);
+    if (isAlive() && world.time.now() - renewedAt > lease) {
+      endAllTasks(Figures.Stop.LEASE);
       session++;
       renewedAt = world.time.now();
-      reporting.changed();
+      reportSender.markChanged();
     }
   }
 
-  private void step() {
+  private void tick() {
     if (goneAt <= world.time.now() || diedAt <= world.time.now()) {
       return;
     }
     // Also of a machine that hangs nothing counts as running once its lease is over.
-    expire();
-    if (!hangs()) {
-      reporting.step(this::answered);
+    expireLease();
+    if (!isHung()) {
+      reportSender.sendIfDue(this::handleOrders);
     }
-    world.time.after(50, this::step);
+    world.time.after(50, this::tick);
   }
 
   Report snapshot() {
@@ -234,15 +234,15 @@
     tasks.forEach(
         (task, held) -> pieces.add(new Report.Piece(task, held.attempt, held.state, held.cause)));
     Optional<Span> left =
-        noticeAt == Long.MAX_VALUE
+        reclaimAt == Long.MAX_VALUE
             ? Optional.empty()
-            : Optional.of(Span.millis(Math.max(0, noticeAt - world.time.now())));
+            : Optional.of(Span.millis(Math.max(0, reclaimAt - world.time.now())));
     return new Report(
         id,
         address(),
         type.name(),
-        market.zone(),
-        market.spot(),
+        pool.zone(),
+        pool.spot(),
         new SessionId(session),
         ++sequence,
         new Token(token),
@@ -250,42 +250,42 @@
         pieces);
   }
 
-  private void answered(Response.Orders orders, Reporting.Sent sent) {
+  private void handleOrders(Response.Orders orders, ReportSender.SentReport sent) {
     if (orders.token().value() >= token && sent.session() == session) {
-      sawToken(orders.token());
+      observeToken(orders.token());
       renewedAt = Math.max(renewedAt, sent.at());
-      expire();
+      expireLease();
       orders.orders().forEach(this::execute);
     }
   }
 
-  private void sawToken(Token seen) {
+  private void observeToken(Token seen) {
     if (seen.value() > token) {
       token = seen.value();
       if (world.time.now() - lastTokenChange > world.settings.workers().lease().millis() / 2) {
         lastTokenChange = world.time.now();
-        reporting.changed();
+        reportSender.markChanged();
       }
     }
   }
 
   /** A command comes in; a hanging machine takes it up when it goes on. */
-  void command(Request.Command command, java.util.function.Consumer<Answer> then) {
-    if (!alive()) {
+  void receiveCommand(Request.Command command, java.util.function.Consumer<Answer> then) {
+    if (!isAlive()) {
       return;
     }
-    if (hangs()) {
-      held.add(() -> command(command, then));
+    if (isHung()) {
+      deferred.add(() -> receiveCommand(command, then));
       return;
     }
-    expire();
+    expireLease();
     if (command.token().value() < token || command.session().value() != session) {
-      world.reportLoad.commanded(command, false);
+      world.workerTraffic.commandReceived(command, false);
       then.accept(new Answer.Commanded(false, snapshot()));
       return;
     }
-    world.reportLoad.commanded(command, true);
-    sawToken(command.token());
+    world.workerTraffic.commandReceived(command, true);
+    observeToken(command.token());
     command.orders().forEach(this::execute);
     then.accept(new Answer.Commanded(true, snapshot()));
   }
@@ -295,29 +295,29 @@
    * unless the scenario wants them: a connection delivers once, so what comes twice comes to a new
    * life of its receiver.
    */
-  void commandAgain(Request.Command command, boolean runsToo) {
+  void receiveDuplicateCommand(Request.Command command, boolean runsToo) {
     List<Order> orders =
         command.orders().stream().filter(o -> runsToo || !(o instanceof Order.Run)).toList();
-    command(
+    receiveCommand(
         new Request.Command(command.address(), command.token(), command.session(), orders),
         answer -> {});
   }
 
   /** Whether a task of this job is here, in whatever state but ended. */
-  boolean holds(JobId job) {
+  boolean holdsTaskOf(JobId job) {
     return tasks.entrySet().stream()
         .anyMatch(entry -> entry.getKey().job().equals(job) && !entry.getValue().ended());
   }
 
   /** For how many seconds a task has worked here; 0 if it does not. */
-  double secondsRun(TaskId id) {
+  double workedSeconds(TaskId id) {
     Task task = tasks.get(id);
-    return task == null || task.ended() || task.began > world.time.now()
+    return task == null || task.ended() || task.startedAt > world.time.now()
         ? 0
-        : (world.time.now() - task.began) / 1000.0 / slowness;
+        : (world.time.now() - task.startedAt) / 1000.0 / slowdown;
   }
 
-  Resources used() {
+  Resources usedResources() {
     Resources sum = Resources.NONE;
     for (Task task : tasks.values()) {
       if (!task.ended()) {
@@ -332,7 +332,7 @@
     boolean same = known != null && known.attempt.equals(order.attempt());
     if (order instanceof Order.Run) {
       if (!same) {
-        world.keptReports.starts(order.attempt());
+        world.reportReplay.startExecuted(order.attempt());
         start(order.task(), order.attempt(), known);
       }
     } else if (order instanceof Order.Halt halt) {
@@ -342,17 +342,17 @@
     } else if (same && known.ended()) {
       tasks.remove(order.task());
       if (known.cause == Report.Cause.DONE) {
-        world.forgotten.add(order.task());
+        world.clearedTasks.add(order.task());
       }
     }
   }
 
   /** A running task that can saves its progress first, if it is given the time. */
   private void halt(TaskId id, Task task, Span grace) {
-    if (occupies(task) && task.state == Report.PieceState.RUNNING) {
+    if (isExecuting(task) && task.state == Report.PieceState.RUNNING) {
       world.rules.halted(this, id, task.spec);
       world.figures.stopped(id, task.spec, Figures.Stop.COMMAND);
-      if (!noticed()) {
+      if (!hasReclaimNotice()) {
         world.largest.stoppedByCommand(id);
       }
     }
@@ -362,13 +362,13 @@
             && task.spec.checkpointDuration().millis() > 0
             && grace.compareTo(task.spec.checkpointDuration()) >= 0;
     if (task.state == Report.PieceState.RUNNING && saves) {
-      save(id, task, true);
+      recordProgress(id, task, true);
       task.state = Report.PieceState.FLUSHING;
-      reporting.changed();
+      reportSender.markChanged();
       world.time.after(
           task.spec.checkpointDuration().millis(),
           () -> {
-            if (tasks.get(id) == task && !task.ended() && alive()) {
+            if (tasks.get(id) == task && !task.ended() && isAlive()) {
               end(id, task, Report.Cause.HALTED);
             }
           });
@@ -383,76 +383,76 @@
     task.spec = world.specs.get(id.job());
     if (known != null) {
       // Refused while another attempt is here; the refusal itself has no place in the reports.
-      world.refusals++;
+      world.refusedStarts++;
       return;
     }
     tasks.put(id, task);
-    reporting.changed();
+    reportSender.markChanged();
     if (task.spec == null || id.index() >= task.spec.tasks()) {
-      refuse(task, Report.Cause.UNKNOWN);
-    } else if (!task.spec.resources().fitsInto(type.room().minus(usedWithout(task)))) {
-      refuse(task, Report.Cause.NO_ROOM);
+      refuseStart(task, Report.Cause.UNKNOWN);
+    } else if (!task.spec.resources().fitsInto(type.room().minus(usedResourcesWithout(task)))) {
+      refuseStart(task, Report.Cause.NO_ROOM);
     } else {
       world.rules.takesRoom(this, id, task.spec);
       task.state = Report.PieceState.FETCHING;
-      images.want(id, task.spec, () -> run(id, task));
+      imageCache.request(id, task.spec, () -> imageReady(id, task));
     }
   }
 
-  private Resources usedWithout(Task task) {
+  private Resources usedResourcesWithout(Task task) {
     task.state = Report.PieceState.ENDED;
-    return used();
+    return usedResources();
   }
 
-  private void refuse(Task task, Report.Cause cause) {
-    world.refusals++;
+  private void refuseStart(Task task, Report.Cause cause) {
+    world.refusedStarts++;
     task.state = Report.PieceState.ENDED;
     task.cause = cause;
   }
 
-  private void run(TaskId id, Task task) {
-    if (tasks.get(id) != task || task.ended() || !alive()) {
+  private void imageReady(TaskId id, Task task) {
+    if (tasks.get(id) != task || task.ended() || !isAlive()) {
       return;
     }
-    if (hangs()) {
-      held.add(() -> run(id, task));
+    if (isHung()) {
+      deferred.add(() -> imageReady(id, task));
       return;
     }
     task.state = task.spec.gang() ? Report.PieceState.GATHERING : Report.PieceState.RUNNING;
-    reporting.changed();
+    reportSender.markChanged();
     world.rules.started(this, id, task.spec);
-    world.reruns += world.forgotten.contains(id) ? 1 : 0;
+    world.clearedTaskRestarts += world.clearedTasks.contains(id) ? 1 : 0;
     if (world.rules.completed(id)) {
       // Its result is kept, wherever that came about.
       finish(id, task, Report.Cause.DONE);
     } else if (task.spec.gang()) {
       world.gangs.arrived(this, id, task.attempt, task.spec);
     } else {
-      begin(id);
+      beginWork(id);
     }
   }
 
   /** The task does its work from now on. */
-  void begin(TaskId id) {
+  void beginWork(TaskId id) {
     Task task = tasks.get(id);
     task.state = Report.PieceState.RUNNING;
-    task.began = world.time.now();
-    reporting.changed();
-    if (faulty || world.failing.contains(id.job())) {
+    task.startedAt = world.time.now();
+    reportSender.markChanged();
+    if (faulty || world.failingJobs.contains(id.job())) {
       world.time.after(200, () -> finish(id, task, Report.Cause.ERROR));
     } else if (!task.spec.service()) {
-      double left = world.runSeconds(id) - world.saved.getOrDefault(id, 0.0);
-      long millis = Math.round(Math.max(0, left) * 1000 * slowness);
+      double left = world.runSeconds(id) - world.checkpointedSeconds.getOrDefault(id, 0.0);
+      long millis = Math.round(Math.max(0, left) * 1000 * slowdown);
       world.time.after(millis, () -> finish(id, task, Report.Cause.DONE));
     }
   }
 
   private void finish(TaskId id, Task task, Report.Cause cause) {
-    if (tasks.get(id) != task || task.ended() || !alive()) {
+    if (tasks.get(id) != task || task.ended() || !isAlive()) {
       return;
     }
-    if (hangs()) {
-      held.add(() -> finish(id, task, cause));
+    if (isHung()) {
+      deferred.add(() -> finish(id, task, cause));
       return;
     }
     if (cause == Report.Cause.DONE) {
@@ -464,16 +464,16 @@
   /** A gang's task gives up since the others are not there. */
   void leaveGang(TaskId id) {
     Task task = tasks.get(id);
-    if (task != null && !task.ended() && alive() && !hangs()) {
+    if (task != null && !task.ended() && isAlive() && !isHung()) {
       end(id, task, Report.Cause.OTHER);
     }
   }
 
   private void end(TaskId id, Task task, Report.Cause cause) {
-    leaves(id, task, cause == Report.Cause.DONE);
+    releaseTask(id, task, cause == Report.Cause.DONE);
     task.state = Report.PieceState.ENDED;
     task.cause = cause;
-    reporting.changed();
+    reportSender.markChanged();
     world.rules.freesRoom(this);
   }
 }
--- a/src/main/java/org/oakwalk/model/Troubles.java
+++ b/src/main/java/org/oakwalk/model/Troubles.java
@@ -10,23 +10,25 @@
   private Troubles() {}
 
   /** When the last one ends, in seconds; 0 if there is none. */
-  static double end(List<Words> lines) {
+  static double end(List<ScenarioLine> lines) {
     double end = 0;
     double lease = 10;
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       lease = line.word(0).equals("settings") ? line.number("lease", lease) : lease;
     }
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       if (line.word(0).equals("at") && !NONE.contains(line.word(2))) {
         end = Math.max(end, line.number(1) + lasts(line, line.word(2), lease));
-      } else if (line.word(0).equals("every") && line.repeats() && !NONE.contains(line.word(4))) {
+      } else if (line.word(0).equals("every")
+          && line.repeatsAction()
+          && !NONE.contains(line.word(4))) {
         end = Math.max(end, line.number(3) + lasts(line, line.word(4), lease));
       }
     }
     return end;
   }
 
-  private static double lasts(Words line, String action, double lease) {
+  private static double lasts(ScenarioLine line, String action, double lease) {
     return switch (action) {
       case "refuse", "freeze", "full", "outage", "cut", "slownet", "hang", "deaf", "noreports" ->
           line.number("for", 10);
@@ -36,7 +38,7 @@
       case "copies" -> line.number("for", 10) + line.number("after", 90);
       case "latewrites" ->
           line.number("for", 10)
-              + (line.has("atonce") ? 0 : line.number("after", Lateness.MOST_FOR_WRITES));
+              + (line.hasWord("atonce") ? 0 : line.number("after", Lateness.MOST_FOR_WRITES));
       // Questions alone trouble nobody.
       case "closelooks" ->
           line.number("ends", 0) > 0
@@ -44,7 +46,7 @@
               : Double.NEGATIVE_INFINITY;
       case "latereports" ->
           line.number("for", 10)
-              + line.number("after", line.has("fornext") ? 0 : Lateness.MOST_LEASES * lease);
+              + line.number("after", line.hasWord("fornext") ? 0 : Lateness.MOST_LEASES * lease);
       case "restart" ->
           (line.number("times", 1) - 1) * line.number("every", 1) + line.number("after", 0);
       case "notice" -> line.number("in", 10);
--- a/src/main/java/org/oakwalk/model/WaitingRule.java
+++ b/src/main/java/org/oakwalk/model/WaitingRule.java
@@ -62,7 +62,7 @@
     }
     look();
     for (JobId job : world.rules.acceptedInOrder()) {
-      if (!world.rules.over(job) && !world.rules.asked(job) && !world.failing.contains(job)) {
+      if (!world.rules.over(job) && !world.rules.asked(job) && !world.failingJobs.contains(job)) {
         Optional<String> left = look(world.specs.get(job));
         if (left.isPresent()) {
           return left;
@@ -87,17 +87,17 @@
             }
           });
       if (serves(worker)) {
-        free.put(worker, worker.type.room().minus(worker.used()));
+        free.put(worker, worker.type.room().minus(worker.usedResources()));
       }
     }
   }
 
   /** Whether tasks may be expected to start there: it is up, sound, and nobody takes it away. */
   private boolean serves(SimWorker worker) {
-    return worker.awake()
-        && worker.sound()
-        && !worker.noticed()
-        && !world.plans.empties(worker.rentedSeconds());
+    return worker.isResponsive()
+        && worker.isHealthy()
+        && !worker.hasReclaimNotice()
+        && !world.plans.empties(worker.rentedAtSeconds());
   }
 
   private Optional<String> look(JobSpec spec) {
@@ -121,7 +121,7 @@
     }
     return room.entrySet().stream()
         .filter(entry -> now - entry.getValue() >= LEFT_SECONDS)
-        .filter(entry -> zoneAllowed(spec, entry.getKey().market.zone()))
+        .filter(entry -> zoneAllowed(spec, entry.getKey().pool.zone()))
         .findFirst()
         .map(
             entry ->
@@ -173,7 +173,7 @@
   }
 
   private static boolean allows(JobSpec spec, SimWorker worker) {
-    return spec.allows(worker.type.name(), worker.market.zone(), worker.market.spot());
+    return spec.allows(worker.type.name(), worker.pool.zone(), worker.pool.spot());
   }
 
   private boolean zoneAllowed(JobSpec spec, String zone) {
@@ -185,8 +185,8 @@
     for (int index = 0; index < spec.tasks(); index++) {
       SimWorker at = held.get(new TaskId(spec.id(), index));
       if (at != null) {
-        here += at.market.zone().equals(zone) ? 1 : 0;
-        elsewhere += at.market.zone().equals(zone) ? 0 : 1;
+        here += at.pool.zone().equals(zone) ? 1 : 0;
+        elsewhere += at.pool.zone().equals(zone) ? 0 : 1;
       }
     }
     return (!spec.oneZone() || elsewhere == 0) && here < spec.maxTasksPerZone();
@@ -198,7 +198,7 @@
     free.forEach(
         (worker, room) -> {
           if (allows(spec, worker)) {
-            places.merge(worker.market.zone(), room.capacityFor(spec.resources()), Integer::sum);
+            places.merge(worker.pool.zone(), room.capacityFor(spec.resources()), Integer::sum);
           }
         });
     IntStream zones = places.values().stream().mapToInt(n -> Math.min(n, spec.maxTasksPerZone()));
--- a/src/main/java/org/oakwalk/model/World.java
+++ b/src/main/java/org/oakwalk/model/World.java
@@ -19,21 +19,21 @@
 /** All that takes part in a scenario. */
 final class World {
   final Timeline time = new Timeline();
-  final Network network = new Network(time);
+  final SimNetwork network = new SimNetwork(time);
   final Rules rules = new Rules(this);
   final Lateness lateness;
   final Cancellations cancellations;
   final OddRequests oddRequests = new OddRequests(this);
   final CloseLooks closeLooks;
   final GivenUp givenUp = new GivenUp(time);
-  final KeptReports keptReports;
-  final NoReports noReports = new NoReports(time);
+  final ReportReplay reportReplay;
+  final ReportLoss reportLoss = new ReportLoss(time);
   final SimState state;
   final SimCloud cloud;
   final Settings settings;
 
   /** Whether the state service keeps to its rates, so that nodes' requests wait for them. */
-  final boolean limited;
+  final boolean rateLimited;
 
   final Plans plans;
   final Gangs gangs;
@@ -41,31 +41,31 @@
   final Figures figures = new Figures(this);
   final Nights nights;
   final Largest largest = new Largest(this);
-  final ReportLoad reportLoad = new ReportLoad(this);
+  final WorkerTraffic workerTraffic = new WorkerTraffic(this);
   final List<SimNode> nodes = new ArrayList<>();
   final Map<MachineId, SimWorker> workers = new LinkedHashMap<>();
   final Map<JobId, JobSpec> specs = new HashMap<>();
-  private final Map<JobId, double[]> runs = new HashMap<>();
+  private final Map<JobId, double[]> runTimes = new HashMap<>();
 
   /** Seconds of work that tasks have saved. */
-  final Map<TaskId, Double> saved = new HashMap<>();
+  final Map<TaskId, Double> checkpointedSeconds = new HashMap<>();
 
   final Map<JobId, SimUser> users = new LinkedHashMap<>();
-  final Set<JobId> failing = new HashSet<>();
-  int refusals;
+  final Set<JobId> failingJobs = new HashSet<>();
+  int refusedStarts;
 
   /** Completed tasks of which a worker was told to forget the result. */
-  final Set<TaskId> forgotten = new HashSet<>();
+  final Set<TaskId> clearedTasks = new HashSet<>();
 
   /** Starts of such tasks. */
-  int reruns;
+  int clearedTaskRestarts;
 
   /** Users' questions to a node that runs, to which no answer came in time. */
-  int unheard;
+  int unansweredRequests;
 
-  private int turn;
+  private int nextNode;
 
-  World(Settings settings, Plans plans, Words base) {
+  World(Settings settings, Plans plans, ScenarioLine base) {
     this.settings = settings;
     this.plans = plans;
     this.nights = new Nights(this, plans.dawns());
@@ -73,12 +73,14 @@
     this.lateness = new Lateness(time, settings.workers().lease().asSeconds(), seed);
     this.cancellations = new Cancellations(this, seed);
     this.closeLooks = new CloseLooks(this, seed);
-    this.keptReports = new KeptReports(this, seed);
-    this.limited = base.has("limited");
+    this.reportReplay = new ReportReplay(this, seed);
+    this.rateLimited = base.hasWord("limited");
     this.state =
         new SimState(
             time,
-            limited ? Optional.of(new StoreRates(time, settings.state())) : Optional.empty(),
+            rateLimited
+                ? Optional.of(new StoreRateLimiter(time, settings.state()))
+                : Optional.empty(),
             (int) base.number("changes", 10_000));
     this.cloud = new SimCloud(this, settings.cloud().listLag().asSeconds());
     this.gangs = new Gangs(this, base.number("gangwait", 35), base.number("gangpeer", 8));
@@ -89,25 +91,25 @@
     }
   }
 
-  void begin() {
+  void start() {
     largest.begin();
     for (SimNode node : nodes) {
       time.after(10L * nodes.indexOf(node), node::start);
     }
-    time.after(500, this::check);
+    time.after(500, this::runChecks);
   }
 
-  private void check() {
+  private void runChecks() {
     gangs.tick();
     rules.tick();
     waits.tick();
     figures.tick();
     nights.tick().ifPresent(rules::promiseTakenBack);
-    time.after(500, this::check);
+    time.after(500, this::runChecks);
   }
 
   /** The time of day. */
-  WallTime wall() {
+  WallTime wallClock() {
     return new WallTime(time.now() + Math.round(1000 * plans.clock()));
   }
 
@@ -144,10 +146,10 @@
   }
 
   /** The node that the load balancer would take: they take turns. */
-  Optional<SimNode> someNode() {
+  Optional<SimNode> loadBalancedNode() {
     for (int i = 0; i < nodes.size(); i++) {
-      SimNode node = nodes.get(turn++ % nodes.size());
-      if (node.healthy()) {
+      SimNode node = nodes.get(nextNode++ % nodes.size());
+      if (node.isHealthy()) {
         return Optional.of(node);
       }
     }
@@ -156,17 +158,17 @@
 
   /** The node that a reporting worker would be answered by; empty if none leads. */
   Optional<SimNode> leader() {
-    return nodes.stream().filter(SimNode::active).filter(SimNode::leads).findFirst();
+    return nodes.stream().filter(SimNode::isResponsive).filter(SimNode::isLeader).findFirst();
   }
 
   /** Sets how many seconds a job's tasks run, in the order of their numbers, and again. */
-  void run(JobId job, double... seconds) {
-    runs.put(job, seconds);
+  void setRunTimes(JobId job, double... seconds) {
+    runTimes.put(job, seconds);
   }
 
   /** How many seconds a task runs. */
   double runSeconds(TaskId task) {
-    double[] seconds = runs.get(task.job());
+    double[] seconds = runTimes.get(task.job());
     return seconds[task.index() % seconds.length];
   }
 }
--- a/src/test/java/org/oakwalk/scenario/TroublesTest.java
+++ b/src/test/java/org/oakwalk/scenario/TroublesTest.java
@@ -6,9 +6,9 @@
 import java.util.stream.IntStream;
 import org.junit.jupiter.api.DynamicTest;
 import org.junit.jupiter.api.TestFactory;
-import org.oakwalk.model.Draw;
 import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Scenario;
+import org.oakwalk.model.ScenarioGenerator;
 
 /**
  * Plays drawn troubles from fixed seeds. Every rule is checked, and that all work is done some time
@@ -23,7 +23,10 @@
   @TestFactory
   List<DynamicTest> troubles() {
     return IntStream.rangeClosed(1, SEEDS)
-        .mapToObj(seed -> DynamicTest.dynamicTest("seed " + seed, () -> play(seed, new Draw(seed))))
+        .mapToObj(
+            seed ->
+                DynamicTest.dynamicTest(
+                    "seed " + seed, () -> play(seed, new ScenarioGenerator(seed))))
         .toList();
   }
 
@@ -34,7 +37,8 @@
         .mapToObj(
             seed ->
                 DynamicTest.dynamicTest(
-                    "seed " + seed, () -> play(seed, new Draw(seed).withRoll())))
+                    "seed " + seed,
+                    () -> play(seed, new ScenarioGenerator(seed).withRollingReplacement())))
         .toList();
   }
 
@@ -45,7 +49,7 @@
         .mapToObj(
             seed ->
                 DynamicTest.dynamicTest(
-                    "seed " + seed, () -> play(seed, new Draw(seed).withHeadroom())))
+                    "seed " + seed, () -> play(seed, new ScenarioGenerator(seed).withHeadroom())))
         .toList();
   }
 
@@ -57,12 +61,12 @@
         .toList();
   }
 
-  private static Draw meetings(int seed) {
-    Draw draw = new Draw(seed).withMeetings();
+  private static ScenarioGenerator meetings(int seed) {
+    ScenarioGenerator draw = new ScenarioGenerator(seed).withOverlappingFaults();
     if (seed > MEETINGS - 20) {
-      return draw.withProducts();
+      return draw.withProductTerms();
     }
-    return seed > MEETINGS - 40 ? draw.withRoll() : draw;
+    return seed > MEETINGS - 40 ? draw.withRollingReplacement() : draw;
   }
 
   /** The newer kinds, with teams at their limits; a share in a roll, a share with all products. */
@@ -73,15 +77,15 @@
         .toList();
   }
 
-  private static Draw hunts(int seed) {
-    Draw draw = new Draw(seed).withHunts();
+  private static ScenarioGenerator hunts(int seed) {
+    ScenarioGenerator draw = new ScenarioGenerator(seed).withEdgeCaseFaults();
     if (seed > HUNTS - 10) {
-      return draw.withProducts();
+      return draw.withProductTerms();
     }
-    return seed > HUNTS - 20 ? draw.withRoll() : draw;
+    return seed > HUNTS - 20 ? draw.withRollingReplacement() : draw;
   }
 
-  private static void play(int seed, Draw draw) {
+  private static void play(int seed, ScenarioGenerator draw) {
     String text = draw.text();
     try {
       Outcome outcome = new Scenario(text).play();
