--- a/src/main/java/org/oakwalk/model/Scenario.java
+++ b/src/main/java/org/oakwalk/model/Scenario.java
@@ -30,8 +30,9 @@
 import org.oakwalk.core.port.Response;
 
 /**
- * Reads a scenario and plays it on the model: the real core between stand-ins, in virtual time. The
- * lines are described in src/test/resources/scenarios/README.
+ * Parses a scenario file and runs it as a simulation in virtual time: real controllers with
+ * simulated workers, users, cloud and state service. The line formats are described in
+ * src/test/resources/scenarios/README.
  */
 public final class Scenario {
   private final List<ScenarioLine> lines = new ArrayList<>();
@@ -42,15 +43,15 @@
   private final Set<String> expectedViolations = new TreeSet<>();
 
   /**
-   * A scenario that has not been played.
+   * Parses a scenario, with jobs queued as the scenario declares.
    *
-   * @param text the lines of its file
+   * @param text contents of the scenario file
    */
   public Scenario(String text) {
     this(text, QueueOrder.PLANNED);
   }
 
-  /** A scenario that is played by another order. */
+  /** Parses a scenario that runs with the given queue order. */
   public Scenario(String text, QueueOrder order) {
     this.queueOrder = order;
     int number = 0;
@@ -64,9 +65,9 @@
   }
 
   /**
-   * Plays it; to be called once.
+   * Runs the scenario. May be called only once.
    *
-   * @throws IllegalArgumentException if a line can't be understood
+   * @throws IllegalArgumentException if a line has an unknown keyword or lacks a word
    */
   public Outcome play() {
     ScenarioLine base =
@@ -111,18 +112,22 @@
   }
 
   /**
-   * What went wrong by name, each with how, but for the names that stand in lines of the scenario
-   * that begin with this word; a line that names none stands for all. It is wrong as well when such
-   * a line stands there without need.
+   * Returns the messages of those failures that the scenario does not declare as expected, and a
+   * message for each declaration that matches no failure.
+   *
+   * @param keyword first word of the declaring lines; a declaration without a name covers every
+   *     failure
+   * @param failures failure messages by name
    */
-  private List<String> undeclaredFailures(String word, Map<String, String> wrong) {
-    Map<String, String> left = new LinkedHashMap<>(wrong);
+  private List<String> undeclaredFailures(String keyword, Map<String, String> failures) {
+    Map<String, String> left = new LinkedHashMap<>(failures);
     List<String> missed = new ArrayList<>();
     for (ScenarioLine line : lines) {
-      if (line.word(0).equals(word)) {
+      if (line.word(0).equals(keyword)) {
         String name = line.wordsFrom(1);
-        if (name.isEmpty() ? wrong.isEmpty() : !wrong.containsKey(name)) {
-          missed.add(String.format("line %d: nothing is %s as it says", line.number(), word));
+        if (name.isEmpty() ? failures.isEmpty() : !failures.containsKey(name)) {
+          missed.add(
+              String.format("line %d: declared %s, but no such failure", line.number(), keyword));
         }
         left.keySet().removeIf(each -> name.isEmpty() || each.equals(name));
       }
@@ -132,8 +137,8 @@
   }
 
   /**
-   * Submits like jobs one after the other: every GAP FROM UNTIL FIRST SHAPE ...; or does something
-   * again and again: every GAP FROM UNTIL ACTION ...
+   * Schedules a series of similar jobs ({@code every GAP FROM UNTIL FIRST SHAPE ...}) or a repeated
+   * action ({@code every GAP FROM UNTIL ACTION ...}).
    */
   private void scheduleRepeated(ScenarioLine line) {
     if (line.repeatsAction()) {
@@ -151,7 +156,10 @@
     }
   }
 
-  /** Each Nth of a row of jobs is cancelled, so many seconds after it was submitted, in turn. */
+  /**
+   * Schedules the cancellation of every Nth job of a series ({@code cancels=N}). The delays in
+   * seconds after the submission ({@code by=}) are used in turn.
+   */
   private void scheduleCancellation(ScenarioLine line, JobId job, int number, double at) {
     int nth = (int) line.number("cancels", 0);
     if (nth > 0 && number % nth == 0) {
@@ -235,7 +243,7 @@
     }
   }
 
-  /** Plays one line that begins with {@code at SECONDS}. */
+  /** Carries out a line that begins with {@code at SECONDS}. */
   private void runAction(ScenarioLine line) {
     switch (line.word(2)) {
       case "submit" -> submit(line, new JobId(line.word(3)), line.word(4));
@@ -307,21 +315,24 @@
   private void cancel(ScenarioLine line) {
     SimUser user = world.users.get(new JobId(line.word(3)));
     String first = line.text("on", "");
-    List<SimNode> asked = first.isEmpty() ? List.of() : hostSelector.nodes(first);
-    if (asked.isEmpty()) {
+    List<SimNode> firstNodes = first.isEmpty() ? List.of() : hostSelector.nodes(first);
+    if (firstNodes.isEmpty()) {
       user.cancel();
     } else {
-      user.cancelVia(asked.get(0));
+      user.cancelVia(firstNodes.get(0));
     }
   }
 
-  /** They end and are back some time later, perhaps again and again; the same each time. */
+  /**
+   * Restarts controllers once or repeatedly. The affected controllers are selected once, so that
+   * each repetition restarts the same ones.
+   */
   private void restart(ScenarioLine line) {
-    List<SimNode> who = List.copyOf(hostSelector.nodes(line.word(3)));
+    List<SimNode> restarted = List.copyOf(hostSelector.nodes(line.word(3)));
     for (int i = 0; i < line.number("times", 1); i++) {
       world.time.after(
           Math.round(i * line.number("every", 1) * 1000),
-          () -> who.forEach(node -> node.restart(line.number("after", 0))));
+          () -> restarted.forEach(node -> node.restart(line.number("after", 0))));
     }
   }
 
@@ -369,7 +380,10 @@
     user.submit();
   }
 
-  /** The same job, due at its dawn if that is earlier than its own deadline. */
+  /**
+   * Returns the job with the deadline of its planning window, or unchanged if its own deadline is
+   * earlier.
+   */
   private JobSpec withWindowDeadline(JobSpec spec) {
     Optional<Span> dawn =
         world
@@ -399,7 +413,7 @@
             dawn);
   }
 
-  /** Somebody who holds the token but keeps no rule; shows that the checker sees it. */
+  /** Starts a task without a decision of the leader, to test that {@link Rules} detects it. */
   private void sendUnauthorizedStart(ScenarioLine line) {
     TaskId task = TaskId.parse(line.word(3)).orElseThrow();
     SimWorker worker = hostSelector.worker(line.word(4));
@@ -416,7 +430,7 @@
         answer -> {});
   }
 
-  /** Somebody who may stops a task without being asked to. */
+  /** Halts a task with a valid token, but without a decision of the leader. */
   private void sendUnauthorizedHalt(TaskId task) {
     SimWorker worker = hostSelector.worker("of:" + task);
     worker.receiveCommand(
@@ -428,7 +442,7 @@
         answer -> {});
   }
 
-  /** Somebody writes down a take that no leader made, from one job for another. */
+  /** Stores a capacity transfer between two jobs that no leader decided. */
   private void storeUnauthorizedTransfer(ScenarioLine line) {
     JobSpec giver = world.specs.get(new JobId(line.word(3)));
     JobSpec taker = world.specs.get(new JobId(line.word(4)));
@@ -448,6 +462,7 @@
             new WallTime(0)));
   }
 
+  /** Records a false response to the user of a job, to test that {@link Rules} detects it. */
   private void deliverFalseResponse(ScenarioLine line) {
     JobId job = new JobId(line.word(3));
     Response answer =
--- a/src/main/java/org/oakwalk/model/SimCloud.java
+++ b/src/main/java/org/oakwalk/model/SimCloud.java
@@ -14,9 +14,9 @@
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 
-/** Stand-in for the cloud, after its published protocol. */
+/** Simulated cloud that follows the published protocol. */
 final class SimCloud {
-  /** A place where machines of one sort can be had. */
+  /** Key of the capacity for one machine type in one zone, on demand or spot. */
   record CapacityPool(String type, String zone, boolean spot) {}
 
   private static final long FAILURE_DETECTION_MILLIS = 30_000;
@@ -49,26 +49,33 @@
     downUntil = world.time.now() + Math.round(seconds * 1000);
   }
 
-  /** The next so many machines never come up, in this zone or in any. */
+  /**
+   * Makes the next {@code count} rented machines fail to boot, in one zone or, if empty, in any.
+   */
   void failBoots(int count, String zone) {
     failingBoots = count;
     failingBootsZone = zone;
   }
 
-  /** Boots of machines that are rented from now on take so many times as long. */
+  /** Multiplies the boot time of machines rented from now on. */
   void slowDownBoots(double factor) {
     bootFactor = factor;
   }
 
   /**
-   * Machines that are rented from now on are up within so many seconds, the first one before the
-   * rental is answered.
+   * Limits the boot time of machines rented from now on, in seconds. The first of them is up before
+   * the rental request is answered.
    */
   void setQuickBoots(double within) {
     quickBootMaxSeconds = within;
   }
 
-  /** Rentals that are asked for meanwhile get no answer, and are carried out so much later. */
+  /**
+   * Delays the rental requests of a period: they get no answer and are carried out after a delay.
+   *
+   * @param seconds length of the period
+   * @param after delay of each request, in seconds
+   */
   void delayRentals(double seconds, double after) {
     rentalsDelayedUntil = world.time.now() + Math.round(seconds * 1000);
     rentalDelayMillis = Math.round(after * 1000);
@@ -78,7 +85,7 @@
     if (quickBootMaxSeconds < 0) {
       return type.bootTime().asSeconds();
     }
-    // Spread evenly, however many there are.
+    // The golden ratio spreads the boot times evenly, whatever the number of machines.
     double share = quickBootCount++ * GOLDEN_RATIO % 1;
     return quickBootMaxSeconds * share / bootFactor;
   }
@@ -88,8 +95,8 @@
     SimWorker worker = new SimWorker(world, id, types.get(market.type()), market);
     machines.put(id, worker);
     world.workers.put(id, worker);
-    boolean here = failingBootsZone.isEmpty() || failingBootsZone.equals(market.zone());
-    if (failingBoots > 0 && bootSeconds > 0 && here) {
+    boolean zoneMatches = failingBootsZone.isEmpty() || failingBootsZone.equals(market.zone());
+    if (failingBoots > 0 && bootSeconds > 0 && zoneMatches) {
       failingBoots--;
     } else if (bootSeconds <= 0 && quickBootMaxSeconds >= 0) {
       worker.boot();
@@ -101,7 +108,7 @@
 
   void serve(Request.Cloud request, Consumer<Answer> then) {
     if (world.time.now() < downUntil) {
-      then.accept(new Answer.Refused(503, "trouble"));
+      then.accept(new Answer.Refused(503, "cloud unavailable"));
     } else if (request instanceof Request.FetchCatalog) {
       then.accept(new Answer.Catalog(types));
     } else if (request instanceof Request.Rent rent) {
@@ -121,7 +128,7 @@
     }
   }
 
-  /** The cloud takes a machine away. */
+  /** Removes a machine and returns its capacity to the pool. */
   void remove(MachineId id) {
     SimWorker worker = machines.get(id);
     if (worker != null && worker.goneAt == Long.MAX_VALUE) {
@@ -151,14 +158,14 @@
   }
 
   private Answer listRentals() {
-    long moment = world.time.now() - listLagMillis;
+    long listedAt = world.time.now() - listLagMillis;
     List<Rental> rentals = new ArrayList<>();
     for (SimWorker worker : machines.values()) {
-      if (worker.rentedAt <= moment && worker.goneAt > moment) {
+      if (worker.rentedAt <= listedAt && worker.goneAt > listedAt) {
         Rental.Status status =
-            worker.diedAt + FAILURE_DETECTION_MILLIS < moment
+            worker.diedAt + FAILURE_DETECTION_MILLIS < listedAt
                 ? Rental.Status.FAILED
-                : worker.bootedAt <= moment ? Rental.Status.RUNNING : Rental.Status.BOOTING;
+                : worker.bootedAt <= listedAt ? Rental.Status.RUNNING : Rental.Status.BOOTING;
         rentals.add(
             new Rental(
                 worker.id,
@@ -167,7 +174,7 @@
                 worker.pool.zone(),
                 worker.pool.spot(),
                 status,
-                Span.millis(moment - worker.rentedAt)));
+                Span.millis(listedAt - worker.rentedAt)));
       }
     }
     return new Answer.Rentals(rentals, false);
--- a/src/main/java/org/oakwalk/model/SimNode.java
+++ b/src/main/java/org/oakwalk/model/SimNode.java
@@ -30,9 +30,9 @@
 import org.oakwalk.core.store.RequestQueue;
 import org.slf4j.MDC;
 
-/** A controller node in virtual time: the real core between stand-ins. */
+/** Simulated controller node: runs the real {@link Controller} in virtual time. */
 final class SimNode {
-  /** Where the log's pattern finds the simulated time and the controller. */
+  /** MDC key through which the log pattern shows the simulated time and the controller. */
   private static final String LOG_CONTEXT = "simulated";
 
   private static final long TICK_MILLIS = 50;
@@ -49,7 +49,7 @@
   private Controller controller;
   private KnownEnds knownEnds = new KnownEnds();
 
-  /** Where requests to the state service wait for its rates, if it keeps to any. */
+  /** Queue for requests to the state service, if the service limits request rates. */
   private RequestQueue line;
 
   private int incarnation;
@@ -67,10 +67,12 @@
   private final List<Runnable> deferredInput = new ArrayList<>();
   private final List<Runnable> deferredOutput = new ArrayList<>();
 
-  /** Whether the process runs, or stands still while its clocks go on. */
+  /** State of a simulated process pause during which the clocks keep running. */
   private enum FreezeState {
     RUNNING,
-    /** About to stop: what it decides from here on leaves it only when it goes on. */
+    /**
+     * About to freeze: events are handled, but outgoing messages wait until the process resumes.
+     */
     SENDS_HELD,
     FROZEN
   }
@@ -107,10 +109,13 @@
     tick(incarnation);
   }
 
-  /** It ends, and is back some time later unless something else has happened to it by then. */
+  /**
+   * Stops the node and starts it again after a delay, unless it has been stopped or started again
+   * by then.
+   */
   void restart(double after) {
     crash();
-    int of = ++stopCount;
+    int stop = ++stopCount;
     if (after <= 0) {
       start();
       return;
@@ -118,7 +123,7 @@
     world.time.after(
         Math.round(after * 1000),
         () -> {
-          if (of == stopCount && !up) {
+          if (stop == stopCount && !up) {
             start();
           }
         });
@@ -138,47 +143,50 @@
   }
 
   /**
-   * The process stands still while its clocks run on. What it decides in the last moment before
-   * that, it has checked but not sent: that leaves first when it goes on, and only then does it
-   * take what came in meanwhile, in an order of its own: timers that are due before the rest.
+   * Pauses the process while its clocks keep running. The messages decided on in the last moments
+   * before the pause have been checked but not sent; they are sent first on resuming. Only then
+   * does the process handle the timers that are due, followed by the input received meanwhile.
    */
   void freeze(double seconds) {
-    int of = incarnation;
+    int caller = incarnation;
     freezeState = FreezeState.SENDS_HELD;
     world.time.after(
         SENDS_HELD_MILLIS,
         () -> {
-          if (of == incarnation && up) {
+          if (caller == incarnation && up) {
             freezeState = FreezeState.FROZEN;
             frozenSince = world.time.now();
-            world.time.after(Math.round(seconds * 1000), () -> resume(of));
+            world.time.after(Math.round(seconds * 1000), () -> resume(caller));
           }
         });
   }
 
-  private void resume(int of) {
-    if (of == incarnation && up) {
-      List<Runnable> late = new ArrayList<>(deferredOutput);
-      late.add(() -> handle(new Event.Tick()));
-      late.addAll(deferredInput);
+  private void resume(int caller) {
+    if (caller == incarnation && up) {
+      List<Runnable> deferred = new ArrayList<>(deferredOutput);
+      deferred.add(() -> handle(new Event.Tick()));
+      deferred.addAll(deferredInput);
       clearFreeze();
-      late.forEach(Runnable::run);
+      deferred.forEach(Runnable::run);
     }
   }
 
-  /** Whether the load balancer would still take it for healthy. */
+  /**
+   * Returns true if the load balancer considers this node healthy. It notices a frozen node only
+   * after {@link #UNHEALTHY_AFTER_MILLIS}.
+   */
   boolean isHealthy() {
     return up
         && (freezeState != FreezeState.FROZEN
             || world.time.now() - frozenSince < UNHEALTHY_AFTER_MILLIS);
   }
 
-  /** Whether it does anything at present. */
+  /** Returns true if the process is up and not frozen. */
   boolean isResponsive() {
     return up && freezeState != FreezeState.FROZEN;
   }
 
-  /** Runs something in the process, now or when it goes on. */
+  /** Runs an input handler now, or on resuming if the process is frozen. */
   private void runOrDefer(Runnable action) {
     if (freezeState == FreezeState.FROZEN) {
       deferredInput.add(action);
@@ -187,7 +195,7 @@
     }
   }
 
-  /** Something leaves the process, now or when it goes on. */
+  /** Sends a message now, or on resuming if the process is about to freeze. */
   private void sendOrDefer(Runnable action) {
     if (freezeState == FreezeState.SENDS_HELD) {
       deferredOutput.add(action);
@@ -196,25 +204,31 @@
     }
   }
 
-  /** The state service answers 503 to this node alone, and its open watches wait meanwhile. */
+  /**
+   * Makes the state service answer 503 to this node alone. The open watches of the node are not
+   * answered meanwhile.
+   */
   void refuseStateRequests(double seconds) {
     refusedByStateUntil = world.time.now() + Math.round(seconds * 1000);
   }
 
-  /** It has no free sockets: nobody new gets through to it, while it reaches everybody. */
+  /** Simulates a node without free sockets: new worker reports are lost, outgoing calls succeed. */
   void exhaustSockets(double seconds) {
     socketsExhaustedUntil = world.time.now() + Math.round(seconds * 1000);
   }
 
-  /** It has sockets for so many workers and no more. */
+  /** Limits the number of workers that this node has sockets for. */
   void limitWorkers(int workers, double seconds) {
     maxWorkers = workers;
     workerLimitUntil = world.time.now() + Math.round(seconds * 1000);
   }
 
-  /** Whether this worker has to go; those that were told so count no more. */
+  /**
+   * Returns true if this worker is to be redirected because the node has more workers than its
+   * limit. Workers that have already been redirected do not count.
+   */
   private boolean shouldRedirect(MachineId worker) {
-    redirectedWorkers.removeIf(told -> !world.workers.get(told).reportsTo(this));
+    redirectedWorkers.removeIf(redirected -> !world.workers.get(redirected).reportsTo(this));
     boolean crowded =
         world.time.now() < workerLimitUntil
             && world.workers.values().stream()
@@ -227,25 +241,25 @@
     return crowded;
   }
 
-  private void tick(int of) {
-    if (up && of == incarnation) {
+  private void tick(int caller) {
+    if (up && caller == incarnation) {
       if (freezeState != FreezeState.FROZEN) {
         handle(new Event.Tick());
       }
-      world.time.after(TICK_MILLIS, () -> tick(of));
+      world.time.after(TICK_MILLIS, () -> tick(caller));
     }
   }
 
   private void handle(Event event) {
-    boolean led = controller.leads();
+    boolean wasLeader = controller.leads();
     List<Effect> effects = decide(event);
-    if (!led && controller.leads()) {
+    if (!wasLeader && controller.leads()) {
       world.reportReplay.leadershipGained();
     }
     effects.forEach(this::execute);
   }
 
-  /** What the core makes of an event; its log lines name the controller and the simulated time. */
+  /** Passes an event to the controller, with the node id and simulated time in the log context. */
   private List<Effect> decide(Event event) {
     MDC.put(LOG_CONTEXT, " [" + world.time.seconds() + " s " + id + "]");
     try {
@@ -263,16 +277,16 @@
         sendOrDefer(() -> then.accept(respond.response()));
       }
     } else if (effect instanceof Effect.Call call) {
-      int of = incarnation;
-      sendOrDefer(() -> call(call, of));
+      int caller = incarnation;
+      sendOrDefer(() -> call(call, caller));
     }
   }
 
-  private void call(Effect.Call call, int of) {
+  private void call(Effect.Call call, int caller) {
     boolean[] answered = new boolean[1];
     Consumer<Answer> then =
         answer -> {
-          if (!answered[0] && up && of == incarnation) {
+          if (!answered[0] && up && caller == incarnation) {
             answered[0] = true;
             world.givenUp.answered(call.request(), answer);
             runOrDefer(
@@ -299,10 +313,10 @@
           id.value(),
           command.address(),
           () -> world.workerAt(command.address()).ifPresent(w -> w.receiveCommand(command, reply)),
-          runsToo ->
+          includeStarts ->
               world
                   .workerAt(command.address())
-                  .ifPresent(w -> w.receiveDuplicateCommand(command, runsToo)));
+                  .ifPresent(w -> w.receiveDuplicateCommand(command, includeStarts)));
     } else if (request instanceof Request.Tell tell) {
       world.time.after(STATE_TIMEOUT_MILLIS, () -> then.accept(new Answer.Nothing("timeout")));
       sendRequest(
@@ -311,7 +325,7 @@
           reply -> {
             SimNode peer = world.node(tell.node());
             peer.receive(
-                exchange -> new Event.PeerSays(exchange, tell.message()),
+                requestId -> new Event.PeerSays(requestId, tell.message()),
                 response -> {
                   if (response instanceof Response.ToPeer toPeer) {
                     reply.accept(new Answer.Told(toPeer.message()));
@@ -321,7 +335,7 @@
     }
   }
 
-  /** A start leaves it that its core did not decide. */
+  /** Sends a start command that the controller did not decide on, to test the rule checks. */
   void sendUndecidedStart(TaskId task, SimWorker worker) {
     List<Order> orders = List.of(new Order.Run(task, new Attempt(Long.MAX_VALUE >> 1)));
     execute(
@@ -335,11 +349,11 @@
   }
 
   private void sendState(Request.State request, Consumer<Answer> then) {
-    boolean[] over = new boolean[1];
+    boolean[] completed = new boolean[1];
     Consumer<Answer> once =
         answer -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!completed[0]) {
+            completed[0] = true;
             then.accept(answer);
           }
         };
@@ -352,21 +366,23 @@
         replyVia("state", once),
         reply -> {
           if (isRefusedByState()) {
-            reply.accept(new Answer.Refused(503, "refused"));
+            reply.accept(new Answer.Refused(503, "state service refuses this node"));
           } else {
             serveState(request, reply);
           }
         });
   }
 
-  /** Sends what the rates allow by now, as the event loop does whenever something has happened. */
-  private void pumpQueue(int of) {
-    if (up && of == incarnation) {
+  /**
+   * Sends the queued requests that the rate limits allow, as the event loop does after each event.
+   */
+  private void pumpQueue(int caller) {
+    if (up && caller == incarnation) {
       if (freezeState == FreezeState.RUNNING) {
         line.setTime(world.time.now());
         line.sendDue(world.time.now());
       }
-      world.time.after(QUEUE_POLL_MILLIS, () -> pumpQueue(of));
+      world.time.after(QUEUE_POLL_MILLIS, () -> pumpQueue(caller));
     }
   }
 
@@ -374,12 +390,12 @@
     return world.time.now() < refusedByStateUntil;
   }
 
-  /** Nobody is told what becomes of a transaction that is carried out late. */
+  /** Serves a request. A transaction that is committed late gets no answer. */
   private void serveState(Request.State request, Consumer<Answer> reply) {
-    OptionalLong late =
+    OptionalLong delay =
         world.state.isDown() ? OptionalLong.empty() : world.lateness.ofWrite(id.value(), request);
-    if (late.isPresent()) {
-      world.time.after(late.getAsLong(), () -> world.state.commitLate((Request.Commit) request));
+    if (delay.isPresent()) {
+      world.time.after(delay.getAsLong(), () -> world.state.commitLate((Request.Commit) request));
     } else {
       world.state.serve(request, reply, this::isRefusedByState);
     }
@@ -396,9 +412,9 @@
   private void receive(
       java.util.function.Function<ExchangeId, Event> event, Consumer<Response> then) {
     if (up) {
-      ExchangeId exchange = new ExchangeId(++lastRequestId);
-      pendingResponses.put(exchange, then);
-      runOrDefer(() -> handle(event.apply(exchange)));
+      ExchangeId requestId = new ExchangeId(++lastRequestId);
+      pendingResponses.put(requestId, then);
+      runOrDefer(() -> handle(event.apply(requestId)));
     }
   }
 
@@ -408,7 +424,7 @@
     }
     boolean crowded = shouldRedirect(report.machine());
     receive(
-        exchange -> new Event.WorkerReports(exchange, report, crowded),
+        requestId -> new Event.WorkerReports(requestId, report, crowded),
         response -> {
           if (response instanceof Response.Orders) {
             redirectedWorkers.remove(report.machine());
@@ -417,20 +433,20 @@
         });
   }
 
-  /** An old report comes once more; its answer goes to nobody. */
+  /** Receives a late copy of a report. The response is discarded. */
   void receiveDuplicateReport(Report report) {
     if (world.time.now() >= socketsExhaustedUntil) {
-      receive(exchange -> new Event.WorkerReports(exchange, report, false), response -> {});
+      receive(requestId -> new Event.WorkerReports(requestId, report, false), response -> {});
     }
   }
 
   void receiveUserRequest(UserRequest request, Consumer<Response> then) {
-    receive(exchange -> new Event.UserAsks(exchange, request), then);
+    receive(requestId -> new Event.UserAsks(requestId, request), then);
   }
 
-  /** Another controller says something, or somebody in its name. */
+  /** Receives a message from another controller, or one forged in its name. */
   void receivePeerMessage(PeerMessage message) {
-    receive(exchange -> new Event.PeerSays(exchange, message), response -> {});
+    receive(requestId -> new Event.PeerSays(requestId, message), response -> {});
   }
 
   void checkHealth(Consumer<Response> then) {
--- a/src/main/java/org/oakwalk/model/SimState.java
+++ b/src/main/java/org/oakwalk/model/SimState.java
@@ -25,7 +25,7 @@
 import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 
-/** Stand-in for the state service, after its published protocol. */
+/** Simulated state service that follows the published protocol. */
 final class SimState {
   private static final int PAGE_SIZE = 200;
 
@@ -36,7 +36,10 @@
     long expiresAt;
   }
 
-  /** An open watch. It waits while its node is refused, and then tells all that it has missed. */
+  /**
+   * An open watch. While its node is refused it is not answered; afterwards it delivers all missed
+   * changes.
+   */
   private record PendingWatch(
       Request.Watch request,
       Consumer<Answer> callback,
@@ -60,10 +63,10 @@
   private int rateLimitedCount;
 
   /**
-   * A service without any keys.
+   * Creates a service without any keys.
    *
-   * @param rateLimiter how much it takes a second; without them any amount
-   * @param changes how many it keeps for watches
+   * @param rateLimiter limits on requests and writes; unlimited if empty
+   * @param changes number of changes kept in the history for watches
    */
   SimState(Timeline time, Optional<StoreRateLimiter> rates, int changes) {
     this.time = time;
@@ -80,33 +83,33 @@
     return requestCount;
   }
 
-  /** Requests that ask what is new without waiting for it. */
+  /** Returns the number of watch requests that do not wait for changes. */
   int pollCount() {
     return pollCount;
   }
 
-  /** Requests that were refused as too much. */
+  /** Returns the number of requests refused by the rate limit. */
   int rateLimitedCount() {
     return rateLimitedCount;
   }
 
-  /** What is stored. */
+  /** Returns the value stored under a key. */
   Optional<StoredValue> value(String key) {
     return Optional.ofNullable(keys.get(key)).map(StoredEntry::value);
   }
 
-  /** How many keys there are below a prefix. */
+  /** Returns the number of keys with a prefix. */
   long countKeys(String prefix) {
     return keys.keySet().stream().filter(key -> key.startsWith(prefix)).count();
   }
 
-  /** Whether a job is stored, and not as over. */
+  /** Returns true if a job is stored in phase {@code OPEN}. */
   boolean isOpen(JobId job) {
     return value(StoreKeys.job(job)).orElse(null) instanceof JobRecord record
         && record.phase() == JobRecord.Phase.OPEN;
   }
 
-  /** The rows of a record that leaders keep, in the revision that counts. */
+  /** Returns the rows of a shared record, as its head refers to them. */
   List<SharedRow> rows(String name) {
     if (!(value(StoreKeys.sharedHead(name)).orElse(null) instanceof StoredValue.SharedHead head)) {
       return List.of();
@@ -121,7 +124,7 @@
     return rows;
   }
 
-  /** Adds a row to a record, which no leader would do this way. */
+  /** Appends a row to a shared record, bypassing the transactions that leaders use. */
   void appendRow(String name, SharedRow row) {
     List<SharedRow> rows = new ArrayList<>(rows(name));
     rows.add(row);
@@ -135,7 +138,7 @@
     return time.now() < downUntil;
   }
 
-  /** After an outage every lease has its full time again. */
+  /** Makes the service unavailable. At the end of the outage every lease has its full TTL again. */
   void outage(double seconds) {
     downUntil = time.now() + Math.round(seconds * 1000);
     leases.values().forEach(hold -> hold.expiresAt = downUntil + hold.ttlMillis);
@@ -186,7 +189,7 @@
     history.add(new KeyChange(key, Optional.empty(), new Revision(revision)));
   }
 
-  /** A transaction is carried out late, to nobody's knowledge; an outage holds it up as well. */
+  /** Commits a transaction late and without an answer. An outage delays it further. */
   void commitLate(Request.Commit commit) {
     if (isDown()) {
       time.after(downUntil - time.now(), () -> commitLate(commit));
@@ -199,16 +202,16 @@
   /**
    * Serves a request.
    *
-   * @param refused whether the node that asks is refused at present, alone
+   * @param refused true while the service refuses the requesting node alone
    */
   void serve(Request.State request, Consumer<Answer> then, BooleanSupplier refused) {
     requestCount++;
     pollCount += request instanceof Request.Watch watch && watch.hold().millis() == 0 ? 1 : 0;
     if (isDown()) {
-      then.accept(new Answer.Refused(503, "down"));
+      then.accept(new Answer.Refused(503, "state service unavailable"));
     } else if (rateLimiter.isPresent() && !rateLimiter.get().tryAcquire(request.writes())) {
       rateLimitedCount++;
-      then.accept(new Answer.Refused(429, "too many"));
+      then.accept(new Answer.Refused(429, "rate limit exceeded"));
     } else if (request instanceof Request.ReadPage read) {
       then.accept(page(read));
     } else if (request instanceof Request.Watch watch) {
@@ -252,11 +255,11 @@
   }
 
   private void watch(Request.Watch watch, Consumer<Answer> then, BooleanSupplier refused) {
-    List<KeyChange> news = history.since(watch);
+    List<KeyChange> changes = history.since(watch);
     if (history.tooOld(watch.after())) {
-      then.accept(new Answer.Refused(410, "too old"));
-    } else if (!news.isEmpty() || watch.hold().millis() == 0) {
-      then.accept(new Answer.Changes(new Revision(revision), news));
+      then.accept(new Answer.Refused(410, "revision too old"));
+    } else if (!changes.isEmpty() || watch.hold().millis() == 0) {
+      then.accept(new Answer.Changes(new Revision(revision), changes));
     } else {
       pendingWatches.add(
           new PendingWatch(watch, then, time.now() + watch.hold().millis(), refused));
@@ -297,14 +300,14 @@
     return new Answer.Committed(new Revision(revision));
   }
 
-  /** A key is lost. */
+  /** Loses a key, as by a fault of the service. */
   void loseKey(String key) {
     revision++;
     remove(key);
     notifyWatches();
   }
 
-  /** Values below this prefix become such as no version can read. */
+  /** Replaces the values under a prefix with values that no version can decode. */
   void corruptValues(String prefix) {
     revision++;
     for (Map.Entry<String, StoredEntry> entry : keys.tailMap(prefix).entrySet()) {
@@ -327,21 +330,21 @@
     }
   }
 
-  /** Answers a watch if there is anything new for it. */
+  /** Answers a watch if there are changes for it, and returns true if it was answered. */
   private boolean notifyWatch(PendingWatch watcher) {
-    List<KeyChange> news = history.since(watcher.request());
+    List<KeyChange> changes = history.since(watcher.request());
     if (history.tooOld(watcher.request().after())) {
       pendingWatches.remove(watcher);
       delayedWatches.remove(watcher);
-      watcher.callback().accept(new Answer.Refused(410, "too old"));
+      watcher.callback().accept(new Answer.Refused(410, "revision too old"));
       return true;
     }
-    if (news.isEmpty()) {
+    if (changes.isEmpty()) {
       return false;
     }
     pendingWatches.remove(watcher);
     delayedWatches.remove(watcher);
-    watcher.callback().accept(new Answer.Changes(new Revision(revision), news));
+    watcher.callback().accept(new Answer.Changes(new Revision(revision), changes));
     return true;
   }
 }
--- a/src/main/java/org/oakwalk/model/SimUser.java
+++ b/src/main/java/org/oakwalk/model/SimUser.java
@@ -7,7 +7,7 @@
 import org.oakwalk.core.port.Response;
 import org.oakwalk.core.port.UserRequest;
 
-/** A user with one job: submits, polls, and perhaps cancels, asking again where that helps. */
+/** Simulated user of one job, who submits, polls, and may cancel it, with retries. */
 final class SimUser {
   private static final long POLL_INTERVAL_MILLIS = 5000;
   private static final long QUERY_TIMEOUT_MILLIS = 2000;
@@ -63,14 +63,14 @@
         });
   }
 
-  /** Seconds at which a question was last answered with the job's state. */
+  /** Returns the time, in seconds, at which a request was last answered with the job's state. */
   double lastAnsweredAt() {
     return lastAnsweredAt;
   }
 
   /**
-   * Whether it tried to submit the job for as long as a user does, was never told that it is
-   * accepted nor why not, and no controller could have stored it.
+   * Returns true if the user gave up submitting after {@link #GIVE_UP_SECONDS} without a decisive
+   * answer, and no controller could have stored the job.
    */
   boolean gaveUpUnstored() {
     return gaveUp
@@ -79,14 +79,14 @@
         && world.givenUp.inVain(firstAttempt, lastAttempt);
   }
 
-  /** Whether the job was accepted, and its user has not been told yet that it is over. */
+  /** Returns true if the job was accepted and its user has not yet learned that it has ended. */
   boolean isPolling() {
     return polling && world.rules.told(job) == null;
   }
 
   void cancel() {
     if (acceptanceSeconds == null && world.time.seconds() - createdAtSeconds < GIVE_UP_SECONDS) {
-      // Nobody cancels what has not been accepted yet.
+      // A user waits for the acceptance before cancelling.
       world.time.after(1000, this::cancel);
       return;
     }
@@ -110,7 +110,7 @@
         });
   }
 
-  /** The first request goes to this node, repeated ones go where the load balancer sends them. */
+  /** Cancels via this node first; retries go through the load balancer. */
   void cancelVia(SimNode first) {
     world.rules.asksToCancel(job);
     send(
@@ -139,7 +139,7 @@
         });
   }
 
-  /** From now on nothing that the user asks arrives. */
+  /** Makes all further requests of this user get lost. */
   void mute() {
     muted = true;
   }
@@ -154,40 +154,40 @@
         });
   }
 
-  /** For how many milliseconds a user waits for an answer. */
+  /** Returns how long a user waits for a response, in milliseconds. */
   static long timeoutMillis(UserRequest request) {
     return request instanceof UserRequest.Query ? QUERY_TIMEOUT_MILLIS : REQUEST_TIMEOUT_MILLIS;
   }
 
-  /** Asks some node; calls back once, with null if no answer comes. */
+  /** Sends a request through the load balancer. Calls back once, with null after a timeout. */
   private void send(UserRequest request, java.util.function.Consumer<Response> then) {
     send(request, muted ? Optional.empty() : world.loadBalancedNode(), then);
   }
 
   private void send(
       UserRequest request, Optional<SimNode> node, java.util.function.Consumer<Response> then) {
-    long asked = world.rules.moment();
-    boolean[] over = new boolean[1];
+    long sentAt = world.rules.moment();
+    boolean[] completed = new boolean[1];
     world.time.after(
         timeoutMillis(request),
         () -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!completed[0]) {
+            completed[0] = true;
             world.unansweredRequests += node.filter(SimNode::isResponsive).isPresent() ? 1 : 0;
             then.accept(null);
           }
         });
     world.network.sendDuplicates(
-        "users", node.map(n -> n.id.value()).orElse(""), runsToo -> sendDuplicate(request));
+        "users", node.map(n -> n.id.value()).orElse(""), includeStarts -> sendDuplicate(request));
     node.ifPresent(
         chosen ->
             chosen.receiveUserRequest(
                 request,
                 response -> {
-                  if (!over[0]) {
-                    over[0] = true;
+                  if (!completed[0]) {
+                    completed[0] = true;
                     world.rules.told(
-                        job, request instanceof UserRequest.Submit, asked, response, node);
+                        job, request instanceof UserRequest.Submit, sentAt, response, node);
                     if (response instanceof Response.JobStatus) {
                       lastAnsweredAt = world.time.seconds();
                     }
@@ -196,9 +196,12 @@
                 }));
   }
 
-  /** A late copy of a request: nobody waits for the answer any more, but it must not be wrong. */
+  /**
+   * Delivers a late copy of a request. No user waits for the response, but {@link Rules} checks
+   * that it is right.
+   */
   private void sendDuplicate(UserRequest request) {
-    long asked = world.rules.moment();
+    long sentAt = world.rules.moment();
     world
         .loadBalancedNode()
         .ifPresent(
@@ -207,6 +210,6 @@
                     request,
                     response ->
                         world.rules.toldAgain(
-                            job, request instanceof UserRequest.Submit, asked, response, node)));
+                            job, request instanceof UserRequest.Submit, sentAt, response, node)));
   }
 }
--- a/src/main/java/org/oakwalk/model/SimWorker.java
+++ b/src/main/java/org/oakwalk/model/SimWorker.java
@@ -21,7 +21,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.port.Response;
 
-/** Stand-in for a worker, after its published protocol. */
+/** Simulated worker that follows the published worker protocol. */
 final class SimWorker {
   /** A task on this machine. */
   static final class Task {
@@ -36,7 +36,7 @@
     }
   }
 
-  /** Whether it was there from the beginning. */
+  /** True if the machine existed at the start of the scenario. */
   boolean initial;
 
   private final World world;
@@ -87,17 +87,17 @@
     return bootedAt <= world.time.now() && goneAt > world.time.now() && diedAt > world.time.now();
   }
 
-  /** Whether this node is the one that it reports to. */
+  /** Returns true if this worker is alive and currently reports to the given node. */
   boolean reportsTo(SimNode to) {
     return isAlive() && reportSender.target() == to;
   }
 
-  /** Whether it does anything at present. */
+  /** Returns true if the machine is alive and not hung. */
   boolean isResponsive() {
     return isAlive() && !isHung();
   }
 
-  /** Whether the cloud charges for it. */
+  /** Returns true if the cloud charges for the machine. */
   boolean isBilled() {
     return goneAt > world.time.now() && diedAt > world.time.now();
   }
@@ -127,9 +127,9 @@
         Math.round(seconds * 1000),
         () -> {
           expireLease();
-          List<Runnable> late = List.copyOf(deferred);
+          List<Runnable> resumed = List.copyOf(deferred);
           deferred.clear();
-          late.forEach(Runnable::run);
+          resumed.forEach(Runnable::run);
         });
   }
 
@@ -147,17 +147,17 @@
     slowdown = factor;
   }
 
-  /** Whether its tasks neither fail nor run more slowly than elsewhere. */
+  /** Returns true if the machine neither fails its tasks nor slows them down. */
   boolean isHealthy() {
     return !faulty && slowdown <= 1;
   }
 
-  /** When it was rented, in seconds. */
+  /** Returns the time at which the machine was rented, in seconds of simulated time. */
   double rentedAtSeconds() {
     return world.time.seconds() - (world.time.now() - rentedAt) / 1000.0;
   }
 
-  /** Whether the cloud has given notice that it takes the machine. */
+  /** Returns true if the cloud has announced that it reclaims the machine. */
   boolean hasReclaimNotice() {
     return reclaimAt != Long.MAX_VALUE;
   }
@@ -166,10 +166,10 @@
     return world.time.now() < hungUntil;
   }
 
-  private void endAllTasks(Figures.Stop why) {
+  private void endAllTasks(Figures.Stop cause) {
     for (Map.Entry<TaskId, Task> entry : new LinkedHashMap<>(tasks).entrySet()) {
       if (isExecuting(entry.getValue())) {
-        world.figures.stopped(entry.getKey(), entry.getValue().spec, why);
+        world.figures.stopped(entry.getKey(), entry.getValue().spec, cause);
       }
       releaseTask(entry.getKey(), entry.getValue(), false);
     }
@@ -182,7 +182,7 @@
         || task.state == Report.PieceState.FLUSHING;
   }
 
-  /** The task neither runs here nor waits here any more. */
+  /** Releases the image of a task that leaves this machine, and records its progress. */
   private void releaseTask(TaskId id, Task task, boolean done) {
     if (task.spec == null || task.ended()) {
       return;
@@ -197,7 +197,11 @@
     }
   }
 
-  /** What the task has done here counts when it starts again, as far as it was saved. */
+  /**
+   * Adds the work that the task did on this machine to its checkpointed work.
+   *
+   * @param all counts all work, not just up to the last full checkpoint interval
+   */
   private void recordProgress(TaskId id, Task task, boolean all) {
     double every = task.spec.checkpointInterval().asSeconds();
     if (every > 0 && task.startedAt <= world.time.now()) {
@@ -221,7 +225,7 @@
     if (goneAt <= world.time.now() || diedAt <= world.time.now()) {
       return;
     }
-    // Also of a machine that hangs nothing counts as running once its lease is over.
+    // The tasks of a hung machine do not count as running either once its lease has expired.
     expireLease();
     if (!isHung()) {
       reportSender.sendIfDue(this::handleOrders);
@@ -232,7 +236,7 @@
   Report snapshot() {
     List<Report.Piece> pieces = new ArrayList<>();
     tasks.forEach(
-        (task, held) -> pieces.add(new Report.Piece(task, held.attempt, held.state, held.cause)));
+        (id, task) -> pieces.add(new Report.Piece(id, task.attempt, task.state, task.cause)));
     Optional<Span> left =
         reclaimAt == Long.MAX_VALUE
             ? Optional.empty()
@@ -269,7 +273,7 @@
     }
   }
 
-  /** A command comes in; a hanging machine takes it up when it goes on. */
+  /** Receives a command. A hung machine handles it on resuming. */
   void receiveCommand(Request.Command command, java.util.function.Consumer<Answer> then) {
     if (!isAlive()) {
       return;
@@ -291,25 +295,25 @@
   }
 
   /**
-   * A late copy of a command. In the session that the command was meant for, its runs are left out,
-   * unless the scenario wants them: a connection delivers once, so what comes twice comes to a new
-   * life of its receiver.
+   * Receives a late copy of a command. Its start orders are left out unless the scenario includes
+   * them: a connection delivers a message only once, so a real duplicate reaches a later session of
+   * the worker.
    */
-  void receiveDuplicateCommand(Request.Command command, boolean runsToo) {
+  void receiveDuplicateCommand(Request.Command command, boolean includeStarts) {
     List<Order> orders =
-        command.orders().stream().filter(o -> runsToo || !(o instanceof Order.Run)).toList();
+        command.orders().stream().filter(o -> includeStarts || !(o instanceof Order.Run)).toList();
     receiveCommand(
         new Request.Command(command.address(), command.token(), command.session(), orders),
         answer -> {});
   }
 
-  /** Whether a task of this job is here, in whatever state but ended. */
+  /** Returns true if this machine has a task of this job that has not ended. */
   boolean holdsTaskOf(JobId job) {
     return tasks.entrySet().stream()
         .anyMatch(entry -> entry.getKey().job().equals(job) && !entry.getValue().ended());
   }
 
-  /** For how many seconds a task has worked here; 0 if it does not. */
+  /** Returns the seconds of work that a task has done on this machine; 0 if it is not working. */
   double workedSeconds(TaskId id) {
     Task task = tasks.get(id);
     return task == null || task.ended() || task.startedAt > world.time.now()
@@ -347,7 +351,10 @@
     }
   }
 
-  /** A running task that can saves its progress first, if it is given the time. */
+  /**
+   * Halts a task. A running task with checkpoints writes one first if the grace period is long
+   * enough.
+   */
   private void halt(TaskId id, Task task, Span grace) {
     if (isExecuting(task) && task.state == Report.PieceState.RUNNING) {
       world.rules.halted(this, id, task.spec);
@@ -382,7 +389,7 @@
     task.attempt = attempt;
     task.spec = world.specs.get(id.job());
     if (known != null) {
-      // Refused while another attempt is here; the refusal itself has no place in the reports.
+      // Refused because another attempt is on this machine; reports cannot show this refusal.
       world.refusedStarts++;
       return;
     }
@@ -423,7 +430,7 @@
     world.rules.started(this, id, task.spec);
     world.clearedTaskRestarts += world.clearedTasks.contains(id) ? 1 : 0;
     if (world.rules.completed(id)) {
-      // Its result is kept, wherever that came about.
+      // The result of an earlier attempt is stored, on whichever machine it ran.
       finish(id, task, Report.Cause.DONE);
     } else if (task.spec.gang()) {
       world.gangs.arrived(this, id, task.attempt, task.spec);
@@ -432,7 +439,7 @@
     }
   }
 
-  /** The task does its work from now on. */
+  /** Starts the work of a task whose image is present and, for a gang, whose peers have arrived. */
   void beginWork(TaskId id) {
     Task task = tasks.get(id);
     task.state = Report.PieceState.RUNNING;
@@ -461,7 +468,7 @@
     end(id, task, cause);
   }
 
-  /** A gang's task gives up since the others are not there. */
+  /** Ends a gang task that has waited too long for its peers. */
   void leaveGang(TaskId id) {
     Task task = tasks.get(id);
     if (task != null && !task.ended() && isAlive() && !isHung()) {
--- a/src/main/java/org/oakwalk/model/World.java
+++ b/src/main/java/org/oakwalk/model/World.java
@@ -16,7 +16,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.JobSpec;
 
-/** All that takes part in a scenario. */
+/** State of one simulation run: nodes, workers, users, services, rule checks and statistics. */
 final class World {
   final Timeline time = new Timeline();
   final SimNetwork network = new SimNetwork(time);
@@ -32,7 +32,7 @@
   final SimCloud cloud;
   final Settings settings;
 
-  /** Whether the state service keeps to its rates, so that nodes' requests wait for them. */
+  /** True if the state service enforces its rate limits, so that nodes queue their requests. */
   final boolean rateLimited;
 
   final Plans plans;
@@ -47,20 +47,20 @@
   final Map<JobId, JobSpec> specs = new HashMap<>();
   private final Map<JobId, double[]> runTimes = new HashMap<>();
 
-  /** Seconds of work that tasks have saved. */
+  /** Seconds of work that tasks have checkpointed. */
   final Map<TaskId, Double> checkpointedSeconds = new HashMap<>();
 
   final Map<JobId, SimUser> users = new LinkedHashMap<>();
   final Set<JobId> failingJobs = new HashSet<>();
   int refusedStarts;
 
-  /** Completed tasks of which a worker was told to forget the result. */
+  /** Completed tasks whose result a worker was ordered to clear. */
   final Set<TaskId> clearedTasks = new HashSet<>();
 
-  /** Starts of such tasks. */
+  /** Number of starts of {@link #clearedTasks}. */
   int clearedTaskRestarts;
 
-  /** Users' questions to a node that runs, to which no answer came in time. */
+  /** Number of user requests to a running node that got no response in time. */
   int unansweredRequests;
 
   private int nextNode;
@@ -108,7 +108,7 @@
     time.after(500, this::runChecks);
   }
 
-  /** The time of day. */
+  /** Returns the simulated wall-clock time. */
   WallTime wallClock() {
     return new WallTime(time.now() + Math.round(1000 * plans.clock()));
   }
@@ -145,7 +145,7 @@
     return Optional.ofNullable(workers.get(new MachineId(address)));
   }
 
-  /** The node that the load balancer would take: they take turns. */
+  /** Returns the node that the load balancer picks, round robin among the healthy ones. */
   Optional<SimNode> loadBalancedNode() {
     for (int i = 0; i < nodes.size(); i++) {
       SimNode node = nodes.get(nextNode++ % nodes.size());
@@ -156,17 +156,17 @@
     return Optional.empty();
   }
 
-  /** The node that a reporting worker would be answered by; empty if none leads. */
+  /** Returns the leader; empty if no responsive node leads. */
   Optional<SimNode> leader() {
     return nodes.stream().filter(SimNode::isResponsive).filter(SimNode::isLeader).findFirst();
   }
 
-  /** Sets how many seconds a job's tasks run, in the order of their numbers, and again. */
+  /** Sets the run times of a job's tasks in seconds, assigned cyclically by task index. */
   void setRunTimes(JobId job, double... seconds) {
     runTimes.put(job, seconds);
   }
 
-  /** How many seconds a task runs. */
+  /** Returns the run time of a task in seconds. */
   double runSeconds(TaskId task) {
     double[] seconds = runTimes.get(task.job());
     return seconds[task.index() % seconds.length];
