--- a/src/main/java/org/oakwalk/model/EdgeCaseFaults.java
+++ b/src/main/java/org/oakwalk/model/EdgeCaseFaults.java
@@ -6,15 +6,15 @@
 import org.apache.commons.rng.UniformRandomProvider;
 
 /**
- * Draws the fault combinations that operators hunt for: one trouble of a newer kind, which one or
- * two others of any kind join, while teams stand at their limits, arrays are bound to a zone, jobs
- * come to their ends, and users cancel, repeat and look closely.
+ * Generates random fault combinations for edge cases: one fault of {@link FaultKind} and one or two
+ * further faults of any kind, while teams are at their quotas, arrays are bound to a zone, jobs
+ * end, and users cancel, repeat their requests and query in rapid succession.
  */
 final class EdgeCaseFaults {
-  /** Troubles go on until then at most; what they have made late comes after that. */
+  /** Latest end of a fault; messages that it delayed may arrive later. */
   private static final int LAST_FAULT_SECONDS = 80;
 
-  /** The newer kinds of trouble. */
+  /** Kinds of faults; each scenario has at least one of them. */
   private enum FaultKind {
     LOST_REPORTS,
     CANCEL_BURST,
@@ -54,7 +54,7 @@
     this.cancelDeadlineSeconds = cancel;
   }
 
-  /** Limits of the teams that have none else: all stand at theirs, or one, or none. */
+  /** Returns the team lines; in some draws all teams get a quota. */
   List<String> teamLines() {
     boolean all = random.nextInt(3) == 0;
     fullTeamQuota = 5 + random.nextInt(3);
@@ -65,41 +65,41 @@
         "team full max=" + fullTeamQuota);
   }
 
-  /** The jobs and the troubles. */
+  /** Returns the lines of the jobs and the faults. */
   List<String> jobAndFaultLines() {
     int at = 10 + random.nextInt(20);
-    int lasts = 6 + random.nextInt(30);
-    addJobs(at, lasts);
+    int duration = 6 + random.nextInt(30);
+    addJobs(at, duration);
     FaultKind[] kinds = FaultKind.values();
-    addFault(kinds[random.nextInt(kinds.length)], at, lasts);
+    addFault(kinds[random.nextInt(kinds.length)], at, duration);
     int others = 1 + random.nextInt(2);
     for (int i = 0; i < others; i++) {
-      int begins = at + random.nextInt(lasts - 2);
+      int begins = at + random.nextInt(duration - 2);
       if (random.nextBoolean()) {
         addFault(kinds[random.nextInt(kinds.length)], begins, 3 + random.nextInt(30));
       } else {
         lines.addAll(combinations.anyTrouble(begins, 3 + random.nextInt(30)));
       }
     }
-    lines.addAll(combinations.jobsAlone(at, lasts));
+    lines.addAll(combinations.jobsAlone(at, duration));
     return lines;
   }
 
-  /** Names of the jobs that have to be done in the end. */
+  /** Returns the names of the jobs that must be done at the end of the scenario. */
   List<String> finiteJobs() {
     finiteJobs.addAll(combinations.finite());
     return finiteJobs;
   }
 
-  /** When the last trouble is over. */
+  /** Returns the end of the last fault, in seconds. */
   int lastFaultEnd() {
     return lastFaultEnd;
   }
 
-  /** What has to hold in the end, but for jobs that have to be done. */
+  /** Returns the expectations at the end, except those for {@link #finiteJobs}. */
   List<String> expectationLines(int end) {
     List<String> expected = new ArrayList<>(List.of("at " + end + " expect over ends"));
-    // Nothing of the limit may be lost to what is long gone.
+    // Jobs that have ended must not keep using the quota of their team.
     expected.add(
         "at " + (lastFaultEnd + 4) + " submit j-49 service tasks=" + fullTeamQuota + " team=full");
     expected.add("at " + end + " expect j-49 begun within=100");
@@ -109,14 +109,14 @@
     return expected;
   }
 
-  private void addJobs(int at, int lasts) {
+  private void addJobs(int at, int duration) {
     for (int i = 0; i < 4; i++) {
       addLine(
           "at %d submit j-4%d service class=spare tasks=%d team=%s",
           4 + random.nextInt(at - 5), i, 1 + random.nextInt(2), i % 2 == 0 ? "full" : "crew");
       addLine("at %d cancel j-4%d", ScenarioGenerator.LAST_FAULT_END_SECONDS + 1, i);
     }
-    // The team has more to do than it may at once.
+    // The team has more tasks than its quota allows at once.
     addLine("at 5 submit j-45 array tasks=%d run=4 team=full", 20 + random.nextInt(16));
     finiteJobs.add("j-45");
     addLine(
@@ -134,13 +134,13 @@
         random.nextBoolean() ? "saves=4 save=1" : "");
     finiteJobs.add("j-47");
     int first = Math.max(4, at - 4);
-    int until = Math.min(LAST_FAULT_SECONDS - 5, first + 5 + lasts);
+    int until = Math.min(LAST_FAULT_SECONDS - 5, first + 5 + duration);
     int tenths = 10 + random.nextInt(10);
     addLine(
         "every %.1f %d %d 500 array class=ends tasks=%d run=%s",
         tenths / 10.0, first, until, 1 + random.nextInt(3), random.nextBoolean() ? "3" : "2,5,8");
     for (int i = 0; i * tenths < 10 * (until - first); i += 2) {
-      // Their users ask again long after, and may not be told anything else.
+      // The users submit again long afterwards and must get the same response.
       addLine(
           "at %.1f submit j-%d array",
           ScenarioGenerator.LAST_FAULT_END_SECONDS + 3 + i / 10.0, 500 + i);
@@ -148,29 +148,29 @@
   }
 
   private void addFault(FaultKind kind, int at, int drawn) {
-    int lasts = Math.max(1, Math.min(drawn, LAST_FAULT_SECONDS - at));
+    int duration = Math.max(1, Math.min(drawn, LAST_FAULT_SECONDS - at));
     String node = random.nextBoolean() ? "leading" : "node-" + random.nextInt(nodes);
     switch (kind) {
-      case LOST_REPORTS -> addLine("at %d noreports %s for=%d", at, combinations.some(), lasts);
+      case LOST_REPORTS -> addLine("at %d noreports %s for=%d", at, combinations.some(), duration);
       case CANCEL_BURST ->
-          addCancelBurst(at + random.nextDouble(), Math.min(lasts, 1 + random.nextInt(14)));
+          addCancelBurst(at + random.nextDouble(), Math.min(duration, 1 + random.nextInt(14)));
       case CANCEL_BURST_DURING_OUTAGE -> addCancelBurstDuringOutage(at);
-      case CANCEL_BURST_AT_QUOTA -> addCancelBurstAtQuota(at, lasts);
-      case CANCEL_AT_END -> addCancelAtEnd(at, lasts);
+      case CANCEL_BURST_AT_QUOTA -> addCancelBurstAtQuota(at, duration);
+      case CANCEL_AT_END -> addCancelAtEnd(at, duration);
       case RAPID_QUERIES ->
           addLine(
               "at %d closelooks for=%d every=%d rounds=%d early=%.1f %s",
               at,
-              lasts,
+              duration,
               1 + random.nextInt(20),
               1 + random.nextInt(3),
               random.nextInt(3) * 0.2,
               random.nextInt(3) == 0 ? "ends=1 back=" + shortDelaySeconds() : "");
-      case UNUSUAL_REQUESTS -> addLine("at %d oddrequests for=%d", at, lasts);
+      case UNUSUAL_REQUESTS -> addLine("at %d oddrequests for=%d", at, duration);
       case LATE_WRITES ->
-          addLine("at %d latewrites %s for=%d atonce share=%s", at, node, lasts, randomShare());
-      case REPLAYED_REPORTS -> addReplayedReports(at, lasts);
-      case QUICK_BOOTS -> addQuickBoots(at, lasts);
+          addLine("at %d latewrites %s for=%d atonce share=%s", at, node, duration, randomShare());
+      case REPLAYED_REPORTS -> addReplayedReports(at, duration);
+      case QUICK_BOOTS -> addQuickBoots(at, duration);
       case MACHINE_LOSSES -> {
         for (int i = 0; i < 2 + random.nextInt(2); i++) {
           addLine(
@@ -180,19 +180,21 @@
               combinations.host());
         }
       }
-      case JOB_STREAM -> addJobStream(at, lasts);
-      case OVERLOAD -> addOverload(at, lasts);
+      case JOB_STREAM -> addJobStream(at, duration);
+      case OVERLOAD -> addOverload(at, duration);
       case REPEATED_FAILOVER -> {
-        double gap = Math.max(0.6, lasts / 10.0);
+        double gap = Math.max(0.6, duration / 10.0);
         addLine(
-            "every %.1f %d %d restart leading after=%s", gap, at, at + lasts, shortDelaySeconds());
+            "every %.1f %d %d restart leading after=%s",
+            gap, at, at + duration, shortDelaySeconds());
         if (random.nextBoolean()) {
-          addLine("at %.1f outage state for=%d", at + random.nextDouble() * 3, Math.min(lasts, 15));
+          addLine(
+              "at %.1f outage state for=%d", at + random.nextDouble() * 3, Math.min(duration, 15));
         }
       }
       case FULL_RESTART -> addLine("at %d restart all after=%d", at, 8 + random.nextInt(16));
       case ZONE_PARTITION -> addZonePartition(at);
-      default -> addDuplicateStarts(at, lasts);
+      default -> addDuplicateStarts(at, duration);
     }
   }
 
@@ -202,7 +204,10 @@
         at, 1 + random.nextInt(4), random.nextBoolean() ? " hang=" + hang : "");
   }
 
-  /** The leader alone is refused, or stands still, as users cancel; then all are, for very long. */
+  /**
+   * Users cancel while the state service refuses the leader or the leader is frozen; then the
+   * service fails for all nodes, for a long time.
+   */
   private void addCancelBurstDuringOutage(int at) {
     int out = Math.min(LAST_FAULT_SECONDS - at - 2, cancelDeadlineSeconds - 5 + random.nextInt(15));
     if (random.nextInt(3) == 0) {
@@ -214,11 +219,14 @@
     addLine("at %.1f outage state for=%d", at + 0.5 + random.nextDouble(), out);
   }
 
-  /** Teams wait for room of jobs whose machines hang or are cut off, and the leader changes. */
-  private void addCancelBurstAtQuota(int at, int lasts) {
+  /**
+   * Teams at their quota wait for cancelled jobs on hung or partitioned machines while the leader
+   * changes.
+   */
+  private void addCancelBurstAtQuota(int at, int duration) {
     for (int i = 0; i < 3; i++) {
       String hold = random.nextBoolean() ? "hold" : "";
-      addLine("at %d cut nodes %s for=%d %s", at, combinations.host(), lasts, hold);
+      addLine("at %d cut nodes %s for=%d %s", at, combinations.host(), duration, hold);
     }
     addLine("at %d cancelnow 4 class=spare hang=%d", at, 1 + random.nextInt(12));
     int changes = 1 + random.nextInt(3);
@@ -227,31 +235,33 @@
         at + random.nextDouble() * 3, shortDelaySeconds(), changes, 2 + random.nextInt(5));
   }
 
-  /** Jobs are called off as they end, while what is written of it may be late. */
-  private void addCancelAtEnd(int at, int lasts) {
+  /** Cancels jobs as they end, while the writes about them may be late. */
+  private void addCancelAtEnd(int at, int duration) {
     addLine(
         "at %d cancelatend class=ends for=%d share=%s within=%s",
-        at, lasts, randomShare(), random.nextBoolean() ? "0" : "1.5");
+        at, duration, randomShare(), random.nextBoolean() ? "0" : "1.5");
     if (random.nextBoolean()) {
-      addLine("at %d latewrites leading for=%d share=%s key=oak/a/job/", at, lasts, randomShare());
+      addLine(
+          "at %d latewrites leading for=%d share=%s key=oak/a/job/", at, duration, randomShare());
     }
   }
 
-  /** Old reports reach the next leader first, while it may hear nothing newer of these machines. */
-  private void addReplayedReports(int at, int lasts) {
-    String some = combinations.some();
+  /** Old reports reach the next leader first, possibly without newer ones from these machines. */
+  private void addReplayedReports(int at, int duration) {
+    String machines = combinations.some();
     addLine(
         "at %d latereports %s for=%d fornext share=%s %s",
-        at, some, lasts, randomShare(), random.nextBoolean() ? "acted" : "");
-    double ends = at + random.nextDouble() * lasts;
+        at, machines, duration, randomShare(), random.nextBoolean() ? "acted" : "");
+    double ends = at + random.nextDouble() * duration;
     if (random.nextBoolean()) {
-      addLine("at %.1f cut nodes %s for=%d", Math.max(at, ends - 1), some, 3 + random.nextInt(15));
+      addLine(
+          "at %.1f cut nodes %s for=%d", Math.max(at, ends - 1), machines, 3 + random.nextInt(15));
     }
     addLine("at %.1f restart leading after=%s", ends, shortDelaySeconds());
   }
 
-  /** New machines get work while writes lag, and the leader ends. */
-  private void addQuickBoots(int at, int lasts) {
+  /** New machines get tasks while writes or rentals are late, and the leader restarts. */
+  private void addQuickBoots(int at, int duration) {
     addLine("at %d quickboots %.1f", at, 0.2 + 0.3 * random.nextInt(6));
     addLine(
         "at %d submit j-48 array tasks=%d run=%d",
@@ -260,20 +270,20 @@
       finiteJobs.add("j-48");
     }
     switch (random.nextInt(3)) {
-      case 0 -> addLine("at %d latewrites leading for=%d share=%s", at, lasts, randomShare());
-      case 1 -> addLine("at %d slownet nodes state for=%d by=0.9", at, lasts);
-      default -> addLine("at %d laterentals for=%d after=%d", at, lasts, random.nextInt(4));
+      case 0 -> addLine("at %d latewrites leading for=%d share=%s", at, duration, randomShare());
+      case 1 -> addLine("at %d slownet nodes state for=%d by=0.9", at, duration);
+      default -> addLine("at %d laterentals for=%d after=%d", at, duration, random.nextInt(4));
     }
     addLine("at %.1f restart leading after=%s", at + random.nextDouble() * 4, shortDelaySeconds());
   }
 
-  /** One-task jobs, four a second, a quarter of which is cancelled. */
-  private void addJobStream(int at, int lasts) {
+  /** Submits four one-task jobs a second and cancels a quarter of them. */
+  private void addJobStream(int at, int duration) {
     if (stream) {
       return;
     }
     stream = true;
-    int until = at + Math.min(lasts, 25);
+    int until = at + Math.min(duration, 25);
     addLine(
         "every 0.25 %d %d 1000 array class=stream tasks=1 run=%d",
         at, until, 1 + random.nextInt(4));
@@ -282,8 +292,8 @@
     }
   }
 
-  /** More work than room, urgent and not, over slow links. */
-  private void addOverload(int at, int lasts) {
+  /** Submits more work than the fleet has capacity for, at all priorities, over slow links. */
+  private void addOverload(int at, int duration) {
     for (int i = 0; i < 3; i++) {
       String job = "j-6" + i;
       if (!finiteJobs.contains(job)) {
@@ -299,27 +309,28 @@
     }
     addLine(
         "at %d slownet nodes %s for=%d by=%s",
-        at, random.nextBoolean() ? "workers" : "everybody", lasts, shortDelaySeconds());
+        at, random.nextBoolean() ? "workers" : "everybody", duration, shortDelaySeconds());
   }
 
   private void addZonePartition(int at) {
-    int lasts = Math.min(LAST_FAULT_SECONDS - at, 11 + random.nextInt(30));
+    int duration = Math.min(LAST_FAULT_SECONDS - at, 11 + random.nextInt(30));
     if (zones) {
-      addLine("at %d cut zone:a zone:b for=%d %s", at, lasts, random.nextBoolean() ? "hold" : "");
+      addLine(
+          "at %d cut zone:a zone:b for=%d %s", at, duration, random.nextBoolean() ? "hold" : "");
       if (random.nextBoolean()) {
-        addLine("at %d cut zone:b state for=%d", at + random.nextInt(5), Math.max(1, lasts - 5));
+        addLine("at %d cut zone:b state for=%d", at + random.nextInt(5), Math.max(1, duration - 5));
       }
     } else {
-      addLine("at %d cut nodes workers for=%d", at, lasts);
+      addLine("at %d cut nodes workers for=%d", at, duration);
     }
   }
 
-  /** Starts by command come once more, however long after. */
-  private void addDuplicateStarts(int at, int lasts) {
+  /** Delivers start commands a second time, up to 100 seconds later. */
+  private void addDuplicateStarts(int at, int duration) {
     int after = 1 + random.nextInt(100);
-    int shortly = Math.min(lasts, 12);
-    addLine("at %d copies nodes workers for=%d after=%d runs", at, shortly, after);
-    lastFaultEnd = Math.max(lastFaultEnd, at + shortly + after);
+    int shortDuration = Math.min(duration, 12);
+    addLine("at %d copies nodes workers for=%d after=%d runs", at, shortDuration, after);
+    lastFaultEnd = Math.max(lastFaultEnd, at + shortDuration + after);
   }
 
   private String randomShare() {
--- a/src/main/java/org/oakwalk/model/ForgedMessages.java
+++ b/src/main/java/org/oakwalk/model/ForgedMessages.java
@@ -11,13 +11,13 @@
 import org.oakwalk.core.port.PeerMessage;
 import org.oakwalk.core.port.Request;
 
-/** What can't be true reaches the controllers in somebody's name. */
+/** Sends forged messages with impossible contents to controllers and workers. */
 final class ForgedMessages {
   private static final long UNISSUED_NUMBER = Long.MAX_VALUE - 1;
 
   private ForgedMessages() {}
 
-  /** A worker takes over a token that no controller was granted, and reports it from then on. */
+  /** Makes a worker adopt and report a token that was never granted to a controller. */
   static void sendForgedToken(SimWorker worker, long token) {
     worker.receiveCommand(
         new Request.Command(
@@ -25,7 +25,7 @@
         answer -> {});
   }
 
-  /** A report in a worker's name that it did not send, some of its fields as the line says. */
+  /** Sends a report in the name of a worker, with the fields named in the line forged. */
   static void sendForgedReport(SimWorker worker, ScenarioLine line, List<SimNode> to) {
     Report real = worker.snapshot();
     List<Report.Piece> pieces = new ArrayList<>(real.pieces());
@@ -53,7 +53,7 @@
     to.forEach(node -> node.receiveReport(forged, response -> {}));
   }
 
-  /** A digest in a peer's name, with a token that no controller was granted. */
+  /** Sends a digest in the name of a peer, with a token that was never granted. */
   static void sendForgedDigest(SimNode from, long token, List<SimNode> to) {
     PeerMessage.Digest digest =
         new PeerMessage.Digest(
--- a/src/main/java/org/oakwalk/model/HostSelector.java
+++ b/src/main/java/org/oakwalk/model/HostSelector.java
@@ -8,7 +8,7 @@
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.TaskId;
 
-/** Whom the words of a scenario mean at the moment. */
+/** Resolves host names and group names of a scenario to the hosts they denote at present. */
 final class HostSelector {
   private final World world;
 
@@ -16,7 +16,10 @@
     this.world = world;
   }
 
-  /** Nodes: all, down, leader, followers, leading (nobody if none leads), or one by name. */
+  /**
+   * Returns the nodes denoted by {@code all}, {@code down}, {@code leader}, {@code followers},
+   * {@code leading} (empty if no node leads), or the name of a node.
+   */
   List<SimNode> nodes(String name) {
     return switch (name) {
       case "all" -> world.nodes;
@@ -29,23 +32,25 @@
   }
 
   private SimNode leader() {
-    return world.leader().orElseThrow(() -> new AssertionError("nobody leads"));
+    return world.leader().orElseThrow(() -> new AssertionError("no node leads"));
   }
 
-  /** A machine, by name or by a task that it holds. */
+  /** Returns a machine by name, or by a task on it ({@code of:TASK}). */
   SimWorker worker(String name) {
     if (name.startsWith("of:")) {
       TaskId task = TaskId.parse(name.substring(3)).orElseThrow();
       return world.workers.values().stream()
           .filter(w -> w.tasks.containsKey(task) && !w.tasks.get(task).ended())
           .findFirst()
-          .orElseThrow(() -> new AssertionError(task + " is nowhere"));
+          .orElseThrow(() -> new AssertionError("no machine has task " + task));
     }
     return world.workers.get(new MachineId(name));
   }
 
   /**
-   * Hosts by name, or: leader, leading, followers, nodes, workers, state, zone:Z (all in a zone).
+   * Returns a predicate on host addresses for {@code leader}, {@code leading}, {@code followers},
+   * {@code nodes}, {@code workers}, {@code everybody}, {@code zone:Z}, {@code of:TASK}, or the name
+   * of one host or service.
    */
   Predicate<String> group(String name) {
     if (name.startsWith("zone:")) {
--- a/src/main/java/org/oakwalk/model/MessageFaultActions.java
+++ b/src/main/java/org/oakwalk/model/MessageFaultActions.java
@@ -4,7 +4,10 @@
 import java.util.TreeSet;
 import java.util.function.Predicate;
 
-/** Plays the lines of a scenario that disturb what hosts and users send to each other. */
+/**
+ * Carries out the scenario actions that delay, lose, duplicate or add messages, or that make users
+ * send unusual requests.
+ */
 final class MessageFaultActions {
   private final World world;
   private final HostSelector hosts;
@@ -14,7 +17,9 @@
     this.hosts = hosts;
   }
 
-  /** Plays a line of the form {@code at SECONDS ACTION ...}; false if it is none of these. */
+  /**
+   * Carries out a line {@code at SECONDS ACTION ...}; returns false if the action is unknown here.
+   */
   boolean play(ScenarioLine line) {
     double seconds = line.number("for", 10);
     switch (line.word(2)) {
@@ -58,10 +63,10 @@
     return true;
   }
 
-  /** Those whom a word means now, whatever becomes of them. */
-  private Predicate<String> currentNodeNames(String who) {
+  /** Returns a predicate that keeps matching the nodes that a name denotes now. */
+  private Predicate<String> currentNodeNames(String name) {
     Set<String> names = new TreeSet<>();
-    hosts.nodes(who).forEach(node -> names.add(node.id.value()));
+    hosts.nodes(name).forEach(node -> names.add(node.id.value()));
     return names::contains;
   }
 }
--- a/src/main/java/org/oakwalk/model/QueueOrder.java
+++ b/src/main/java/org/oakwalk/model/QueueOrder.java
@@ -3,23 +3,23 @@
 import org.oakwalk.core.Policy;
 import org.oakwalk.core.Span;
 
-/** By what order a night is played, so that plans can be compared with doing without. */
+/** Queue order for a simulation run, so that runs with and without a plan can be compared. */
 public enum QueueOrder {
-  /** As the scenario declares it. */
+  /** With the plans and deadlines declared by the scenario. */
   PLANNED,
-  /** The same without dawns: by score alone. */
+  /** Without planned deadlines: by score alone. */
   SCORE_ONLY,
-  /** Without a plan, but each job is due at its dawn, and the earliest due goes first. */
+  /** Without a plan: each job has its planned deadline, and the earliest deadline goes first. */
   EARLIEST_DEADLINE;
 
   /**
-   * Weights by which the earliest deadline decides among jobs of ordinary and low priority. Above
-   * them priorities stand as far apart as before.
+   * Score weights with which the earliest deadline decides among jobs of normal and low priority.
+   * Higher priorities keep their distance from these.
    */
   private static final Policy.Scoring DEADLINE_SCORING =
       new Policy.Scoring(0.0001, 0.01, 0, 0, 0, Span.seconds(60));
 
-  Policy.Scoring scoring(Policy.Scoring usual) {
-    return this == EARLIEST_DEADLINE ? DEADLINE_SCORING : usual;
+  Policy.Scoring scoring(Policy.Scoring configured) {
+    return this == EARLIEST_DEADLINE ? DEADLINE_SCORING : configured;
   }
 }
--- a/src/main/java/org/oakwalk/model/ReportLoss.java
+++ b/src/main/java/org/oakwalk/model/ReportLoss.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.function.Predicate;
 
-/** Machines that can't open connections to any controller, while commands still reach them. */
+/** Loses the reports of machines for a time, while commands still reach them. */
 final class ReportLoss {
   private record LossPeriod(Predicate<String> machines, long end) {}
 
@@ -15,14 +15,14 @@
     this.time = time;
   }
 
-  /** From now on the reports of these machines are lost for so long. */
+  /** Loses the reports of these machines from now on, for the given time. */
   void start(Predicate<String> machines, double seconds) {
     periods.add(new LossPeriod(machines, time.now() + Math.round(seconds * 1000)));
   }
 
-  /** Whether a report that this machine sends now gets nowhere. */
+  /** Returns true if a report that this machine sends now is lost. */
   boolean isLost(String machine) {
     return periods.stream()
-        .anyMatch(spell -> spell.end() > time.now() && spell.machines().test(machine));
+        .anyMatch(period -> period.end() > time.now() && period.machines().test(machine));
   }
 }
--- a/src/main/java/org/oakwalk/model/ReportReplay.java
+++ b/src/main/java/org/oakwalk/model/ReportReplay.java
@@ -10,11 +10,11 @@
 import org.oakwalk.core.Token;
 
 /**
- * Reports of which a copy is kept for the next leader: it reaches every controller the moment that
- * leader begins, some time later, or once it has acted.
+ * Records reports and replays them to all controllers when the next leader takes over, after a
+ * delay, or after the first start that this leader ordered.
  */
 final class ReportReplay {
-  /** Whose reports are kept until the end, and when the copies arrive. */
+  /** Machines whose reports are recorded until the rule expires, and the time of the replay. */
   private record ReplayRule(
       Predicate<String> machines,
       long expiresAt,
@@ -30,7 +30,7 @@
   private final List<ReplayRule> rules = new ArrayList<>();
   private final List<RecordedReport> recorded = new ArrayList<>();
 
-  /** For a leader that has risen and not acted yet. */
+  /** Reports to replay once the current leader has started a task. */
   private final List<RecordedReport> awaitingFirstStart = new ArrayList<>();
 
   private Token lastStartToken = new Token(0);
@@ -40,7 +40,7 @@
     this.random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
   }
 
-  /** From now on reports of these machines are kept, as the line says. */
+  /** Records reports of these machines from now on, with the options of a scenario line. */
   void addRule(Predicate<String> machines, ScenarioLine line) {
     rules.add(
         new ReplayRule(
@@ -52,7 +52,7 @@
             line.hasWord("held")));
   }
 
-  /** A machine sends a report; true if the report itself is held back. */
+  /** Records a report that is being sent, and returns true if the original is to be withheld. */
   boolean recordSent(Report report) {
     for (ReplayRule line : rules) {
       if (line.expiresAt() > world.time.now()
@@ -65,20 +65,20 @@
     return false;
   }
 
-  /** A node begins to lead. */
+  /** Replays or arms the recorded reports when a node becomes leader. */
   void leadershipGained() {
-    List<RecordedReport> waited = List.copyOf(recorded);
+    List<RecordedReport> replayed = List.copyOf(recorded);
     recorded.clear();
-    for (RecordedReport one : waited) {
-      if (one.rule().afterFirstStart()) {
-        awaitingFirstStart.add(one);
+    for (RecordedReport report : replayed) {
+      if (report.rule().afterFirstStart()) {
+        awaitingFirstStart.add(report);
       } else {
-        scheduleReplay(one);
+        scheduleReplay(report);
       }
     }
   }
 
-  /** A worker carries out a start; the first one under a token is that leader's first act. */
+  /** Notes that a worker carried out a start. The first start with a new token triggers replays. */
   void startExecuted(Attempt attempt) {
     if (attempt.token().compareTo(lastStartToken) > 0) {
       lastStartToken = attempt.token();
@@ -87,9 +87,9 @@
     }
   }
 
-  private void scheduleReplay(RecordedReport one) {
+  private void scheduleReplay(RecordedReport recording) {
     world.time.after(
-        one.rule().delayMillis(),
-        () -> world.nodes.forEach(node -> node.receiveDuplicateReport(one.report())));
+        recording.rule().delayMillis(),
+        () -> world.nodes.forEach(node -> node.receiveDuplicateReport(recording.report())));
   }
 }
--- a/src/main/java/org/oakwalk/model/ReportSender.java
+++ b/src/main/java/org/oakwalk/model/ReportSender.java
@@ -6,7 +6,7 @@
 import org.oakwalk.core.Report;
 import org.oakwalk.core.port.Response;
 
-/** When and to whom a worker reports: to one node at a time, one report at a time. */
+/** Sends the reports of a worker: to one node at a time, with at most one report in flight. */
 final class ReportSender {
   private static final long RESPONSE_TIMEOUT_MILLIS = 4000;
   private static final long MIN_INTERVAL_MILLIS = 500;
@@ -27,17 +27,17 @@
     this.nodeIndex = Math.abs(worker.address().hashCode()) % world.nodes.size();
   }
 
-  /** The node that it reports to. */
+  /** Returns the node that the worker currently reports to. */
   SimNode target() {
     return world.nodes.get(nodeIndex);
   }
 
-  /** There is something new to report. */
+  /** Notes a change, so that the next report is sent before the regular interval ends. */
   void markChanged() {
     changed = true;
   }
 
-  /** Reports if it is time. */
+  /** Sends a report if one is due and none is in flight. */
   void sendIfDue(BiConsumer<Response.Orders, SentReport> orders) {
     long now = world.time.now();
     long every = world.settings.workers().report().millis();
@@ -48,7 +48,7 @@
     }
   }
 
-  /** When a report was sent, and in which session. */
+  /** Time and worker session of a sent report. */
   record SentReport(long at, long session) {}
 
   private void sendReport(BiConsumer<Response.Orders, SentReport> orders) {
--- a/src/main/java/org/oakwalk/model/ScenarioGenerator.java
+++ b/src/main/java/org/oakwalk/model/ScenarioGenerator.java
@@ -7,16 +7,16 @@
 import org.apache.commons.rng.simple.RandomSource;
 
 /**
- * Draws troubles of all kinds on a small fleet. All work has to be done within {@link
- * #RECOVERY_SECONDS} seconds of the end of the last trouble.
+ * Generates random fault scenarios on a small fleet. All work has to be done within {@link
+ * #RECOVERY_SECONDS} seconds of the end of the last fault.
  */
 public final class ScenarioGenerator {
   static final int LAST_FAULT_END_SECONDS = 100;
 
-  /** A lease held up by lease grace and relays, boots, and the work itself. */
+  /** Covers a lease prolonged by grace and relays, machine boots, and the work itself. */
   private static final int RECOVERY_SECONDS = 110;
 
-  /** Machines with accelerators in each zone at the beginning. */
+  /** Machines with accelerators in each zone at the start. */
   private static final int ACCELERATOR_MACHINES_PER_ZONE = 2;
 
   private static final List<String> REMOTE_HOSTS =
@@ -36,7 +36,7 @@
   private boolean overlappingFaults;
   private boolean edgeCaseFaults;
 
-  /** A draw; the same seed always gives the same. */
+  /** Creates a generator. The same seed and options always give the same scenario. */
   public ScenarioGenerator(int seed) {
     random = RandomSource.XO_RO_SHI_RO_128_PP.create(seed);
     nodes = 3 + random.nextInt(3);
@@ -45,31 +45,31 @@
     accelerators = random.nextInt(3) == 0;
   }
 
-  /** Adds that all machines are replaced meanwhile, within budgets of disruption. */
+  /** Adds a rolling replacement of all machines within disruption budgets. */
   public ScenarioGenerator withRollingReplacement() {
     rollingReplacement = true;
     return this;
   }
 
-  /** Adds room that is kept for replicas, by files that may change and differ. */
+  /** Adds headroom for replicas, under settings that may change and differ between nodes. */
   public ScenarioGenerator withHeadroom() {
     headroom = true;
     return this;
   }
 
-  /** Adds room kept for replicas, an exchange with batch work, and work that is due by a dawn. */
+  /** Adds replica headroom, an exchange with batch work, and batch work with a deadline. */
   public ScenarioGenerator withProductTerms() {
     productTerms = true;
     return withHeadroom();
   }
 
-  /** Troubles that overlap, while users cancel, instead of those that come as they like. */
+  /** Uses overlapping faults during cancellations instead of independent faults. */
   public ScenarioGenerator withOverlappingFaults() {
     overlappingFaults = true;
     return this;
   }
 
-  /** Combinations of faults of the kinds that operators hunt for, with teams at their limits. */
+  /** Uses fault combinations of {@link EdgeCaseFaults}, with teams at their quotas. */
   public ScenarioGenerator withEdgeCaseFaults() {
     edgeCaseFaults = true;
     return this;
@@ -115,7 +115,7 @@
     }
   }
 
-  /** The text of a scenario. */
+  /** Generates the text of the scenario; may be called only once. */
   public String text() {
     int report = 1 + random.nextInt(2);
     int cancel = 30 + 5 * random.nextInt(4);
@@ -126,10 +126,10 @@
         report,
         cancel,
         overlappingFaults || edgeCaseFaults ? " seed=" + (1 + random.nextInt(1000)) : "");
-    EdgeCaseFaults hunt = new EdgeCaseFaults(random, nodes, totalMachines(), zones, cancel);
+    EdgeCaseFaults edgeCases = new EdgeCaseFaults(random, nodes, totalMachines(), zones, cancel);
     lines.addAll(
         edgeCaseFaults
-            ? hunt.teamLines()
+            ? edgeCases.teamLines()
             : List.of("team crew", "team small max=6", "team guests"));
     addLine("type m cpus=4 mem=16 boot=8");
     if (accelerators) {
@@ -153,31 +153,32 @@
     if (accelerators) {
       addAcceleratorJobs();
     }
-    int over = LAST_FAULT_END_SECONDS;
+    int faultsEnd = LAST_FAULT_END_SECONDS;
     if (edgeCaseFaults) {
-      lines.addAll(hunt.jobAndFaultLines());
-      finiteJobs.addAll(hunt.finiteJobs());
-      over = hunt.lastFaultEnd();
+      lines.addAll(edgeCases.jobAndFaultLines());
+      finiteJobs.addAll(edgeCases.finiteJobs());
+      faultsEnd = edgeCases.lastFaultEnd();
     } else if (overlappingFaults) {
-      FaultCombinations met = new FaultCombinations(random, nodes, totalMachines(), zones, cancel);
-      lines.addAll(met.lines());
-      finiteJobs.addAll(met.finite());
+      FaultCombinations combinations =
+          new FaultCombinations(random, nodes, totalMachines(), zones, cancel);
+      lines.addAll(combinations.lines());
+      finiteJobs.addAll(combinations.finite());
     } else {
-      int troubles = 2 + random.nextInt(5);
-      for (int i = 0; i < troubles; i++) {
+      int faults = 2 + random.nextInt(5);
+      for (int i = 0; i < faults; i++) {
         addFault();
       }
     }
     addLine("at %d restart down", LAST_FAULT_END_SECONDS);
     addLine("at %d cancel j-8", LAST_FAULT_END_SECONDS + 2);
     addLine("at %d submit j-9 array tasks=4 run=3", LAST_FAULT_END_SECONDS + 5);
-    int end = over + RECOVERY_SECONDS;
+    int end = faultsEnd + RECOVERY_SECONDS;
     if (edgeCaseFaults) {
-      lines.addAll(hunt.expectationLines(end));
+      lines.addAll(edgeCases.expectationLines(end));
     }
     if (accelerators) {
       finiteJobs.addAll(List.of("j-10", "j-12"));
-      // While machines are replaced, one or the other is on its way at any moment.
+      // During a rolling replacement a replica may be moving at any time.
       addLine(
           rollingReplacement
               ? "at %d expect j-11 begun within=200"
@@ -234,44 +235,45 @@
 
   private void addFault() {
     int at = 8 + random.nextInt(60);
-    int lasts = 1 + random.nextInt(LAST_FAULT_END_SECONDS - at - 1);
-    int shortly = Math.min(lasts, 1 + random.nextInt(30));
+    int duration = 1 + random.nextInt(LAST_FAULT_END_SECONDS - at - 1);
+    int shortDuration = Math.min(duration, 1 + random.nextInt(30));
     String node = "node-" + random.nextInt(nodes);
     String host = String.format(Locale.ROOT, "host-%06d", random.nextInt(totalMachines()));
     String hold = random.nextBoolean() ? "hold" : "";
     switch (random.nextInt(27)) {
       case 0 -> addLine("at %d crash %s", at, node);
       case 1 -> addLine("at %d restart %s", at, random.nextInt(3) == 0 ? "all" : node);
-      case 2, 3, 4 -> addLine("at %d freeze %s for=%d", at, node, shortly);
-      case 5 -> addLine("at %d refuse %s for=%d", at, node, lasts);
-      case 6 -> addLine("at %d outage state for=%d", at, shortly);
-      case 7 -> addLine("at %d outage cloud for=%d", at, lasts);
-      case 8 -> addLine("at %d cut %s workers for=%d %s", at, node, lasts, hold);
-      case 9 -> addLine("at %d cut %s state for=%d %s", at, node, lasts, hold);
+      case 2, 3, 4 -> addLine("at %d freeze %s for=%d", at, node, shortDuration);
+      case 5 -> addLine("at %d refuse %s for=%d", at, node, duration);
+      case 6 -> addLine("at %d outage state for=%d", at, shortDuration);
+      case 7 -> addLine("at %d outage cloud for=%d", at, duration);
+      case 8 -> addLine("at %d cut %s workers for=%d %s", at, node, duration, hold);
+      case 9 -> addLine("at %d cut %s state for=%d %s", at, node, duration, hold);
       case 10 -> {
         for (String other : List.of("nodes", "workers", "state", "cloud")) {
-          addLine("at %d cut %s %s for=%d %s", at, node, other, lasts, hold);
+          addLine("at %d cut %s %s for=%d %s", at, node, other, duration, hold);
         }
       }
-      case 11 -> addLine("at %d cut nodes nodes for=%d %s", at, lasts, hold);
+      case 11 -> addLine("at %d cut nodes nodes for=%d %s", at, duration, hold);
       case 12 ->
           addLine(
               zones ? "at %d cut zone:a zone:b for=%d %s" : "at %d cut nodes workers for=%d %s",
               at,
-              shortly,
+              shortDuration,
               hold);
-      case 13 -> addLine("at %d hang %s for=%d", at, host, shortly);
+      case 13 -> addLine("at %d hang %s for=%d", at, host, shortDuration);
       case 14 -> addLine("at %d %s %s", at, random.nextBoolean() ? "die" : "faulty", host);
       case 15 -> addLine("at %d slowboots %d", at, 2 + random.nextInt(3));
       case 16 -> {
         for (int i = 0; i < nodes; i++) {
-          addLine("at %d freeze node-%d for=%d", at + random.nextInt(3), i, shortly);
+          addLine("at %d freeze node-%d for=%d", at + random.nextInt(3), i, shortDuration);
         }
       }
       case 17 -> {
-        // Cut off from all but the state service, so that it could go on leading blindly.
-        addLine("at %d cut %s workers for=%d %s", at, node, lasts, hold);
-        addLine("at %d cut %s nodes for=%d %s", at, node, lasts, hold);
+        // Isolated from all but the state service, so that it can remain leader without reaching
+        // any worker or peer.
+        addLine("at %d cut %s workers for=%d %s", at, node, duration, hold);
+        addLine("at %d cut %s nodes for=%d %s", at, node, duration, hold);
       }
       case 18, 19, 20 ->
           addLine(
@@ -290,12 +292,12 @@
       case 25 ->
           addLine(
               "at %d slownet %s %s by=%.1f for=%d",
-              at, node, pick(REMOTE_HOSTS), shortDelaySeconds(), shortly);
+              at, node, pick(REMOTE_HOSTS), shortDelaySeconds(), shortDuration);
       default -> addLine("at %d failboots %d", at, 1 + random.nextInt(3));
     }
   }
 
-  /** Seconds until a process is back, or that a message is under way for longer. */
+  /** Draws a restart delay or added latency, in seconds. */
   private double shortDelaySeconds() {
     return 0.1 + 0.1 * random.nextInt(5);
   }
@@ -304,15 +306,15 @@
     return words.get(random.nextInt(words.size()));
   }
 
-  /** Messages come in once more, some time later, when their receivers may have a new life. */
+  /** Duplicates messages after a delay, when their receivers may have restarted. */
   private void addDuplication(int at) {
-    int lasts = 1 + random.nextInt((LAST_FAULT_END_SECONDS - at) / 2);
-    int after = 1 + random.nextInt(LAST_FAULT_END_SECONDS - at - lasts);
-    String whom = pick(List.of("everybody everybody", "nodes state", "nodes workers", "nodes"));
-    if (whom.equals("nodes")) {
-      whom = "nodes " + pick(REMOTE_HOSTS);
+    int duration = 1 + random.nextInt((LAST_FAULT_END_SECONDS - at) / 2);
+    int after = 1 + random.nextInt(LAST_FAULT_END_SECONDS - at - duration);
+    String groups = pick(List.of("everybody everybody", "nodes state", "nodes workers", "nodes"));
+    if (groups.equals("nodes")) {
+      groups = "nodes " + pick(REMOTE_HOSTS);
     }
-    addLine("at %d copies %s after=%d for=%d", at, whom, after, lasts);
+    addLine("at %d copies %s after=%d for=%d", at, groups, after, duration);
   }
 
   private void addLine(String format, Object... words) {
--- a/src/main/java/org/oakwalk/model/ScenarioLine.java
+++ b/src/main/java/org/oakwalk/model/ScenarioLine.java
@@ -5,7 +5,7 @@
 import java.util.List;
 import java.util.Map;
 
-/** A line of a scenario: plain words, and settings of the form {@code name=value}. */
+/** A parsed scenario line: positional words, and settings of the form {@code name=value}. */
 final class ScenarioLine {
   private final String line;
   private final int number;
@@ -25,17 +25,17 @@
     }
   }
 
-  /** Where the line stands in its file, from 1 on; 0 if it was not in one. */
+  /** Returns the line number in the scenario file, from 1; 0 for a generated line. */
   int number() {
     return number;
   }
 
-  /** Whether a line that begins with {@code every} repeats an action, and is no row of jobs. */
+  /** Returns true if a line with {@code every} repeats an action, not a series of jobs. */
   boolean repeatsAction() {
     return !word(4).matches("[0-9]+");
   }
 
-  /** Of a line {@code every GAP FROM UNTIL ACTION ...}, the line {@code at SECONDS ACTION ...}. */
+  /** Converts {@code every GAP FROM UNTIL ACTION ...} to {@code at SECONDS ACTION ...}. */
   ScenarioLine actionAt(double seconds) {
     String action = line.trim().split("\\s+", 5)[4];
     return new ScenarioLine("at " + seconds + " " + action, number);
@@ -43,12 +43,12 @@
 
   String word(int index) {
     if (index >= words.size()) {
-      throw new IllegalArgumentException("too short: " + line);
+      throw new IllegalArgumentException("missing word " + index + " in line: " + line);
     }
     return words.get(index);
   }
 
-  /** The plain words from this one on, with blanks between. */
+  /** Returns the positional words from an index on, joined by spaces. */
   String wordsFrom(int index) {
     return String.join(" ", words.subList(Math.min(index, words.size()), words.size()));
   }
@@ -65,12 +65,12 @@
     return Double.parseDouble(word(index));
   }
 
-  String text(String name, String otherwise) {
-    return settings.getOrDefault(name, otherwise);
+  String text(String name, String defaultValue) {
+    return settings.getOrDefault(name, defaultValue);
   }
 
-  double number(String name, double otherwise) {
-    return settings.containsKey(name) ? Double.parseDouble(settings.get(name)) : otherwise;
+  double number(String name, double defaultValue) {
+    return settings.containsKey(name) ? Double.parseDouble(settings.get(name)) : defaultValue;
   }
 
   @Override
--- a/src/main/java/org/oakwalk/model/SimImageCache.java
+++ b/src/main/java/org/oakwalk/model/SimImageCache.java
@@ -12,20 +12,21 @@
 import org.oakwalk.core.job.JobSpec;
 
 /**
- * The images of one machine. Each is fetched once for all tasks that want it; the fetch is given up
- * when no task waits for it any more; those used last are kept, as far as the cache holds them.
+ * Image cache of one simulated machine. Tasks that need the same image share one fetch, which is
+ * aborted when no task waits for it any more. Unused images are evicted in least recently used
+ * order when the cache is full.
  */
 final class SimImageCache {
   private final Timeline time;
   private final MachineType type;
 
-  /** Sizes in GB of those that are here, the one used last at the end. */
+  /** Sizes of the cached images in GB, in order of their last use. */
   private final LinkedHashMap<String, Double> cached = new LinkedHashMap<>(16, 0.75f, true);
 
-  /** Who waits for an image that is on its way, and what is to be done then. */
+  /** Tasks that wait for the fetch of an image, with their callbacks. */
   private final Map<String, Map<TaskId, Runnable>> pendingFetches = new HashMap<>();
 
-  /** Whose images can't be evicted, since they are on the machine. */
+  /** Tasks on this machine by image; an image with such tasks is not evicted. */
   private final Map<String, Set<TaskId>> pinnedBy = new HashMap<>();
 
   SimImageCache(Timeline time, MachineType type) {
@@ -33,7 +34,7 @@
     this.type = type;
   }
 
-  /** Calls back when the task's image is here, unless the task is dropped before. */
+  /** Calls back when the task's image is cached, unless the task is released before. */
   void request(TaskId task, JobSpec spec, Runnable then) {
     String image = spec.image();
     pinnedBy.computeIfAbsent(image, i -> new HashSet<>()).add(task);
@@ -43,12 +44,12 @@
     }
     Map<TaskId, Runnable> waiting = pendingFetches.get(image);
     if (waiting == null) {
-      Map<TaskId, Runnable> begun = new LinkedHashMap<>();
-      pendingFetches.put(image, begun);
+      Map<TaskId, Runnable> started = new LinkedHashMap<>();
+      pendingFetches.put(image, started);
       time.after(
           type.fetchTime(spec.imageGb()).millis(),
-          () -> fetchCompleted(image, spec.imageGb(), begun));
-      waiting = begun;
+          () -> fetchCompleted(image, spec.imageGb(), started));
+      waiting = started;
     }
     waiting.put(task, then);
   }
@@ -62,10 +63,10 @@
     }
   }
 
-  /** The task has ended or was never there. */
+  /** Releases the image of a task that has ended; has no effect for an unknown task. */
   void release(TaskId task, JobSpec spec) {
-    Set<TaskId> of = pinnedBy.getOrDefault(spec.image(), Set.of());
-    if (of.remove(task) && of.isEmpty()) {
+    Set<TaskId> users = pinnedBy.getOrDefault(spec.image(), Set.of());
+    if (users.remove(task) && users.isEmpty()) {
       pinnedBy.remove(spec.image());
       evictUnused();
     }
@@ -76,11 +77,11 @@
   }
 
   private void evictUnused() {
-    double held = cached.values().stream().mapToDouble(Double::doubleValue).sum();
+    double cachedGb = cached.values().stream().mapToDouble(Double::doubleValue).sum();
     for (Map.Entry<String, Double> oldest : new ArrayList<>(cached.entrySet())) {
-      if (held > type.cacheGb() && !pinnedBy.containsKey(oldest.getKey())) {
+      if (cachedGb > type.cacheGb() && !pinnedBy.containsKey(oldest.getKey())) {
         cached.remove(oldest.getKey());
-        held -= oldest.getValue();
+        cachedGb -= oldest.getValue();
       }
     }
   }
--- a/src/main/java/org/oakwalk/model/SimNetwork.java
+++ b/src/main/java/org/oakwalk/model/SimNetwork.java
@@ -5,11 +5,11 @@
 import java.util.function.Consumer;
 import java.util.function.Predicate;
 
-/** Carries messages between named hosts, late, never or twice where a scenario says so. */
+/** Simulated network between named hosts, with delays, losses, duplicates and partitions. */
 final class SimNetwork {
   private static final long LATENCY_MILLIS = 3;
 
-  /** Two groups of hosts, and until when something is odd between them. */
+  /** Two groups of hosts and the end of a fault on the links between them. */
   private record LinkFault(Predicate<String> left, Predicate<String> right, long expiresAt) {
     boolean connects(String a, String b) {
       return left.test(a) && right.test(b) || left.test(b) && right.test(a);
@@ -18,7 +18,7 @@
 
   private record LinkPartition(LinkFault link, boolean delaysMessages) {}
 
-  /** One way: only what the first group sends to the second. */
+  /** Added latency; if one way, only for messages from the left group to the right. */
   private record LinkDelay(LinkFault link, long delayMillis, boolean oneWay) {
     boolean delaysFrom(String from) {
       return !oneWay || link.left().test(from);
@@ -43,40 +43,54 @@
     return new LinkFault(left, right, time.now() + Math.round(seconds * 1000));
   }
 
-  private boolean isActive(LinkFault hosts, String from, String to) {
-    return hosts.expiresAt() > time.now() && hosts.connects(from, to);
+  private boolean isActive(LinkFault link, String from, String to) {
+    return link.expiresAt() > time.now() && link.connects(from, to);
   }
 
-  /** Cuts two groups of hosts off from each other; with hold, messages arrive after the end. */
+  /**
+   * Partitions two groups of hosts from each other.
+   *
+   * @param hold delivers the messages after the end of the partition instead of losing them
+   */
   void cut(Predicate<String> left, Predicate<String> right, double seconds, boolean hold) {
     partitions.add(new LinkPartition(linkFault(left, right, seconds), hold));
   }
 
-  /** What is sent between two groups from now on is under way for so much longer. */
+  /**
+   * Adds latency to messages between two groups of hosts.
+   *
+   * @param by added latency in seconds
+   */
   void delay(
       Predicate<String> left, Predicate<String> right, double seconds, double by, boolean oneWay) {
     delays.add(new LinkDelay(linkFault(left, right, seconds), Math.round(by * 1000), oneWay));
   }
 
-  /** What is sent between two groups from now on arrives once more, so much later. */
+  /**
+   * Delivers messages between two groups of hosts a second time.
+   *
+   * @param after delay of the copy, in seconds
+   * @param includeStarts includes the start orders in copies of commands
+   */
   void duplicate(
       Predicate<String> left,
       Predicate<String> right,
       double seconds,
       double after,
-      boolean runsToo) {
+      boolean includeStarts) {
     duplications.add(
-        new LinkDuplication(linkFault(left, right, seconds), Math.round(after * 1000), runsToo));
+        new LinkDuplication(
+            linkFault(left, right, seconds), Math.round(after * 1000), includeStarts));
   }
 
-  /** What is sent to these hosts from now on is lost, while what they send arrives. */
+  /** Loses messages to these hosts, while messages from them arrive. */
   void dropInbound(Predicate<String> hosts, double seconds) {
     inboundLosses.add(new InboundLoss(hosts, time.now() + Math.round(seconds * 1000)));
   }
 
   private boolean dropsInbound(String host) {
     return inboundLosses.stream()
-        .anyMatch(one -> one.expiresAt() > time.now() && one.hosts().test(host));
+        .anyMatch(loss -> loss.expiresAt() > time.now() && loss.hosts().test(host));
   }
 
   boolean isPartitioned(String from, String to) {
@@ -84,39 +98,44 @@
   }
 
   void send(String from, String to, Runnable deliver) {
-    send(from, to, deliver, runsToo -> deliver.run());
+    send(from, to, deliver, includeStarts -> deliver.run());
   }
 
-  /** Sends a message of which late copies are received in a way of their own. */
-  void send(String from, String to, Runnable deliver, Consumer<Boolean> again) {
-    sendDuplicates(from, to, again);
+  /**
+   * Sends a message whose late copies are delivered by a separate handler.
+   *
+   * @param duplicate receives true if copies include start orders
+   */
+  void send(String from, String to, Runnable deliver, Consumer<Boolean> duplicate) {
+    sendDuplicates(from, to, duplicate);
     if (dropsInbound(to)) {
       return;
     }
-    long late = 0;
+    long delayMillis = 0;
     for (LinkPartition cut : partitions) {
       if (isActive(cut.link(), from, to)) {
         if (!cut.delaysMessages()) {
           return;
         }
-        late = Math.max(late, cut.link().expiresAt() - time.now());
+        delayMillis = Math.max(delayMillis, cut.link().expiresAt() - time.now());
       }
     }
-    for (LinkDelay one : delays) {
-      late += isActive(one.link(), from, to) && one.delaysFrom(from) ? one.delayMillis() : 0;
+    for (LinkDelay delay : delays) {
+      delayMillis +=
+          isActive(delay.link(), from, to) && delay.delaysFrom(from) ? delay.delayMillis() : 0;
     }
-    time.after(late + LATENCY_MILLIS, deliver);
+    time.after(delayMillis + LATENCY_MILLIS, deliver);
   }
 
-  /** Only the late copies of a message, without the message itself. */
-  void sendDuplicates(String from, String to, Consumer<Boolean> again) {
+  /** Schedules only the late copies of a message, not the message itself. */
+  void sendDuplicates(String from, String to, Consumer<Boolean> duplicate) {
     for (LinkDuplication copy : duplications) {
       if (isActive(copy.link(), from, to)) {
         time.after(
             copy.delayMillis(),
             () -> {
               if (!isPartitioned(from, to) && !dropsInbound(to)) {
-                again.accept(copy.includesStarts());
+                duplicate.accept(copy.includesStarts());
               }
             });
       }
--- a/src/main/java/org/oakwalk/model/SimNode.java
+++ b/src/main/java/org/oakwalk/model/SimNode.java
@@ -148,21 +148,21 @@
    * does the process handle the timers that are due, followed by the input received meanwhile.
    */
   void freeze(double seconds) {
-    int caller = incarnation;
+    int thisIncarnation = incarnation;
     freezeState = FreezeState.SENDS_HELD;
     world.time.after(
         SENDS_HELD_MILLIS,
         () -> {
-          if (caller == incarnation && up) {
+          if (thisIncarnation == incarnation && up) {
             freezeState = FreezeState.FROZEN;
             frozenSince = world.time.now();
-            world.time.after(Math.round(seconds * 1000), () -> resume(caller));
+            world.time.after(Math.round(seconds * 1000), () -> resume(thisIncarnation));
           }
         });
   }
 
-  private void resume(int caller) {
-    if (caller == incarnation && up) {
+  private void resume(int thisIncarnation) {
+    if (thisIncarnation == incarnation && up) {
       List<Runnable> deferred = new ArrayList<>(deferredOutput);
       deferred.add(() -> handle(new Event.Tick()));
       deferred.addAll(deferredInput);
@@ -241,12 +241,12 @@
     return crowded;
   }
 
-  private void tick(int caller) {
-    if (up && caller == incarnation) {
+  private void tick(int thisIncarnation) {
+    if (up && thisIncarnation == incarnation) {
       if (freezeState != FreezeState.FROZEN) {
         handle(new Event.Tick());
       }
-      world.time.after(TICK_MILLIS, () -> tick(caller));
+      world.time.after(TICK_MILLIS, () -> tick(thisIncarnation));
     }
   }
 
@@ -277,16 +277,16 @@
         sendOrDefer(() -> then.accept(respond.response()));
       }
     } else if (effect instanceof Effect.Call call) {
-      int caller = incarnation;
-      sendOrDefer(() -> call(call, caller));
+      int thisIncarnation = incarnation;
+      sendOrDefer(() -> call(call, thisIncarnation));
     }
   }
 
-  private void call(Effect.Call call, int caller) {
+  private void call(Effect.Call call, int thisIncarnation) {
     boolean[] answered = new boolean[1];
     Consumer<Answer> then =
         answer -> {
-          if (!answered[0] && up && caller == incarnation) {
+          if (!answered[0] && up && thisIncarnation == incarnation) {
             answered[0] = true;
             world.givenUp.answered(call.request(), answer);
             runOrDefer(
@@ -376,13 +376,13 @@
   /**
    * Sends the queued requests that the rate limits allow, as the event loop does after each event.
    */
-  private void pumpQueue(int caller) {
-    if (up && caller == incarnation) {
+  private void pumpQueue(int thisIncarnation) {
+    if (up && thisIncarnation == incarnation) {
       if (freezeState == FreezeState.RUNNING) {
         line.setTime(world.time.now());
         line.sendDue(world.time.now());
       }
-      world.time.after(QUEUE_POLL_MILLIS, () -> pumpQueue(caller));
+      world.time.after(QUEUE_POLL_MILLIS, () -> pumpQueue(thisIncarnation));
     }
   }
 
--- a/src/main/java/org/oakwalk/model/StoreRateLimiter.java
+++ b/src/main/java/org/oakwalk/model/StoreRateLimiter.java
@@ -2,7 +2,10 @@
 
 import org.oakwalk.core.Settings;
 
-/** How much the state service takes a second, of all nodes together, with bursts of one second. */
+/**
+ * Token buckets for the requests and writes of all nodes to the state service, with a burst of one
+ * second.
+ */
 final class StoreRateLimiter {
   private final Timeline time;
   private final double maxRequests;
@@ -20,7 +23,9 @@
     this.refilledAt = time.now();
   }
 
-  /** Whether a request with so many changes is taken now, and counts; else it is too much. */
+  /**
+   * Takes the tokens for a request with this number of changes; returns false if there are too few.
+   */
   boolean tryAcquire(int changes) {
     double seconds = (time.now() - refilledAt) / 1000.0;
     refilledAt = time.now();
--- a/src/main/java/org/oakwalk/model/WorkerTraffic.java
+++ b/src/main/java/org/oakwalk/model/WorkerTraffic.java
@@ -6,7 +6,7 @@
 import org.oakwalk.core.Report;
 import org.oakwalk.core.port.Request;
 
-/** What controllers have to read of workers and to send them, and how long tasks wait meanwhile. */
+/** Statistics of worker reports and commands, and of the time that tasks wait for their start. */
 final class WorkerTraffic {
   private final World world;
   private long reportCount;
@@ -20,39 +20,39 @@
     this.world = world;
   }
 
-  /** A worker sends a report by itself. */
+  /** Counts a report that a worker sent on its own schedule. */
   void reportSent(Report report) {
-    long over = report.pieces().stream().filter(Report.Piece::ended).count();
+    long ended = report.pieces().stream().filter(Report.Piece::ended).count();
     reportCount++;
     listedTasks += report.pieces().size();
-    endedTasks += over;
-    maxEndedTasks = Math.max(maxEndedTasks, over);
+    endedTasks += ended;
+    maxEndedTasks = Math.max(maxEndedTasks, ended);
   }
 
-  /** A command has reached its worker. */
+  /** Counts a command that reached its worker. */
   void commandReceived(Request.Command command, boolean executed) {
     executedCommands += executed && !command.orders().isEmpty() ? 1 : 0;
     rejectedCommands += executed ? 0 : 1;
   }
 
-  /** The most ended tasks that any report has listed. */
+  /** Returns the largest number of ended tasks listed in one report. */
   long maxEndedTasks() {
     return maxEndedTasks;
   }
 
   Map<String, Double> figures() {
-    Map<String, Double> lines = new LinkedHashMap<>();
-    lines.put("reports.sent", (double) reportCount);
-    lines.put("reports.mean_tasks", reportCount == 0 ? 0 : listedTasks / (double) reportCount);
-    lines.put("reports.mean_ended", reportCount == 0 ? 0 : endedTasks / (double) reportCount);
-    lines.put("reports.most_ended", (double) maxEndedTasks);
-    lines.put("commands.executed", (double) executedCommands);
-    lines.put("commands.rejected", (double) rejectedCommands);
-    meanWaitSeconds().ifPresent(wait -> lines.put("tasks.mean_wait_s", wait));
-    return lines;
+    Map<String, Double> figures = new LinkedHashMap<>();
+    figures.put("reports.sent", (double) reportCount);
+    figures.put("reports.mean_tasks", reportCount == 0 ? 0 : listedTasks / (double) reportCount);
+    figures.put("reports.mean_ended", reportCount == 0 ? 0 : endedTasks / (double) reportCount);
+    figures.put("reports.most_ended", (double) maxEndedTasks);
+    figures.put("commands.executed", (double) executedCommands);
+    figures.put("commands.rejected", (double) rejectedCommands);
+    meanWaitSeconds().ifPresent(wait -> figures.put("tasks.mean_wait_s", wait));
+    return figures;
   }
 
-  /** From the first attempt to submit to the first start, of the tasks that were started. */
+  /** Mean time from the first submission to the first start, of the tasks that were started. */
   private OptionalDouble meanWaitSeconds() {
     return world.rules.firstStarts().entrySet().stream()
         .filter(start -> world.users.containsKey(start.getKey().job()))
