--- a/src/main/java/org/oakwalk/cli/ExperimentCommand.java
+++ b/src/main/java/org/oakwalk/cli/ExperimentCommand.java
@@ -152,7 +152,7 @@
   private boolean play(String name, String text, QueueOrder order) throws BadSettings {
     Outcome outcome;
     try {
-      outcome = new Scenario(text, order).play();
+      outcome = new Scenario(text, order).run();
     } catch (IllegalArgumentException e) {
       throw new BadSettings(name + ": " + e.getMessage());
     }
--- a/src/main/java/org/oakwalk/model/BudgetRule.java
+++ b/src/main/java/org/oakwalk/model/BudgetRule.java
@@ -26,7 +26,7 @@
   /** A worker stops a running task since it was told to; returns what is broken by it. */
   Optional<String> stopped(TaskId task, JobSpec spec) {
     stopped.put(task, spec);
-    for (Budget budget : world.plans.budgets()) {
+    for (Budget budget : world.scenarioPolicy.budgets()) {
       if (!budget.covers(spec)) {
         continue;
       }
--- a/src/main/java/org/oakwalk/model/Cancellations.java
+++ b/src/main/java/org/oakwalk/model/Cancellations.java
@@ -38,11 +38,11 @@
   void now(ScenarioLine line) {
     String jobClass = line.text("class", "");
     List<JobSpec> jobs =
-        world.rules.acceptedInOrder().stream()
-            .filter(job -> !world.rules.over(job) && !world.rules.asked(job))
+        world.invariants.acceptedInOrder().stream()
+            .filter(job -> !world.invariants.over(job) && !world.invariants.asked(job))
             .map(world.specs::get)
             .filter(spec -> jobClass.isEmpty() || spec.jobClass().equals(jobClass))
-            .filter(spec -> world.rules.on(spec.id()) > 0 && secondsLeft(spec) >= LONG_SECONDS)
+            .filter(spec -> world.invariants.on(spec.id()) > 0 && secondsLeft(spec) >= LONG_SECONDS)
             .sorted(Comparator.comparingDouble((JobSpec spec) -> -secondsLeft(spec)))
             .limit((int) line.number(3))
             .toList();
@@ -74,7 +74,7 @@
     }
     return IntStream.range(0, spec.tasks())
         .mapToObj(index -> new TaskId(spec.id(), index))
-        .filter(task -> !world.rules.completed(task))
+        .filter(task -> !world.invariants.completed(task))
         .mapToDouble(this::secondsLeft)
         .max()
         .orElse(0);
@@ -107,8 +107,8 @@
     JobSpec spec = world.specs.get(job);
     boolean whole =
         IntStream.range(0, spec.tasks())
-            .allMatch(index -> world.rules.completed(new TaskId(job, index)));
-    if (!whole || world.rules.over(job) || world.rules.asked(job)) {
+            .allMatch(index -> world.invariants.completed(new TaskId(job, index)));
+    if (!whole || world.invariants.over(job) || world.invariants.asked(job)) {
       return;
     }
     for (AtEnd each : atEnd) {
--- a/src/main/java/org/oakwalk/model/CloseLooks.java
+++ b/src/main/java/org/oakwalk/model/CloseLooks.java
@@ -89,7 +89,7 @@
     requests.add(new UserRequest.Submit(job, Optional.of(spec), ""));
     if (over) {
       // It can't be cancelled any more, and nobody may be told that it was.
-      world.rules.asksToCancel(job);
+      world.invariants.asksToCancel(job);
       requests.add(new UserRequest.Withdraw(job));
     }
     requests.forEach(request -> ask(node, request));
@@ -97,13 +97,13 @@
 
   private void ask(SimNode node, UserRequest request) {
     boolean submission = request instanceof UserRequest.Submit;
-    long asked = world.rules.moment();
+    long asked = world.invariants.moment();
     long gone = world.time.now() + SimUser.timeoutMillis(request);
     node.receiveUserRequest(
         request,
         response -> {
           if (world.time.now() <= gone) {
-            world.rules.toldAgain(request.job(), submission, asked, response, node);
+            world.invariants.toldAgain(request.job(), submission, asked, response, node);
           }
         });
   }
--- a/src/main/java/org/oakwalk/model/EdgeCaseFaults.java
+++ b/src/main/java/org/oakwalk/model/EdgeCaseFaults.java
@@ -21,8 +21,8 @@
     CANCEL_BURST_DURING_OUTAGE,
     CANCEL_BURST_AT_QUOTA,
     CANCEL_AT_END,
-    RAPID_QUERIES,
-    UNUSUAL_REQUESTS,
+    CONSISTENCY_PROBES,
+    EDGE_CASE_REQUESTS,
     LATE_WRITES,
     REPLAYED_REPORTS,
     QUICK_BOOTS,
@@ -42,7 +42,7 @@
   private final int cancelDeadlineSeconds;
   private final List<String> lines = new ArrayList<>();
   private final List<String> finiteJobs = new ArrayList<>();
-  private boolean stream;
+  private boolean hasJobStream;
   private int fullTeamQuota;
   private int lastFaultEnd = ScenarioGenerator.LAST_FAULT_END_SECONDS;
 
@@ -103,7 +103,7 @@
     expected.add(
         "at " + (lastFaultEnd + 4) + " submit j-49 service tasks=" + fullTeamQuota + " team=full");
     expected.add("at " + end + " expect j-49 begun within=100");
-    if (stream) {
+    if (hasJobStream) {
       expected.add("at " + end + " expect over stream");
     }
     return expected;
@@ -157,7 +157,7 @@
       case CANCEL_BURST_DURING_OUTAGE -> addCancelBurstDuringOutage(at);
       case CANCEL_BURST_AT_QUOTA -> addCancelBurstAtQuota(at, duration);
       case CANCEL_AT_END -> addCancelAtEnd(at, duration);
-      case RAPID_QUERIES ->
+      case CONSISTENCY_PROBES ->
           addLine(
               "at %d closelooks for=%d every=%d rounds=%d early=%.1f %s",
               at,
@@ -166,7 +166,7 @@
               1 + random.nextInt(3),
               random.nextInt(3) * 0.2,
               random.nextInt(3) == 0 ? "ends=1 back=" + shortDelaySeconds() : "");
-      case UNUSUAL_REQUESTS -> addLine("at %d oddrequests for=%d", at, duration);
+      case EDGE_CASE_REQUESTS -> addLine("at %d oddrequests for=%d", at, duration);
       case LATE_WRITES ->
           addLine("at %d latewrites %s for=%d atonce share=%s", at, node, duration, randomShare());
       case REPLAYED_REPORTS -> addReplayedReports(at, duration);
@@ -279,10 +279,10 @@
 
   /** Submits four one-task jobs a second and cancels a quarter of them. */
   private void addJobStream(int at, int duration) {
-    if (stream) {
+    if (hasJobStream) {
       return;
     }
-    stream = true;
+    hasJobStream = true;
     int until = at + Math.min(duration, 25);
     addLine(
         "every 0.25 %d %d 1000 array class=stream tasks=1 run=%d",
--- a/src/main/java/org/oakwalk/model/ExchangeRule.java
+++ b/src/main/java/org/oakwalk/model/ExchangeRule.java
@@ -50,7 +50,7 @@
   /** Looks at what is stored now; returns the rules that are broken by it, and how. */
   Map<String, String> tick() {
     Map<String, String> broken = new LinkedHashMap<>();
-    List<ExchangeTerms> terms = world.plans.exchanges();
+    List<ExchangeTerms> terms = world.scenarioPolicy.exchanges();
     if (terms.isEmpty()) {
       return broken;
     }
@@ -78,8 +78,8 @@
    * its job has to be written down by then.
    */
   Optional<String> stopped(TaskId task, JobSpec spec) {
-    boolean gives = world.plans.exchanges().stream().anyMatch(each -> each.gives(spec));
-    if (!gives || spec.gang() || world.plans.drains() || othersWant(spec)) {
+    boolean gives = world.scenarioPolicy.exchanges().stream().anyMatch(each -> each.gives(spec));
+    if (!gives || spec.gang() || world.scenarioPolicy.drains() || othersWant(spec)) {
       return Optional.empty();
     }
     return takes().stream().anyMatch(take -> take.giver().equals(spec.id()))
@@ -94,7 +94,8 @@
   private boolean othersWant(JobSpec spec) {
     return world.specs.values().stream()
         .filter(other -> other.priority().compareTo(spec.priority()) > 0)
-        .filter(other -> world.plans.exchanges().stream().noneMatch(each -> each.takes(other)))
+        .filter(
+            other -> world.scenarioPolicy.exchanges().stream().noneMatch(each -> each.takes(other)))
         .anyMatch(other -> mayWant(other.id()));
   }
 
@@ -106,7 +107,7 @@
     boolean stored =
         world.state.value(StoreKeys.job(id)).orElse(null) instanceof JobRecord record
             && record.phase() == JobRecord.Phase.OPEN;
-    return stored || world.rules.accepted(id) && !world.rules.over(id);
+    return stored || world.invariants.accepted(id) && !world.invariants.over(id);
   }
 
   /** Each team's first unfinished jobs that fit into its guarantee together. */
@@ -114,9 +115,9 @@
     Set<JobId> within = new HashSet<>();
     for (Settings.Team team : world.settings.teams().values()) {
       Resources sum = Resources.NONE;
-      for (JobId id : world.rules.acceptedInOrder()) {
+      for (JobId id : world.invariants.acceptedInOrder()) {
         JobSpec spec = world.specs.get(id);
-        if (spec.team().equals(team.name()) && !world.rules.over(id)) {
+        if (spec.team().equals(team.name()) && !world.invariants.over(id)) {
           sum = sum.plus(spec.resources().times(spec.tasks()));
           if (sum.cpus() > team.cpus() + 1e-6 || sum.gpus() > team.gpus() + 1e-6) {
             break;
@@ -140,8 +141,8 @@
 
   private Optional<String> debt(ExchangeTerms each) {
     boolean needed =
-        world.rules.acceptedInOrder().stream()
-            .anyMatch(id -> each.takes(world.specs.get(id)) && !world.rules.over(id));
+        world.invariants.acceptedInOrder().stream()
+            .anyMatch(id -> each.takes(world.specs.get(id)) && !world.invariants.over(id));
     if (needed) {
       needlessSince.remove(each.name());
       return Optional.empty();
--- a/src/main/java/org/oakwalk/model/Expectations.java
+++ b/src/main/java/org/oakwalk/model/Expectations.java
@@ -40,15 +40,15 @@
   private String found(ScenarioLine line) {
     JobId job = new JobId(line.word(3));
     return "on machines "
-        + world.rules.on(job)
+        + world.invariants.on(job)
         + ", told "
-        + world.rules.told(job)
+        + world.invariants.told(job)
         + ", starts "
-        + world.rules.totalStarts()
+        + world.invariants.totalStarts()
         + ", unheard "
         + world.unansweredRequests
         + ", last start after a confirmed cancellation "
-        + world.rules.latestStart()
+        + world.invariants.latestStart()
         + ", refusals "
         + world.refusedStarts
         + ", machines "
@@ -60,7 +60,7 @@
         + ", writes "
         + world.state.writeCount()
         + ", nights "
-        + world.nights.figures()
+        + world.planningWindows.figures()
         + ", requests "
         + world.state.requestCount()
         + ", reads "
@@ -68,7 +68,7 @@
         + ", too many "
         + world.state.rateLimitedCount()
         + ", waits "
-        + world.waits
+        + world.waitTimes
         + ", open "
         + world.users.values().stream().filter(SimUser::isPolling).count()
         + ", reporting to the leader "
@@ -125,19 +125,19 @@
             && world.cloud.releasedCount >= line.number("least", 0);
       }
       case "starts" -> {
-        return world.rules.totalStarts() >= line.number("least", 0)
-            && world.rules.totalStarts() <= line.number("most", 1e9);
+        return world.invariants.totalStarts() >= line.number("least", 0)
+            && world.invariants.totalStarts() <= line.number("most", 1e9);
       }
       case "unheard" -> {
         return world.unansweredRequests <= line.number("most", 0);
       }
       case "over" -> {
-        return world.rules.acceptedInOrder().stream()
+        return world.invariants.acceptedInOrder().stream()
             .filter(job -> world.specs.get(job).jobClass().equals(line.word(4)))
-            .allMatch(world.rules::over);
+            .allMatch(world.invariants::over);
       }
       case "laststart" -> {
-        return world.rules.latestStart() <= line.number("most", 0);
+        return world.invariants.latestStart() <= line.number("most", 0);
       }
       case "refusals" -> {
         return world.refusedStarts <= line.number("most", 0);
@@ -152,10 +152,10 @@
         return world.state.requestCount() <= line.number("most", 1e9);
       }
       case "waits" -> {
-        return world.waits.longest(Waits.step(line.word(4))) <= line.number("most", 0);
+        return world.waitTimes.longest(Waits.step(line.word(4))) <= line.number("most", 0);
       }
       case "waiting" -> {
-        return world.waits.waiting(Waits.step(line.word(4))) <= line.number("most", 0);
+        return world.waitTimes.waiting(Waits.step(line.word(4))) <= line.number("most", 0);
       }
       case "open" -> {
         return world.users.values().stream().filter(SimUser::isPolling).count()
@@ -178,7 +178,7 @@
       }
       case "dawn" -> {
         return world
-            .nights
+            .planningWindows
             .last(line.word(4))
             .filter(
                 night ->
@@ -211,25 +211,26 @@
   private boolean jobHolds(JobId job, ScenarioLine line) {
     SimUser user = world.users.get(job);
     return switch (line.word(4)) {
-      case "done" -> world.rules.told(job) == Response.JobState.DONE;
-      case "served" -> world.rules.told(job) == Response.JobState.DONE || user.gaveUpUnstored();
-      case "unaccepted" -> !world.rules.accepted(job);
-      case "open" -> world.rules.accepted(job) && world.rules.told(job) == null;
-      case "cancelled" -> world.rules.told(job) == Response.JobState.CANCELLED;
-      case "over" -> world.rules.over(job);
+      case "done" -> world.invariants.told(job) == Response.JobState.DONE;
+      case "served" ->
+          world.invariants.told(job) == Response.JobState.DONE || user.gaveUpUnstored();
+      case "unaccepted" -> !world.invariants.accepted(job);
+      case "open" -> world.invariants.accepted(job) && world.invariants.told(job) == null;
+      case "cancelled" -> world.invariants.told(job) == Response.JobState.CANCELLED;
+      case "over" -> world.invariants.over(job);
       case "on" ->
-          world.rules.on(job) >= line.number("least", 0)
-              && world.rules.on(job) <= line.number("most", 1e9);
+          world.invariants.on(job) >= line.number("least", 0)
+              && world.invariants.on(job) <= line.number("most", 1e9);
       case "accepted" ->
           user.acceptanceSeconds != null && user.acceptanceSeconds <= line.number("within", 60);
       case "refused" -> user.refusalStatus != null && user.refusalStatus == (int) line.number(5);
       case "started" -> {
-        Double at = world.rules.firstStart(new TaskId(job, (int) line.number("task", 0)));
+        Double at = world.invariants.firstStart(new TaskId(job, (int) line.number("task", 0)));
         yield at != null && at <= line.number("by", 1e9) && at >= line.number("after", 0);
       }
       case "begun" -> begun(job, line);
       case "starts" -> {
-        int starts = world.rules.starts(new TaskId(job, (int) line.number("task", 0)));
+        int starts = world.invariants.starts(new TaskId(job, (int) line.number("task", 0)));
         yield starts >= line.number("least", 0) && starts <= line.number("most", 1e9);
       }
       default -> throw new IllegalArgumentException("unknown expectation: " + line);
@@ -239,10 +240,10 @@
   /** Whether a share of the job's tasks has begun, that long after the first attempt to submit. */
   private boolean begun(JobId job, ScenarioLine line) {
     int tasks = world.specs.get(job).tasks();
-    double by = world.figures.submittedAt(job) + line.number("within", 240);
+    double by = world.metrics.submittedAt(job) + line.number("within", 240);
     int begun = 0;
     for (int index = 0; index < tasks; index++) {
-      Double at = world.rules.firstStart(new TaskId(job, index));
+      Double at = world.invariants.firstStart(new TaskId(job, index));
       begun += at != null && at <= by ? 1 : 0;
     }
     return begun >= line.number("share", 1) * tasks;
--- a/src/main/java/org/oakwalk/model/Figures.java
+++ b/src/main/java/org/oakwalk/model/Figures.java
@@ -98,7 +98,7 @@
 
   void started(TaskId task, JobSpec spec) {
     on.merge(spec.id(), 1, Integer::sum);
-    world.largest.started(task);
+    world.largeJobStarts.started(task);
     lastStart = world.time.seconds();
     Service service = of(spec);
     if (everStarted.add(task)) {
@@ -156,7 +156,7 @@
     double seconds = TICK_MILLIS / 1000.0;
     boolean waiting = false;
     for (JobId job : services) {
-      if (world.rules.accepted(job) && !withdrawn.containsKey(job)) {
+      if (world.invariants.accepted(job) && !withdrawn.containsKey(job)) {
         JobSpec spec = world.specs.get(job);
         Service service = of(spec);
         int up = on.getOrDefault(job, 0);
@@ -199,7 +199,7 @@
       count(shares, "team " + spec.team(), spec);
     }
     world
-        .largest
+        .largeJobStarts
         .of(wanted())
         .forEach((name, jobs) -> jobs.forEach(spec -> count(shares, "largest " + name, spec)));
     Map<String, String> under = new TreeMap<>();
--- a/src/main/java/org/oakwalk/model/Gangs.java
+++ b/src/main/java/org/oakwalk/model/Gangs.java
@@ -55,7 +55,7 @@
     gang.members.put(task, new Member(machine, world.time.now()));
     if (!gang.begun && gang.members.size() + gang.completed == gang.size) {
       gang.begun = true;
-      world.largest.runsWhole(spec.id());
+      world.largeJobStarts.runsWhole(spec.id());
       new LinkedHashMap<>(gang.members).forEach((each, member) -> member.machine().beginWork(each));
     }
   }
@@ -64,7 +64,7 @@
   private int open(JobSpec spec) {
     return (int)
         IntStream.range(0, spec.tasks())
-            .filter(index -> !world.rules.completed(new TaskId(spec.id(), index)))
+            .filter(index -> !world.invariants.completed(new TaskId(spec.id(), index)))
             .count();
   }
 
--- a/src/main/java/org/oakwalk/model/Largest.java
+++ b/src/main/java/org/oakwalk/model/Largest.java
@@ -109,7 +109,7 @@
         .forEach(
             (name, largest) -> {
               for (JobSpec spec : largest) {
-                double asked = world.figures.submittedAt(spec.id());
+                double asked = world.metrics.submittedAt(spec.id());
                 Double at = begun(spec);
                 boolean over = asked + WITHIN_SECONDS <= world.time.seconds();
                 if (over && (at == null || at - asked > WITHIN_SECONDS)) {
--- a/src/main/java/org/oakwalk/model/MessageFaultActions.java
+++ b/src/main/java/org/oakwalk/model/MessageFaultActions.java
@@ -20,11 +20,11 @@
   /**
    * Carries out a line {@code at SECONDS ACTION ...}; returns false if the action is unknown here.
    */
-  boolean play(ScenarioLine line) {
+  boolean run(ScenarioLine line) {
     double seconds = line.number("for", 10);
     switch (line.word(2)) {
       case "cut" ->
-          world.network.cut(
+          world.network.partition(
               hosts.group(line.word(3)), hosts.group(line.word(4)), seconds, line.hasWord("hold"));
       case "slownet" ->
           world.network.delay(
@@ -41,21 +41,21 @@
               line.number("after", 90),
               line.hasWord("runs"));
       case "deaf" -> world.network.dropInbound(hosts.group(line.word(3)), seconds);
-      case "closelooks" -> world.closeLooks.begin(line);
+      case "closelooks" -> world.consistencyProbes.begin(line);
       case "latereports" -> {
         if (line.hasWord("fornext")) {
           world.reportReplay.addRule(hosts.group(line.word(3)), line);
         } else {
-          world.lateness.reports(hosts.group(line.word(3)), line);
+          world.delayInjector.reports(hosts.group(line.word(3)), line);
         }
       }
       case "laterentals" -> world.cloud.delayRentals(seconds, line.number("after", 0));
       case "quickboots" -> world.cloud.setQuickBoots(line.number(3));
       case "noreports" -> world.reportLoss.start(hosts.group(line.word(3)), seconds);
-      case "latewrites" -> world.lateness.writes(currentNodeNames(line.word(3)), line);
+      case "latewrites" -> world.delayInjector.writes(currentNodeNames(line.word(3)), line);
       case "cancelnow" -> world.cancellations.now(line);
       case "cancelatend" -> world.cancellations.atEnd(line);
-      case "oddrequests" -> world.oddRequests.begin(line);
+      case "oddrequests" -> world.edgeCaseRequests.begin(line);
       default -> {
         return false;
       }
--- a/src/main/java/org/oakwalk/model/Nights.java
+++ b/src/main/java/org/oakwalk/model/Nights.java
@@ -80,7 +80,7 @@
   private int done(JobSpec spec) {
     int done = 0;
     for (int i = 0; i < spec.tasks(); i++) {
-      done += world.rules.hasCompleted(new TaskId(spec.id(), i)) ? 1 : 0;
+      done += world.invariants.hasCompleted(new TaskId(spec.id(), i)) ? 1 : 0;
     }
     return done;
   }
@@ -100,7 +100,7 @@
     Map<JobId, Integer> earlier = before.getOrDefault(dawn.name(), Map.of());
     for (JobSpec spec : world.specs.values()) {
       if (!dawn.covers(spec)
-          || world.rules.asked(spec.id())
+          || world.invariants.asked(spec.id())
           || world.failingJobs.contains(spec.id())) {
         continue;
       }
--- a/src/main/java/org/oakwalk/model/OddRequests.java
+++ b/src/main/java/org/oakwalk/model/OddRequests.java
@@ -60,7 +60,7 @@
       JobId id = new JobId("j-" + numbers++);
       Optional<JobSpec> spec = impossible.get((int) (next / 4 % impossible.size())).apply(id);
       spec.ifPresent(each -> world.specs.put(id, each));
-      world.rules.submits(id);
+      world.invariants.submits(id);
       send(id, spec);
     }
     world.time.after(Math.round(1000 * GAP_SECONDS), () -> again(until));
@@ -69,16 +69,16 @@
   private Optional<JobId> unfinished(long number) {
     return nth(
         number,
-        world.rules.acceptedInOrder().stream()
-            .filter(job -> !world.rules.over(job) && !world.rules.asked(job))
+        world.invariants.acceptedInOrder().stream()
+            .filter(job -> !world.invariants.over(job) && !world.invariants.asked(job))
             .toList());
   }
 
   private Optional<JobId> done(long number) {
     return nth(
         number,
-        world.rules.acceptedInOrder().stream()
-            .filter(job -> world.rules.told(job) == Response.JobState.DONE)
+        world.invariants.acceptedInOrder().stream()
+            .filter(job -> world.invariants.told(job) == Response.JobState.DONE)
             .toList());
   }
 
@@ -94,7 +94,7 @@
 
   /** Asks some node, again and again until there is an answer that says more than to wait. */
   private void send(JobId job, Optional<JobSpec> spec, double since) {
-    long asked = world.rules.moment();
+    long asked = world.invariants.moment();
     boolean[] over = new boolean[1];
     Runnable retry =
         () -> {
@@ -114,7 +114,7 @@
                     new UserRequest.Submit(job, spec, spec.isEmpty() ? "a field is missing" : ""),
                     response -> {
                       if (!over[0]) {
-                        world.rules.toldAgain(job, true, asked, response, node);
+                        world.invariants.toldAgain(job, true, asked, response, node);
                         if (response instanceof Response.Problem problem
                             && problem.status() >= 429) {
                           retry.run();
--- a/src/main/java/org/oakwalk/model/ReportReplay.java
+++ b/src/main/java/org/oakwalk/model/ReportReplay.java
@@ -54,12 +54,12 @@
 
   /** Records a report that is being sent, and returns true if the original is to be withheld. */
   boolean recordSent(Report report) {
-    for (ReplayRule line : rules) {
-      if (line.expiresAt() > world.time.now()
-          && line.machines().test(report.address())
-          && random.nextDouble() < line.share()) {
-        recorded.add(new RecordedReport(report, line));
-        return line.withholdsOriginal();
+    for (ReplayRule rule : rules) {
+      if (rule.expiresAt() > world.time.now()
+          && rule.machines().test(report.address())
+          && random.nextDouble() < rule.share()) {
+        recorded.add(new RecordedReport(report, rule));
+        return rule.withholdsOriginal();
       }
     }
     return false;
--- a/src/main/java/org/oakwalk/model/ReportSender.java
+++ b/src/main/java/org/oakwalk/model/ReportSender.java
@@ -97,7 +97,7 @@
     }
     if (!world.network.isPartitioned(worker.address(), to.value())) {
       world
-          .lateness
+          .delayInjector
           .ofReport(worker.address())
           .ifPresent(
               late -> world.time.after(late, () -> world.node(to).receiveDuplicateReport(report)));
--- a/src/main/java/org/oakwalk/model/Rules.java
+++ b/src/main/java/org/oakwalk/model/Rules.java
@@ -136,11 +136,11 @@
     }
     here.add(new Place(machine, spec));
     teamUse.merge(spec.team(), spec.resources(), Resources::plus);
-    world.figures.started(task, spec);
+    world.metrics.started(task, spec);
     budgets.started(task, spec);
     starts.merge(task, 1, Integer::sum);
     firstStart.putIfAbsent(task, world.time.seconds());
-    world.waits.ends(Waits.Step.BEGUN, task.job());
+    world.waitTimes.ends(Waits.Step.BEGUN, task.job());
     checkPlace(machine, task, spec);
     checkQuota(spec.team());
     Double told = toldCancelled.get(task.job());
@@ -223,7 +223,7 @@
           // Too little too late for what looks now and then.
           breaks("ran_cancelled", task + " leaves " + machine.id + " too late");
         }
-        world.figures.left(task, place.spec());
+        world.metrics.left(task, place.spec());
         teamUse.computeIfPresent(
             place.spec().team(), (team, use) -> use.minus(place.spec().resources()));
       }
@@ -236,11 +236,11 @@
 
   void completes(TaskId task) {
     completed.add(task);
-    world.waits.completed(task.job());
-    world.figures.completed(task);
+    world.waitTimes.completed(task.job());
+    world.metrics.completed(task);
     budgets.completed(task);
     world.cancellations.completed(task.job());
-    world.closeLooks.completes(task);
+    world.consistencyProbes.completes(task);
   }
 
   /** To be called now and then: tasks of cancelled jobs must be gone in time. */
@@ -356,7 +356,7 @@
       breaks("went_back", job + " was " + before + " and is " + status.state());
     }
     if (status.state() == Response.JobState.DONE) {
-      world.figures.done(job, before == null);
+      world.metrics.done(job, before == null);
       toldFinal.put(job, status.state());
       lastAnswer.remove(job);
       JobSpec spec = world.specs.get(job);
@@ -368,7 +368,7 @@
       }
     } else if (status.state() == Response.JobState.CANCELLED) {
       toldFinal.put(job, status.state());
-      world.figures.cancelled(job);
+      world.metrics.cancelled(job);
       budgets.cancelled(job);
       toldCancelled.putIfAbsent(job, world.time.seconds());
       lastAnswer.remove(job);
@@ -376,6 +376,6 @@
         breaks("went_back", job + " is called cancelled although nobody asked");
       }
     }
-    world.closeLooks.told(job, isFinal, by);
+    world.consistencyProbes.told(job, isFinal, by);
   }
 }
--- a/src/main/java/org/oakwalk/model/Scenario.java
+++ b/src/main/java/org/oakwalk/model/Scenario.java
@@ -69,7 +69,7 @@
    *
    * @throws IllegalArgumentException if a line has an unknown keyword or lacks a word
    */
-  public Outcome play() {
+  public Outcome run() {
     ScenarioLine base =
         lines.stream()
             .filter(l -> l.word(0).equals("settings"))
@@ -98,17 +98,21 @@
         default -> throw new IllegalArgumentException("unknown line: " + line);
       }
     }
-    world.rules.calmAfter(Troubles.end(lines));
-    world.nights.begin(end);
+    world.invariants.calmAfter(Troubles.end(lines));
+    world.planningWindows.begin(end);
     world.start();
     world.time.runUntil(end);
     List<String> missed = new ArrayList<>(expectations.missed());
-    missed.addAll(undeclaredFailures("unserved", world.figures.underserved()));
-    missed.addAll(undeclaredFailures("late", world.largest.late(world.figures.wanted())));
-    Map<String, Double> figures = new LinkedHashMap<>(world.figures.lines());
-    figures.putAll(world.nights.figures());
+    missed.addAll(undeclaredFailures("unserved", world.metrics.underserved()));
+    missed.addAll(undeclaredFailures("late", world.largeJobStarts.late(world.metrics.wanted())));
+    Map<String, Double> figures = new LinkedHashMap<>(world.metrics.lines());
+    figures.putAll(world.planningWindows.figures());
     return new Outcome(
-        world.rules.broken(), expectedViolations, missed, figures, world.nights.table());
+        world.invariants.broken(),
+        expectedViolations,
+        missed,
+        figures,
+        world.planningWindows.table());
   }
 
   /**
@@ -298,14 +302,14 @@
           world.cloud.capacity.put(
               new SimCloud.CapacityPool(line.word(3), line.word(4), line.hasWord("spot")),
               (int) line.number(5));
-      case "mute" -> world.users.get(new JobId(line.word(3))).mute();
+      case "mute" -> world.users.get(new JobId(line.word(3))).dropRequests();
       case "rogue" -> sendUnauthorizedStart(line);
       case "roguehalt" -> sendUnauthorizedHalt(TaskId.parse(line.word(3)).orElseThrow());
       case "roguetake" -> storeUnauthorizedTransfer(line);
       case "lie" -> deliverFalseResponse(line);
       case "expect" -> expectations.check(line);
       default -> {
-        if (!new MessageFaultActions(world, hostSelector).play(line)) {
+        if (!new MessageFaultActions(world, hostSelector).run(line)) {
           throw new IllegalArgumentException("unknown action: " + line);
         }
       }
@@ -387,7 +391,7 @@
   private JobSpec withWindowDeadline(JobSpec spec) {
     Optional<Span> dawn =
         world
-            .nights
+            .planningWindows
             .due(spec)
             .filter(d -> spec.deadline().filter(o -> o.compareTo(d) < 0).isEmpty());
     return dawn.isEmpty()
@@ -451,7 +455,7 @@
         new Take(
             new TakeId(new Token(Long.MAX_VALUE >> 30), world.state.rows("exchange").size()),
             Take.State.TAKEN,
-            world.plans.exchanges().get(0).name(),
+            world.scenarioPolicy.exchanges().get(0).name(),
             giver.id(),
             giver.team(),
             1,
@@ -474,6 +478,6 @@
                 Response.JobState.valueOf(line.word(4).toUpperCase(java.util.Locale.ROOT)),
                 0,
                 0);
-    world.rules.told(job, false, world.rules.moment(), answer, Optional.empty());
+    world.invariants.told(job, false, world.invariants.moment(), answer, Optional.empty());
   }
 }
--- a/src/main/java/org/oakwalk/model/SimCloud.java
+++ b/src/main/java/org/oakwalk/model/SimCloud.java
@@ -90,12 +90,12 @@
     return quickBootMaxSeconds * share / bootFactor;
   }
 
-  SimWorker createMachine(CapacityPool market, double bootSeconds) {
+  SimWorker createMachine(CapacityPool pool, double bootSeconds) {
     MachineId id = new MachineId(String.format("host-%06d", machineCount++));
-    SimWorker worker = new SimWorker(world, id, types.get(market.type()), market);
+    SimWorker worker = new SimWorker(world, id, types.get(pool.type()), pool);
     machines.put(id, worker);
     world.workers.put(id, worker);
-    boolean zoneMatches = failingBootsZone.isEmpty() || failingBootsZone.equals(market.zone());
+    boolean zoneMatches = failingBootsZone.isEmpty() || failingBootsZone.equals(pool.zone());
     if (failingBoots > 0 && bootSeconds > 0 && zoneMatches) {
       failingBoots--;
     } else if (bootSeconds <= 0 && quickBootMaxSeconds >= 0) {
@@ -142,15 +142,15 @@
     if (known != null) {
       return new Answer.Rented(known);
     }
-    CapacityPool market = new CapacityPool(rent.type(), rent.zone(), rent.spot());
-    int count = Math.min(rent.count(), capacity.getOrDefault(market, 0));
+    CapacityPool pool = new CapacityPool(rent.type(), rent.zone(), rent.spot());
+    int count = Math.min(rent.count(), capacity.getOrDefault(pool, 0));
     if (count == 0) {
       return new Answer.Refused(503, "no capacity");
     }
-    capacity.merge(market, -count, Integer::sum);
+    capacity.merge(pool, -count, Integer::sum);
     List<MachineId> ids = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      ids.add(createMachine(market, bootSeconds(types.get(rent.type()))).id);
+      ids.add(createMachine(pool, bootSeconds(types.get(rent.type()))).id);
     }
     rentedCount += count;
     rentalsByRequest.put(rent.ask(), ids);
--- a/src/main/java/org/oakwalk/model/SimNetwork.java
+++ b/src/main/java/org/oakwalk/model/SimNetwork.java
@@ -52,7 +52,7 @@
    *
    * @param hold delivers the messages after the end of the partition instead of losing them
    */
-  void cut(Predicate<String> left, Predicate<String> right, double seconds, boolean hold) {
+  void partition(Predicate<String> left, Predicate<String> right, double seconds, boolean hold) {
     partitions.add(new LinkPartition(linkFault(left, right, seconds), hold));
   }
 
@@ -94,7 +94,7 @@
   }
 
   boolean isPartitioned(String from, String to) {
-    return partitions.stream().anyMatch(cut -> isActive(cut.link(), from, to));
+    return partitions.stream().anyMatch(partition -> isActive(partition.link(), from, to));
   }
 
   void send(String from, String to, Runnable deliver) {
@@ -112,12 +112,12 @@
       return;
     }
     long delayMillis = 0;
-    for (LinkPartition cut : partitions) {
-      if (isActive(cut.link(), from, to)) {
-        if (!cut.delaysMessages()) {
+    for (LinkPartition partition : partitions) {
+      if (isActive(partition.link(), from, to)) {
+        if (!partition.delaysMessages()) {
           return;
         }
-        delayMillis = Math.max(delayMillis, cut.link().expiresAt() - time.now());
+        delayMillis = Math.max(delayMillis, partition.link().expiresAt() - time.now());
       }
     }
     for (LinkDelay delay : delays) {
--- a/src/main/java/org/oakwalk/model/SimNode.java
+++ b/src/main/java/org/oakwalk/model/SimNode.java
@@ -100,7 +100,7 @@
     controller =
         new Controller(
             world.settingsOf(this),
-            world.plans.policy(id, world.time.seconds()),
+            world.scenarioPolicy.policy(id, world.time.seconds()),
             id + "-life-" + incarnation);
     if (world.rateLimited) {
       line = new RequestQueue(world.settingsOf(this), world.time.now(), this::sendState);
@@ -270,7 +270,7 @@
   }
 
   private void execute(Effect effect) {
-    knownEnds.decides(effect).ifPresent(start -> world.rules.startsEnded(this, start));
+    knownEnds.decides(effect).ifPresent(start -> world.invariants.startsEnded(this, start));
     if (effect instanceof Effect.Respond respond) {
       Consumer<Response> then = pendingResponses.remove(respond.exchange());
       if (then != null) {
@@ -288,7 +288,7 @@
         answer -> {
           if (!answered[0] && up && thisIncarnation == incarnation) {
             answered[0] = true;
-            world.givenUp.answered(call.request(), answer);
+            world.commitAvailability.answered(call.request(), answer);
             runOrDefer(
                 () -> {
                   knownEnds.answered(call.request(), answer);
@@ -393,7 +393,9 @@
   /** Serves a request. A transaction that is committed late gets no answer. */
   private void serveState(Request.State request, Consumer<Answer> reply) {
     OptionalLong delay =
-        world.state.isDown() ? OptionalLong.empty() : world.lateness.ofWrite(id.value(), request);
+        world.state.isDown()
+            ? OptionalLong.empty()
+            : world.delayInjector.ofWrite(id.value(), request);
     if (delay.isPresent()) {
       world.time.after(delay.getAsLong(), () -> world.state.commitLate((Request.Commit) request));
     } else {
--- a/src/main/java/org/oakwalk/model/SimUser.java
+++ b/src/main/java/org/oakwalk/model/SimUser.java
@@ -20,7 +20,7 @@
   private final double createdAtSeconds;
   private boolean polling;
   private double lastAnsweredAt;
-  private boolean muted;
+  private boolean requestsDropped;
   private boolean gaveUp;
   private final long firstAttempt;
   private long lastAttempt;
@@ -36,11 +36,11 @@
   }
 
   void submit() {
-    if (world.rules.submits(job)) {
-      world.figures.submits(spec);
-      world.waits.begins(Waits.Step.ACCEPTED, job);
+    if (world.invariants.submits(job)) {
+      world.metrics.submits(spec);
+      world.waitTimes.begins(Waits.Step.ACCEPTED, job);
     }
-    world.closeLooks.asks(job);
+    world.consistencyProbes.asks(job);
     gaveUp = false;
     sendUntilSettled(
         new UserRequest.Submit(job, Optional.of(spec), ""),
@@ -48,7 +48,7 @@
         response -> {
           if (response instanceof Response.JobStatus && acceptanceSeconds == null) {
             acceptanceSeconds = world.time.seconds() - createdAtSeconds;
-            world.waits.accepted(job);
+            world.waitTimes.accepted(job);
             if (!polling) {
               polling = true;
               poll();
@@ -56,7 +56,7 @@
           }
           if (response instanceof Response.Problem problem && problem.status() < 429) {
             refusalStatus = problem.status();
-            world.waits.ends(Waits.Step.ACCEPTED, job);
+            world.waitTimes.ends(Waits.Step.ACCEPTED, job);
             return true;
           }
           return response instanceof Response.JobStatus;
@@ -76,12 +76,12 @@
     return gaveUp
         && acceptanceSeconds == null
         && refusalStatus == null
-        && world.givenUp.inVain(firstAttempt, lastAttempt);
+        && world.commitAvailability.inVain(firstAttempt, lastAttempt);
   }
 
   /** Returns true if the job was accepted and its user has not yet learned that it has ended. */
   boolean isPolling() {
-    return polling && world.rules.told(job) == null;
+    return polling && world.invariants.told(job) == null;
   }
 
   void cancel() {
@@ -90,21 +90,21 @@
       world.time.after(1000, this::cancel);
       return;
     }
-    world.rules.asksToCancel(job);
-    world.closeLooks.asks(job);
-    world.waits.gone(Waits.Step.BEGUN, job);
-    world.waits.begins(Waits.Step.CANCELLED, job);
+    world.invariants.asksToCancel(job);
+    world.consistencyProbes.asks(job);
+    world.waitTimes.gone(Waits.Step.BEGUN, job);
+    world.waitTimes.begins(Waits.Step.CANCELLED, job);
     sendUntilSettled(
         new UserRequest.Withdraw(job),
         world.time.seconds(),
         response -> {
           if (response instanceof Response.JobStatus) {
-            world.waits.ends(Waits.Step.CANCELLED, job);
+            world.waitTimes.ends(Waits.Step.CANCELLED, job);
             return true;
           }
           boolean unknown = response instanceof Response.Problem p && p.status() == 404;
           if (unknown) {
-            world.waits.gone(Waits.Step.CANCELLED, job);
+            world.waitTimes.gone(Waits.Step.CANCELLED, job);
           }
           return unknown;
         });
@@ -112,7 +112,7 @@
 
   /** Cancels via this node first; retries go through the load balancer. */
   void cancelVia(SimNode first) {
-    world.rules.asksToCancel(job);
+    world.invariants.asksToCancel(job);
     send(
         new UserRequest.Withdraw(job),
         Optional.of(first),
@@ -140,15 +140,15 @@
   }
 
   /** Makes all further requests of this user get lost. */
-  void mute() {
-    muted = true;
+  void dropRequests() {
+    requestsDropped = true;
   }
 
   private void poll() {
     send(
         new UserRequest.Query(job),
         response -> {
-          if (world.rules.told(job) == null) {
+          if (world.invariants.told(job) == null) {
             world.time.after(POLL_INTERVAL_MILLIS, this::poll);
           }
         });
@@ -161,12 +161,12 @@
 
   /** Sends a request through the load balancer. Calls back once, with null after a timeout. */
   private void send(UserRequest request, java.util.function.Consumer<Response> then) {
-    send(request, muted ? Optional.empty() : world.loadBalancedNode(), then);
+    send(request, requestsDropped ? Optional.empty() : world.loadBalancedNode(), then);
   }
 
   private void send(
       UserRequest request, Optional<SimNode> node, java.util.function.Consumer<Response> then) {
-    long sentAt = world.rules.moment();
+    long sentAt = world.invariants.moment();
     boolean[] completed = new boolean[1];
     world.time.after(
         timeoutMillis(request),
@@ -186,7 +186,7 @@
                 response -> {
                   if (!completed[0]) {
                     completed[0] = true;
-                    world.rules.told(
+                    world.invariants.told(
                         job, request instanceof UserRequest.Submit, sentAt, response, node);
                     if (response instanceof Response.JobStatus) {
                       lastAnsweredAt = world.time.seconds();
@@ -201,7 +201,7 @@
    * that it is right.
    */
   private void sendDuplicate(UserRequest request) {
-    long sentAt = world.rules.moment();
+    long sentAt = world.invariants.moment();
     world
         .loadBalancedNode()
         .ifPresent(
@@ -209,7 +209,7 @@
                 node.receiveUserRequest(
                     request,
                     response ->
-                        world.rules.toldAgain(
+                        world.invariants.toldAgain(
                             job, request instanceof UserRequest.Submit, sentAt, response, node)));
   }
 }
--- a/src/main/java/org/oakwalk/model/SimWorker.java
+++ b/src/main/java/org/oakwalk/model/SimWorker.java
@@ -106,7 +106,7 @@
     if (goneAt == Long.MAX_VALUE) {
       bootedAt = world.time.now();
       renewedAt = bootedAt;
-      world.rules.freesRoom(this);
+      world.invariants.freesRoom(this);
       tick();
     }
   }
@@ -169,7 +169,7 @@
   private void endAllTasks(Figures.Stop cause) {
     for (Map.Entry<TaskId, Task> entry : new LinkedHashMap<>(tasks).entrySet()) {
       if (isExecuting(entry.getValue())) {
-        world.figures.stopped(entry.getKey(), entry.getValue().spec, cause);
+        world.metrics.stopped(entry.getKey(), entry.getValue().spec, cause);
       }
       releaseTask(entry.getKey(), entry.getValue(), false);
     }
@@ -190,9 +190,9 @@
     imageCache.release(id, task.spec);
     recordProgress(id, task, false);
     if (isExecuting(task)) {
-      world.rules.left(this, id);
+      world.invariants.left(this, id);
       if (task.spec.gang()) {
-        world.gangs.left(id, task.attempt, done);
+        world.gangBarrier.left(id, task.attempt, done);
       }
     }
   }
@@ -357,10 +357,10 @@
    */
   private void halt(TaskId id, Task task, Span grace) {
     if (isExecuting(task) && task.state == Report.PieceState.RUNNING) {
-      world.rules.halted(this, id, task.spec);
-      world.figures.stopped(id, task.spec, Figures.Stop.COMMAND);
+      world.invariants.halted(this, id, task.spec);
+      world.metrics.stopped(id, task.spec, Figures.Stop.COMMAND);
       if (!hasReclaimNotice()) {
-        world.largest.stoppedByCommand(id);
+        world.largeJobStarts.stoppedByCommand(id);
       }
     }
     boolean saves =
@@ -400,7 +400,7 @@
     } else if (!task.spec.resources().fitsInto(type.room().minus(usedResourcesWithout(task)))) {
       refuseStart(task, Report.Cause.NO_ROOM);
     } else {
-      world.rules.takesRoom(this, id, task.spec);
+      world.invariants.takesRoom(this, id, task.spec);
       task.state = Report.PieceState.FETCHING;
       imageCache.request(id, task.spec, () -> imageReady(id, task));
     }
@@ -427,13 +427,13 @@
     }
     task.state = task.spec.gang() ? Report.PieceState.GATHERING : Report.PieceState.RUNNING;
     reportSender.markChanged();
-    world.rules.started(this, id, task.spec);
+    world.invariants.started(this, id, task.spec);
     world.clearedTaskRestarts += world.clearedTasks.contains(id) ? 1 : 0;
-    if (world.rules.completed(id)) {
+    if (world.invariants.completed(id)) {
       // The result of an earlier attempt is stored, on whichever machine it ran.
       finish(id, task, Report.Cause.DONE);
     } else if (task.spec.gang()) {
-      world.gangs.arrived(this, id, task.attempt, task.spec);
+      world.gangBarrier.arrived(this, id, task.attempt, task.spec);
     } else {
       beginWork(id);
     }
@@ -463,7 +463,7 @@
       return;
     }
     if (cause == Report.Cause.DONE) {
-      world.rules.completes(id);
+      world.invariants.completes(id);
     }
     end(id, task, cause);
   }
@@ -481,6 +481,6 @@
     task.state = Report.PieceState.ENDED;
     task.cause = cause;
     reportSender.markChanged();
-    world.rules.freesRoom(this);
+    world.invariants.freesRoom(this);
   }
 }
--- a/src/main/java/org/oakwalk/model/WaitingRule.java
+++ b/src/main/java/org/oakwalk/model/WaitingRule.java
@@ -57,12 +57,16 @@
 
   /** To be called now and then; returns what is broken. */
   Optional<String> tick() {
-    if (calls++ % EVERY != 0 || world.time.seconds() < calmAfter || world.plans.promisesRoom()) {
+    if (calls++ % EVERY != 0
+        || world.time.seconds() < calmAfter
+        || world.scenarioPolicy.promisesRoom()) {
       return Optional.empty();
     }
     look();
-    for (JobId job : world.rules.acceptedInOrder()) {
-      if (!world.rules.over(job) && !world.rules.asked(job) && !world.failingJobs.contains(job)) {
+    for (JobId job : world.invariants.acceptedInOrder()) {
+      if (!world.invariants.over(job)
+          && !world.invariants.asked(job)
+          && !world.failingJobs.contains(job)) {
         Optional<String> left = look(world.specs.get(job));
         if (left.isPresent()) {
           return left;
@@ -97,7 +101,7 @@
     return worker.isResponsive()
         && worker.isHealthy()
         && !worker.hasReclaimNotice()
-        && !world.plans.empties(worker.rentedAtSeconds());
+        && !world.scenarioPolicy.empties(worker.rentedAtSeconds());
   }
 
   private Optional<String> look(JobSpec spec) {
@@ -139,7 +143,7 @@
         if (spec.gang()) {
           return 0;
         }
-      } else if (!world.rules.completed(task)) {
+      } else if (!world.invariants.completed(task)) {
         waiting++;
       }
     }
--- a/src/main/java/org/oakwalk/model/Waits.java
+++ b/src/main/java/org/oakwalk/model/Waits.java
@@ -50,7 +50,7 @@
     ends(Step.ACCEPTED, job);
     int tasks = world.specs.get(job).tasks();
     for (int index = 0; index < tasks; index++) {
-      if (world.rules.firstStart(new TaskId(job, index)) != null) {
+      if (world.invariants.firstStart(new TaskId(job, index)) != null) {
         return;
       }
     }
@@ -66,7 +66,7 @@
   void completed(JobId job) {
     int tasks = world.specs.get(job).tasks();
     for (int index = 0; index < tasks; index++) {
-      if (!world.rules.completed(new TaskId(job, index))) {
+      if (!world.invariants.completed(new TaskId(job, index))) {
         return;
       }
     }
--- a/src/main/java/org/oakwalk/model/WorkerTraffic.java
+++ b/src/main/java/org/oakwalk/model/WorkerTraffic.java
@@ -54,9 +54,9 @@
 
   /** Mean time from the first submission to the first start, of the tasks that were started. */
   private OptionalDouble meanWaitSeconds() {
-    return world.rules.firstStarts().entrySet().stream()
+    return world.invariants.firstStarts().entrySet().stream()
         .filter(start -> world.users.containsKey(start.getKey().job()))
-        .mapToDouble(start -> start.getValue() - world.figures.submittedAt(start.getKey().job()))
+        .mapToDouble(start -> start.getValue() - world.metrics.submittedAt(start.getKey().job()))
         .average();
   }
 }
--- a/src/main/java/org/oakwalk/model/World.java
+++ b/src/main/java/org/oakwalk/model/World.java
@@ -20,12 +20,12 @@
 final class World {
   final Timeline time = new Timeline();
   final SimNetwork network = new SimNetwork(time);
-  final Rules rules = new Rules(this);
-  final Lateness lateness;
+  final Rules invariants = new Rules(this);
+  final Lateness delayInjector;
   final Cancellations cancellations;
-  final OddRequests oddRequests = new OddRequests(this);
-  final CloseLooks closeLooks;
-  final GivenUp givenUp = new GivenUp(time);
+  final OddRequests edgeCaseRequests = new OddRequests(this);
+  final CloseLooks consistencyProbes;
+  final GivenUp commitAvailability = new GivenUp(time);
   final ReportReplay reportReplay;
   final ReportLoss reportLoss = new ReportLoss(time);
   final SimState state;
@@ -35,12 +35,12 @@
   /** True if the state service enforces its rate limits, so that nodes queue their requests. */
   final boolean rateLimited;
 
-  final Plans plans;
-  final Gangs gangs;
-  final Waits waits = new Waits(this);
-  final Figures figures = new Figures(this);
-  final Nights nights;
-  final Largest largest = new Largest(this);
+  final Plans scenarioPolicy;
+  final Gangs gangBarrier;
+  final Waits waitTimes = new Waits(this);
+  final Figures metrics = new Figures(this);
+  final Nights planningWindows;
+  final Largest largeJobStarts = new Largest(this);
   final WorkerTraffic workerTraffic = new WorkerTraffic(this);
   final List<SimNode> nodes = new ArrayList<>();
   final Map<MachineId, SimWorker> workers = new LinkedHashMap<>();
@@ -67,12 +67,12 @@
 
   World(Settings settings, Plans plans, ScenarioLine base) {
     this.settings = settings;
-    this.plans = plans;
-    this.nights = new Nights(this, plans.dawns());
+    this.scenarioPolicy = plans;
+    this.planningWindows = new Nights(this, plans.dawns());
     long seed = Math.round(base.number("seed", 1));
-    this.lateness = new Lateness(time, settings.workers().lease().asSeconds(), seed);
+    this.delayInjector = new Lateness(time, settings.workers().lease().asSeconds(), seed);
     this.cancellations = new Cancellations(this, seed);
-    this.closeLooks = new CloseLooks(this, seed);
+    this.consistencyProbes = new CloseLooks(this, seed);
     this.reportReplay = new ReportReplay(this, seed);
     this.rateLimited = base.hasWord("limited");
     this.state =
@@ -83,7 +83,7 @@
                 : Optional.empty(),
             (int) base.number("changes", 10_000));
     this.cloud = new SimCloud(this, settings.cloud().listLag().asSeconds());
-    this.gangs = new Gangs(this, base.number("gangwait", 35), base.number("gangpeer", 8));
+    this.gangBarrier = new Gangs(this, base.number("gangwait", 35), base.number("gangpeer", 8));
     int nodeCount = (int) base.number("nodes", 3);
     for (int i = 0; i < nodeCount; i++) {
       String zone = settings.zones().get(i % settings.zones().size());
@@ -92,7 +92,7 @@
   }
 
   void start() {
-    largest.begin();
+    largeJobStarts.begin();
     for (SimNode node : nodes) {
       time.after(10L * nodes.indexOf(node), node::start);
     }
@@ -100,17 +100,17 @@
   }
 
   private void runChecks() {
-    gangs.tick();
-    rules.tick();
-    waits.tick();
-    figures.tick();
-    nights.tick().ifPresent(rules::promiseTakenBack);
+    gangBarrier.tick();
+    invariants.tick();
+    waitTimes.tick();
+    metrics.tick();
+    planningWindows.tick().ifPresent(invariants::promiseTakenBack);
     time.after(500, this::runChecks);
   }
 
   /** Returns the simulated wall-clock time. */
   WallTime wallClock() {
-    return new WallTime(time.now() + Math.round(1000 * plans.clock()));
+    return new WallTime(time.now() + Math.round(1000 * scenarioPolicy.clock()));
   }
 
   Settings settingsOf(SimNode node) {
--- a/src/test/java/org/oakwalk/scenario/GapTest.java
+++ b/src/test/java/org/oakwalk/scenario/GapTest.java
@@ -118,7 +118,7 @@
   }
 
   private static void play(String text) {
-    Map<String, String> broken = new TreeMap<>(new Scenario(text).play().broken());
+    Map<String, String> broken = new TreeMap<>(new Scenario(text).run().broken());
     // Nobody is answered in an outage, however long it is.
     broken.remove("forgotten");
     assertThat(broken).as(text).isEmpty();
--- a/src/test/java/org/oakwalk/scenario/GivenUpTest.java
+++ b/src/test/java/org/oakwalk/scenario/GivenUpTest.java
@@ -15,7 +15,7 @@
           + "at 3 submit j-1 array tasks=2 run=5\n";
 
   private static Outcome play(String lines) {
-    return new Scenario(FLEET + lines + "at 118 expect j-2 served\nend 120\n").play();
+    return new Scenario(FLEET + lines + "at 118 expect j-2 served\nend 120\n").run();
   }
 
   @Test
--- a/src/test/java/org/oakwalk/scenario/ScalingTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScalingTest.java
@@ -110,7 +110,7 @@
   private static Measured measure(int machines) {
     try {
       Scenario scenario = new Scenario(text(machines));
-      Outcome outcome = scenario.play();
+      Outcome outcome = scenario.run();
       assertThat(outcome.held()).as(outcome.complaint()).isTrue();
       return new Measured(machines, counts(machines, scenario, outcome));
     } catch (ReflectiveOperationException e) {
--- a/src/test/java/org/oakwalk/scenario/ScenarioTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScenarioTest.java
@@ -31,7 +31,7 @@
   }
 
   private static void play(Path file) throws IOException {
-    Outcome outcome = new Scenario(Files.readString(file)).play();
+    Outcome outcome = new Scenario(Files.readString(file)).run();
     Optional<KnownRed> red = KnownRed.of(file.getFileName().toString());
     if (red.isPresent()) {
       assertThat(outcome.held()).as("holds again, so KNOWN-RED.txt is out of date").isFalse();
--- a/src/test/java/org/oakwalk/scenario/StreamTest.java
+++ b/src/test/java/org/oakwalk/scenario/StreamTest.java
@@ -40,7 +40,7 @@
   @Test
   void nothingIsKeptOfJobsThatAreOver() throws Exception {
     Scenario scenario = new Scenario(text(60));
-    Outcome outcome = scenario.play();
+    Outcome outcome = scenario.run();
     assertThat(outcome.held()).as(outcome.complaint()).isTrue();
     for (Object node : (List<?>) Census.field(Census.field(scenario, "world"), "nodes")) {
       Map<String, Integer> kept = Census.of(Census.field(node, "controller"));
--- a/src/test/java/org/oakwalk/scenario/Sweeps.java
+++ b/src/test/java/org/oakwalk/scenario/Sweeps.java
@@ -31,7 +31,7 @@
   static void play(String text) {
     Outcome outcome;
     try {
-      outcome = new Scenario(text).play();
+      outcome = new Scenario(text).run();
     } catch (AssertionError | RuntimeException e) {
       throw new AssertionError(e.getMessage() + "\n" + text, e);
     }
--- a/src/test/java/org/oakwalk/scenario/TroublesTest.java
+++ b/src/test/java/org/oakwalk/scenario/TroublesTest.java
@@ -88,7 +88,7 @@
   private static void play(int seed, ScenarioGenerator draw) {
     String text = draw.text();
     try {
-      Outcome outcome = new Scenario(text).play();
+      Outcome outcome = new Scenario(text).run();
       assertThat(outcome.held()).as(outcome.complaint()).isTrue();
     } catch (AssertionError | RuntimeException e) {
       throw new AssertionError("seed " + seed + ": " + e.getMessage() + "\n" + text, e);
