--- a/src/main/java/org/oakwalk/model/ReportSender.java
+++ b/src/main/java/org/oakwalk/model/ReportSender.java
@@ -100,7 +100,8 @@
           .delayInjector
           .ofReport(worker.address())
           .ifPresent(
-              late -> world.time.after(late, () -> world.node(to).receiveDuplicateReport(report)));
+              delay ->
+                  world.time.after(delay, () -> world.node(to).receiveDuplicateReport(report)));
     }
   }
 
--- a/src/main/java/org/oakwalk/model/Scenario.java
+++ b/src/main/java/org/oakwalk/model/Scenario.java
@@ -389,12 +389,12 @@
    * earlier.
    */
   private JobSpec withWindowDeadline(JobSpec spec) {
-    Optional<Span> dawn =
+    Optional<Span> deadline =
         world
             .planningWindows
             .due(spec)
             .filter(d -> spec.deadline().filter(o -> o.compareTo(d) < 0).isEmpty());
-    return dawn.isEmpty()
+    return deadline.isEmpty()
         ? spec
         : new JobSpec(
             spec.id(),
@@ -414,7 +414,7 @@
             spec.estimatedRunTime(),
             spec.checkpointInterval(),
             spec.checkpointDuration(),
-            dawn);
+            deadline);
   }
 
   /** Starts a task without a decision of the leader, to test that {@link Rules} detects it. */
--- a/src/main/java/org/oakwalk/model/SimNode.java
+++ b/src/main/java/org/oakwalk/model/SimNode.java
@@ -229,16 +229,16 @@
    */
   private boolean shouldRedirect(MachineId worker) {
     redirectedWorkers.removeIf(redirected -> !world.workers.get(redirected).reportsTo(this));
-    boolean crowded =
+    boolean overLimit =
         world.time.now() < workerLimitUntil
             && world.workers.values().stream()
                     .filter(w -> w.reportsTo(this) && !redirectedWorkers.contains(w.id))
                     .count()
                 > maxWorkers;
-    if (crowded) {
+    if (overLimit) {
       redirectedWorkers.add(worker);
     }
-    return crowded;
+    return overLimit;
   }
 
   private void tick(int thisIncarnation) {
@@ -424,9 +424,9 @@
     if (world.time.now() < socketsExhaustedUntil) {
       return;
     }
-    boolean crowded = shouldRedirect(report.machine());
+    boolean redirect = shouldRedirect(report.machine());
     receive(
-        requestId -> new Event.WorkerReports(requestId, report, crowded),
+        requestId -> new Event.WorkerReports(requestId, report, redirect),
         response -> {
           if (response instanceof Response.Orders) {
             redirectedWorkers.remove(report.machine());
--- a/src/main/java/org/oakwalk/model/SimState.java
+++ b/src/main/java/org/oakwalk/model/SimState.java
@@ -170,16 +170,16 @@
 
   private void endLease(long id) {
     leases.remove(id);
-    List<String> gone = new ArrayList<>();
+    List<String> removedKeys = new ArrayList<>();
     keys.forEach(
         (key, kept) -> {
           if (kept.leaseId() != null && kept.leaseId() == id) {
-            gone.add(key);
+            removedKeys.add(key);
           }
         });
-    if (!gone.isEmpty()) {
+    if (!removedKeys.isEmpty()) {
       revision++;
-      gone.forEach(this::remove);
+      removedKeys.forEach(this::remove);
       notifyWatches();
     }
   }
