--- a/src/main/java/org/oakwalk/cli/ExperimentCommand.java
+++ b/src/main/java/org/oakwalk/cli/ExperimentCommand.java
@@ -10,9 +10,9 @@
 import java.util.Map;
 import java.util.concurrent.Callable;
 import org.oakwalk.daemon.InvalidSettingsException;
-import org.oakwalk.model.Draw;
-import org.oakwalk.model.Queueing;
+import org.oakwalk.model.QueueOrder;
 import org.oakwalk.model.Scenario;
+import org.oakwalk.model.ScenarioGenerator;
 import org.oakwalk.model.ScenarioResult;
 import picocli.CommandLine;
 import picocli.CommandLine.Command;
@@ -103,12 +103,12 @@
     if (files.isEmpty()) {
       int[] range = parseSeedRange();
       for (int drawnSeed = range[0]; drawnSeed <= range[1]; drawnSeed++) {
-        Draw faults = new Draw(drawnSeed);
-        faults = roll ? faults.withRoll() : faults;
+        ScenarioGenerator faults = new ScenarioGenerator(drawnSeed);
+        faults = roll ? faults.withRollingReplacement() : faults;
         faults = headroom ? faults.withHeadroom() : faults;
-        faults = products ? faults.withProducts() : faults;
-        faults = meetings ? faults.withMeetings() : faults;
-        faults = hunts ? faults.withHunts() : faults;
+        faults = products ? faults.withProductTerms() : faults;
+        faults = meetings ? faults.withOverlappingFaults() : faults;
+        faults = hunts ? faults.withEdgeCaseFaults() : faults;
         passed &= runScenario("seed " + drawnSeed, faults.text());
       }
     }
@@ -145,20 +145,20 @@
   }
 
   private boolean runScenario(String name, String text) throws InvalidSettingsException {
-    boolean passed = runScenario(name, text, Queueing.PLANNED);
+    boolean passed = runScenario(name, text, QueueOrder.PLANNED);
     if (compareOrders) {
       // The scenario's expectations assume a plan, so the result of these runs is not a failure.
-      runScenario(name + " by score alone", text, Queueing.PLAIN);
-      runScenario(name + " by earliest deadline", text, Queueing.EARLIEST_DUE);
+      runScenario(name + " by score alone", text, QueueOrder.SCORE_ONLY);
+      runScenario(name + " by earliest deadline", text, QueueOrder.EARLIEST_DEADLINE);
     }
     return passed;
   }
 
-  private boolean runScenario(String name, String text, Queueing queueing)
+  private boolean runScenario(String name, String text, QueueOrder queueing)
       throws InvalidSettingsException {
     ScenarioResult outcome;
     try {
-      outcome = new Scenario(text, queueing).play();
+      outcome = new Scenario(text, queueing).run();
     } catch (IllegalArgumentException e) {
       throw new InvalidSettingsException(name + ": " + e.getMessage());
     }
--- a/src/main/java/org/oakwalk/model/Cancellations.java
+++ b/src/main/java/org/oakwalk/model/Cancellations.java
@@ -45,16 +45,19 @@
    * Executes a scenario line {@code at SECONDS cancelnow N ...}. The jobs with the longest
    * remaining run time are cancelled.
    */
-  void cancelNow(Words line) {
+  void cancelNow(ScenarioLine line) {
     String jobClass = line.text("class", "");
     List<JobSpec> jobs =
-        world.rules.acceptedJobs().stream()
-            .filter(job -> !world.rules.isReportedEnded(job) && !world.rules.isCancelRequested(job))
+        world.invariants.acceptedJobs().stream()
+            .filter(
+                job ->
+                    !world.invariants.isReportedEnded(job)
+                        && !world.invariants.isCancelRequested(job))
             .map(world.specs::get)
             .filter(spec -> jobClass.isEmpty() || spec.jobClass().equals(jobClass))
             .filter(
                 spec ->
-                    world.rules.runningTaskCount(spec.id()) > 0
+                    world.invariants.runningTaskCount(spec.id()) > 0
                         && secondsLeft(spec) >= MIN_SECONDS_LEFT)
             .sorted(Comparator.comparingDouble((JobSpec spec) -> -secondsLeft(spec)))
             .limit((int) line.number(3))
@@ -76,7 +79,7 @@
     Set<SimWorker> machines = new LinkedHashSet<>();
     for (JobSpec spec : jobs) {
       world.workers.values().stream()
-          .filter(worker -> worker.alive() && worker.holds(spec.id()))
+          .filter(worker -> worker.isAlive() && worker.holdsTaskOf(spec.id()))
           .forEach(machines::add);
     }
     return machines;
@@ -89,7 +92,7 @@
     }
     return IntStream.range(0, spec.tasks())
         .mapToObj(index -> new TaskId(spec.id(), index))
-        .filter(task -> !world.rules.isCompleted(task))
+        .filter(task -> !world.invariants.isCompleted(task))
         .mapToDouble(this::secondsLeft)
         .max()
         .orElse(0);
@@ -97,15 +100,15 @@
 
   private double secondsLeft(TaskId task) {
     return world.runSeconds(task)
-        - world.saved.getOrDefault(task, 0.0)
+        - world.checkpointedSeconds.getOrDefault(task, 0.0)
         - world.workers.values().stream()
-            .mapToDouble(worker -> worker.secondsRun(task))
+            .mapToDouble(worker -> worker.workedSeconds(task))
             .max()
             .orElse(0);
   }
 
   /** Executes a scenario line {@code at SECONDS cancelatend ...}. */
-  void cancelAtCompletion(Words line) {
+  void cancelAtCompletion(ScenarioLine line) {
     completionCancels.add(
         new CompletionCancels(
             world.time.now() + Math.round(1000 * line.number("for", 10)),
@@ -122,8 +125,10 @@
     JobSpec spec = world.specs.get(job);
     boolean jobComplete =
         IntStream.range(0, spec.tasks())
-            .allMatch(index -> world.rules.isCompleted(new TaskId(job, index)));
-    if (!jobComplete || world.rules.isReportedEnded(job) || world.rules.isCancelRequested(job)) {
+            .allMatch(index -> world.invariants.isCompleted(new TaskId(job, index)));
+    if (!jobComplete
+        || world.invariants.isReportedEnded(job)
+        || world.invariants.isCancelRequested(job)) {
       return;
     }
     for (CompletionCancels cancels : completionCancels) {
--- a/src/main/java/org/oakwalk/model/ConsistencyProbes.java
+++ b/src/main/java/org/oakwalk/model/ConsistencyProbes.java
@@ -44,7 +44,7 @@
   }
 
   /** Starts probing with the parameters of the scenario line. */
-  void begin(Words line) {
+  void begin(ScenarioLine line) {
     activeUntil = world.time.now() + Math.round(1000 * line.number("for", 10));
     intervalMillis = Math.round(line.number("every", 5));
     rounds = (int) line.number("rounds", 3);
@@ -93,7 +93,7 @@
     requests.add(new UserRequest.Submit(job, Optional.of(spec), ""));
     if (ended) {
       // The job has ended, so no user may be told that this cancels it.
-      world.rules.recordCancelRequest(job);
+      world.invariants.recordCancelRequest(job);
       requests.add(new UserRequest.Withdraw(job));
     }
     requests.forEach(request -> send(node, request));
@@ -101,13 +101,13 @@
 
   private void send(SimNode node, UserRequest request) {
     boolean submission = request instanceof UserRequest.Submit;
-    long askedAt = world.rules.answerCount();
-    long answerDeadline = world.time.now() + SimUser.waits(request);
-    node.ask(
+    long askedAt = world.invariants.answerCount();
+    long answerDeadline = world.time.now() + SimUser.timeoutMillis(request);
+    node.receiveUserRequest(
         request,
         response -> {
           if (world.time.now() <= answerDeadline) {
-            world.rules.duplicateReported(request.job(), submission, askedAt, response, node);
+            world.invariants.duplicateReported(request.job(), submission, askedAt, response, node);
           }
         });
   }
--- a/src/main/java/org/oakwalk/model/DelayInjector.java
+++ b/src/main/java/org/oakwalk/model/DelayInjector.java
@@ -43,21 +43,21 @@
   }
 
   /** Delays transactions of these nodes from now on, as the scenario line says. */
-  void delayWrites(Predicate<String> nodes, Words line) {
+  void delayWrites(Predicate<String> nodes, ScenarioLine line) {
     writeFaults.add(parse(nodes, line));
   }
 
   /** Repeats reports of these machines from now on, as the scenario line says. */
-  void repeatReports(Predicate<String> machines, Words line) {
+  void repeatReports(Predicate<String> machines, ScenarioLine line) {
     reportFaults.add(parse(machines, line));
   }
 
-  private DelayFault parse(Predicate<String> hosts, Words line) {
+  private DelayFault parse(Predicate<String> hosts, ScenarioLine line) {
     return new DelayFault(
         hosts,
         time.now() + Math.round(1000 * line.number("for", 10)),
         line.number("share", 1),
-        line.has("atonce") ? 0 : line.number("after", -1),
+        line.hasWord("atonce") ? 0 : line.number("after", -1),
         line.text("key", ""));
   }
 
--- a/src/main/java/org/oakwalk/model/DisruptionBudgetRule.java
+++ b/src/main/java/org/oakwalk/model/DisruptionBudgetRule.java
@@ -29,7 +29,7 @@
    */
   Optional<String> taskStopped(TaskId task, JobSpec spec) {
     downTasks.put(task, spec);
-    for (DisruptionBudget budget : world.plans.budgets()) {
+    for (DisruptionBudget budget : world.scenarioPolicy.budgets()) {
       if (!budget.covers(spec)) {
         continue;
       }
--- a/src/main/java/org/oakwalk/model/EdgeCaseRequests.java
+++ b/src/main/java/org/oakwalk/model/EdgeCaseRequests.java
@@ -40,7 +40,7 @@
   }
 
   /** Executes a scenario line {@code at SECONDS oddrequests for=S}. */
-  void begin(Words line) {
+  void begin(ScenarioLine line) {
     sendNext(world.time.seconds() + line.number("for", 10));
   }
 
@@ -60,7 +60,7 @@
       JobId id = new JobId("j-" + nextJobNumber++);
       Optional<JobSpec> spec = invalidJobs.get((int) (turn / 4 % invalidJobs.size())).apply(id);
       spec.ifPresent(value -> world.specs.put(id, value));
-      world.rules.recordSubmission(id);
+      world.invariants.recordSubmission(id);
       send(id, spec);
     }
     world.time.after(Math.round(1000 * INTERVAL_SECONDS), () -> sendNext(until));
@@ -69,16 +69,19 @@
   private Optional<JobId> unfinishedJob(long number) {
     return nth(
         number,
-        world.rules.acceptedJobs().stream()
-            .filter(job -> !world.rules.isReportedEnded(job) && !world.rules.isCancelRequested(job))
+        world.invariants.acceptedJobs().stream()
+            .filter(
+                job ->
+                    !world.invariants.isReportedEnded(job)
+                        && !world.invariants.isCancelRequested(job))
             .toList());
   }
 
   private Optional<JobId> doneJob(long number) {
     return nth(
         number,
-        world.rules.acceptedJobs().stream()
-            .filter(job -> world.rules.reported(job) == Response.JobState.DONE)
+        world.invariants.acceptedJobs().stream()
+            .filter(job -> world.invariants.reported(job) == Response.JobState.DONE)
             .toList());
   }
 
@@ -97,7 +100,7 @@
    * request to wait.
    */
   private void send(JobId job, Optional<JobSpec> spec, double since) {
-    long askedAt = world.rules.answerCount();
+    long askedAt = world.invariants.answerCount();
     boolean[] finished = new boolean[1];
     Runnable retry =
         () -> {
@@ -110,14 +113,14 @@
         };
     world.time.after(ANSWER_TIMEOUT_MS, retry);
     world
-        .someNode()
+        .loadBalancedNode()
         .ifPresent(
             node ->
-                node.ask(
+                node.receiveUserRequest(
                     new UserRequest.Submit(job, spec, spec.isEmpty() ? "a field is missing" : ""),
                     response -> {
                       if (!finished[0]) {
-                        world.rules.duplicateReported(job, true, askedAt, response, node);
+                        world.invariants.duplicateReported(job, true, askedAt, response, node);
                         if (response instanceof Response.Problem problem
                             && problem.status() >= 429) {
                           retry.run();
--- a/src/main/java/org/oakwalk/model/ExchangeRule.java
+++ b/src/main/java/org/oakwalk/model/ExchangeRule.java
@@ -54,7 +54,7 @@
   /** Checks the stored transfers, and returns the violated rules with a description of each. */
   Map<String, String> tick() {
     Map<String, String> violations = new LinkedHashMap<>();
-    List<ExchangeTerms> terms = world.plans.exchanges();
+    List<ExchangeTerms> terms = world.scenarioPolicy.exchanges();
     if (terms.isEmpty()) {
       return violations;
     }
@@ -84,8 +84,9 @@
    * transfer from its job has to be stored by then.
    */
   Optional<String> taskStopped(TaskId task, JobSpec spec) {
-    boolean isGiver = world.plans.exchanges().stream().anyMatch(exchange -> exchange.isGiver(spec));
-    if (!isGiver || spec.gang() || world.plans.hasDrainPlans() || mayBePreempted(spec)) {
+    boolean isGiver =
+        world.scenarioPolicy.exchanges().stream().anyMatch(exchange -> exchange.isGiver(spec));
+    if (!isGiver || spec.gang() || world.scenarioPolicy.hasDrainPlans() || mayBePreempted(spec)) {
       return Optional.empty();
     }
     return storedTransfers().stream().anyMatch(transfer -> transfer.giver().equals(spec.id()))
@@ -102,7 +103,8 @@
         .filter(other -> other.priority().compareTo(spec.priority()) > 0)
         .filter(
             other ->
-                world.plans.exchanges().stream().noneMatch(exchange -> exchange.isTaker(other)))
+                world.scenarioPolicy.exchanges().stream()
+                    .noneMatch(exchange -> exchange.isTaker(other)))
         .anyMatch(other -> mayNeedRoom(other.id()));
   }
 
@@ -114,7 +116,7 @@
     boolean stored =
         world.state.value(StoreKeys.job(id)).orElse(null) instanceof JobRecord record
             && record.phase() == JobRecord.Phase.OPEN;
-    return stored || world.rules.isAccepted(id) && !world.rules.isReportedEnded(id);
+    return stored || world.invariants.isAccepted(id) && !world.invariants.isReportedEnded(id);
   }
 
   /** Determines the first unfinished jobs of each team that together fit into its guarantee. */
@@ -122,9 +124,9 @@
     Set<JobId> within = new HashSet<>();
     for (Settings.Team team : world.settings.teams().values()) {
       Resources sum = Resources.NONE;
-      for (JobId id : world.rules.acceptedJobs()) {
+      for (JobId id : world.invariants.acceptedJobs()) {
         JobSpec spec = world.specs.get(id);
-        if (spec.team().equals(team.name()) && !world.rules.isReportedEnded(id)) {
+        if (spec.team().equals(team.name()) && !world.invariants.isReportedEnded(id)) {
           sum = sum.plus(spec.resources().times(spec.tasks()));
           if (sum.cpus() > team.cpus() + 1e-6 || sum.gpus() > team.gpus() + 1e-6) {
             break;
@@ -150,9 +152,10 @@
   /** Returns a description of a transfer that is open too long after its demand has ended. */
   private Optional<String> unsettledTransfer(ExchangeTerms exchange) {
     boolean needed =
-        world.rules.acceptedJobs().stream()
+        world.invariants.acceptedJobs().stream()
             .anyMatch(
-                id -> exchange.isTaker(world.specs.get(id)) && !world.rules.isReportedEnded(id));
+                id ->
+                    exchange.isTaker(world.specs.get(id)) && !world.invariants.isReportedEnded(id));
     if (needed) {
       demandEndedAt.remove(exchange.name());
       return Optional.empty();
--- a/src/main/java/org/oakwalk/model/Expectations.java
+++ b/src/main/java/org/oakwalk/model/Expectations.java
@@ -19,7 +19,7 @@
   }
 
   /** Records a failure unless the expectation of the line holds now. */
-  void check(Words line) {
+  void check(ScenarioLine line) {
     if (!holds(line)) {
       failures.add(
           String.format(
@@ -37,49 +37,49 @@
     return failures;
   }
 
-  private String observedState(Words line) {
+  private String observedState(ScenarioLine line) {
     JobId job = new JobId(line.word(3));
     return "tasks on machines "
-        + world.rules.runningTaskCount(job)
+        + world.invariants.runningTaskCount(job)
         + ", reported state "
-        + world.rules.reported(job)
+        + world.invariants.reported(job)
         + ", starts "
-        + world.rules.totalStarts()
+        + world.invariants.totalStarts()
         + ", requests that a running controller did not answer in time "
-        + world.unheard
+        + world.unansweredRequests
         + ", latest start after a confirmed cancellation "
-        + world.rules.latestStartAfterCancel()
+        + world.invariants.latestStartAfterCancel()
         + ", refusals "
-        + world.refusals
+        + world.refusedStarts
         + ", machines "
-        + world.workers.values().stream().filter(SimWorker::alive).count()
+        + world.workers.values().stream().filter(SimWorker::isAlive).count()
         + ", rented "
-        + world.cloud.rented
+        + world.cloud.rentedCount
         + ", released "
-        + world.cloud.released
+        + world.cloud.releasedCount
         + ", writes "
-        + world.state.writes()
+        + world.state.writeCount()
         + ", planning windows "
-        + world.nights.metrics()
+        + world.planningWindows.metrics()
         + ", requests "
-        + world.state.requests()
+        + world.state.requestCount()
         + ", reads "
-        + world.state.reads()
+        + world.state.pollCount()
         + ", requests over the limit "
-        + world.state.tooMany()
+        + world.state.rateLimitedCount()
         + ", waits "
-        + world.waits
+        + world.waitTimes
         + ", jobs awaiting their end "
-        + world.users.values().stream().filter(SimUser::asks).count()
+        + world.users.values().stream().filter(SimUser::isPolling).count()
         + ", workers reporting to the leader "
         + workersReportingToLeader();
   }
 
-  private boolean holds(Words line) {
+  private boolean holds(ScenarioLine line) {
     String subject = line.word(3);
     switch (subject) {
       case "leader" -> {
-        return world.leader().isPresent() == !line.has("none");
+        return world.leader().isPresent() == !line.hasWord("none");
       }
       case "headroom" -> {
         int places =
@@ -92,7 +92,7 @@
         return places >= line.number("least", 0) && places <= line.number("most", 1e9);
       }
       case "machines" -> {
-        long runningMachines = world.workers.values().stream().filter(SimWorker::alive).count();
+        long runningMachines = world.workers.values().stream().filter(SimWorker::isAlive).count();
         return runningMachines >= line.number("least", 0)
             && runningMachines <= line.number("most", 1e9);
       }
@@ -102,86 +102,87 @@
       }
       case "oldest" -> {
         return world.workers.values().stream()
-            .filter(SimWorker::charged)
+            .filter(SimWorker::isBilled)
             .noneMatch(worker -> worker.id.value().compareTo(line.word(4)) < 0);
       }
       case "kept" -> {
-        return world.workers.get(new MachineId(line.word(4))).charged();
+        return world.workers.get(new MachineId(line.word(4))).isBilled();
       }
       case "gone" -> {
-        return !world.workers.get(new MachineId(line.word(4))).charged();
+        return !world.workers.get(new MachineId(line.word(4))).isBilled();
       }
       case "in" -> {
         long inZone =
             world.workers.values().stream()
-                .filter(w -> w.charged() && w.market.zone().equals(line.word(4)))
+                .filter(w -> w.isBilled() && w.pool.zone().equals(line.word(4)))
                 .count();
         return inZone >= line.number("least", 0) && inZone <= line.number("most", 1e9);
       }
       case "rented" -> {
-        return world.cloud.rented <= line.number("most", 1e9)
-            && world.cloud.rented >= line.number("least", 0);
+        return world.cloud.rentedCount <= line.number("most", 1e9)
+            && world.cloud.rentedCount >= line.number("least", 0);
       }
       case "releases" -> {
-        return world.cloud.released <= line.number("most", 1e9)
-            && world.cloud.released >= line.number("least", 0);
+        return world.cloud.releasedCount <= line.number("most", 1e9)
+            && world.cloud.releasedCount >= line.number("least", 0);
       }
       case "starts" -> {
-        return world.rules.totalStarts() >= line.number("least", 0)
-            && world.rules.totalStarts() <= line.number("most", 1e9);
+        return world.invariants.totalStarts() >= line.number("least", 0)
+            && world.invariants.totalStarts() <= line.number("most", 1e9);
       }
       case "unheard" -> {
-        return world.unheard <= line.number("most", 0);
+        return world.unansweredRequests <= line.number("most", 0);
       }
       case "over" -> {
-        return world.rules.acceptedJobs().stream()
+        return world.invariants.acceptedJobs().stream()
             .filter(job -> world.specs.get(job).jobClass().equals(line.word(4)))
-            .allMatch(world.rules::isReportedEnded);
+            .allMatch(world.invariants::isReportedEnded);
       }
       case "laststart" -> {
-        return world.rules.latestStartAfterCancel() <= line.number("most", 0);
+        return world.invariants.latestStartAfterCancel() <= line.number("most", 0);
       }
       case "refusals" -> {
-        return world.refusals <= line.number("most", 0);
+        return world.refusedStarts <= line.number("most", 0);
       }
       case "reruns" -> {
-        return world.reruns <= line.number("most", 0);
+        return world.clearedTaskRestarts <= line.number("most", 0);
       }
       case "listed" -> {
-        return world.reportLoad.mostEnded() <= line.number("most", 0);
+        return world.workerTraffic.maxEndedTasks() <= line.number("most", 0);
       }
       case "requests" -> {
-        return world.state.requests() <= line.number("most", 1e9);
+        return world.state.requestCount() <= line.number("most", 1e9);
       }
       case "waits" -> {
-        return world.waits.longest(JobWaitTimes.parsePhase(line.word(4))) <= line.number("most", 0);
+        return world.waitTimes.longest(JobWaitTimes.parsePhase(line.word(4)))
+            <= line.number("most", 0);
       }
       case "waiting" -> {
-        return world.waits.waitingCount(JobWaitTimes.parsePhase(line.word(4)))
+        return world.waitTimes.waitingCount(JobWaitTimes.parsePhase(line.word(4)))
             <= line.number("most", 0);
       }
       case "open" -> {
-        return world.users.values().stream().filter(SimUser::asks).count()
+        return world.users.values().stream().filter(SimUser::isPolling).count()
             <= line.number("most", 0);
       }
       case "toomany" -> {
-        return world.state.tooMany() <= line.number("most", 0);
+        return world.state.rateLimitedCount() <= line.number("most", 0);
       }
       case "reads" -> {
-        return world.state.reads() <= line.number("most", 1e9);
+        return world.state.pollCount() <= line.number("most", 1e9);
       }
       case "answered" -> {
         double since = world.time.seconds() - line.number("within", 75);
         return world.users.values().stream()
-            .filter(user -> !line.has("open") || user.asks())
-            .allMatch(user -> user.answeredAt() >= since);
+            .filter(user -> !line.hasWord("open") || user.isPolling())
+            .allMatch(user -> user.lastAnsweredAt() >= since);
       }
       case "keys" -> {
-        return world.state.keys(line.word(4)) <= line.number("most", 0);
+        return world.state.countKeys(line.word(4)) <= line.number("most", 0);
       }
       case "dawn" -> {
         return world
-            .nights
+            .planningWindows
             .lastResult(line.word(4))
             .filter(
                 window ->
@@ -195,7 +196,7 @@
             .isPresent();
       }
       case "writes" -> {
-        return world.state.writes() <= line.number("most", 1e9);
+        return world.state.writeCount() <= line.number("most", 1e9);
       }
       default -> {
         return holdsForJob(new JobId(subject), line);
@@ -211,28 +212,29 @@
         .orElse(0L);
   }
 
-  private boolean holdsForJob(JobId job, Words line) {
+  private boolean holdsForJob(JobId job, ScenarioLine line) {
     SimUser user = world.users.get(job);
     return switch (line.word(4)) {
-      case "done" -> world.rules.reported(job) == Response.JobState.DONE;
-      case "served" -> world.rules.reported(job) == Response.JobState.DONE || user.gaveUpInVain();
-      case "unaccepted" -> !world.rules.isAccepted(job);
-      case "open" -> world.rules.isAccepted(job) && world.rules.reported(job) == null;
-      case "cancelled" -> world.rules.reported(job) == Response.JobState.CANCELLED;
-      case "over" -> world.rules.isReportedEnded(job);
+      case "done" -> world.invariants.reported(job) == Response.JobState.DONE;
+      case "served" ->
+          world.invariants.reported(job) == Response.JobState.DONE || user.gaveUpUnstored();
+      case "unaccepted" -> !world.invariants.isAccepted(job);
+      case "open" -> world.invariants.isAccepted(job) && world.invariants.reported(job) == null;
+      case "cancelled" -> world.invariants.reported(job) == Response.JobState.CANCELLED;
+      case "over" -> world.invariants.isReportedEnded(job);
       case "on" ->
-          world.rules.runningTaskCount(job) >= line.number("least", 0)
-              && world.rules.runningTaskCount(job) <= line.number("most", 1e9);
+          world.invariants.runningTaskCount(job) >= line.number("least", 0)
+              && world.invariants.runningTaskCount(job) <= line.number("most", 1e9);
       case "accepted" ->
-          user.acceptedAfter != null && user.acceptedAfter <= line.number("within", 60);
-      case "refused" -> user.refusedWith != null && user.refusedWith == (int) line.number(5);
+          user.acceptanceSeconds != null && user.acceptanceSeconds <= line.number("within", 60);
+      case "refused" -> user.refusalStatus != null && user.refusalStatus == (int) line.number(5);
       case "started" -> {
-        Double at = world.rules.firstStart(new TaskId(job, (int) line.number("task", 0)));
+        Double at = world.invariants.firstStart(new TaskId(job, (int) line.number("task", 0)));
         yield at != null && at <= line.number("by", 1e9) && at >= line.number("after", 0);
       }
       case "begun" -> startedInTime(job, line);
       case "starts" -> {
-        int starts = world.rules.startCount(new TaskId(job, (int) line.number("task", 0)));
+        int starts = world.invariants.startCount(new TaskId(job, (int) line.number("task", 0)));
         yield starts >= line.number("least", 0) && starts <= line.number("most", 1e9);
       }
       default -> throw new IllegalArgumentException("unknown expectation: " + line);
@@ -243,12 +245,12 @@
    * Whether the expected share of the tasks of a job has started within the expected time after the
    * first submission attempt.
    */
-  private boolean startedInTime(JobId job, Words line) {
+  private boolean startedInTime(JobId job, ScenarioLine line) {
     int tasks = world.specs.get(job).tasks();
-    double deadline = world.figures.submittedAt(job) + line.number("within", 240);
+    double deadline = world.metrics.submittedAt(job) + line.number("within", 240);
     int started = 0;
     for (int index = 0; index < tasks; index++) {
-      Double at = world.rules.firstStart(new TaskId(job, index));
+      Double at = world.invariants.firstStart(new TaskId(job, index));
       started += at != null && at <= deadline ? 1 : 0;
     }
     return started >= line.number("share", 1) * tasks;
--- a/src/main/java/org/oakwalk/model/FaultCombinations.java
+++ b/src/main/java/org/oakwalk/model/FaultCombinations.java
@@ -8,7 +8,7 @@
 
 /**
  * Draws two or three faults that overlap in time while users cancel jobs. All faults end by {@link
- * Draw#LAST_TROUBLE_ENDS}, including their delayed effects.
+ * ScenarioGenerator#LAST_FAULT_END_SECONDS}, including their delayed effects.
  */
 final class FaultCombinations {
   /** Latest end of a fault; its delayed effects may come after that. */
--- a/src/main/java/org/oakwalk/model/FaultSchedule.java
+++ b/src/main/java/org/oakwalk/model/FaultSchedule.java
@@ -12,17 +12,17 @@
   private FaultSchedule() {}
 
   /** Returns when the last fault ends, in seconds; 0 if there is none. */
-  static double lastFaultEnd(List<Words> lines) {
+  static double lastFaultEnd(List<ScenarioLine> lines) {
     double end = 0;
     double lease = 10;
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       lease = line.word(0).equals("settings") ? line.number("lease", lease) : lease;
     }
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       if (line.word(0).equals("at") && !NOT_FAULTS.contains(line.word(2))) {
         end = Math.max(end, line.number(1) + durationSeconds(line, line.word(2), lease));
       } else if (line.word(0).equals("every")
-          && line.repeats()
+          && line.repeatsAction()
           && !NOT_FAULTS.contains(line.word(4))) {
         end = Math.max(end, line.number(3) + durationSeconds(line, line.word(4), lease));
       }
@@ -31,7 +31,7 @@
   }
 
   /** Returns how long a fault lasts, including its delayed effects, in seconds. */
-  private static double durationSeconds(Words line, String action, double lease) {
+  private static double durationSeconds(ScenarioLine line, String action, double lease) {
     return switch (action) {
       case "refuse", "freeze", "full", "outage", "cut", "slownet", "hang", "deaf", "noreports" ->
           line.number("for", 10);
@@ -41,7 +41,7 @@
       case "copies" -> line.number("for", 10) + line.number("after", 90);
       case "latewrites" ->
           line.number("for", 10)
-              + (line.has("atonce")
+              + (line.hasWord("atonce")
                   ? 0
                   : line.number("after", DelayInjector.MAX_WRITE_DELAY_SECONDS));
       // Probes without restarts are no fault.
@@ -52,7 +52,8 @@
       case "latereports" ->
           line.number("for", 10)
               + line.number(
-                  "after", line.has("fornext") ? 0 : DelayInjector.MAX_REPORT_DELAY_LEASES * lease);
+                  "after",
+                  line.hasWord("fornext") ? 0 : DelayInjector.MAX_REPORT_DELAY_LEASES * lease);
       case "restart" ->
           (line.number("times", 1) - 1) * line.number("every", 1) + line.number("after", 0);
       case "notice" -> line.number("in", 10);
--- a/src/main/java/org/oakwalk/model/GangBarrier.java
+++ b/src/main/java/org/oakwalk/model/GangBarrier.java
@@ -57,8 +57,9 @@
     gang.members.put(task, new GangMember(machine, world.time.now()));
     if (!gang.started && gang.members.size() + gang.completed == gang.size) {
       gang.started = true;
-      world.largest.gangStarted(spec.id());
-      new LinkedHashMap<>(gang.members).forEach((ready, member) -> member.machine().begin(ready));
+      world.largeJobStarts.gangStarted(spec.id());
+      new LinkedHashMap<>(gang.members)
+          .forEach((ready, member) -> member.machine().beginWork(ready));
     }
   }
 
@@ -66,7 +67,7 @@
   private int unfinishedTasks(JobSpec spec) {
     return (int)
         IntStream.range(0, spec.tasks())
-            .filter(index -> !world.rules.isCompleted(new TaskId(spec.id(), index)))
+            .filter(index -> !world.invariants.isCompleted(new TaskId(spec.id(), index)))
             .count();
   }
 
@@ -112,6 +113,7 @@
     List<SimWorker> machines =
         gang.members.values().stream().map(GangMember::machine).distinct().toList();
     String first = machines.get(0).address();
-    return machines.stream().allMatch(m -> !m.hangs() && !world.network.parted(first, m.address()));
+    return machines.stream()
+        .allMatch(m -> !m.isHung() && !world.network.isPartitioned(first, m.address()));
   }
 }
--- a/src/main/java/org/oakwalk/model/HeadroomRule.java
+++ b/src/main/java/org/oakwalk/model/HeadroomRule.java
@@ -71,7 +71,7 @@
     void reset(long at, long window) {
       slotsByMachine.forEach(
           (worker, count) -> {
-            if (!worker.alive()) {
+            if (!worker.isAlive()) {
               lostMachines.putIfAbsent(worker, new LostMachine(at, count));
             }
           });
@@ -152,15 +152,15 @@
   }
 
   private static Resources freeResources(SimWorker worker) {
-    return worker.type.room().minus(worker.used());
+    return worker.type.room().minus(worker.usedResources());
   }
 
   /** Whether slots on a worker count towards a headroom row in a zone. */
   private static boolean canProvide(HeadroomRow row, String zone, SimWorker worker) {
-    return worker.market.zone().equals(zone)
-        && worker.alive()
+    return worker.pool.zone().equals(zone)
+        && worker.isAlive()
         && (row.machineTypes().isEmpty() || row.machineTypes().contains(worker.type.name()))
-        && (row.spotAllowed() || !worker.market.spot());
+        && (row.spotAllowed() || !worker.pool.spot());
   }
 
   /** Records that a worker has released resources. */
@@ -183,7 +183,7 @@
   /** Samples the pools of a worker before an allocation and deducts the slots that it uses up. */
   private Optional<String> recordAllocation(SimWorker worker, Resources taken, boolean batch) {
     Optional<String> violation = Optional.empty();
-    String zone = worker.market.zone();
+    String zone = worker.pool.zone();
     long now = world.time.now();
     for (HeadroomRow row : storedRows(world)) {
       SlotTally tally = tallies.get(new HeadroomPool(row.key(), zone));
--- a/src/main/java/org/oakwalk/model/InvariantChecker.java
+++ b/src/main/java/org/oakwalk/model/InvariantChecker.java
@@ -151,11 +151,11 @@
     }
     copies.add(new RunningCopy(machine, spec));
     teamUsage.merge(spec.team(), spec.resources(), Resources::plus);
-    world.figures.taskStarted(task, spec);
+    world.metrics.taskStarted(task, spec);
     budgetRule.taskStarted(task, spec);
     startCounts.merge(task, 1, Integer::sum);
     firstStartAt.putIfAbsent(task, world.time.seconds());
-    world.waits.waitEnded(JobWaitTimes.WaitPhase.BEGUN, task.job());
+    world.waitTimes.waitEnded(JobWaitTimes.WaitPhase.BEGUN, task.job());
     checkPlacement(machine, task, spec);
     checkQuota(spec.team());
     Double cancelledAt = cancellationReportedAt.get(task.job());
@@ -186,7 +186,7 @@
   }
 
   private void checkPlacement(SimWorker machine, TaskId task, JobSpec spec) {
-    if (!spec.allows(machine.type.name(), machine.market.zone(), machine.market.spot())) {
+    if (!spec.allows(machine.type.name(), machine.pool.zone(), machine.pool.spot())) {
       recordViolation("wrong_place", task + " on " + machine.id);
     }
     if (!spec.oneZone() && !spec.spread()) {
@@ -196,13 +196,13 @@
     runningCopies.forEach(
         (other, copies) -> {
           if (other.job().equals(task.job()) && !copies.isEmpty()) {
-            zones.merge(copies.get(0).machine().market.zone(), 1, Integer::sum);
+            zones.merge(copies.get(0).machine().pool.zone(), 1, Integer::sum);
           }
         });
     if (spec.oneZone() && zones.size() > 1) {
       recordViolation("wrong_place", task + " puts its job into a second zone");
     }
-    if (zones.getOrDefault(machine.market.zone(), 0) > spec.maxTasksPerZone()) {
+    if (zones.getOrDefault(machine.pool.zone(), 0) > spec.maxTasksPerZone()) {
       recordViolation("wrong_place", task + " exceeds the number of tasks per zone");
     }
   }
@@ -224,7 +224,7 @@
     if (!cancellationReportedAt.containsKey(task.job())
         && !cancelRequested.contains(task.job())
         && !completed.contains(task)
-        && !machine.noticed()) {
+        && !machine.hasReclaimNotice()) {
       budgetRule
           .taskStopped(task, spec)
           .ifPresent(description -> recordViolation("budget", description));
@@ -246,7 +246,7 @@
           recordViolation(
               "ran_cancelled", task + " left " + machine.id + " after the cancel deadline");
         }
-        world.figures.taskLeft(task, copy.spec());
+        world.metrics.taskLeft(task, copy.spec());
         teamUsage.computeIfPresent(
             copy.spec().team(), (team, use) -> use.minus(copy.spec().resources()));
       }
@@ -261,11 +261,11 @@
   /** Records that a worker has completed a task. */
   void taskCompleted(TaskId task) {
     completed.add(task);
-    world.waits.taskCompleted(task.job());
-    world.figures.taskCompleted(task);
+    world.waitTimes.taskCompleted(task.job());
+    world.metrics.taskCompleted(task);
     budgetRule.taskCompleted(task);
     world.cancellations.taskCompleted(task.job());
-    world.closeLooks.taskCompleted(task);
+    world.consistencyProbes.taskCompleted(task);
   }
 
   /**
@@ -396,7 +396,7 @@
           "went_back", job + " was reported " + before + " and is now reported " + status.state());
     }
     if (status.state() == Response.JobState.DONE) {
-      world.figures.jobDone(job, before == null);
+      world.metrics.jobDone(job, before == null);
       reportedFinalStates.put(job, status.state());
       lastAnswerAt.remove(job);
       JobSpec spec = world.specs.get(job);
@@ -409,7 +409,7 @@
       }
     } else if (status.state() == Response.JobState.CANCELLED) {
       reportedFinalStates.put(job, status.state());
-      world.figures.jobCancelled(job);
+      world.metrics.jobCancelled(job);
       budgetRule.jobCancelled(job);
       cancellationReportedAt.putIfAbsent(job, world.time.seconds());
       lastAnswerAt.remove(job);
@@ -417,6 +417,6 @@
         recordViolation("went_back", job + " is reported cancelled without a cancel request");
       }
     }
-    world.closeLooks.stateReported(job, isFinal, by);
+    world.consistencyProbes.stateReported(job, isFinal, by);
   }
 }
--- a/src/main/java/org/oakwalk/model/JobWaitTimes.java
+++ b/src/main/java/org/oakwalk/model/JobWaitTimes.java
@@ -55,7 +55,7 @@
     waitEnded(WaitPhase.ACCEPTED, job);
     int tasks = world.specs.get(job).tasks();
     for (int index = 0; index < tasks; index++) {
-      if (world.rules.firstStart(new TaskId(job, index)) != null) {
+      if (world.invariants.firstStart(new TaskId(job, index)) != null) {
         return;
       }
     }
@@ -71,7 +71,7 @@
   void taskCompleted(JobId job) {
     int tasks = world.specs.get(job).tasks();
     for (int index = 0; index < tasks; index++) {
-      if (!world.rules.isCompleted(new TaskId(job, index))) {
+      if (!world.invariants.isCompleted(new TaskId(job, index))) {
         return;
       }
     }
--- a/src/main/java/org/oakwalk/model/LargeJobStartRule.java
+++ b/src/main/java/org/oakwalk/model/LargeJobStartRule.java
@@ -36,7 +36,7 @@
   private final Map<TaskId, Double> lastStartAt = new HashMap<>();
   private final Map<TaskId, Double> countedStartAt = new HashMap<>();
   private final Map<JobId, Double> gangStartAt = new HashMap<>();
-  private final Map<SimCloud.Market, Integer> maxFleet = new HashMap<>();
+  private final Map<SimCloud.CapacityPool, Integer> maxFleet = new HashMap<>();
 
   LargeJobStartRule(World world) {
     this.world = world;
@@ -48,7 +48,7 @@
    */
   void recordMaxFleet() {
     maxFleet.putAll(world.cloud.capacity);
-    world.workers.values().forEach(worker -> maxFleet.merge(worker.market, 1, Integer::sum));
+    world.workers.values().forEach(worker -> maxFleet.merge(worker.pool, 1, Integer::sum));
   }
 
   void taskStarted(TaskId task) {
@@ -124,7 +124,7 @@
         .forEach(
             (name, largest) -> {
               for (JobSpec spec : largest) {
-                double submittedAt = world.figures.submittedAt(spec.id());
+                double submittedAt = world.metrics.submittedAt(spec.id());
                 Double at = startedAt(spec);
                 boolean deadlinePassed =
                     submittedAt + START_DEADLINE_SECONDS <= world.time.seconds();
@@ -169,8 +169,8 @@
             team.gpusMax() > 0 ? team.gpusMax() : Double.MAX_VALUE,
             Double.MAX_VALUE);
     int slots = 0;
-    for (Map.Entry<SimCloud.Market, Integer> part : maxFleet.entrySet()) {
-      SimCloud.Market market = part.getKey();
+    for (Map.Entry<SimCloud.CapacityPool, Integer> part : maxFleet.entrySet()) {
+      SimCloud.CapacityPool market = part.getKey();
       if (spec.allows(market.type(), market.zone(), market.spot())) {
         Resources room = world.cloud.types.get(market.type()).room();
         slots += part.getValue() * room.capacityFor(spec.resources());
--- a/src/main/java/org/oakwalk/model/PlanningWindowTracker.java
+++ b/src/main/java/org/oakwalk/model/PlanningWindowTracker.java
@@ -63,7 +63,7 @@
   void scheduleChecks(double end) {
     for (BatchDeadlineTerms deadline : deadlines) {
       Optional<PlanningWindow> window =
-          PlanningWindow.next(deadline, world.wall(), world.settings.maxClockError());
+          PlanningWindow.next(deadline, world.wallClock(), world.settings.maxClockError());
       while (window.isPresent() && seconds(window.get().deadline()) <= end) {
         PlanningWindow current = window.get();
         world.time.at(Math.max(0, seconds(current.opensAt())), () -> windowOpens(deadline));
@@ -75,7 +75,7 @@
   }
 
   private double seconds(WallTime time) {
-    return world.time.seconds() + time.since(world.wall()).asSeconds();
+    return world.time.seconds() + time.since(world.wallClock()).asSeconds();
   }
 
   /** Returns the time until the earliest deadline that covers a job, if there is one. */
@@ -84,9 +84,9 @@
         .filter(deadline -> deadline.covers(spec))
         .flatMap(
             deadline ->
-                PlanningWindow.next(deadline, world.wall(), world.settings.maxClockError())
+                PlanningWindow.next(deadline, world.wallClock(), world.settings.maxClockError())
                     .stream())
-        .map(window -> window.finishBy().since(world.wall()))
+        .map(window -> window.finishBy().since(world.wallClock()))
         .filter(left -> left.millis() > 0)
         .min(Span::compareTo);
   }
@@ -94,7 +94,7 @@
   private int doneTaskCount(JobSpec spec) {
     int done = 0;
     for (int i = 0; i < spec.tasks(); i++) {
-      done += world.rules.isCompleted(new TaskId(spec.id(), i)) ? 1 : 0;
+      done += world.invariants.isCompleted(new TaskId(spec.id(), i)) ? 1 : 0;
     }
     return done;
   }
@@ -115,8 +115,8 @@
     Map<JobId, Integer> doneEarlier = doneAtOpening.getOrDefault(deadline.name(), Map.of());
     for (JobSpec spec : world.specs.values()) {
       if (!deadline.covers(spec)
-          || world.rules.isCancelRequested(spec.id())
-          || world.failing.contains(spec.id())) {
+          || world.invariants.isCancelRequested(spec.id())
+          || world.failingJobs.contains(spec.id())) {
         continue;
       }
       int doneBefore = doneEarlier.getOrDefault(spec.id(), 0);
--- a/src/main/java/org/oakwalk/model/ProductTermsParser.java
+++ b/src/main/java/org/oakwalk/model/ProductTermsParser.java
@@ -20,9 +20,9 @@
  * files.
  */
 final class ProductTermsParser {
-  private final List<Words> lines;
+  private final List<ScenarioLine> lines;
 
-  ProductTermsParser(List<Words> lines) {
+  ProductTermsParser(List<ScenarioLine> lines) {
     this.lines = lines;
   }
 
@@ -33,7 +33,7 @@
     List<BatchDeadlineTerms> deadlines = new ArrayList<>();
     List<HeadroomTerms> headrooms = new ArrayList<>();
     List<ExchangeTerms> exchanges = new ArrayList<>();
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       if (!line.text("on", node.value()).equals(node.value())
           || line.number("from", 0) > seconds
           || line.number("until", Double.MAX_VALUE) <= seconds) {
@@ -69,7 +69,7 @@
    */
   List<BatchDeadlineTerms> batchDeadlines() {
     Map<String, BatchDeadlineTerms> deadlines = new LinkedHashMap<>();
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       if (line.word(0).equals("dawn")) {
         deadlines.put(line.word(1), parseDeadline(line));
       }
@@ -77,7 +77,7 @@
     return List.copyOf(deadlines.values());
   }
 
-  private static BatchDeadlineTerms parseDeadline(Words line) {
+  private static BatchDeadlineTerms parseDeadline(ScenarioLine line) {
     String by = line.text("by", "");
     double every = line.number("every", 0);
     return new BatchDeadlineTerms(
@@ -97,7 +97,7 @@
         line.number("quantile", 0.9));
   }
 
-  private static HeadroomTerms parseHeadroom(Words line) {
+  private static HeadroomTerms parseHeadroom(ScenarioLine line) {
     return new HeadroomTerms(
         line.word(1),
         Optional.ofNullable(line.text("class", null)),
@@ -108,7 +108,7 @@
         line.number("warm", 0));
   }
 
-  private static ExchangeTerms parseExchange(Words line) {
+  private static ExchangeTerms parseExchange(ScenarioLine line) {
     return new ExchangeTerms(
         line.word(1),
         parseSet(line, "takers"),
@@ -121,7 +121,7 @@
   }
 
   /** Returns the comma-separated values of an option, or none if it is absent. */
-  private static Set<String> parseSet(Words line, String name) {
+  private static Set<String> parseSet(ScenarioLine line, String name) {
     String text = line.text(name, "");
     return text.isEmpty() ? Set.of() : Set.of(text.split(","));
   }
--- a/src/main/java/org/oakwalk/model/ScenarioMetrics.java
+++ b/src/main/java/org/oakwalk/model/ScenarioMetrics.java
@@ -108,7 +108,7 @@
 
   void taskStarted(TaskId task, JobSpec spec) {
     runningTasks.merge(spec.id(), 1, Integer::sum);
-    world.largest.taskStarted(task);
+    world.largeJobStarts.taskStarted(task);
     lastStartAt = world.time.seconds();
     ClassMetrics metrics = metricsFor(spec);
     if (everStarted.add(task)) {
@@ -170,7 +170,7 @@
     double seconds = TICK_INTERVAL_MS / 1000.0;
     boolean waiting = false;
     for (JobId job : serviceJobs) {
-      if (world.rules.isAccepted(job) && !cancelledAt.containsKey(job)) {
+      if (world.invariants.isAccepted(job) && !cancelledAt.containsKey(job)) {
         JobSpec spec = world.specs.get(job);
         ClassMetrics metrics = metricsFor(spec);
         int running = runningTasks.getOrDefault(job, 0);
@@ -185,10 +185,10 @@
       lastStartAt = world.time.seconds();
     }
     for (SimWorker worker : world.workers.values()) {
-      if (worker.charged()) {
-        initialMachinesUntil = worker.first ? world.time.seconds() : initialMachinesUntil;
-        String kind = worker.market.spot() ? "spot" : "ordinary";
-        machineSeconds.merge(worker.alive() ? kind : kind + "_booting", seconds, Double::sum);
+      if (worker.isBilled()) {
+        initialMachinesUntil = worker.initial ? world.time.seconds() : initialMachinesUntil;
+        String kind = worker.pool.spot() ? "spot" : "ordinary";
+        machineSeconds.merge(worker.isAlive() ? kind : kind + "_booting", seconds, Double::sum);
       }
     }
   }
@@ -199,8 +199,8 @@
    */
   List<JobSpec> jobsToServe() {
     return submittedAt.keySet().stream()
-        .filter(job -> !cancelledAt.containsKey(job) && !world.failing.contains(job))
-        .filter(job -> world.users.get(job).refusedWith == null)
+        .filter(job -> !cancelledAt.containsKey(job) && !world.failingJobs.contains(job))
+        .filter(job -> world.users.get(job).refusalStatus == null)
         .map(world.specs::get)
         .toList();
   }
@@ -217,7 +217,7 @@
       addShare(shares, "team " + spec.team(), spec);
     }
     world
-        .largest
+        .largeJobStarts
         .largestByClass(jobsToServe())
         .forEach((name, jobs) -> jobs.forEach(spec -> addShare(shares, "largest " + name, spec)));
     Map<String, String> under = new TreeMap<>();
@@ -273,14 +273,14 @@
                         "stopped." + team + "." + cause.name().toLowerCase(Locale.ROOT),
                         (double) count)));
     machineSeconds.forEach((kind, seconds) -> values.put("machine_hours." + kind, seconds / 3600));
-    values.put("state.requests", (double) world.state.requests());
-    values.put("state.changes", (double) world.state.writes());
-    values.put("cloud.rented", (double) world.cloud.rented);
-    values.put("cloud.released", (double) world.cloud.released);
+    values.put("state.requests", (double) world.state.requestCount());
+    values.put("state.changes", (double) world.state.writeCount());
+    values.put("cloud.rented", (double) world.cloud.rentedCount);
+    values.put("cloud.released", (double) world.cloud.releasedCount);
     values.put("machines_of_the_beginning_until_s", initialMachinesUntil);
     values.put("longest_replica_gap_s", longestReplicaGap);
     values.put("longest_gap_in_placing_s", longestStartGap);
-    values.putAll(world.reportLoad.lines());
+    values.putAll(world.workerTraffic.figures());
     return values;
   }
 }
--- a/src/main/java/org/oakwalk/model/ScenarioPolicy.java
+++ b/src/main/java/org/oakwalk/model/ScenarioPolicy.java
@@ -22,9 +22,9 @@
   /** Time within which every controller has seen a drain plan in its file. */
   private static final double MAX_PLAN_PROPAGATION_SECONDS = 20;
 
-  private final Words settingsLine;
-  private final List<Words> lines;
-  private final Queueing queueing;
+  private final ScenarioLine settingsLine;
+  private final List<ScenarioLine> lines;
+  private final QueueOrder queueing;
   private final List<DisruptionBudget> budgets = new ArrayList<>();
 
   /**
@@ -34,11 +34,11 @@
    * @param lines lines of the scenario
    * @param queueing queueing method of the controllers
    */
-  ScenarioPolicy(Words settingsLine, List<Words> lines, Queueing queueing) {
+  ScenarioPolicy(ScenarioLine settingsLine, List<ScenarioLine> lines, QueueOrder queueing) {
     this.queueing = queueing;
     this.settingsLine = settingsLine;
     this.lines = lines;
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       if (line.word(0).equals("budget")) {
         budgets.add(parseBudget(line));
       }
@@ -49,7 +49,7 @@
   Policy policyFor(NodeId node, double seconds) {
     Policy policy = Policy.defaults();
     Map<String, DrainPlan> plans = new LinkedHashMap<>();
-    for (Words line : lines) {
+    for (ScenarioLine line : lines) {
       boolean appliesToNode = line.text("on", node.value()).equals(node.value());
       if (line.word(0).equals("drain") && appliesToNode && line.number("from", 0) <= seconds) {
         plans.put(line.word(1), parseDrainPlan(line));
@@ -63,7 +63,7 @@
         policy.capacity(),
         (int) settingsLine.number("open", policy.maxOpenJobs()),
         new DrainPolicy(List.copyOf(plans.values()), budgets),
-        queueing == Queueing.PLANNED ? terms : withoutDeadlines(terms));
+        queueing == QueueOrder.PLANNED ? terms : withoutDeadlines(terms));
   }
 
   private static ProductTerms withoutDeadlines(ProductTerms terms) {
@@ -116,7 +116,7 @@
     return budgets;
   }
 
-  private static DisruptionBudget parseBudget(Words line) {
+  private static DisruptionBudget parseBudget(ScenarioLine line) {
     int stops = (int) line.number("stops", -1);
     return new DisruptionBudget(
         line.word(1),
@@ -125,7 +125,7 @@
         stops < 0 ? Optional.empty() : Optional.of(stops));
   }
 
-  private static DrainPlan parseDrainPlan(Words line) {
+  private static DrainPlan parseDrainPlan(ScenarioLine line) {
     String kind = line.text("kind", "");
     return new DrainPlan(
         line.word(1),
@@ -144,7 +144,7 @@
         Span.seconds(line.number("workwaits", 15)));
   }
 
-  private static Set<String> parseSet(Words line, String name) {
+  private static Set<String> parseSet(ScenarioLine line, String name) {
     String text = line.text(name, "");
     return text.isEmpty() ? Set.of() : Set.of(text.split(","));
   }
--- a/src/main/java/org/oakwalk/model/SimCloud.java
+++ b/src/main/java/org/oakwalk/model/SimCloud.java
@@ -14,84 +14,91 @@
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 
-/** Stand-in for the cloud, after its published protocol. */
+/** Simulated cloud that follows the published protocol. */
 final class SimCloud {
-  /** A place where machines of one sort can be had. */
-  record Market(String type, String zone, boolean spot) {}
+  /** Key of the capacity for one machine type in one zone, on demand or spot. */
+  record CapacityPool(String type, String zone, boolean spot) {}
 
-  private static final long DEATH_SHOWS = 30_000;
+  private static final long FAILURE_DETECTION_MILLIS = 30_000;
   private static final double GOLDEN_RATIO = 0.618;
 
   private final World world;
   final Map<String, MachineType> types = new LinkedHashMap<>();
-  final Map<Market, Integer> capacity = new HashMap<>();
+  final Map<CapacityPool, Integer> capacity = new HashMap<>();
   private final Map<MachineId, SimWorker> machines = new LinkedHashMap<>();
-  private final Map<RentalRequestId, List<MachineId>> asks = new HashMap<>();
-  private final long lag;
+  private final Map<RentalRequestId, List<MachineId>> rentalsByRequest = new HashMap<>();
+  private final long listLagMillis;
   private long downUntil;
-  private int numbers;
-  private int bootTrouble;
-  private String bootTroubleZone = "";
+  private int machineCount;
+  private int failingBoots;
+  private String failingBootsZone = "";
   private double bootFactor = 1;
-  private double quickestWithin = -1;
-  private int quickOnes;
-  private long rentalsLateUntil;
-  private long rentalsLateBy;
-  int rented;
-  int released;
+  private double quickBootMaxSeconds = -1;
+  private int quickBootCount;
+  private long rentalsDelayedUntil;
+  private long rentalDelayMillis;
+  int rentedCount;
+  int releasedCount;
 
   SimCloud(World world, double lagSeconds) {
     this.world = world;
-    this.lag = Math.round(lagSeconds * 1000);
+    this.listLagMillis = Math.round(lagSeconds * 1000);
   }
 
   void outage(double seconds) {
     downUntil = world.time.now() + Math.round(seconds * 1000);
   }
 
-  /** The next so many machines never come up, in this zone or in any. */
+  /**
+   * Makes the next {@code count} rented machines fail to boot, in one zone or, if empty, in any.
+   */
   void failBoots(int count, String zone) {
-    bootTrouble = count;
-    bootTroubleZone = zone;
+    failingBoots = count;
+    failingBootsZone = zone;
   }
 
-  /** Boots of machines that are rented from now on take so many times as long. */
-  void slowBoots(double factor) {
+  /** Multiplies the boot time of machines rented from now on. */
+  void slowDownBoots(double factor) {
     bootFactor = factor;
   }
 
   /**
-   * Machines that are rented from now on are up within so many seconds, the first one before the
-   * rental is answered.
+   * Limits the boot time of machines rented from now on, in seconds. The first of them is up before
+   * the rental request is answered.
    */
-  void quickBoots(double within) {
-    quickestWithin = within;
+  void setQuickBoots(double within) {
+    quickBootMaxSeconds = within;
   }
 
-  /** Rentals that are asked for meanwhile get no answer, and are carried out so much later. */
-  void lateRentals(double seconds, double after) {
-    rentalsLateUntil = world.time.now() + Math.round(seconds * 1000);
-    rentalsLateBy = Math.round(after * 1000);
+  /**
+   * Delays the rental requests of a period: they get no answer and are carried out after a delay.
+   *
+   * @param seconds length of the period
+   * @param after delay of each request, in seconds
+   */
+  void delayRentals(double seconds, double after) {
+    rentalsDelayedUntil = world.time.now() + Math.round(seconds * 1000);
+    rentalDelayMillis = Math.round(after * 1000);
   }
 
   private double bootSeconds(MachineType type) {
-    if (quickestWithin < 0) {
+    if (quickBootMaxSeconds < 0) {
       return type.bootTime().asSeconds();
     }
-    // Spread evenly, however many there are.
-    double share = quickOnes++ * GOLDEN_RATIO % 1;
-    return quickestWithin * share / bootFactor;
+    // The golden ratio spreads the boot times evenly, whatever the number of machines.
+    double share = quickBootCount++ * GOLDEN_RATIO % 1;
+    return quickBootMaxSeconds * share / bootFactor;
   }
 
-  SimWorker create(Market market, double bootSeconds) {
-    MachineId id = new MachineId(String.format("host-%06d", numbers++));
-    SimWorker worker = new SimWorker(world, id, types.get(market.type()), market);
+  SimWorker createMachine(CapacityPool pool, double bootSeconds) {
+    MachineId id = new MachineId(String.format("host-%06d", machineCount++));
+    SimWorker worker = new SimWorker(world, id, types.get(pool.type()), pool);
     machines.put(id, worker);
     world.workers.put(id, worker);
-    boolean here = bootTroubleZone.isEmpty() || bootTroubleZone.equals(market.zone());
-    if (bootTrouble > 0 && bootSeconds > 0 && here) {
-      bootTrouble--;
-    } else if (bootSeconds <= 0 && quickestWithin >= 0) {
+    boolean zoneMatches = failingBootsZone.isEmpty() || failingBootsZone.equals(pool.zone());
+    if (failingBoots > 0 && bootSeconds > 0 && zoneMatches) {
+      failingBoots--;
+    } else if (bootSeconds <= 0 && quickBootMaxSeconds >= 0) {
       worker.boot();
     } else {
       world.time.after(Math.round(bootSeconds * bootFactor * 1000), worker::boot);
@@ -101,73 +108,73 @@
 
   void serve(Request.CloudRequest request, Consumer<Answer> then) {
     if (world.time.now() < downUntil) {
-      then.accept(new Answer.Refused(503, "trouble"));
+      then.accept(new Answer.Refused(503, "cloud unavailable"));
     } else if (request instanceof Request.FetchCatalog) {
       then.accept(new Answer.Catalog(types));
     } else if (request instanceof Request.RentMachines rent) {
-      if (world.time.now() < rentalsLateUntil) {
-        world.time.after(rentalsLateBy, () -> rent(rent));
+      if (world.time.now() < rentalsDelayedUntil) {
+        world.time.after(rentalDelayMillis, () -> rent(rent));
       } else {
         then.accept(rent(rent));
       }
     } else if (request instanceof Request.ReleaseMachines release) {
-      released += release.machines().size();
+      releasedCount += release.machines().size();
       for (MachineId id : release.machines()) {
         remove(id);
       }
       then.accept(new Answer.Ok());
     } else if (request instanceof Request.ListRentals) {
-      then.accept(list());
+      then.accept(listRentals());
     }
   }
 
-  /** The cloud takes a machine away. */
+  /** Removes a machine and returns its capacity to the pool. */
   void remove(MachineId id) {
     SimWorker worker = machines.get(id);
     if (worker != null && worker.goneAt == Long.MAX_VALUE) {
-      worker.vanish();
-      capacity.merge(worker.market, 1, Integer::sum);
+      worker.markGone();
+      capacity.merge(worker.pool, 1, Integer::sum);
     }
   }
 
   private Answer rent(Request.RentMachines rent) {
-    List<MachineId> known = asks.get(rent.id());
+    List<MachineId> known = rentalsByRequest.get(rent.id());
     if (known != null) {
       return new Answer.Rented(known);
     }
-    Market market = new Market(rent.type(), rent.zone(), rent.spot());
-    int count = Math.min(rent.count(), capacity.getOrDefault(market, 0));
+    CapacityPool pool = new CapacityPool(rent.type(), rent.zone(), rent.spot());
+    int count = Math.min(rent.count(), capacity.getOrDefault(pool, 0));
     if (count == 0) {
       return new Answer.Refused(503, "no capacity");
     }
-    capacity.merge(market, -count, Integer::sum);
+    capacity.merge(pool, -count, Integer::sum);
     List<MachineId> ids = new ArrayList<>();
     for (int i = 0; i < count; i++) {
-      ids.add(create(market, bootSeconds(types.get(rent.type()))).id);
+      ids.add(createMachine(pool, bootSeconds(types.get(rent.type()))).id);
     }
-    rented += count;
-    asks.put(rent.id(), ids);
+    rentedCount += count;
+    rentalsByRequest.put(rent.id(), ids);
     return new Answer.Rented(ids);
   }
 
-  private Answer list() {
-    long moment = world.time.now() - lag;
+  private Answer listRentals() {
+    long listedAt = world.time.now() - listLagMillis;
     List<Rental> rentals = new ArrayList<>();
     for (SimWorker worker : machines.values()) {
-      if (worker.rentedAt <= moment && worker.goneAt > moment) {
+      if (worker.rentedAt <= listedAt && worker.goneAt > listedAt) {
         Rental.Status status =
-            worker.diedAt + DEATH_SHOWS < moment
+            worker.diedAt + FAILURE_DETECTION_MILLIS < listedAt
                 ? Rental.Status.FAILED
-                : worker.bootedAt <= moment ? Rental.Status.RUNNING : Rental.Status.BOOTING;
+                : worker.bootedAt <= listedAt ? Rental.Status.RUNNING : Rental.Status.BOOTING;
         rentals.add(
             new Rental(
                 worker.id,
                 worker.address(),
                 worker.type.name(),
-                worker.market.zone(),
-                worker.market.spot(),
+                worker.pool.zone(),
+                worker.pool.spot(),
                 status,
-                Span.millis(moment - worker.rentedAt)));
+                Span.millis(listedAt - worker.rentedAt)));
       }
     }
     return new Answer.Rentals(rentals, false);
--- a/src/main/java/org/oakwalk/model/SimNode.java
+++ b/src/main/java/org/oakwalk/model/SimNode.java
@@ -30,17 +30,17 @@
 import org.oakwalk.core.store.RequestQueue;
 import org.slf4j.MDC;
 
-/** A controller node in virtual time: the real core between stand-ins. */
+/** Simulated controller node: runs the real {@link Controller} in virtual time. */
 final class SimNode {
-  /** Where the log's pattern finds the simulated time and the controller. */
+  /** MDC key through which the log pattern shows the simulated time and the controller. */
   private static final String LOG_CONTEXT = "simulated";
 
-  private static final long TICK = 50;
-  private static final long PUMP = 10;
-  private static final long STATE_WAIT = 1200;
-  private static final long WATCH_GRACE = 1500;
-  private static final long OTHER_WAIT = 3000;
-  private static final long BETWEEN_MILLIS = 110;
+  private static final long TICK_MILLIS = 50;
+  private static final long QUEUE_POLL_MILLIS = 10;
+  private static final long STATE_TIMEOUT_MILLIS = 1200;
+  private static final long WATCH_TIMEOUT_MARGIN_MILLIS = 1500;
+  private static final long REQUEST_TIMEOUT_MILLIS = 3000;
+  private static final long SENDS_HELD_MILLIS = 110;
   private static final long UNHEALTHY_AFTER_MILLIS = 2000;
 
   private final World world;
@@ -49,30 +49,32 @@
   private Controller controller;
   private StartAfterEndDetector knownEnds = new StartAfterEndDetector();
 
-  /** Where requests to the state service wait for its rates, if it keeps to any. */
+  /** Queue for requests to the state service, if the service limits request rates. */
   private RequestQueue line;
 
-  private int life;
-  private int ends;
+  private int incarnation;
+  private int stopCount;
   private boolean up;
-  private long exchanges;
-  private final Map<InboundRequestId, Consumer<Response>> open = new HashMap<>();
+  private long lastRequestId;
+  private final Map<InboundRequestId, Consumer<Response>> pendingResponses = new HashMap<>();
   private long refusedByStateUntil;
-  private long fullUntil;
-  private long crowdedUntil;
-  private int mostWorkers;
-  private final Set<MachineId> leaving = new HashSet<>();
-  private Stillness stillness = Stillness.NONE;
-  private long stoodSince;
-  private final List<Runnable> waiting = new ArrayList<>();
-  private final List<Runnable> unsent = new ArrayList<>();
-
-  /** Whether the process runs, or stands still while its clocks go on. */
-  private enum Stillness {
-    NONE,
-    /** About to stop: what it decides from here on leaves it only when it goes on. */
-    BETWEEN,
-    STILL
+  private long socketsExhaustedUntil;
+  private long workerLimitUntil;
+  private int maxWorkers;
+  private final Set<MachineId> redirectedWorkers = new HashSet<>();
+  private FreezeState freezeState = FreezeState.RUNNING;
+  private long frozenSince;
+  private final List<Runnable> deferredInput = new ArrayList<>();
+  private final List<Runnable> deferredOutput = new ArrayList<>();
+
+  /** State of a simulated process pause during which the clocks keep running. */
+  private enum FreezeState {
+    RUNNING,
+    /**
+     * About to freeze: events are handled, but outgoing messages wait until the process resumes.
+     */
+    SENDS_HELD,
+    FROZEN
   }
 
   SimNode(World world, NodeId id, String zone) {
@@ -81,36 +83,39 @@
     this.zone = zone;
   }
 
-  boolean up() {
+  boolean isUp() {
     return up;
   }
 
-  boolean leads() {
+  boolean isLeader() {
     return controller.leads();
   }
 
   void start() {
-    life++;
+    incarnation++;
     up = true;
-    open.clear();
-    forgetStillness();
+    pendingResponses.clear();
+    clearFreeze();
     knownEnds = new StartAfterEndDetector();
     controller =
         new Controller(
             world.settingsOf(this),
-            world.plans.policyFor(id, world.time.seconds()),
-            id + "-life-" + life);
-    if (world.limited) {
+            world.scenarioPolicy.policyFor(id, world.time.seconds()),
+            id + "-life-" + incarnation);
+    if (world.rateLimited) {
       line = new RequestQueue(world.settingsOf(this), world.time.now(), this::sendState);
-      pump(life);
+      pumpQueue(incarnation);
     }
-    tick(life);
+    tick(incarnation);
   }
 
-  /** It ends, and is back some time later unless something else has happened to it by then. */
+  /**
+   * Stops the node and starts it again after a delay, unless it has been stopped or started again
+   * by then.
+   */
   void restart(double after) {
     crash();
-    int of = ++ends;
+    int stop = ++stopCount;
     if (after <= 0) {
       start();
       return;
@@ -118,163 +123,173 @@
     world.time.after(
         Math.round(after * 1000),
         () -> {
-          if (of == ends && !up) {
+          if (stop == stopCount && !up) {
             start();
           }
         });
   }
 
   void crash() {
-    ends++;
+    stopCount++;
     up = false;
-    open.clear();
-    forgetStillness();
+    pendingResponses.clear();
+    clearFreeze();
   }
 
-  private void forgetStillness() {
-    stillness = Stillness.NONE;
-    waiting.clear();
-    unsent.clear();
+  private void clearFreeze() {
+    freezeState = FreezeState.RUNNING;
+    deferredInput.clear();
+    deferredOutput.clear();
   }
 
   /**
-   * The process stands still while its clocks run on. What it decides in the last moment before
-   * that, it has checked but not sent: that leaves first when it goes on, and only then does it
-   * take what came in meanwhile, in an order of its own: timers that are due before the rest.
+   * Pauses the process while its clocks keep running. The messages decided on in the last moments
+   * before the pause have been checked but not sent; they are sent first on resuming. Only then
+   * does the process handle the timers that are due, followed by the input received meanwhile.
    */
   void freeze(double seconds) {
-    int of = life;
-    stillness = Stillness.BETWEEN;
+    int thisIncarnation = incarnation;
+    freezeState = FreezeState.SENDS_HELD;
     world.time.after(
-        BETWEEN_MILLIS,
+        SENDS_HELD_MILLIS,
         () -> {
-          if (of == life && up) {
-            stillness = Stillness.STILL;
-            stoodSince = world.time.now();
-            world.time.after(Math.round(seconds * 1000), () -> goOn(of));
+          if (thisIncarnation == incarnation && up) {
+            freezeState = FreezeState.FROZEN;
+            frozenSince = world.time.now();
+            world.time.after(Math.round(seconds * 1000), () -> resume(thisIncarnation));
           }
         });
   }
 
-  private void goOn(int of) {
-    if (of == life && up) {
-      List<Runnable> late = new ArrayList<>(unsent);
-      late.add(() -> handle(new Event.Tick()));
-      late.addAll(waiting);
-      forgetStillness();
-      late.forEach(Runnable::run);
+  private void resume(int thisIncarnation) {
+    if (thisIncarnation == incarnation && up) {
+      List<Runnable> deferred = new ArrayList<>(deferredOutput);
+      deferred.add(() -> handle(new Event.Tick()));
+      deferred.addAll(deferredInput);
+      clearFreeze();
+      deferred.forEach(Runnable::run);
     }
   }
 
-  /** Whether the load balancer would still take it for healthy. */
-  boolean healthy() {
+  /**
+   * Returns true if the load balancer considers this node healthy. It notices a frozen node only
+   * after {@link #UNHEALTHY_AFTER_MILLIS}.
+   */
+  boolean isHealthy() {
     return up
-        && (stillness != Stillness.STILL || world.time.now() - stoodSince < UNHEALTHY_AFTER_MILLIS);
+        && (freezeState != FreezeState.FROZEN
+            || world.time.now() - frozenSince < UNHEALTHY_AFTER_MILLIS);
   }
 
-  /** Whether it does anything at present. */
-  boolean active() {
-    return up && stillness != Stillness.STILL;
+  /** Returns true if the process is up and not frozen. */
+  boolean isResponsive() {
+    return up && freezeState != FreezeState.FROZEN;
   }
 
-  /** Runs something in the process, now or when it goes on. */
-  private void inside(Runnable action) {
-    if (stillness == Stillness.STILL) {
-      waiting.add(action);
+  /** Runs an input handler now, or on resuming if the process is frozen. */
+  private void runOrDefer(Runnable action) {
+    if (freezeState == FreezeState.FROZEN) {
+      deferredInput.add(action);
     } else {
       action.run();
     }
   }
 
-  /** Something leaves the process, now or when it goes on. */
-  private void outside(Runnable action) {
-    if (stillness == Stillness.BETWEEN) {
-      unsent.add(action);
+  /** Sends a message now, or on resuming if the process is about to freeze. */
+  private void sendOrDefer(Runnable action) {
+    if (freezeState == FreezeState.SENDS_HELD) {
+      deferredOutput.add(action);
     } else {
       action.run();
     }
   }
 
-  /** The state service answers 503 to this node alone, and its open watches wait meanwhile. */
-  void refuse(double seconds) {
+  /**
+   * Makes the state service answer 503 to this node alone. The open watches of the node are not
+   * answered meanwhile.
+   */
+  void refuseStateRequests(double seconds) {
     refusedByStateUntil = world.time.now() + Math.round(seconds * 1000);
   }
 
-  /** It has no free sockets: nobody new gets through to it, while it reaches everybody. */
-  void full(double seconds) {
-    fullUntil = world.time.now() + Math.round(seconds * 1000);
+  /** Simulates a node without free sockets: new worker reports are lost, outgoing calls succeed. */
+  void exhaustSockets(double seconds) {
+    socketsExhaustedUntil = world.time.now() + Math.round(seconds * 1000);
   }
 
-  /** It has sockets for so many workers and no more. */
-  void crowd(int workers, double seconds) {
-    mostWorkers = workers;
-    crowdedUntil = world.time.now() + Math.round(seconds * 1000);
+  /** Limits the number of workers that this node has sockets for. */
+  void limitWorkers(int workers, double seconds) {
+    maxWorkers = workers;
+    workerLimitUntil = world.time.now() + Math.round(seconds * 1000);
   }
 
-  /** Whether this worker has to go; those that were told so count no more. */
-  private boolean crowded(MachineId worker) {
-    leaving.removeIf(told -> !world.workers.get(told).reportsTo(this));
-    boolean crowded =
-        world.time.now() < crowdedUntil
+  /**
+   * Returns true if this worker is to be redirected because the node has more workers than its
+   * limit. Workers that have already been redirected do not count.
+   */
+  private boolean shouldRedirect(MachineId worker) {
+    redirectedWorkers.removeIf(redirected -> !world.workers.get(redirected).reportsTo(this));
+    boolean overLimit =
+        world.time.now() < workerLimitUntil
             && world.workers.values().stream()
-                    .filter(w -> w.reportsTo(this) && !leaving.contains(w.id))
+                    .filter(w -> w.reportsTo(this) && !redirectedWorkers.contains(w.id))
                     .count()
-                > mostWorkers;
-    if (crowded) {
-      leaving.add(worker);
+                > maxWorkers;
+    if (overLimit) {
+      redirectedWorkers.add(worker);
     }
-    return crowded;
+    return overLimit;
   }
 
-  private void tick(int of) {
-    if (up && of == life) {
-      if (stillness != Stillness.STILL) {
+  private void tick(int thisIncarnation) {
+    if (up && thisIncarnation == incarnation) {
+      if (freezeState != FreezeState.FROZEN) {
         handle(new Event.Tick());
       }
-      world.time.after(TICK, () -> tick(of));
+      world.time.after(TICK_MILLIS, () -> tick(thisIncarnation));
     }
   }
 
   private void handle(Event event) {
-    boolean led = controller.leads();
+    boolean wasLeader = controller.leads();
     List<Effect> effects = decide(event);
-    if (!led && controller.leads()) {
-      world.keptReports.rises();
+    if (!wasLeader && controller.leads()) {
+      world.reportReplay.leadershipGained();
     }
-    effects.forEach(this::carryOut);
+    effects.forEach(this::execute);
   }
 
-  /** What the core makes of an event; its log lines name the controller and the simulated time. */
+  /** Passes an event to the controller, with the node id and simulated time in the log context. */
   private List<Effect> decide(Event event) {
     MDC.put(LOG_CONTEXT, " [" + world.time.seconds() + " s " + id + "]");
     try {
-      return controller.handle(event, new Moment(world.time.now()), world.wall());
+      return controller.handle(event, new Moment(world.time.now()), world.wallClock());
     } finally {
       MDC.remove(LOG_CONTEXT);
     }
   }
 
-  private void carryOut(Effect effect) {
-    knownEnds.checkEffect(effect).ifPresent(start -> world.rules.endedJobStarted(this, start));
+  private void execute(Effect effect) {
+    knownEnds.checkEffect(effect).ifPresent(start -> world.invariants.endedJobStarted(this, start));
     if (effect instanceof Effect.Respond respond) {
-      Consumer<Response> then = open.remove(respond.requestId());
+      Consumer<Response> then = pendingResponses.remove(respond.requestId());
       if (then != null) {
-        outside(() -> then.accept(respond.response()));
+        sendOrDefer(() -> then.accept(respond.response()));
       }
     } else if (effect instanceof Effect.Call call) {
-      int of = life;
-      outside(() -> call(call, of));
+      int thisIncarnation = incarnation;
+      sendOrDefer(() -> call(call, thisIncarnation));
     }
   }
 
-  private void call(Effect.Call call, int of) {
+  private void call(Effect.Call call, int thisIncarnation) {
     boolean[] answered = new boolean[1];
     Consumer<Answer> then =
         answer -> {
-          if (!answered[0] && up && of == life) {
+          if (!answered[0] && up && thisIncarnation == incarnation) {
             answered[0] = true;
-            world.givenUp.answerReceived(call.request(), answer);
-            inside(
+            world.commitAvailability.answerReceived(call.request(), answer);
+            runOrDefer(
                 () -> {
                   knownEnds.answerReceived(call.request(), answer);
                   handle(new Event.CallAnswered(call.call(), answer));
@@ -283,32 +298,37 @@
         };
     Request request = call.request();
     if (request instanceof Request.StateServiceRequest state) {
-      if (world.limited) {
+      if (world.rateLimited) {
         line.enqueue(state, world.time.now(), then);
       } else {
         sendState(state, then);
       }
     } else if (request instanceof Request.CloudRequest cloud) {
-      world.time.after(OTHER_WAIT, () -> then.accept(new Answer.OutcomeUnknown("timeout")));
-      there("cloud", back("cloud", then), reply -> world.cloud.serve(cloud, reply));
+      world.time.after(
+          REQUEST_TIMEOUT_MILLIS, () -> then.accept(new Answer.OutcomeUnknown("timeout")));
+      sendRequest("cloud", replyVia("cloud", then), reply -> world.cloud.serve(cloud, reply));
     } else if (request instanceof Request.Command command) {
-      world.time.after(OTHER_WAIT, () -> then.accept(new Answer.OutcomeUnknown("timeout")));
-      Consumer<Answer> reply = back(command.address(), then);
+      world.time.after(
+          REQUEST_TIMEOUT_MILLIS, () -> then.accept(new Answer.OutcomeUnknown("timeout")));
+      Consumer<Answer> reply = replyVia(command.address(), then);
       world.network.send(
           id.value(),
           command.address(),
-          () -> world.workerAt(command.address()).ifPresent(w -> w.command(command, reply)),
-          runsToo ->
-              world.workerAt(command.address()).ifPresent(w -> w.commandAgain(command, runsToo)));
+          () -> world.workerAt(command.address()).ifPresent(w -> w.receiveCommand(command, reply)),
+          includeStarts ->
+              world
+                  .workerAt(command.address())
+                  .ifPresent(w -> w.receiveDuplicateCommand(command, includeStarts)));
     } else if (request instanceof Request.SendToPeer tell) {
-      world.time.after(STATE_WAIT, () -> then.accept(new Answer.OutcomeUnknown("timeout")));
-      there(
+      world.time.after(
+          STATE_TIMEOUT_MILLIS, () -> then.accept(new Answer.OutcomeUnknown("timeout")));
+      sendRequest(
           tell.node().value(),
-          back(tell.node().value(), then),
+          replyVia(tell.node().value(), then),
           reply -> {
             SimNode peer = world.node(tell.node());
-            peer.take(
-                exchange -> new Event.PeerMessageReceived(exchange, tell.message()),
+            peer.receive(
+                requestId -> new Event.PeerMessageReceived(requestId, tell.message()),
                 response -> {
                   if (response instanceof Response.PeerResponse toPeer) {
                     reply.accept(new Answer.PeerReply(toPeer.message()));
@@ -318,10 +338,10 @@
     }
   }
 
-  /** A start leaves it that its core did not decide. */
-  void orderStart(TaskId task, SimWorker worker) {
+  /** Sends a start command that the controller did not decide on, to test the rule checks. */
+  void sendUndecidedStart(TaskId task, SimWorker worker) {
     List<Order> orders = List.of(new Order.Run(task, new Attempt(Long.MAX_VALUE >> 1)));
-    carryOut(
+    execute(
         new Effect.Call(
             new CallId(Long.MAX_VALUE),
             new Request.Command(
@@ -332,105 +352,110 @@
   }
 
   private void sendState(Request.StateServiceRequest request, Consumer<Answer> then) {
-    boolean[] over = new boolean[1];
+    boolean[] completed = new boolean[1];
     Consumer<Answer> once =
         answer -> {
-          if (!over[0]) {
-            over[0] = true;
+          if (!completed[0]) {
+            completed[0] = true;
             then.accept(answer);
           }
         };
     long hold = request instanceof Request.Watch watch ? watch.maxWait().millis() : 0;
     world.time.after(
-        hold > 0 ? hold + WATCH_GRACE : STATE_WAIT,
+        hold > 0 ? hold + WATCH_TIMEOUT_MARGIN_MILLIS : STATE_TIMEOUT_MILLIS,
         () -> once.accept(new Answer.OutcomeUnknown("timeout")));
-    there(
+    sendRequest(
         "state",
-        back("state", once),
+        replyVia("state", once),
         reply -> {
-          if (refusedByState()) {
-            reply.accept(new Answer.Refused(503, "refused"));
+          if (isRefusedByState()) {
+            reply.accept(new Answer.Refused(503, "state service refuses this node"));
           } else {
             serveState(request, reply);
           }
         });
   }
 
-  /** Sends what the rates allow by now, as the event loop does whenever something has happened. */
-  private void pump(int of) {
-    if (up && of == life) {
-      if (stillness == Stillness.NONE) {
+  /**
+   * Sends the queued requests that the rate limits allow, as the event loop does after each event.
+   */
+  private void pumpQueue(int thisIncarnation) {
+    if (up && thisIncarnation == incarnation) {
+      if (freezeState == FreezeState.RUNNING) {
         line.setTime(world.time.now());
         line.sendDue(world.time.now());
       }
-      world.time.after(PUMP, () -> pump(of));
+      world.time.after(QUEUE_POLL_MILLIS, () -> pumpQueue(thisIncarnation));
     }
   }
 
-  private boolean refusedByState() {
+  private boolean isRefusedByState() {
     return world.time.now() < refusedByStateUntil;
   }
 
-  /** Nobody is told what becomes of a transaction that is carried out late. */
+  /** Serves a request. A transaction that is committed late gets no answer. */
   private void serveState(Request.StateServiceRequest request, Consumer<Answer> reply) {
-    OptionalLong late =
-        world.state.down() ? OptionalLong.empty() : world.lateness.writeDelay(id.value(), request);
-    if (late.isPresent()) {
-      world.time.after(late.getAsLong(), () -> world.state.serveLate((Request.Commit) request));
+    OptionalLong delay =
+        world.state.isDown()
+            ? OptionalLong.empty()
+            : world.delayInjector.writeDelay(id.value(), request);
+    if (delay.isPresent()) {
+      world.time.after(delay.getAsLong(), () -> world.state.commitLate((Request.Commit) request));
     } else {
-      world.state.serve(request, reply, this::refusedByState);
+      world.state.serve(request, reply, this::isRefusedByState);
     }
   }
 
-  private Consumer<Answer> back(String from, Consumer<Answer> then) {
+  private Consumer<Answer> replyVia(String from, Consumer<Answer> then) {
     return answer -> world.network.send(from, id.value(), () -> then.accept(answer));
   }
 
-  private void there(String to, Consumer<Answer> reply, Consumer<Consumer<Answer>> serve) {
+  private void sendRequest(String to, Consumer<Answer> reply, Consumer<Consumer<Answer>> serve) {
     world.network.send(id.value(), to, () -> serve.accept(reply));
   }
 
-  private void take(
+  private void receive(
       java.util.function.Function<InboundRequestId, Event> event, Consumer<Response> then) {
     if (up) {
-      InboundRequestId exchange = new InboundRequestId(++exchanges);
-      open.put(exchange, then);
-      inside(() -> handle(event.apply(exchange)));
+      InboundRequestId requestId = new InboundRequestId(++lastRequestId);
+      pendingResponses.put(requestId, then);
+      runOrDefer(() -> handle(event.apply(requestId)));
     }
   }
 
-  void report(Report report, Consumer<Response> then) {
-    if (world.time.now() < fullUntil) {
+  void receiveReport(Report report, Consumer<Response> then) {
+    if (world.time.now() < socketsExhaustedUntil) {
       return;
     }
-    boolean crowded = crowded(report.machine());
-    take(
-        exchange -> new Event.WorkerReportReceived(exchange, report, crowded),
+    boolean redirect = shouldRedirect(report.machine());
+    receive(
+        requestId -> new Event.WorkerReportReceived(requestId, report, redirect),
         response -> {
           if (response instanceof Response.Orders) {
-            leaving.remove(report.machine());
+            redirectedWorkers.remove(report.machine());
           }
           then.accept(response);
         });
   }
 
-  /** An old report comes once more; its answer goes to nobody. */
-  void reportAgain(Report report) {
-    if (world.time.now() >= fullUntil) {
-      take(exchange -> new Event.WorkerReportReceived(exchange, report, false), response -> {});
+  /** Receives a late copy of a report. The response is discarded. */
+  void receiveDuplicateReport(Report report) {
+    if (world.time.now() >= socketsExhaustedUntil) {
+      receive(
+          requestId -> new Event.WorkerReportReceived(requestId, report, false), response -> {});
     }
   }
 
-  void ask(UserRequest request, Consumer<Response> then) {
-    take(exchange -> new Event.UserRequestReceived(exchange, request), then);
+  void receiveUserRequest(UserRequest request, Consumer<Response> then) {
+    receive(requestId -> new Event.UserRequestReceived(requestId, request), then);
   }
 
-  /** Another controller says something, or somebody in its name. */
-  void told(PeerMessage message) {
-    take(exchange -> new Event.PeerMessageReceived(exchange, message), response -> {});
+  /** Receives a message from another controller, or one forged in its name. */
+  void receivePeerMessage(PeerMessage message) {
+    receive(requestId -> new Event.PeerMessageReceived(requestId, message), response -> {});
   }
 
-  void health(Consumer<Response> then) {
-    take(Event.HealthCheckReceived::new, then);
+  void checkHealth(Consumer<Response> then) {
+    receive(Event.HealthCheckReceived::new, then);
   }
 }
--- a/src/main/java/org/oakwalk/model/SimState.java
+++ b/src/main/java/org/oakwalk/model/SimState.java
@@ -25,84 +25,91 @@
 import org.oakwalk.core.store.StoreKeys;
 import org.oakwalk.core.store.StoredValue;
 
-/** Stand-in for the state service, after its published protocol. */
+/** Simulated state service that follows the published protocol. */
 final class SimState {
-  private static final int PAGE = 200;
+  private static final int PAGE_SIZE = 200;
 
-  private record Kept(StoredValue value, long stamp, Long hold) {}
+  private record StoredEntry(StoredValue value, long revision, Long leaseId) {}
 
-  private static final class Hold {
-    long ttl;
-    long end;
+  private static final class StoredLease {
+    long ttlMillis;
+    long expiresAt;
   }
 
-  /** An open watch. It waits while its node is refused, and then tells all that it has missed. */
-  private record Watcher(
-      Request.Watch request, Consumer<Answer> then, long end, BooleanSupplier refused) {}
+  /**
+   * An open watch. While its node is refused it is not answered; afterwards it delivers all missed
+   * changes.
+   */
+  private record PendingWatch(
+      Request.Watch request,
+      Consumer<Answer> callback,
+      long expiresAt,
+      BooleanSupplier nodeRefused) {}
 
   private final Timeline time;
-  private final TreeMap<String, Kept> keys = new TreeMap<>();
-  private final Map<Long, Hold> holds = new HashMap<>();
+  private final TreeMap<String, StoredEntry> keys = new TreeMap<>();
+  private final Map<Long, StoredLease> leases = new HashMap<>();
   private final ChangeHistory history;
-  private final Optional<StoreRates> rates;
-  private final List<Watcher> watchers = new ArrayList<>();
-  private final Set<Watcher> behind = Collections.newSetFromMap(new IdentityHashMap<>());
-  private long epoch;
-  private long holdNumbers;
+  private final Optional<StoreRateLimiter> rateLimiter;
+  private final List<PendingWatch> pendingWatches = new ArrayList<>();
+  private final Set<PendingWatch> delayedWatches =
+      Collections.newSetFromMap(new IdentityHashMap<>());
+  private long revision;
+  private long lastLeaseId;
   private long downUntil;
-  private int writes;
-  private int requests;
-  private int reads;
-  private int tooMany;
+  private int writeCount;
+  private int requestCount;
+  private int pollCount;
+  private int rateLimitedCount;
 
   /**
-   * A service without any keys.
+   * Creates a service without any keys.
    *
-   * @param rates how much it takes a second; without them any amount
-   * @param changes how many it keeps for watches
+   * @param rateLimiter limits on requests and writes; unlimited if empty
+   * @param changes number of changes kept in the history for watches
    */
-  SimState(Timeline time, Optional<StoreRates> rates, int changes) {
+  SimState(Timeline time, Optional<StoreRateLimiter> rates, int changes) {
     this.time = time;
-    this.rates = rates;
+    this.rateLimiter = rates;
     this.history = new ChangeHistory(changes);
     time.after(50, this::tick);
   }
 
-  int writes() {
-    return writes;
+  int writeCount() {
+    return writeCount;
   }
 
-  int requests() {
-    return requests;
+  int requestCount() {
+    return requestCount;
   }
 
-  /** Requests that ask what is new without waiting for it. */
-  int reads() {
-    return reads;
+  /** Returns the number of watch requests that do not wait for changes. */
+  int pollCount() {
+    return pollCount;
   }
 
-  /** Requests that were refused as too much. */
-  int tooMany() {
-    return tooMany;
+  /** Returns the number of requests refused by the rate limit. */
+  int rateLimitedCount() {
+    return rateLimitedCount;
   }
 
-  /** What is stored. */
+  /** Returns the value stored under a key. */
   Optional<StoredValue> value(String key) {
-    return Optional.ofNullable(keys.get(key)).map(Kept::value);
+    return Optional.ofNullable(keys.get(key)).map(StoredEntry::value);
   }
 
-  /** How many keys there are below a prefix. */
-  long keys(String prefix) {
+  /** Returns the number of keys with a prefix. */
+  long countKeys(String prefix) {
     return keys.keySet().stream().filter(key -> key.startsWith(prefix)).count();
   }
 
-  /** Whether a job is stored, and not as over. */
-  boolean open(JobId job) {
+  /** Returns true if a job is stored in phase {@code OPEN}. */
+  boolean isOpen(JobId job) {
     return value(StoreKeys.job(job)).orElse(null) instanceof JobRecord record
         && record.phase() == JobRecord.Phase.OPEN;
   }
 
-  /** The rows of a record that leaders keep, in the revision that counts. */
+  /** Returns the rows of a shared record, as its head refers to them. */
   List<SharedRow> rows(String name) {
     if (!(value(StoreKeys.sharedHead(name)).orElse(null) instanceof StoredValue.SharedHead head)) {
       return List.of();
@@ -117,77 +124,77 @@
     return rows;
   }
 
-  /** Adds a row to a record, which no leader would do this way. */
-  void add(String name, SharedRow row) {
+  /** Appends a row to a shared record, bypassing the transactions that leaders use. */
+  void appendRow(String name, SharedRow row) {
     List<SharedRow> rows = new ArrayList<>(rows(name));
     rows.add(row);
-    epoch++;
+    revision++;
     keys.put(
         StoreKeys.sharedHead(name),
-        new Kept(new StoredValue.SharedHead(epoch, 0, 0, rows), epoch, null));
+        new StoredEntry(new StoredValue.SharedHead(revision, 0, 0, rows), revision, null));
   }
 
-  boolean down() {
+  boolean isDown() {
     return time.now() < downUntil;
   }
 
-  /** After an outage every lease has its full time again. */
+  /** Makes the service unavailable. At the end of the outage every lease has its full TTL again. */
   void outage(double seconds) {
     downUntil = time.now() + Math.round(seconds * 1000);
-    holds.values().forEach(hold -> hold.end = downUntil + hold.ttl);
+    leases.values().forEach(hold -> hold.expiresAt = downUntil + hold.ttlMillis);
   }
 
   private void tick() {
-    if (!down()) {
+    if (!isDown()) {
       List<Long> ended = new ArrayList<>();
-      holds.forEach(
+      leases.forEach(
           (id, hold) -> {
-            if (hold.end < time.now()) {
+            if (hold.expiresAt < time.now()) {
               ended.add(id);
             }
           });
-      ended.forEach(this::endHold);
-      for (Watcher watcher : List.copyOf(watchers)) {
-        if (watcher.refused().getAsBoolean()) {
-          behind.add(watcher);
-        } else if (behind.remove(watcher) && tell(watcher)) {
+      ended.forEach(this::endLease);
+      for (PendingWatch watcher : List.copyOf(pendingWatches)) {
+        if (watcher.nodeRefused().getAsBoolean()) {
+          delayedWatches.add(watcher);
+        } else if (delayedWatches.remove(watcher) && notifyWatch(watcher)) {
           continue;
-        } else if (watcher.end() <= time.now()) {
-          watchers.remove(watcher);
-          watcher.then().accept(new Answer.Changes(new Revision(epoch), List.of()));
+        } else if (watcher.expiresAt() <= time.now()) {
+          pendingWatches.remove(watcher);
+          watcher.callback().accept(new Answer.Changes(new Revision(revision), List.of()));
         }
       }
     }
     time.after(50, this::tick);
   }
 
-  private void endHold(long id) {
-    holds.remove(id);
-    List<String> gone = new ArrayList<>();
+  private void endLease(long id) {
+    leases.remove(id);
+    List<String> removedKeys = new ArrayList<>();
     keys.forEach(
         (key, kept) -> {
-          if (kept.hold() != null && kept.hold() == id) {
-            gone.add(key);
+          if (kept.leaseId() != null && kept.leaseId() == id) {
+            removedKeys.add(key);
           }
         });
-    if (!gone.isEmpty()) {
-      epoch++;
-      gone.forEach(this::remove);
-      wake();
+    if (!removedKeys.isEmpty()) {
+      revision++;
+      removedKeys.forEach(this::remove);
+      notifyWatches();
     }
   }
 
   private void remove(String key) {
     keys.remove(key);
-    history.add(new KeyChange(key, Optional.empty(), new Revision(epoch)));
+    history.add(new KeyChange(key, Optional.empty(), new Revision(revision)));
   }
 
-  /** A transaction is carried out late, to nobody's knowledge; an outage holds it up as well. */
-  void serveLate(Request.Commit commit) {
-    if (down()) {
-      time.after(downUntil - time.now(), () -> serveLate(commit));
+  /** Commits a transaction late and without an answer. An outage delays it further. */
+  void commitLate(Request.Commit commit) {
+    if (isDown()) {
+      time.after(downUntil - time.now(), () -> commitLate(commit));
     } else {
-      requests++;
+      requestCount++;
       commit(commit);
     }
   }
@@ -195,16 +202,16 @@
   /**
    * Serves a request.
    *
-   * @param refused whether the node that asks is refused at present, alone
+   * @param refused true while the service refuses the requesting node alone
    */
   void serve(Request.StateServiceRequest request, Consumer<Answer> then, BooleanSupplier refused) {
-    requests++;
-    reads += request instanceof Request.Watch watch && watch.maxWait().millis() == 0 ? 1 : 0;
-    if (down()) {
-      then.accept(new Answer.Refused(503, "down"));
-    } else if (rates.isPresent() && !rates.get().takes(request.writeCount())) {
-      tooMany++;
-      then.accept(new Answer.Refused(429, "too many"));
+    requestCount++;
+    pollCount += request instanceof Request.Watch watch && watch.maxWait().millis() == 0 ? 1 : 0;
+    if (isDown()) {
+      then.accept(new Answer.Refused(503, "state service unavailable"));
+    } else if (rateLimiter.isPresent() && !rateLimiter.get().tryAcquire(request.writeCount())) {
+      rateLimitedCount++;
+      then.accept(new Answer.Refused(429, "rate limit exceeded"));
     } else if (request instanceof Request.ReadPage read) {
       then.accept(page(read));
     } else if (request instanceof Request.Watch watch) {
@@ -212,58 +219,59 @@
     } else if (request instanceof Request.Commit commit) {
       then.accept(commit(commit));
     } else if (request instanceof Request.GrantLease grant) {
-      Hold hold = new Hold();
-      hold.ttl = grant.ttl().millis();
-      hold.end = time.now() + hold.ttl;
-      holds.put(++holdNumbers, hold);
-      then.accept(new Answer.LeaseGranted(new LeaseId(holdNumbers)));
+      StoredLease hold = new StoredLease();
+      hold.ttlMillis = grant.ttl().millis();
+      hold.expiresAt = time.now() + hold.ttlMillis;
+      leases.put(++lastLeaseId, hold);
+      then.accept(new Answer.LeaseGranted(new LeaseId(lastLeaseId)));
     } else if (request instanceof Request.RenewLease renew) {
-      Hold hold = holds.get(renew.lease().value());
+      StoredLease hold = leases.get(renew.lease().value());
       if (hold == null) {
         then.accept(new Answer.Refused(404, "no such lease"));
       } else {
-        hold.end = time.now() + hold.ttl;
+        hold.expiresAt = time.now() + hold.ttlMillis;
         then.accept(new Answer.Ok());
       }
     } else if (request instanceof Request.RevokeLease drop) {
-      endHold(drop.lease().value());
+      endLease(drop.lease().value());
       then.accept(new Answer.Ok());
     }
   }
 
   private Answer page(Request.ReadPage read) {
     List<Entry> entries = new ArrayList<>();
-    for (Map.Entry<String, Kept> entry :
+    for (Map.Entry<String, StoredEntry> entry :
         keys.tailMap(read.after().orElse(read.prefix()), read.after().isEmpty()).entrySet()) {
       if (!entry.getKey().startsWith(read.prefix())) {
         break;
       }
-      if (entries.size() == PAGE) {
-        return new Answer.Page(entries, true, new Revision(epoch));
+      if (entries.size() == PAGE_SIZE) {
+        return new Answer.Page(entries, true, new Revision(revision));
       }
-      Kept kept = entry.getValue();
-      entries.add(new Entry(entry.getKey(), kept.value(), new Revision(kept.stamp())));
+      StoredEntry kept = entry.getValue();
+      entries.add(new Entry(entry.getKey(), kept.value(), new Revision(kept.revision())));
     }
-    return new Answer.Page(entries, false, new Revision(epoch));
+    return new Answer.Page(entries, false, new Revision(revision));
   }
 
   private void watch(Request.Watch watch, Consumer<Answer> then, BooleanSupplier refused) {
-    List<KeyChange> news = history.changesFor(watch);
+    List<KeyChange> changes = history.changesFor(watch);
     if (history.isTruncatedAfter(watch.after())) {
-      then.accept(new Answer.Refused(410, "too old"));
-    } else if (!news.isEmpty() || watch.maxWait().millis() == 0) {
-      then.accept(new Answer.Changes(new Revision(epoch), news));
+      then.accept(new Answer.Refused(410, "revision too old"));
+    } else if (!changes.isEmpty() || watch.maxWait().millis() == 0) {
+      then.accept(new Answer.Changes(new Revision(revision), changes));
     } else {
-      watchers.add(new Watcher(watch, then, time.now() + watch.maxWait().millis(), refused));
+      pendingWatches.add(
+          new PendingWatch(watch, then, time.now() + watch.maxWait().millis(), refused));
     }
   }
 
   private Answer commit(Request.Commit commit) {
-    writes += commit.changes().size();
+    writeCount += commit.changes().size();
     List<String> failed = new ArrayList<>();
     for (Guard guard : commit.guards()) {
-      Kept kept = keys.get(guard.key());
-      if ((kept == null ? 0 : kept.stamp()) != guard.revision().value()) {
+      StoredEntry kept = keys.get(guard.key());
+      if ((kept == null ? 0 : kept.revision()) != guard.revision().value()) {
         failed.add(guard.key());
       }
     }
@@ -273,69 +281,70 @@
     for (Change change : commit.changes()) {
       if (change instanceof Change.Put put
           && put.lease().isPresent()
-          && !holds.containsKey(put.lease().get().value())) {
+          && !leases.containsKey(put.lease().get().value())) {
         return new Answer.Refused(400, "no such lease");
       }
     }
-    epoch++;
+    revision++;
     for (Change change : commit.changes()) {
       if (change instanceof Change.Put put) {
         keys.put(
-            put.key(), new Kept(put.value(), epoch, put.lease().map(LeaseId::value).orElse(null)));
-        history.add(new KeyChange(put.key(), Optional.of(put.value()), new Revision(epoch)));
+            put.key(),
+            new StoredEntry(put.value(), revision, put.lease().map(LeaseId::value).orElse(null)));
+        history.add(new KeyChange(put.key(), Optional.of(put.value()), new Revision(revision)));
       } else if (change instanceof Change.Remove remove) {
         remove(remove.key());
       }
     }
-    wake();
-    return new Answer.Committed(new Revision(epoch));
+    notifyWatches();
+    return new Answer.Committed(new Revision(revision));
   }
 
-  /** A key is lost. */
-  void forget(String key) {
-    epoch++;
+  /** Loses a key, as by a fault of the service. */
+  void loseKey(String key) {
+    revision++;
     remove(key);
-    wake();
+    notifyWatches();
   }
 
-  /** Values below this prefix become such as no version can read. */
-  void damage(String prefix) {
-    epoch++;
-    for (Map.Entry<String, Kept> entry : keys.tailMap(prefix).entrySet()) {
+  /** Replaces the values under a prefix with values that no version can decode. */
+  void corruptValues(String prefix) {
+    revision++;
+    for (Map.Entry<String, StoredEntry> entry : keys.tailMap(prefix).entrySet()) {
       if (entry.getKey().startsWith(prefix)) {
         StoredValue.Unreadable value = new StoredValue.Unreadable("damaged");
-        entry.setValue(new Kept(value, epoch, entry.getValue().hold()));
-        history.add(new KeyChange(entry.getKey(), Optional.of(value), new Revision(epoch)));
+        entry.setValue(new StoredEntry(value, revision, entry.getValue().leaseId()));
+        history.add(new KeyChange(entry.getKey(), Optional.of(value), new Revision(revision)));
       }
     }
-    wake();
+    notifyWatches();
   }
 
-  private void wake() {
-    for (Watcher watcher : List.copyOf(watchers)) {
-      if (watcher.refused().getAsBoolean()) {
-        behind.add(watcher);
+  private void notifyWatches() {
+    for (PendingWatch watcher : List.copyOf(pendingWatches)) {
+      if (watcher.nodeRefused().getAsBoolean()) {
+        delayedWatches.add(watcher);
       } else {
-        tell(watcher);
+        notifyWatch(watcher);
       }
     }
   }
 
-  /** Answers a watch if there is anything new for it. */
-  private boolean tell(Watcher watcher) {
-    List<KeyChange> news = history.changesFor(watcher.request());
+  /** Answers a watch if there are changes for it, and returns true if it was answered. */
+  private boolean notifyWatch(PendingWatch watcher) {
+    List<KeyChange> changes = history.changesFor(watcher.request());
     if (history.isTruncatedAfter(watcher.request().after())) {
-      watchers.remove(watcher);
-      behind.remove(watcher);
-      watcher.then().accept(new Answer.Refused(410, "too old"));
+      pendingWatches.remove(watcher);
+      delayedWatches.remove(watcher);
+      watcher.callback().accept(new Answer.Refused(410, "revision too old"));
       return true;
     }
-    if (news.isEmpty()) {
+    if (changes.isEmpty()) {
       return false;
     }
-    watchers.remove(watcher);
-    behind.remove(watcher);
-    watcher.then().accept(new Answer.Changes(new Revision(epoch), news));
+    pendingWatches.remove(watcher);
+    delayedWatches.remove(watcher);
+    watcher.callback().accept(new Answer.Changes(new Revision(revision), changes));
     return true;
   }
 }
--- a/src/main/java/org/oakwalk/model/SimUser.java
+++ b/src/main/java/org/oakwalk/model/SimUser.java
@@ -7,113 +7,113 @@
 import org.oakwalk.core.port.Response;
 import org.oakwalk.core.port.UserRequest;
 
-/** A user with one job: submits, polls, and perhaps cancels, asking again where that helps. */
+/** Simulated user of one job, who submits, polls, and may cancel it, with retries. */
 final class SimUser {
-  private static final long POLL = 5000;
-  private static final long QUERY_WAIT = 2000;
-  private static final long OTHER_WAIT = 5000;
-  private static final double GIVES_UP = 60;
+  private static final long POLL_INTERVAL_MILLIS = 5000;
+  private static final long QUERY_TIMEOUT_MILLIS = 2000;
+  private static final long REQUEST_TIMEOUT_MILLIS = 5000;
+  private static final double GIVE_UP_SECONDS = 60;
 
   private final World world;
   private final JobSpec spec;
   private final JobId job;
-  private final double began;
+  private final double createdAtSeconds;
   private boolean polling;
-  private double answeredAt;
-  private boolean muted;
+  private double lastAnsweredAt;
+  private boolean requestsDropped;
   private boolean gaveUp;
-  private final long firstTry;
-  private long lastTry;
-  Double acceptedAfter;
-  Integer refusedWith;
+  private final long firstAttempt;
+  private long lastAttempt;
+  Double acceptanceSeconds;
+  Integer refusalStatus;
 
   SimUser(World world, JobSpec spec) {
     this.world = world;
     this.spec = spec;
     this.job = spec.id();
-    this.began = world.time.seconds();
-    this.firstTry = world.time.now();
+    this.createdAtSeconds = world.time.seconds();
+    this.firstAttempt = world.time.now();
   }
 
   void submit() {
-    if (world.rules.recordSubmission(job)) {
-      world.figures.jobSubmitted(spec);
-      world.waits.waitStarted(JobWaitTimes.WaitPhase.ACCEPTED, job);
+    if (world.invariants.recordSubmission(job)) {
+      world.metrics.jobSubmitted(spec);
+      world.waitTimes.waitStarted(JobWaitTimes.WaitPhase.ACCEPTED, job);
     }
-    world.closeLooks.beforeRequest(job);
+    world.consistencyProbes.beforeRequest(job);
     gaveUp = false;
-    repeat(
+    sendUntilSettled(
         new UserRequest.Submit(job, Optional.of(spec), ""),
         world.time.seconds(),
         response -> {
-          if (response instanceof Response.JobStatus && acceptedAfter == null) {
-            acceptedAfter = world.time.seconds() - began;
-            world.waits.jobAccepted(job);
+          if (response instanceof Response.JobStatus && acceptanceSeconds == null) {
+            acceptanceSeconds = world.time.seconds() - createdAtSeconds;
+            world.waitTimes.jobAccepted(job);
             if (!polling) {
               polling = true;
               poll();
             }
           }
           if (response instanceof Response.Problem problem && problem.status() < 429) {
-            refusedWith = problem.status();
-            world.waits.waitEnded(JobWaitTimes.WaitPhase.ACCEPTED, job);
+            refusalStatus = problem.status();
+            world.waitTimes.waitEnded(JobWaitTimes.WaitPhase.ACCEPTED, job);
             return true;
           }
           return response instanceof Response.JobStatus;
         });
   }
 
-  /** Seconds at which a question was last answered with the job's state. */
-  double answeredAt() {
-    return answeredAt;
+  /** Returns the time, in seconds, at which a request was last answered with the job's state. */
+  double lastAnsweredAt() {
+    return lastAnsweredAt;
   }
 
   /**
-   * Whether it tried to submit the job for as long as a user does, was never told that it is
-   * accepted nor why not, and no controller could have stored it.
+   * Returns true if the user gave up submitting after {@link #GIVE_UP_SECONDS} without a decisive
+   * answer, and no controller could have stored the job.
    */
-  boolean gaveUpInVain() {
+  boolean gaveUpUnstored() {
     return gaveUp
-        && acceptedAfter == null
-        && refusedWith == null
-        && world.givenUp.noCommitAnswered(firstTry, lastTry);
+        && acceptanceSeconds == null
+        && refusalStatus == null
+        && world.commitAvailability.noCommitAnswered(firstAttempt, lastAttempt);
   }
 
-  /** Whether the job was accepted, and its user has not been told yet that it is over. */
-  boolean asks() {
-    return polling && world.rules.reported(job) == null;
+  /** Returns true if the job was accepted and its user has not yet learned that it has ended. */
+  boolean isPolling() {
+    return polling && world.invariants.reported(job) == null;
   }
 
   void cancel() {
-    if (acceptedAfter == null && world.time.seconds() - began < GIVES_UP) {
-      // Nobody cancels what has not been accepted yet.
+    if (acceptanceSeconds == null && world.time.seconds() - createdAtSeconds < GIVE_UP_SECONDS) {
+      // A user waits for the acceptance before cancelling.
       world.time.after(1000, this::cancel);
       return;
     }
-    world.rules.recordCancelRequest(job);
-    world.closeLooks.beforeRequest(job);
-    world.waits.discardWait(JobWaitTimes.WaitPhase.BEGUN, job);
-    world.waits.waitStarted(JobWaitTimes.WaitPhase.CANCELLED, job);
-    repeat(
+    world.invariants.recordCancelRequest(job);
+    world.consistencyProbes.beforeRequest(job);
+    world.waitTimes.discardWait(JobWaitTimes.WaitPhase.BEGUN, job);
+    world.waitTimes.waitStarted(JobWaitTimes.WaitPhase.CANCELLED, job);
+    sendUntilSettled(
         new UserRequest.Withdraw(job),
         world.time.seconds(),
         response -> {
           if (response instanceof Response.JobStatus) {
-            world.waits.waitEnded(JobWaitTimes.WaitPhase.CANCELLED, job);
+            world.waitTimes.waitEnded(JobWaitTimes.WaitPhase.CANCELLED, job);
             return true;
           }
           boolean unknown = response instanceof Response.Problem p && p.status() == 404;
           if (unknown) {
-            world.waits.discardWait(JobWaitTimes.WaitPhase.CANCELLED, job);
+            world.waitTimes.discardWait(JobWaitTimes.WaitPhase.CANCELLED, job);
           }
           return unknown;
         });
   }
 
-  /** The first request goes to this node, repeated ones go where the load balancer sends them. */
-  void cancelAt(SimNode first) {
-    world.rules.recordCancelRequest(job);
-    ask(
+  /** Cancels via this node first; retries go through the load balancer. */
+  void cancelVia(SimNode first) {
+    world.invariants.recordCancelRequest(job);
+    send(
         new UserRequest.Withdraw(job),
         Optional.of(first),
         response -> {
@@ -123,90 +123,93 @@
         });
   }
 
-  private void repeat(UserRequest request, double since, Predicate<Response> settled) {
+  private void sendUntilSettled(UserRequest request, double since, Predicate<Response> settled) {
     boolean submits = request instanceof UserRequest.Submit;
-    if (world.time.seconds() - since > GIVES_UP) {
+    if (world.time.seconds() - since > GIVE_UP_SECONDS) {
       gaveUp |= submits;
       return;
     }
-    lastTry = submits ? world.time.now() : lastTry;
-    ask(
+    lastAttempt = submits ? world.time.now() : lastAttempt;
+    send(
         request,
         response -> {
           if (response == null || !settled.test(response)) {
-            world.time.after(1000, () -> repeat(request, since, settled));
+            world.time.after(1000, () -> sendUntilSettled(request, since, settled));
           }
         });
   }
 
-  /** From now on nothing that the user asks arrives. */
-  void mute() {
-    muted = true;
+  /** Makes all further requests of this user get lost. */
+  void dropRequests() {
+    requestsDropped = true;
   }
 
   private void poll() {
-    ask(
+    send(
         new UserRequest.Query(job),
         response -> {
-          if (world.rules.reported(job) == null) {
-            world.time.after(POLL, this::poll);
+          if (world.invariants.reported(job) == null) {
+            world.time.after(POLL_INTERVAL_MILLIS, this::poll);
           }
         });
   }
 
-  /** For how many milliseconds a user waits for an answer. */
-  static long waits(UserRequest request) {
-    return request instanceof UserRequest.Query ? QUERY_WAIT : OTHER_WAIT;
+  /** Returns how long a user waits for a response, in milliseconds. */
+  static long timeoutMillis(UserRequest request) {
+    return request instanceof UserRequest.Query ? QUERY_TIMEOUT_MILLIS : REQUEST_TIMEOUT_MILLIS;
   }
 
-  /** Asks some node; calls back once, with null if no answer comes. */
-  private void ask(UserRequest request, java.util.function.Consumer<Response> then) {
-    ask(request, muted ? Optional.empty() : world.someNode(), then);
+  /** Sends a request through the load balancer. Calls back once, with null after a timeout. */
+  private void send(UserRequest request, java.util.function.Consumer<Response> then) {
+    send(request, requestsDropped ? Optional.empty() : world.loadBalancedNode(), then);
   }
 
-  private void ask(
+  private void send(
       UserRequest request, Optional<SimNode> node, java.util.function.Consumer<Response> then) {
-    long asked = world.rules.answerCount();
-    boolean[] over = new boolean[1];
+    long sentAt = world.invariants.answerCount();
+    boolean[] completed = new boolean[1];
     world.time.after(
-        waits(request),
+        timeoutMillis(request),
         () -> {
-          if (!over[0]) {
-            over[0] = true;
-            world.unheard += node.filter(SimNode::active).isPresent() ? 1 : 0;
+          if (!completed[0]) {
+            completed[0] = true;
+            world.unansweredRequests += node.filter(SimNode::isResponsive).isPresent() ? 1 : 0;
             then.accept(null);
           }
         });
-    world.network.sendAgain(
-        "users", node.map(n -> n.id.value()).orElse(""), runsToo -> askAgain(request));
+    world.network.sendDuplicates(
+        "users", node.map(n -> n.id.value()).orElse(""), includeStarts -> sendDuplicate(request));
     node.ifPresent(
         chosen ->
-            chosen.ask(
+            chosen.receiveUserRequest(
                 request,
                 response -> {
-                  if (!over[0]) {
-                    over[0] = true;
-                    world.rules.reported(
-                        job, request instanceof UserRequest.Submit, asked, response, node);
+                  if (!completed[0]) {
+                    completed[0] = true;
+                    world.invariants.reported(
+                        job, request instanceof UserRequest.Submit, sentAt, response, node);
                     if (response instanceof Response.JobStatus) {
-                      answeredAt = world.time.seconds();
+                      lastAnsweredAt = world.time.seconds();
                     }
                     then.accept(response);
                   }
                 }));
   }
 
-  /** A late copy of a request: nobody waits for the answer any more, but it must not be wrong. */
-  private void askAgain(UserRequest request) {
-    long asked = world.rules.answerCount();
+  /**
+   * Delivers a late copy of a request. No user waits for the response, but {@link InvariantChecker}
+   * checks that it is right.
+   */
+  private void sendDuplicate(UserRequest request) {
+    long sentAt = world.invariants.answerCount();
     world
-        .someNode()
+        .loadBalancedNode()
         .ifPresent(
             node ->
-                node.ask(
+                node.receiveUserRequest(
                     request,
                     response ->
-                        world.rules.duplicateReported(
-                            job, request instanceof UserRequest.Submit, asked, response, node)));
+                        world.invariants.duplicateReported(
+                            job, request instanceof UserRequest.Submit, sentAt, response, node)));
   }
 }
--- a/src/main/java/org/oakwalk/model/SimWorker.java
+++ b/src/main/java/org/oakwalk/model/SimWorker.java
@@ -21,7 +21,7 @@
 import org.oakwalk.core.port.Request;
 import org.oakwalk.core.port.Response;
 
-/** Stand-in for a worker, after its published protocol. */
+/** Simulated worker that follows the published worker protocol. */
 final class SimWorker {
   /** A task on this machine. */
   static final class Task {
@@ -29,46 +29,46 @@
     JobSpec spec;
     Report.TaskState state;
     Report.Cause cause;
-    private long began = Long.MAX_VALUE;
+    private long startedAt = Long.MAX_VALUE;
 
     boolean ended() {
       return state == Report.TaskState.ENDED;
     }
   }
 
-  /** Whether it was there from the beginning. */
-  boolean first;
+  /** True if the machine existed at the start of the scenario. */
+  boolean initial;
 
   private final World world;
   final MachineId id;
   final MachineType type;
-  final SimCloud.Market market;
+  final SimCloud.CapacityPool pool;
   final long rentedAt;
   long bootedAt = Long.MAX_VALUE;
   long goneAt = Long.MAX_VALUE;
   long diedAt = Long.MAX_VALUE / 2;
   final Map<TaskId, Task> tasks = new LinkedHashMap<>();
-  private final Images images;
-  private final Reporting reporting;
+  private final SimImageCache imageCache;
+  private final ReportSender reportSender;
   private long session = 1;
   private long sequence;
   private long token;
   private long renewedAt;
   private long lastTokenChange = Long.MIN_VALUE / 2;
-  private long hangsUntil;
-  private long noticeAt = Long.MAX_VALUE;
+  private long hungUntil;
+  private long reclaimAt = Long.MAX_VALUE;
   private boolean faulty;
-  private double slowness = 1;
-  private final List<Runnable> held = new ArrayList<>();
+  private double slowdown = 1;
+  private final List<Runnable> deferred = new ArrayList<>();
 
-  SimWorker(World world, MachineId id, MachineType type, SimCloud.Market market) {
+  SimWorker(World world, MachineId id, MachineType type, SimCloud.CapacityPool market) {
     this.world = world;
     this.id = id;
     this.type = type;
-    this.market = market;
+    this.pool = market;
     this.rentedAt = world.time.now();
-    this.images = new Images(world.time, type);
-    this.reporting = new Reporting(world, this);
+    this.imageCache = new SimImageCache(world.time, type);
+    this.reportSender = new ReportSender(world, this);
   }
 
   String address() {
@@ -83,22 +83,22 @@
     return session;
   }
 
-  boolean alive() {
+  boolean isAlive() {
     return bootedAt <= world.time.now() && goneAt > world.time.now() && diedAt > world.time.now();
   }
 
-  /** Whether this node is the one that it reports to. */
+  /** Returns true if this worker is alive and currently reports to the given node. */
   boolean reportsTo(SimNode to) {
-    return alive() && reporting.to() == to;
+    return isAlive() && reportSender.target() == to;
   }
 
-  /** Whether it does anything at present. */
-  boolean awake() {
-    return alive() && !hangs();
+  /** Returns true if the machine is alive and not hung. */
+  boolean isResponsive() {
+    return isAlive() && !isHung();
   }
 
-  /** Whether the cloud charges for it. */
-  boolean charged() {
+  /** Returns true if the cloud charges for the machine. */
+  boolean isBilled() {
     return goneAt > world.time.now() && diedAt > world.time.now();
   }
 
@@ -106,144 +106,148 @@
     if (goneAt == Long.MAX_VALUE) {
       bootedAt = world.time.now();
       renewedAt = bootedAt;
-      world.rules.resourcesFreed(this);
-      step();
+      world.invariants.resourcesFreed(this);
+      tick();
     }
   }
 
-  void vanish() {
+  void markGone() {
     goneAt = world.time.now();
-    endAll(ScenarioMetrics.StopCause.GONE);
+    endAllTasks(ScenarioMetrics.StopCause.GONE);
   }
 
   void die() {
     diedAt = world.time.now();
-    endAll(ScenarioMetrics.StopCause.DIED);
+    endAllTasks(ScenarioMetrics.StopCause.DIED);
   }
 
   void hang(double seconds) {
-    hangsUntil = Math.max(hangsUntil, world.time.now() + Math.round(seconds * 1000));
+    hungUntil = Math.max(hungUntil, world.time.now() + Math.round(seconds * 1000));
     world.time.after(
         Math.round(seconds * 1000),
         () -> {
-          expire();
-          List<Runnable> late = List.copyOf(held);
-          held.clear();
-          late.forEach(Runnable::run);
+          expireLease();
+          List<Runnable> resumed = List.copyOf(deferred);
+          deferred.clear();
+          resumed.forEach(Runnable::run);
         });
   }
 
-  void notice(double seconds) {
-    noticeAt = world.time.now() + Math.round(seconds * 1000);
-    reporting.changed();
+  void giveReclaimNotice(double seconds) {
+    reclaimAt = world.time.now() + Math.round(seconds * 1000);
+    reportSender.markChanged();
     world.time.after(Math.round(seconds * 1000), () -> world.cloud.remove(id));
   }
 
-  void faulty() {
+  void makeFaulty() {
     faulty = true;
   }
 
-  void slow(double factor) {
-    slowness = factor;
+  void slowDown(double factor) {
+    slowdown = factor;
   }
 
-  /** Whether its tasks neither fail nor run more slowly than elsewhere. */
-  boolean sound() {
-    return !faulty && slowness <= 1;
+  /** Returns true if the machine neither fails its tasks nor slows them down. */
+  boolean isHealthy() {
+    return !faulty && slowdown <= 1;
   }
 
-  /** When it was rented, in seconds. */
-  double rentedSeconds() {
+  /** Returns the time at which the machine was rented, in seconds of simulated time. */
+  double rentedAtSeconds() {
     return world.time.seconds() - (world.time.now() - rentedAt) / 1000.0;
   }
 
-  /** Whether the cloud has given notice that it takes the machine. */
-  boolean noticed() {
-    return noticeAt != Long.MAX_VALUE;
+  /** Returns true if the cloud has announced that it reclaims the machine. */
+  boolean hasReclaimNotice() {
+    return reclaimAt != Long.MAX_VALUE;
   }
 
-  boolean hangs() {
-    return world.time.now() < hangsUntil;
+  boolean isHung() {
+    return world.time.now() < hungUntil;
   }
 
-  private void endAll(ScenarioMetrics.StopCause why) {
+  private void endAllTasks(ScenarioMetrics.StopCause cause) {
     for (Map.Entry<TaskId, Task> entry : new LinkedHashMap<>(tasks).entrySet()) {
-      if (occupies(entry.getValue())) {
-        world.figures.taskStopped(entry.getKey(), entry.getValue().spec, why);
+      if (isExecuting(entry.getValue())) {
+        world.metrics.taskStopped(entry.getKey(), entry.getValue().spec, cause);
       }
-      leaves(entry.getKey(), entry.getValue(), false);
+      releaseTask(entry.getKey(), entry.getValue(), false);
     }
     tasks.clear();
   }
 
-  private static boolean occupies(Task task) {
+  private static boolean isExecuting(Task task) {
     return task.state == Report.TaskState.GATHERING
         || task.state == Report.TaskState.RUNNING
         || task.state == Report.TaskState.FLUSHING;
   }
 
-  /** The task neither runs here nor waits here any more. */
-  private void leaves(TaskId id, Task task, boolean done) {
+  /** Releases the image of a task that leaves this machine, and records its progress. */
+  private void releaseTask(TaskId id, Task task, boolean done) {
     if (task.spec == null || task.ended()) {
       return;
     }
-    images.drop(id, task.spec);
-    save(id, task, false);
-    if (occupies(task)) {
-      world.rules.taskLeft(this, id);
+    imageCache.release(id, task.spec);
+    recordProgress(id, task, false);
+    if (isExecuting(task)) {
+      world.invariants.taskLeft(this, id);
       if (task.spec.gang()) {
-        world.gangs.memberLeft(id, task.attempt, done);
+        world.gangBarrier.memberLeft(id, task.attempt, done);
       }
     }
   }
 
-  /** What the task has done here counts when it starts again, as far as it was saved. */
-  private void save(TaskId id, Task task, boolean all) {
+  /**
+   * Adds the work that the task did on this machine to its checkpointed work.
+   *
+   * @param all counts all work, not just up to the last full checkpoint interval
+   */
+  private void recordProgress(TaskId id, Task task, boolean all) {
     double every = task.spec.checkpointInterval().asSeconds();
-    if (every > 0 && task.began <= world.time.now()) {
-      double ran = (world.time.now() - task.began) / 1000.0 / slowness;
-      world.saved.merge(id, all ? ran : Math.floor(ran / every) * every, Double::sum);
+    if (every > 0 && task.startedAt <= world.time.now()) {
+      double ran = (world.time.now() - task.startedAt) / 1000.0 / slowdown;
+      world.checkpointedSeconds.merge(id, all ? ran : Math.floor(ran / every) * every, Double::sum);
     }
-    task.began = Long.MAX_VALUE;
+    task.startedAt = Long.MAX_VALUE;
   }
 
-  private void expire() {
+  private void expireLease() {
     long lease = world.settings.workers().leaseDuration().millis();
-    if (alive() && world.time.now() - renewedAt > lease) {
-      endAll(ScenarioMetrics.StopCause.LEASE);
+    if (isAlive() && world.time.now() - renewedAt > lease) {
+      endAllTasks(ScenarioMetrics.StopCause.LEASE);
       session++;
       renewedAt = world.time.now();
-      reporting.changed();
+      reportSender.markChanged();
     }
   }
 
-  private void step() {
+  private void tick() {
     if (goneAt <= world.time.now() || diedAt <= world.time.now()) {
       return;
     }
-    // Also of a machine that hangs nothing counts as running once its lease is over.
-    expire();
-    if (!hangs()) {
-      reporting.step(this::answered);
+    // The tasks of a hung machine do not count as running either once its lease has expired.
+    expireLease();
+    if (!isHung()) {
+      reportSender.sendIfDue(this::handleOrders);
     }
-    world.time.after(50, this::step);
+    world.time.after(50, this::tick);
   }
 
   Report snapshot() {
     List<Report.ReportedTask> pieces = new ArrayList<>();
     tasks.forEach(
-        (task, held) ->
-            pieces.add(new Report.ReportedTask(task, held.attempt, held.state, held.cause)));
+        (id, task) ->
+            pieces.add(new Report.ReportedTask(id, task.attempt, task.state, task.cause)));
     Optional<Span> left =
-        noticeAt == Long.MAX_VALUE
+        reclaimAt == Long.MAX_VALUE
             ? Optional.empty()
-            : Optional.of(Span.millis(Math.max(0, noticeAt - world.time.now())));
+            : Optional.of(Span.millis(Math.max(0, reclaimAt - world.time.now())));
     return new Report(
         id,
         address(),
         type.name(),
-        market.zone(),
-        market.spot(),
+        pool.zone(),
+        pool.spot(),
         new SessionId(session),
         ++sequence,
         new Token(token),
@@ -251,75 +255,75 @@
         pieces);
   }
 
-  private void answered(Response.Orders orders, Reporting.Sent sent) {
+  private void handleOrders(Response.Orders orders, ReportSender.SentReport sent) {
     if (orders.token().value() >= token && sent.session() == session) {
-      sawToken(orders.token());
+      observeToken(orders.token());
       renewedAt = Math.max(renewedAt, sent.at());
-      expire();
+      expireLease();
       orders.orders().forEach(this::execute);
     }
   }
 
-  private void sawToken(Token seen) {
+  private void observeToken(Token seen) {
     if (seen.value() > token) {
       token = seen.value();
       if (world.time.now() - lastTokenChange
           > world.settings.workers().leaseDuration().millis() / 2) {
         lastTokenChange = world.time.now();
-        reporting.changed();
+        reportSender.markChanged();
       }
     }
   }
 
-  /** A command comes in; a hanging machine takes it up when it goes on. */
-  void command(Request.Command command, java.util.function.Consumer<Answer> then) {
-    if (!alive()) {
+  /** Receives a command. A hung machine handles it on resuming. */
+  void receiveCommand(Request.Command command, java.util.function.Consumer<Answer> then) {
+    if (!isAlive()) {
       return;
     }
-    if (hangs()) {
-      held.add(() -> command(command, then));
+    if (isHung()) {
+      deferred.add(() -> receiveCommand(command, then));
       return;
     }
-    expire();
+    expireLease();
     if (command.token().value() < token || command.session().value() != session) {
-      world.reportLoad.commanded(command, false);
+      world.workerTraffic.commandReceived(command, false);
       then.accept(new Answer.CommandResult(false, snapshot()));
       return;
     }
-    world.reportLoad.commanded(command, true);
-    sawToken(command.token());
+    world.workerTraffic.commandReceived(command, true);
+    observeToken(command.token());
     command.orders().forEach(this::execute);
     then.accept(new Answer.CommandResult(true, snapshot()));
   }
 
   /**
-   * A late copy of a command. In the session that the command was meant for, its runs are left out,
-   * unless the scenario wants them: a connection delivers once, so what comes twice comes to a new
-   * life of its receiver.
+   * Receives a late copy of a command. Its start orders are left out unless the scenario includes
+   * them: a connection delivers a message only once, so a real duplicate reaches a later session of
+   * the worker.
    */
-  void commandAgain(Request.Command command, boolean runsToo) {
+  void receiveDuplicateCommand(Request.Command command, boolean includeStarts) {
     List<Order> orders =
-        command.orders().stream().filter(o -> runsToo || !(o instanceof Order.Run)).toList();
-    command(
+        command.orders().stream().filter(o -> includeStarts || !(o instanceof Order.Run)).toList();
+    receiveCommand(
         new Request.Command(command.address(), command.token(), command.session(), orders),
         answer -> {});
   }
 
-  /** Whether a task of this job is here, in whatever state but ended. */
-  boolean holds(JobId job) {
+  /** Returns true if this machine has a task of this job that has not ended. */
+  boolean holdsTaskOf(JobId job) {
     return tasks.entrySet().stream()
         .anyMatch(entry -> entry.getKey().job().equals(job) && !entry.getValue().ended());
   }
 
-  /** For how many seconds a task has worked here; 0 if it does not. */
-  double secondsRun(TaskId id) {
+  /** Returns the seconds of work that a task has done on this machine; 0 if it is not working. */
+  double workedSeconds(TaskId id) {
     Task task = tasks.get(id);
-    return task == null || task.ended() || task.began > world.time.now()
+    return task == null || task.ended() || task.startedAt > world.time.now()
         ? 0
-        : (world.time.now() - task.began) / 1000.0 / slowness;
+        : (world.time.now() - task.startedAt) / 1000.0 / slowdown;
   }
 
-  Resources used() {
+  Resources usedResources() {
     Resources sum = Resources.NONE;
     for (Task task : tasks.values()) {
       if (!task.ended()) {
@@ -334,7 +338,7 @@
     boolean same = known != null && known.attempt.equals(order.attempt());
     if (order instanceof Order.Run) {
       if (!same) {
-        world.keptReports.starts(order.attempt());
+        world.reportReplay.startExecuted(order.attempt());
         start(order.task(), order.attempt(), known);
       }
     } else if (order instanceof Order.Halt halt) {
@@ -344,18 +348,21 @@
     } else if (same && known.ended()) {
       tasks.remove(order.task());
       if (known.cause == Report.Cause.DONE) {
-        world.forgotten.add(order.task());
+        world.clearedTasks.add(order.task());
       }
     }
   }
 
-  /** A running task that can saves its progress first, if it is given the time. */
+  /**
+   * Halts a task. A running task with checkpoints writes one first if the grace period is long
+   * enough.
+   */
   private void halt(TaskId id, Task task, Span grace) {
-    if (occupies(task) && task.state == Report.TaskState.RUNNING) {
-      world.rules.taskHalted(this, id, task.spec);
-      world.figures.taskStopped(id, task.spec, ScenarioMetrics.StopCause.COMMAND);
-      if (!noticed()) {
-        world.largest.taskStoppedByCommand(id);
+    if (isExecuting(task) && task.state == Report.TaskState.RUNNING) {
+      world.invariants.taskHalted(this, id, task.spec);
+      world.metrics.taskStopped(id, task.spec, ScenarioMetrics.StopCause.COMMAND);
+      if (!hasReclaimNotice()) {
+        world.largeJobStarts.taskStoppedByCommand(id);
       }
     }
     boolean saves =
@@ -364,13 +371,13 @@
             && task.spec.checkpointDuration().millis() > 0
             && grace.compareTo(task.spec.checkpointDuration()) >= 0;
     if (task.state == Report.TaskState.RUNNING && saves) {
-      save(id, task, true);
+      recordProgress(id, task, true);
       task.state = Report.TaskState.FLUSHING;
-      reporting.changed();
+      reportSender.markChanged();
       world.time.after(
           task.spec.checkpointDuration().millis(),
           () -> {
-            if (tasks.get(id) == task && !task.ended() && alive()) {
+            if (tasks.get(id) == task && !task.ended() && isAlive()) {
               end(id, task, Report.Cause.HALTED);
             }
           });
@@ -384,98 +391,98 @@
     task.attempt = attempt;
     task.spec = world.specs.get(id.job());
     if (known != null) {
-      // Refused while another attempt is here; the refusal itself has no place in the reports.
-      world.refusals++;
+      // Refused because another attempt is on this machine; reports cannot show this refusal.
+      world.refusedStarts++;
       return;
     }
     tasks.put(id, task);
-    reporting.changed();
+    reportSender.markChanged();
     if (task.spec == null || id.index() >= task.spec.tasks()) {
-      refuse(task, Report.Cause.UNKNOWN);
-    } else if (!task.spec.resources().fitsInto(type.room().minus(usedWithout(task)))) {
-      refuse(task, Report.Cause.NO_ROOM);
+      refuseStart(task, Report.Cause.UNKNOWN);
+    } else if (!task.spec.resources().fitsInto(type.room().minus(usedResourcesWithout(task)))) {
+      refuseStart(task, Report.Cause.NO_ROOM);
     } else {
-      world.rules.beforeAllocation(this, id, task.spec);
+      world.invariants.beforeAllocation(this, id, task.spec);
       task.state = Report.TaskState.FETCHING;
-      images.want(id, task.spec, () -> run(id, task));
+      imageCache.request(id, task.spec, () -> imageReady(id, task));
     }
   }
 
-  private Resources usedWithout(Task task) {
+  private Resources usedResourcesWithout(Task task) {
     task.state = Report.TaskState.ENDED;
-    return used();
+    return usedResources();
   }
 
-  private void refuse(Task task, Report.Cause cause) {
-    world.refusals++;
+  private void refuseStart(Task task, Report.Cause cause) {
+    world.refusedStarts++;
     task.state = Report.TaskState.ENDED;
     task.cause = cause;
   }
 
-  private void run(TaskId id, Task task) {
-    if (tasks.get(id) != task || task.ended() || !alive()) {
+  private void imageReady(TaskId id, Task task) {
+    if (tasks.get(id) != task || task.ended() || !isAlive()) {
       return;
     }
-    if (hangs()) {
-      held.add(() -> run(id, task));
+    if (isHung()) {
+      deferred.add(() -> imageReady(id, task));
       return;
     }
     task.state = task.spec.gang() ? Report.TaskState.GATHERING : Report.TaskState.RUNNING;
-    reporting.changed();
-    world.rules.taskStarted(this, id, task.spec);
-    world.reruns += world.forgotten.contains(id) ? 1 : 0;
-    if (world.rules.isCompleted(id)) {
-      // Its result is kept, wherever that came about.
+    reportSender.markChanged();
+    world.invariants.taskStarted(this, id, task.spec);
+    world.clearedTaskRestarts += world.clearedTasks.contains(id) ? 1 : 0;
+    if (world.invariants.isCompleted(id)) {
+      // The result of an earlier attempt is stored, on whichever machine it ran.
       finish(id, task, Report.Cause.DONE);
     } else if (task.spec.gang()) {
-      world.gangs.memberReady(this, id, task.attempt, task.spec);
+      world.gangBarrier.memberReady(this, id, task.attempt, task.spec);
     } else {
-      begin(id);
+      beginWork(id);
     }
   }
 
-  /** The task does its work from now on. */
-  void begin(TaskId id) {
+  /** Starts the work of a task whose image is present and, for a gang, whose peers have arrived. */
+  void beginWork(TaskId id) {
     Task task = tasks.get(id);
     task.state = Report.TaskState.RUNNING;
-    task.began = world.time.now();
-    reporting.changed();
-    if (faulty || world.failing.contains(id.job())) {
+    task.startedAt = world.time.now();
+    reportSender.markChanged();
+    if (faulty || world.failingJobs.contains(id.job())) {
       world.time.after(200, () -> finish(id, task, Report.Cause.ERROR));
     } else if (!task.spec.service()) {
-      double left = world.runSeconds(id) - world.saved.getOrDefault(id, 0.0);
-      long millis = Math.round(Math.max(0, left) * 1000 * slowness);
+      double left = world.runSeconds(id) - world.checkpointedSeconds.getOrDefault(id, 0.0);
+      long millis = Math.round(Math.max(0, left) * 1000 * slowdown);
       world.time.after(millis, () -> finish(id, task, Report.Cause.DONE));
     }
   }
 
   private void finish(TaskId id, Task task, Report.Cause cause) {
-    if (tasks.get(id) != task || task.ended() || !alive()) {
+    if (tasks.get(id) != task || task.ended() || !isAlive()) {
       return;
     }
-    if (hangs()) {
-      held.add(() -> finish(id, task, cause));
+    if (isHung()) {
+      deferred.add(() -> finish(id, task, cause));
       return;
     }
     if (cause == Report.Cause.DONE) {
-      world.rules.taskCompleted(id);
+      world.invariants.taskCompleted(id);
     }
     end(id, task, cause);
   }
 
-  /** A gang's task gives up since the others are not there. */
+  /** Ends a gang task that has waited too long for its peers. */
   void leaveGang(TaskId id) {
     Task task = tasks.get(id);
-    if (task != null && !task.ended() && alive() && !hangs()) {
+    if (task != null && !task.ended() && isAlive() && !isHung()) {
       end(id, task, Report.Cause.OTHER);
     }
   }
 
   private void end(TaskId id, Task task, Report.Cause cause) {
-    leaves(id, task, cause == Report.Cause.DONE);
+    releaseTask(id, task, cause == Report.Cause.DONE);
     task.state = Report.TaskState.ENDED;
     task.cause = cause;
-    reporting.changed();
-    world.rules.resourcesFreed(this);
+    reportSender.markChanged();
+    world.invariants.resourcesFreed(this);
   }
 }
--- a/src/main/java/org/oakwalk/model/StarvationRule.java
+++ b/src/main/java/org/oakwalk/model/StarvationRule.java
@@ -66,14 +66,14 @@
   Optional<String> tick() {
     if (ticks++ % TICKS_PER_CHECK != 0
         || world.time.seconds() < faultsEndAt
-        || world.plans.mayReserveRoom()) {
+        || world.scenarioPolicy.mayReserveRoom()) {
       return Optional.empty();
     }
     surveyMachines();
-    for (JobId job : world.rules.acceptedJobs()) {
-      if (!world.rules.isReportedEnded(job)
-          && !world.rules.isCancelRequested(job)
-          && !world.failing.contains(job)) {
+    for (JobId job : world.invariants.acceptedJobs()) {
+      if (!world.invariants.isReportedEnded(job)
+          && !world.invariants.isCancelRequested(job)
+          && !world.failingJobs.contains(job)) {
         Optional<String> starved = checkJob(world.specs.get(job));
         if (starved.isPresent()) {
           return starved;
@@ -98,7 +98,7 @@
             }
           });
       if (acceptsTasks(worker)) {
-        freeByMachine.put(worker, worker.type.room().minus(worker.used()));
+        freeByMachine.put(worker, worker.type.room().minus(worker.usedResources()));
       }
     }
   }
@@ -108,10 +108,10 @@
    * plan may apply to it.
    */
   private boolean acceptsTasks(SimWorker worker) {
-    return worker.awake()
-        && worker.sound()
-        && !worker.noticed()
-        && !world.plans.mayDrain(worker.rentedSeconds());
+    return worker.isResponsive()
+        && worker.isHealthy()
+        && !worker.hasReclaimNotice()
+        && !world.scenarioPolicy.mayDrain(worker.rentedAtSeconds());
   }
 
   private Optional<String> checkJob(JobSpec spec) {
@@ -140,7 +140,7 @@
     }
     return room.entrySet().stream()
         .filter(entry -> now - entry.getValue() >= MAX_WAIT_SECONDS)
-        .filter(entry -> zoneAllowed(spec, entry.getKey().market.zone()))
+        .filter(entry -> zoneAllowed(spec, entry.getKey().pool.zone()))
         .findFirst()
         .map(
             entry ->
@@ -161,7 +161,7 @@
         if (spec.gang()) {
           return 0;
         }
-      } else if (!world.rules.isCompleted(task)) {
+      } else if (!world.invariants.isCompleted(task)) {
         waiting++;
       }
     }
@@ -199,7 +199,7 @@
   }
 
   private static boolean allows(JobSpec spec, SimWorker worker) {
-    return spec.allows(worker.type.name(), worker.market.zone(), worker.market.spot());
+    return spec.allows(worker.type.name(), worker.pool.zone(), worker.pool.spot());
   }
 
   private boolean zoneAllowed(JobSpec spec, String zone) {
@@ -211,8 +211,8 @@
     for (int index = 0; index < spec.tasks(); index++) {
       SimWorker at = assignedMachines.get(new TaskId(spec.id(), index));
       if (at != null) {
-        inZone += at.market.zone().equals(zone) ? 1 : 0;
-        elsewhere += at.market.zone().equals(zone) ? 0 : 1;
+        inZone += at.pool.zone().equals(zone) ? 1 : 0;
+        elsewhere += at.pool.zone().equals(zone) ? 0 : 1;
       }
     }
     return (!spec.oneZone() || elsewhere == 0) && inZone < spec.maxTasksPerZone();
@@ -224,8 +224,7 @@
     freeByMachine.forEach(
         (worker, room) -> {
           if (allows(spec, worker)) {
-            slotsByZone.merge(
-                worker.market.zone(), room.capacityFor(spec.resources()), Integer::sum);
+            slotsByZone.merge(worker.pool.zone(), room.capacityFor(spec.resources()), Integer::sum);
           }
         });
     IntStream zones =
--- a/src/main/java/org/oakwalk/model/World.java
+++ b/src/main/java/org/oakwalk/model/World.java
@@ -16,72 +16,76 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.JobSpec;
 
-/** All that takes part in a scenario. */
+/** State of one simulation run: nodes, workers, users, services, rule checks and statistics. */
 final class World {
   final Timeline time = new Timeline();
-  final Network network = new Network(time);
-  final InvariantChecker rules = new InvariantChecker(this);
-  final DelayInjector lateness;
+  final SimNetwork network = new SimNetwork(time);
+  final InvariantChecker invariants = new InvariantChecker(this);
+  final DelayInjector delayInjector;
   final Cancellations cancellations;
-  final EdgeCaseRequests oddRequests = new EdgeCaseRequests(this);
-  final ConsistencyProbes closeLooks;
-  final CommitAvailability givenUp = new CommitAvailability(time);
-  final KeptReports keptReports;
-  final NoReports noReports = new NoReports(time);
+  final EdgeCaseRequests edgeCaseRequests = new EdgeCaseRequests(this);
+  final ConsistencyProbes consistencyProbes;
+  final CommitAvailability commitAvailability = new CommitAvailability(time);
+  final ReportReplay reportReplay;
+  final ReportLoss reportLoss = new ReportLoss(time);
   final SimState state;
   final SimCloud cloud;
   final Settings settings;
 
-  /** Whether the state service keeps to its rates, so that nodes' requests wait for them. */
-  final boolean limited;
+  /** True if the state service enforces its rate limits, so that nodes queue their requests. */
+  final boolean rateLimited;
 
-  final ScenarioPolicy plans;
-  final GangBarrier gangs;
-  final JobWaitTimes waits = new JobWaitTimes(this);
-  final ScenarioMetrics figures = new ScenarioMetrics(this);
-  final PlanningWindowTracker nights;
-  final LargeJobStartRule largest = new LargeJobStartRule(this);
-  final ReportLoad reportLoad = new ReportLoad(this);
+  final ScenarioPolicy scenarioPolicy;
+  final GangBarrier gangBarrier;
+  final JobWaitTimes waitTimes = new JobWaitTimes(this);
+  final ScenarioMetrics metrics = new ScenarioMetrics(this);
+  final PlanningWindowTracker planningWindows;
+  final LargeJobStartRule largeJobStarts = new LargeJobStartRule(this);
+  final WorkerTraffic workerTraffic = new WorkerTraffic(this);
   final List<SimNode> nodes = new ArrayList<>();
   final Map<MachineId, SimWorker> workers = new LinkedHashMap<>();
   final Map<JobId, JobSpec> specs = new HashMap<>();
-  private final Map<JobId, double[]> runs = new HashMap<>();
+  private final Map<JobId, double[]> runTimes = new HashMap<>();
 
-  /** Seconds of work that tasks have saved. */
-  final Map<TaskId, Double> saved = new HashMap<>();
+  /** Seconds of work that tasks have checkpointed. */
+  final Map<TaskId, Double> checkpointedSeconds = new HashMap<>();
 
   final Map<JobId, SimUser> users = new LinkedHashMap<>();
-  final Set<JobId> failing = new HashSet<>();
-  int refusals;
+  final Set<JobId> failingJobs = new HashSet<>();
+  int refusedStarts;
 
-  /** Completed tasks of which a worker was told to forget the result. */
-  final Set<TaskId> forgotten = new HashSet<>();
+  /** Completed tasks whose result a worker was ordered to clear. */
+  final Set<TaskId> clearedTasks = new HashSet<>();
 
-  /** Starts of such tasks. */
-  int reruns;
+  /** Number of starts of {@link #clearedTasks}. */
+  int clearedTaskRestarts;
 
-  /** Users' questions to a node that runs, to which no answer came in time. */
-  int unheard;
+  /** Number of user requests to a running node that got no response in time. */
+  int unansweredRequests;
 
-  private int turn;
+  private int nextNode;
 
-  World(Settings settings, ScenarioPolicy plans, Words base) {
+  World(Settings settings, ScenarioPolicy plans, ScenarioLine base) {
     this.settings = settings;
-    this.plans = plans;
-    this.nights = new PlanningWindowTracker(this, plans.batchDeadlines());
+    this.scenarioPolicy = plans;
+    this.planningWindows = new PlanningWindowTracker(this, plans.batchDeadlines());
     long seed = Math.round(base.number("seed", 1));
-    this.lateness = new DelayInjector(time, settings.workers().leaseDuration().asSeconds(), seed);
+    this.delayInjector =
+        new DelayInjector(time, settings.workers().leaseDuration().asSeconds(), seed);
     this.cancellations = new Cancellations(this, seed);
-    this.closeLooks = new ConsistencyProbes(this, seed);
-    this.keptReports = new KeptReports(this, seed);
-    this.limited = base.has("limited");
+    this.consistencyProbes = new ConsistencyProbes(this, seed);
+    this.reportReplay = new ReportReplay(this, seed);
+    this.rateLimited = base.hasWord("limited");
     this.state =
         new SimState(
             time,
-            limited ? Optional.of(new StoreRates(time, settings.state())) : Optional.empty(),
+            rateLimited
+                ? Optional.of(new StoreRateLimiter(time, settings.state()))
+                : Optional.empty(),
             (int) base.number("changes", 10_000));
     this.cloud = new SimCloud(this, settings.cloud().listLag().asSeconds());
-    this.gangs = new GangBarrier(this, base.number("gangwait", 35), base.number("gangpeer", 8));
+    this.gangBarrier =
+        new GangBarrier(this, base.number("gangwait", 35), base.number("gangpeer", 8));
     int nodeCount = (int) base.number("nodes", 3);
     for (int i = 0; i < nodeCount; i++) {
       String zone = settings.zones().get(i % settings.zones().size());
@@ -89,26 +93,26 @@
     }
   }
 
-  void begin() {
-    largest.recordMaxFleet();
+  void start() {
+    largeJobStarts.recordMaxFleet();
     for (SimNode node : nodes) {
       time.after(10L * nodes.indexOf(node), node::start);
     }
-    time.after(500, this::check);
+    time.after(500, this::runChecks);
   }
 
-  private void check() {
-    gangs.tick();
-    rules.tick();
-    waits.tick();
-    figures.tick();
-    nights.checkPromises().ifPresent(rules::promiseReduced);
-    time.after(500, this::check);
+  private void runChecks() {
+    gangBarrier.tick();
+    invariants.tick();
+    waitTimes.tick();
+    metrics.tick();
+    planningWindows.checkPromises().ifPresent(invariants::promiseReduced);
+    time.after(500, this::runChecks);
   }
 
-  /** The time of day. */
-  WallTime wall() {
-    return new WallTime(time.now() + Math.round(1000 * plans.clockOffset()));
+  /** Returns the simulated wall-clock time. */
+  WallTime wallClock() {
+    return new WallTime(time.now() + Math.round(1000 * scenarioPolicy.clockOffset()));
   }
 
   Settings settingsOf(SimNode node) {
@@ -143,30 +147,30 @@
     return Optional.ofNullable(workers.get(new MachineId(address)));
   }
 
-  /** The node that the load balancer would take: they take turns. */
-  Optional<SimNode> someNode() {
+  /** Returns the node that the load balancer picks, round robin among the healthy ones. */
+  Optional<SimNode> loadBalancedNode() {
     for (int i = 0; i < nodes.size(); i++) {
-      SimNode node = nodes.get(turn++ % nodes.size());
-      if (node.healthy()) {
+      SimNode node = nodes.get(nextNode++ % nodes.size());
+      if (node.isHealthy()) {
         return Optional.of(node);
       }
     }
     return Optional.empty();
   }
 
-  /** The node that a reporting worker would be answered by; empty if none leads. */
+  /** Returns the leader; empty if no responsive node leads. */
   Optional<SimNode> leader() {
-    return nodes.stream().filter(SimNode::active).filter(SimNode::leads).findFirst();
+    return nodes.stream().filter(SimNode::isResponsive).filter(SimNode::isLeader).findFirst();
   }
 
-  /** Sets how many seconds a job's tasks run, in the order of their numbers, and again. */
-  void run(JobId job, double... seconds) {
-    runs.put(job, seconds);
+  /** Sets the run times of a job's tasks in seconds, assigned cyclically by task index. */
+  void setRunTimes(JobId job, double... seconds) {
+    runTimes.put(job, seconds);
   }
 
-  /** How many seconds a task runs. */
+  /** Returns the run time of a task in seconds. */
   double runSeconds(TaskId task) {
-    double[] seconds = runs.get(task.job());
+    double[] seconds = runTimes.get(task.job());
     return seconds[task.index() % seconds.length];
   }
 }
--- a/src/test/java/org/oakwalk/scenario/ScalingTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScalingTest.java
@@ -110,7 +110,7 @@
   private static Measured measure(int machines) {
     try {
       Scenario scenario = new Scenario(text(machines));
-      ScenarioResult outcome = scenario.play();
+      ScenarioResult outcome = scenario.run();
       assertThat(outcome.passed()).as(outcome.failureMessage()).isTrue();
       return new Measured(machines, counts(machines, scenario, outcome));
     } catch (ReflectiveOperationException e) {
--- a/src/test/java/org/oakwalk/scenario/ScenarioTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScenarioTest.java
@@ -31,7 +31,7 @@
   }
 
   private static void play(Path file) throws IOException {
-    ScenarioResult outcome = new Scenario(Files.readString(file)).play();
+    ScenarioResult outcome = new Scenario(Files.readString(file)).run();
     Optional<KnownRed> red = KnownRed.of(file.getFileName().toString());
     if (red.isPresent()) {
       assertThat(outcome.passed()).as("holds again, so KNOWN-RED.txt is out of date").isFalse();
