--- a/src/test/java/org/oakwalk/scenario/GivenUpTest.java
+++ b/src/test/java/org/oakwalk/scenario/AbandonedSubmissionTest.java
@@ -7,7 +7,7 @@
 import org.oakwalk.model.Scenario;
 
 /** Whose job need not be done: who tried for as long as users do, while nobody could store it. */
-class GivenUpTest {
+class AbandonedSubmissionTest {
   private static final String FLEET =
       "settings nodes=3 zones=a report=1 lease=10 cancel=40\n"
           + "type m cpus=4 mem=16 boot=5\n"
@@ -19,25 +19,25 @@
   }
 
   @Test
-  void whoIsServedNeedsNoExcuse() {
+  void servedJobPasses() {
     assertThat(play("at 20 submit j-2 array tasks=2 run=5\n").held()).isTrue();
   }
 
   @Test
-  void whoTriedThroughAnOutageMayGiveUp() {
+  void outageOfRetryPeriodExcusesUnservedJob() {
     Outcome outcome = play("at 19 outage state for=63\nat 20 submit j-2 array tasks=2 run=5\n");
     assertThat(outcome.held()).as(outcome.complaint()).isTrue();
   }
 
   @Test
-  void whoTriedWhileAnswersOfTheStoreWereTooSlowMayGiveUp() {
+  void slowStoreAnswersExcuseUnservedJob() {
     Outcome outcome =
         play("at 19 slownet nodes state for=63 by=0.9\nat 20 submit j-2 array tasks=2 run=5\n");
     assertThat(outcome.held()).as(outcome.complaint()).isTrue();
   }
 
   @Test
-  void anOutageThatEndsInTimeIsNoExcuse() {
+  void shorterOutageDoesNotExcuseUnservedJob() {
     // A user whom nobody hears stands for controllers that do not accept what they could.
     Outcome outcome =
         play(
@@ -48,14 +48,14 @@
   }
 
   @Test
-  void whoWasAcceptedHasNoExcuse() {
+  void acceptedJobMustBeServed() {
     // The submission is under way as its user falls silent.
     Outcome outcome = play("at 20 submit j-2 array tasks=2 run=5\nat 20.001 mute j-2\n");
     assertThat(outcome.complaint()).contains("expected at 118 expect j-2 served");
   }
 
   @Test
-  void whoStillTriesHasNoExcuseYet() {
+  void unservedJobNotExcusedWhileUserRetries() {
     Outcome outcome = play("at 60 outage state for=55\nat 70 submit j-2 array tasks=2 run=60\n");
     assertThat(outcome.complaint()).contains("expected at 118 expect j-2 served");
   }
--- a/src/test/java/org/oakwalk/scenario/RefusalTest.java
+++ b/src/test/java/org/oakwalk/scenario/CancelAtRefusalTest.java
@@ -18,22 +18,25 @@
  * it withdrawals lose their answers or are carried out late, and machines hang and go on within
  * their leases, some of them the last that were answered.
  */
-class RefusalTest {
-  private static final double AT = 20;
-  private static final List<Integer> MILLIS =
+class CancelAtRefusalTest {
+  private static final double REFUSAL_S = 20;
+  private static final List<Integer> CANCEL_OFFSETS_MS =
       List.of(-400, -40, -20, -10, -6, -3, -2, -1, 0, 1, 2, 3, 6, 10, 20, 40, 200, 600, 900, 990);
 
-  private record Timing(double report, double lease, double cancel) {
-    double grace() {
+  private record LeaseTiming(double report, double lease, double cancel) {
+    double answeringSeconds() {
       return Math.max(1.8, cancel - lease - 2);
     }
   }
 
-  private static final List<Timing> TIMINGS =
-      List.of(new Timing(2.5, 15.25, 45.25), new Timing(4, 22, 47), new Timing(2.5, 15.25, 20));
+  private static final List<LeaseTiming> TIMINGS =
+      List.of(
+          new LeaseTiming(2.5, 15.25, 45.25),
+          new LeaseTiming(4, 22, 47),
+          new LeaseTiming(2.5, 15.25, 20));
 
   /** What becomes of withdrawals; T is the moment of the refusal. */
-  private static final List<String> WRITES =
+  private static final List<String> WITHDRAWAL_FAULTS =
       List.of(
           "",
           "T -0.05 latewrites all for=0.3 after=0.5 key=oak/a/job/",
@@ -42,26 +45,26 @@
           "T -0.5 slownet nodes state by=0.2 for=2");
 
   /** When machines hang, and for how long, in parts of the lease, beside the refusal. */
-  private static final List<String> HANGS = List.of("", "now", "last", "before");
+  private static final List<String> HANG_TIMES = List.of("", "now", "last", "before");
 
   @TestFactory
-  Stream<DynamicTest> tasksOfCancelledJobsAreGoneInTime() {
+  Stream<DynamicTest> cancelledTasksStopWithinDeadline() {
     List<DynamicTest> tests = new ArrayList<>();
-    for (Timing timing : TIMINGS) {
-      for (String writes : WRITES) {
-        for (String hangs : HANGS) {
+    for (LeaseTiming timing : TIMINGS) {
+      for (String writes : WITHDRAWAL_FAULTS) {
+        for (String hangs : HANG_TIMES) {
           String who = tests.size() % 7 == 6 ? "followers" : "leader";
           String text = text(timing, who, writes, hangs);
           tests.add(
               DynamicTest.dynamicTest(
-                  timing + " " + who + " " + writes + " " + hangs, () -> play(text)));
+                  timing + " " + who + " " + writes + " " + hangs, () -> assertNoViolations(text)));
         }
       }
     }
     return tests.stream();
   }
 
-  private static String text(Timing timing, String who, String writes, String hangs) {
+  private static String text(LeaseTiming timing, String who, String writes, String hangs) {
     StringBuilder text = new StringBuilder();
     text.append(
         String.format(
@@ -72,36 +75,36 @@
             timing.cancel()));
     text.append("type m cpus=8 mem=32 boot=10\nmachine m a 6\nmachine m b 6\n");
     int job = 0;
-    for (int millis : MILLIS) {
+    for (int millis : CANCEL_OFFSETS_MS) {
       job++;
       text.append(at(3, "submit j-" + job + " service tasks=4"));
-      text.append(at(AT + millis / 1000.0, "cancel j-" + job));
+      text.append(at(REFUSAL_S + millis / 1000.0, "cancel j-" + job));
     }
-    text.append(at(AT, "refuse " + who + " for=" + (1 + timing.cancel() / 2)));
-    text.append(at(AT + 1, "outage state for=" + (timing.cancel() + 12)));
+    text.append(at(REFUSAL_S, "refuse " + who + " for=" + (1 + timing.cancel() / 2)));
+    text.append(at(REFUSAL_S + 1, "outage state for=" + (timing.cancel() + 12)));
     if (!writes.isEmpty()) {
       String[] words = writes.split(" ", 3);
-      text.append(at(AT + Double.parseDouble(words[1]), words[2]));
+      text.append(at(REFUSAL_S + Double.parseDouble(words[1]), words[2]));
     }
-    hang(text, timing, hangs);
-    text.append("end ").append(AT + 2 * timing.cancel() + 60).append('\n');
+    appendHangs(text, timing, hangs);
+    text.append("end ").append(REFUSAL_S + 2 * timing.cancel() + 60).append('\n');
     return text.toString();
   }
 
   /** Eight machines hang one beside the other, at eight times and for eight spans. */
-  private static void hang(StringBuilder text, Timing timing, String hangs) {
+  private static void appendHangs(StringBuilder text, LeaseTiming timing, String hangs) {
     for (int host = 0; host < 8 && !hangs.isEmpty(); host++) {
       double part = (host + 1) / 8.0;
       double begins =
           switch (hangs) {
-            case "now" -> AT - 0.05 + host * 0.15;
+            case "now" -> REFUSAL_S - 0.05 + host * 0.15;
             // Just about when the leader answers for the last time.
-            case "last" -> AT + timing.grace() - 2 + host * 0.4;
-            default -> AT - timing.lease() * part;
+            case "last" -> REFUSAL_S + timing.answeringSeconds() - 2 + host * 0.4;
+            default -> REFUSAL_S - timing.lease() * part;
           };
       // It goes on just before its lease may run out, or long before.
       double lasts = host % 2 == 0 ? timing.lease() - 0.2 : timing.lease() * part;
-      lasts = Math.min(lasts, AT + timing.cancel() - 1 - begins);
+      lasts = Math.min(lasts, REFUSAL_S + timing.cancel() - 1 - begins);
       text.append(at(begins, String.format(Locale.ROOT, "hang host-%06d for=%.3f", host, lasts)));
     }
   }
@@ -110,7 +113,7 @@
     return String.format(Locale.ROOT, "at %.3f %s%n", seconds, action);
   }
 
-  private static void play(String text) {
+  private static void assertNoViolations(String text) {
     Map<String, String> broken = new TreeMap<>(new Scenario(text).play().broken());
     // Nobody is answered in an outage, however long it is.
     broken.remove("forgotten");
--- a/src/test/java/org/oakwalk/scenario/CancelledAsWorkChangesHandsTest.java
+++ b/src/test/java/org/oakwalk/scenario/CancelDuringFailoverTest.java
@@ -1,7 +1,7 @@
 package org.oakwalk.scenario;
 
-import static org.oakwalk.scenario.Sweeps.line;
-import static org.oakwalk.scenario.Sweeps.play;
+import static org.oakwalk.scenario.ScenarioTestSupport.assertPasses;
+import static org.oakwalk.scenario.ScenarioTestSupport.line;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -14,13 +14,13 @@
  * and the hand-over after that; the request goes to the old leader, to a follower, or to whoever
  * leads.
  */
-class CancelledAsWorkChangesHandsTest {
+class CancelDuringFailoverTest {
   private static final int STEP_MILLIS = 20;
-  private static final int FIRST = 100;
-  private static final int JOBS = 60;
+  private static final int FIRST_JOB = 100;
+  private static final int JOB_COUNT = 60;
 
   /** One job waits for room, one has begun, one comes as the leader ends; each is cancelled. */
-  private static final String[] ON = {"node-0", "node-1", "node-2", "leading"};
+  private static final String[] TARGET_NODES = {"node-0", "node-1", "node-2", "leading"};
 
   /** It is gone at once; what it had sent arrives. */
   @TestFactory
@@ -49,13 +49,13 @@
 
   /** The store refuses it alone. */
   @TestFactory
-  List<DynamicTest> leaderRefused() {
+  List<DynamicTest> leaderRefusedByStore() {
     return sweep(-1, 5, 2.5, "at 10 refuse leader for=12\n");
   }
 
   /** Start commands are held up on their way, and reach workers that know the next leader. */
   @TestFactory
-  List<DynamicTest> startsHeldUp() {
+  List<DynamicTest> startCommandsDelayed() {
     return sweep(
         0,
         4,
@@ -65,14 +65,14 @@
 
   /** What the leader sends to the workers is held back from before its end until after it. */
   @TestFactory
-  List<DynamicTest> startsHeldBack() {
+  List<DynamicTest> startCommandsHeldBack() {
     return sweep(
         0, 4, 0.1, "at 10.4 cut leader workers for=5 hold\nat 10.6 restart leader after=0.1\n");
   }
 
   /** The withdrawal's own write is late. */
   @TestFactory
-  List<DynamicTest> withdrawalWrittenLate() {
+  List<DynamicTest> withdrawalWriteDelayed() {
     return sweep(
         0,
         4,
@@ -92,11 +92,11 @@
     int step = 0;
     for (double at = 9.8 + from; at < 10 + until; at += STEP_MILLIS / 1000.0 * 3) {
       double when = at;
-      String on = ON[step++ % ON.length];
+      String on = TARGET_NODES[step++ % TARGET_NODES.length];
       tests.add(
           DynamicTest.dynamicTest(
               line("cancelled from %.2f s on at %s", when, on).trim(),
-              () -> play(text(when, on, startsWithin, troubles))));
+              () -> assertPasses(text(when, on, startsWithin, troubles))));
     }
     return tests;
   }
@@ -114,13 +114,16 @@
         "at 3 submit j-3 array tasks=150 run=1.1 types=m\n"
             + "at 3 submit j-4 array tasks=150 run=0.7 types=m\n");
     text.append("at 3 submit j-5 array tasks=150 run=0.3 types=m\n");
-    text.append(line("every 0.1 8 %.2f %d array tasks=2 run=0.9 types=n", 8 + JOBS * 0.1, FIRST));
+    text.append(
+        line("every 0.1 8 %.2f %d array tasks=2 run=0.9 types=n", 8 + JOB_COUNT * 0.1, FIRST_JOB));
     text.append(troubles);
     for (int i = 0; i < 4; i++) {
       double time = at + i * STEP_MILLIS / 1000.0;
       text.append(line("at %.2f cancel j-%d on=%s", time, 2 + i, on));
-      int last = FIRST + (int) Math.floor((time - 8) * 10 - 0.01);
-      for (int job = Math.max(FIRST, last - 2 * i); job <= last - i && job < FIRST + JOBS; job++) {
+      int last = FIRST_JOB + (int) Math.floor((time - 8) * 10 - 0.01);
+      for (int job = Math.max(FIRST_JOB, last - 2 * i);
+          job <= last - i && job < FIRST_JOB + JOB_COUNT;
+          job++) {
         text.append(line("at %.2f cancel j-%d on=%s", time, job, on));
       }
     }
--- a/src/test/java/org/oakwalk/scenario/EndMeetsCancelTest.java
+++ b/src/test/java/org/oakwalk/scenario/CompletionCancelRaceTest.java
@@ -1,6 +1,6 @@
 package org.oakwalk.scenario;
 
-import static org.oakwalk.scenario.Sweeps.play;
+import static org.oakwalk.scenario.ScenarioTestSupport.assertPasses;
 
 import java.util.List;
 import java.util.Locale;
@@ -15,14 +15,14 @@
  * all nodes within milliseconds and submit again; one in three is only asked about and submitted
  * again. Whoever asks is told the same, done or withdrawn, and every job comes to one of the two.
  */
-class EndMeetsCancelTest {
-  private static final int JOBS = 110;
-  private static final double FIRST_CANCEL_AFTER = 1.95;
-  private static final double FIRST = 6;
-  private static final double GAP = 0.45;
+class CompletionCancelRaceTest {
+  private static final int JOB_COUNT = 110;
+  private static final double FIRST_CANCEL_DELAY_S = 1.95;
+  private static final double FIRST_SUBMIT_S = 6;
+  private static final double SUBMIT_INTERVAL_S = 0.45;
 
   /** What else goes on while the jobs end. */
-  private static final Map<String, List<String>> TROUBLES =
+  private static final Map<String, List<String>> FAULTS =
       new TreeMap<>(
           Map.ofEntries(
               Map.entry("nothing", List.of()),
@@ -80,9 +80,9 @@
                   "requests come once more", List.of("at 5 copies users nodes for=55 after=0.9"))));
 
   @TestFactory
-  List<DynamicTest> endMeetsCancel() {
-    return TROUBLES.entrySet().stream()
-        .map(e -> DynamicTest.dynamicTest(e.getKey(), () -> play(text(e.getValue()))))
+  List<DynamicTest> cancelNearCompletion() {
+    return FAULTS.entrySet().stream()
+        .map(e -> DynamicTest.dynamicTest(e.getKey(), () -> assertPasses(text(e.getValue()))))
         .toList();
   }
 
@@ -96,14 +96,14 @@
             at 3 closelooks for=80 every=4 early=0.4
             """);
     troubles.forEach(line -> text.append(line).append('\n'));
-    for (int i = 0; i < JOBS; i++) {
-      double at = FIRST + GAP * i;
+    for (int i = 0; i < JOB_COUNT; i++) {
+      double at = FIRST_SUBMIT_S + SUBMIT_INTERVAL_S * i;
       String job = "j-" + (100 + i);
       int tasks = 1 + i % 2;
       line(text, "at %.3f submit %s array tasks=%d run=2", at, job, tasks);
       boolean cancelled = i % 3 < 2;
       if (cancelled) {
-        line(text, "at %.3f cancel %s", at + FIRST_CANCEL_AFTER + 0.01 * i, job);
+        line(text, "at %.3f cancel %s", at + FIRST_CANCEL_DELAY_S + 0.01 * i, job);
       }
       line(text, "at %.3f submit %s array tasks=%d run=2", at + 2.1 + 0.01 * i, job, tasks);
       line(text, "at 100 submit %s array tasks=%d run=2", job, tasks);
--- a/src/test/java/org/oakwalk/scenario/LateWritesTest.java
+++ b/src/test/java/org/oakwalk/scenario/DelayedWritesTest.java
@@ -1,6 +1,6 @@
 package org.oakwalk.scenario;
 
-import static org.oakwalk.scenario.Sweeps.play;
+import static org.oakwalk.scenario.ScenarioTestSupport.assertPasses;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -15,9 +15,9 @@
  * milliseconds of all news. Every rule is checked, that all work is done, and that no task is run
  * again once its result was to be kept.
  */
-class LateWritesTest {
+class DelayedWritesTest {
   /** What is written, by whom and what that is. */
-  private static final List<String> KEYS =
+  private static final List<String> KEY_PREFIXES =
       List.of(
           "oak/a/leader",
           "oak/a/job/",
@@ -31,21 +31,21 @@
           "oak/shared/");
 
   /** When a transaction without an answer is carried out. */
-  private static final List<String> WHEN =
+  private static final List<String> DELAYS =
       List.of("atonce", "after=2.0", "after=4.5", "after=7.0", "after=12.0");
 
   @TestFactory
-  List<DynamicTest> lateWrites() {
+  List<DynamicTest> delayedWrites() {
     List<DynamicTest> tests = new ArrayList<>();
-    for (String key : KEYS) {
-      for (String when : WHEN) {
-        tests.add(DynamicTest.dynamicTest(key + " " + when, () -> play(day(key, when))));
+    for (String key : KEY_PREFIXES) {
+      for (String when : DELAYS) {
+        tests.add(DynamicTest.dynamicTest(key + " " + when, () -> assertPasses(text(key, when))));
       }
     }
     return tests;
   }
 
-  private static String day(String key, String when) {
+  private static String text(String key, String when) {
     return String.format(
         Locale.ROOT,
         """
--- a/src/test/java/org/oakwalk/scenario/QuickBootsTest.java
+++ b/src/test/java/org/oakwalk/scenario/EarlyMachineReportTest.java
@@ -1,7 +1,7 @@
 package org.oakwalk.scenario;
 
-import static org.oakwalk.scenario.Sweeps.line;
-import static org.oakwalk.scenario.Sweeps.play;
+import static org.oakwalk.scenario.ScenarioTestSupport.assertPasses;
+import static org.oakwalk.scenario.ScenarioTestSupport.line;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -13,46 +13,46 @@
  * their entry in the registry is written, answered or applied; they get work at once, and the
  * leader ends in each step of that.
  */
-class QuickBootsTest {
+class EarlyMachineReportTest {
   private static final int STEP_MILLIS = 100;
   private static final int STEPS = 26;
-  private static final String[] ENDS = {
+  private static final String[] LEADER_FAULTS = {
     "crash leader", "restart leader after=0.1", "freeze leader for=5", "refuse leader for=6"
   };
 
   /** Reports come before the answer to the rental. */
   @TestFactory
-  List<DynamicTest> rentalAnsweredLate() {
+  List<DynamicTest> rentalAnswerDelayed() {
     return sweep("at 4.9 slownet cloud nodes by=0.7 for=12\n");
   }
 
   /** Rentals are carried out and never answered. */
   @TestFactory
-  List<DynamicTest> rentalNeverAnswered() {
+  List<DynamicTest> rentalAnswerLost() {
     return sweep("at 4.9 laterentals for=9\n");
   }
 
   /** Rentals are carried out seconds later, in the next leader's time, and never answered. */
   @TestFactory
-  List<DynamicTest> rentalCarriedOutLate() {
+  List<DynamicTest> rentalDelayedAndAnswerLost() {
     return sweep("at 4.9 laterentals for=4 after=3.5\n");
   }
 
   /** The entries of new machines are written late, to nobody's knowledge. */
   @TestFactory
-  List<DynamicTest> entriesWrittenLate() {
+  List<DynamicTest> registryWriteDelayed() {
     return sweep("at 4.9 latewrites all for=6 share=0.6 key=oak/machine\n");
   }
 
   /** They are written at once, and only the answer is lost. */
   @TestFactory
-  List<DynamicTest> entriesAnsweredNever() {
+  List<DynamicTest> registryWriteAnswerLost() {
     return sweep("at 4.9 latewrites all for=6 after=0 key=oak/machine\n");
   }
 
   /** All writes lag, and so do rentals. */
   @TestFactory
-  List<DynamicTest> allLags() {
+  List<DynamicTest> storeAndCloudSlow() {
     return sweep(
         "at 4.9 slownet nodes state by=0.4 for=8\nat 4.9 slownet cloud nodes by=0.5 for=8\n");
   }
@@ -61,10 +61,10 @@
     List<DynamicTest> tests = new ArrayList<>();
     for (int step = 0; step < STEPS; step++) {
       double at = 5.1 + step * STEP_MILLIS / 1000.0;
-      String end = ENDS[step % ENDS.length];
+      String end = LEADER_FAULTS[step % LEADER_FAULTS.length];
       tests.add(
           DynamicTest.dynamicTest(
-              line("%s at %.1f s", end, at).trim(), () -> play(text(lag, at, end))));
+              line("%s at %.1f s", end, at).trim(), () -> assertPasses(text(lag, at, end))));
     }
     return tests;
   }
--- a/src/test/java/org/oakwalk/scenario/StreamTest.java
+++ b/src/test/java/org/oakwalk/scenario/EndedJobRetentionTest.java
@@ -10,10 +10,10 @@
 import org.oakwalk.model.Scenario;
 
 /** One-task jobs come in a stream, a quarter of them cancelled: what a controller keeps of them. */
-class StreamTest {
-  private static final int JOBS = 1200;
-  private static final int MACHINES = 16;
-  private static final List<String> STARTS_BY_COMMAND =
+class EndedJobRetentionTest {
+  private static final int JOB_COUNT = 1200;
+  private static final int MAX_MACHINES = 16;
+  private static final List<String> COMMAND_START_FIELDS =
       List.of(
           "UnmatchedAttempts.uncleared",
           "UnmatchedAttempts.unclearedTasks",
@@ -38,21 +38,27 @@
    * the leader besides, of each machine, the last starts by command that might come once more.
    */
   @Test
-  void nothingIsKeptOfJobsThatAreOver() throws Exception {
+  void endedJobsLeaveOneEntryEach() throws Exception {
     Scenario scenario = new Scenario(text(60));
     Outcome outcome = scenario.play();
     assertThat(outcome.held()).as(outcome.complaint()).isTrue();
-    for (Object node : (List<?>) Census.field(Census.field(scenario, "world"), "nodes")) {
-      Map<String, Integer> kept = Census.of(Census.field(node, "controller"));
-      assertThat(kept.remove("KnownJobs.jobs")).isEqualTo(JOBS + 1);
-      for (String starts : STARTS_BY_COMMAND) {
-        assertThat(kept.getOrDefault(starts, 0)).as(starts).isLessThanOrEqualTo(100 * MACHINES);
+    for (Object node :
+        (List<?>)
+            CollectionEntryCounter.readField(
+                CollectionEntryCounter.readField(scenario, "world"), "nodes")) {
+      Map<String, Integer> kept =
+          CollectionEntryCounter.countEntries(CollectionEntryCounter.readField(node, "controller"));
+      assertThat(kept.remove("KnownJobs.jobs")).isEqualTo(JOB_COUNT + 1);
+      for (String starts : COMMAND_START_FIELDS) {
+        assertThat(kept.getOrDefault(starts, 0)).as(starts).isLessThanOrEqualTo(100 * MAX_MACHINES);
         kept.remove(starts);
       }
       assertThat(kept).allSatisfy((field, size) -> assertThat(size).as(field).isLessThan(40));
-      Object line = Census.field(node, "line");
-      assertThat((Collection<?>) Census.field(line, "reading")).hasSizeLessThan(10);
-      assertThat((Collection<?>) Census.field(line, "writing")).hasSizeLessThan(10);
+      Object line = CollectionEntryCounter.readField(node, "line");
+      assertThat((Collection<?>) CollectionEntryCounter.readField(line, "reading"))
+          .hasSizeLessThan(10);
+      assertThat((Collection<?>) CollectionEntryCounter.readField(line, "writing"))
+          .hasSizeLessThan(10);
     }
   }
 }
--- a/src/test/java/org/oakwalk/scenario/TroublesTest.java
+++ b/src/test/java/org/oakwalk/scenario/GeneratedScenariosTest.java
@@ -15,22 +15,22 @@
  * after the last trouble. The text of a draw that fails stands in the failure, ready to be kept as
  * a scenario.
  */
-class TroublesTest {
-  private static final int SEEDS = 80;
-  private static final int MEETINGS = 120;
-  private static final int HUNTS = 120;
+class GeneratedScenariosTest {
+  private static final int FAULT_SEEDS = 80;
+  private static final int OVERLAP_SEEDS = 120;
+  private static final int EDGE_CASE_SEEDS = 120;
 
   @TestFactory
-  List<DynamicTest> troubles() {
-    return IntStream.rangeClosed(1, SEEDS)
+  List<DynamicTest> faults() {
+    return IntStream.rangeClosed(1, FAULT_SEEDS)
         .mapToObj(seed -> DynamicTest.dynamicTest("seed " + seed, () -> play(seed, new Draw(seed))))
         .toList();
   }
 
   /** The same while all machines are replaced. */
   @TestFactory
-  List<DynamicTest> troublesInARoll() {
-    return IntStream.rangeClosed(1, SEEDS)
+  List<DynamicTest> faultsDuringRollingReplacement() {
+    return IntStream.rangeClosed(1, FAULT_SEEDS)
         .mapToObj(
             seed ->
                 DynamicTest.dynamicTest(
@@ -40,8 +40,8 @@
 
   /** The same while room is kept for replicas. */
   @TestFactory
-  List<DynamicTest> troublesWithHeadroom() {
-    return IntStream.rangeClosed(1, SEEDS)
+  List<DynamicTest> faultsWithHeadroom() {
+    return IntStream.rangeClosed(1, FAULT_SEEDS)
         .mapToObj(
             seed ->
                 DynamicTest.dynamicTest(
@@ -51,34 +51,39 @@
 
   /** Troubles that overlap, while users cancel; a share in a roll, a share with all products. */
   @TestFactory
-  List<DynamicTest> meetingsOfTroubles() {
-    return IntStream.rangeClosed(1, MEETINGS)
-        .mapToObj(seed -> DynamicTest.dynamicTest("seed " + seed, () -> play(seed, meetings(seed))))
+  List<DynamicTest> overlappingFaults() {
+    return IntStream.rangeClosed(1, OVERLAP_SEEDS)
+        .mapToObj(
+            seed ->
+                DynamicTest.dynamicTest(
+                    "seed " + seed, () -> play(seed, withOverlappingFaults(seed))))
         .toList();
   }
 
-  private static Draw meetings(int seed) {
+  private static Draw withOverlappingFaults(int seed) {
     Draw draw = new Draw(seed).withMeetings();
-    if (seed > MEETINGS - 20) {
+    if (seed > OVERLAP_SEEDS - 20) {
       return draw.withProducts();
     }
-    return seed > MEETINGS - 40 ? draw.withRoll() : draw;
+    return seed > OVERLAP_SEEDS - 40 ? draw.withRoll() : draw;
   }
 
   /** The newer kinds, with teams at their limits; a share in a roll, a share with all products. */
   @TestFactory
-  List<DynamicTest> meetingsToHunt() {
-    return IntStream.rangeClosed(1, HUNTS)
-        .mapToObj(seed -> DynamicTest.dynamicTest("seed " + seed, () -> play(seed, hunts(seed))))
+  List<DynamicTest> edgeCaseFaults() {
+    return IntStream.rangeClosed(1, EDGE_CASE_SEEDS)
+        .mapToObj(
+            seed ->
+                DynamicTest.dynamicTest("seed " + seed, () -> play(seed, withEdgeCaseFaults(seed))))
         .toList();
   }
 
-  private static Draw hunts(int seed) {
+  private static Draw withEdgeCaseFaults(int seed) {
     Draw draw = new Draw(seed).withHunts();
-    if (seed > HUNTS - 10) {
+    if (seed > EDGE_CASE_SEEDS - 10) {
       return draw.withProducts();
     }
-    return seed > HUNTS - 20 ? draw.withRoll() : draw;
+    return seed > EDGE_CASE_SEEDS - 20 ? draw.withRoll() : draw;
   }
 
   private static void play(int seed, Draw draw) {
--- a/src/test/java/org/oakwalk/scenario/RoomTest.java
+++ b/src/test/java/org/oakwalk/scenario/OverloadPlacementTest.java
@@ -1,7 +1,7 @@
 package org.oakwalk.scenario;
 
-import static org.oakwalk.scenario.Sweeps.line;
-import static org.oakwalk.scenario.Sweeps.play;
+import static org.oakwalk.scenario.ScenarioTestSupport.assertPasses;
+import static org.oakwalk.scenario.ScenarioTestSupport.line;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -13,7 +13,7 @@
  * slow and machines are lost, in steps of how slow they are and when that is. The rules tell
  * whether anything is left waiting beside room, is served by less than half, or begins too late.
  */
-class RoomTest {
+class OverloadPlacementTest {
   private static final int STEPS = 16;
 
   /** Orders and reports are slow, and so is the store. */
@@ -28,7 +28,7 @@
 
   /** The links of one zone are slow, and machines die there and elsewhere. */
   @TestFactory
-  List<DynamicTest> slowZoneThatLosesMachines() {
+  List<DynamicTest> slowZoneWithMachineLoss() {
     return sweep(
         step ->
             line("at 15 slownet zone:b zone:a by=%.2f for=60", 0.1 * step)
@@ -48,15 +48,15 @@
                 + line("at 20 slownet nodes workers by=%.2f for=50", 0.08 * step));
   }
 
-  private interface Troubles {
+  private interface NetworkFaults {
     String lines(int step);
   }
 
-  private static List<DynamicTest> sweep(Troubles troubles) {
+  private static List<DynamicTest> sweep(NetworkFaults troubles) {
     List<DynamicTest> tests = new ArrayList<>();
     for (int step = 1; step <= STEPS; step++) {
       String text = text(troubles.lines(step), step);
-      tests.add(DynamicTest.dynamicTest("step " + step, () -> play(text)));
+      tests.add(DynamicTest.dynamicTest("step " + step, () -> assertPasses(text)));
     }
     return tests;
   }
--- a/src/test/java/org/oakwalk/scenario/GapTest.java
+++ b/src/test/java/org/oakwalk/scenario/RefusalThenOutageTest.java
@@ -19,17 +19,18 @@
  * all, while workers go on reporting to the old leader: every task of those jobs is gone within
  * cancel_s of the confirmation. Played over a grid of times, each with something else beside it.
  */
-class GapTest {
+class RefusalThenOutageTest {
   /** The refusal begins. */
-  private static final double BEGIN = 20;
+  private static final double REFUSAL_S = 20;
 
   /** From the refusal until the service is down for all. */
-  private static final List<Double> GAPS = List.of(0.2, 1.3, 2.4, 3.5, 6.0, 13.0, 20.0);
+  private static final List<Double> REFUSAL_TO_OUTAGE_S =
+      List.of(0.2, 1.3, 2.4, 3.5, 6.0, 13.0, 20.0);
 
-  private static final List<Double> OUTAGES = List.of(20.0, 57.2, 120.0);
+  private static final List<Double> OUTAGE_DURATIONS_S = List.of(20.0, 57.2, 120.0);
 
   /** What happens beside it; T is when the refusal begins, O the outage. */
-  private static final List<String> BESIDE =
+  private static final List<String> CONCURRENT_FAULTS =
       List.of(
           "",
           "at T cut leader state for=ENDS",
@@ -45,23 +46,23 @@
           "at T+0.1 hang host-000002 for=14;at O hang host-000004 for=40",
           "at T+0.1 cut host-000002 nodes for=12 hold;at O cut host-000003 nodes for=120 hold");
 
-  private record Timing(String settings, String name) {}
+  private record NamedTiming(String settings, String name) {}
 
-  private static final List<Timing> TIMINGS =
+  private static final List<NamedTiming> TIMINGS =
       List.of(
-          new Timing("report=2.5 lease=15.25 cancel=45.25", "two leases and more"),
-          new Timing("report=4 lease=22 cancel=47", "no relays"),
-          new Timing("report=2.5 lease=15.25 cancel=20", "hardly more than a lease"));
+          new NamedTiming("report=2.5 lease=15.25 cancel=45.25", "two leases and more"),
+          new NamedTiming("report=4 lease=22 cancel=47", "no relays"),
+          new NamedTiming("report=2.5 lease=15.25 cancel=20", "hardly more than a lease"));
 
   @TestFactory
-  Stream<DynamicTest> tasksOfCancelledJobsAreGoneInTime() {
+  Stream<DynamicTest> cancelledTasksStopWithinDeadline() {
     List<DynamicTest> tests = new ArrayList<>();
     int number = 0;
-    for (String beside : BESIDE) {
-      for (double gap : GAPS) {
+    for (String beside : CONCURRENT_FAULTS) {
+      for (double gap : REFUSAL_TO_OUTAGE_S) {
         // Each place in the grid has one of the rest, in turn.
-        double outage = OUTAGES.get(number % OUTAGES.size());
-        Timing timing = TIMINGS.get(number / OUTAGES.size() % TIMINGS.size());
+        double outage = OUTAGE_DURATIONS_S.get(number % OUTAGE_DURATIONS_S.size());
+        NamedTiming timing = TIMINGS.get(number / OUTAGE_DURATIONS_S.size() % TIMINGS.size());
         String who = number % 5 == 4 ? "followers" : "leader";
         number++;
         String text = text(timing, who, gap, outage, beside);
@@ -69,31 +70,32 @@
             DynamicTest.dynamicTest(
                 String.format(
                     Locale.ROOT, "%s, %s, %.1f, %.1f, %s", timing.name(), who, gap, outage, beside),
-                () -> play(text)));
+                () -> assertNoViolations(text)));
       }
     }
     return tests.stream();
   }
 
-  private static String text(Timing timing, String who, double gap, double outage, String beside) {
-    double out = BEGIN + gap;
+  private static String text(
+      NamedTiming timing, String who, double gap, double outage, String beside) {
+    double out = REFUSAL_S + gap;
     StringBuilder text = new StringBuilder();
     text.append("settings nodes=4 zones=a,b ").append(timing.settings()).append('\n');
     text.append("type m cpus=4 mem=16 boot=10\nmachine m a 4\nmachine m b 4\n");
     for (int job = 1; job <= 6; job++) {
       text.append("at 3 submit j-" + job + " service tasks=3 saves=5 save=20\n");
     }
-    text.append(at(BEGIN - 1, "submit j-7 array tasks=6 run=300 image=large gb=18"));
-    text.append(at(BEGIN - 0.1, "submit j-8 service tasks=4 image=fresh gb=1"));
-    text.append(at(BEGIN, "refuse " + who + " for=" + (gap + outage * 0.7)));
+    text.append(at(REFUSAL_S - 1, "submit j-7 array tasks=6 run=300 image=large gb=18"));
+    text.append(at(REFUSAL_S - 0.1, "submit j-8 service tasks=4 image=fresh gb=1"));
+    text.append(at(REFUSAL_S, "refuse " + who + " for=" + (gap + outage * 0.7)));
     text.append(at(out, "outage state for=" + outage));
     // Some are asked for while others are refused, some so early that the leader may yet see them.
     for (int job = 1; job <= 8; job++) {
-      text.append(at(BEGIN - 0.3 + job * (gap + 0.2) / 8, "cancel j-" + job));
+      text.append(at(REFUSAL_S - 0.3 + job * (gap + 0.2) / 8, "cancel j-" + job));
     }
     if (!beside.isEmpty()) {
       for (String line : beside.split(";")) {
-        text.append(timed(line, gap)).append('\n');
+        text.append(resolveTimes(line, gap)).append('\n');
       }
     }
     text.append("end " + (out + outage + 60) + "\n");
@@ -101,10 +103,10 @@
   }
 
   /** Puts times for T, O and ENDS. */
-  private static String timed(String line, double gap) {
+  private static String resolveTimes(String line, double gap) {
     Matcher moment = Pattern.compile("at ([TO])([+-][0-9.]+)?").matcher(line);
     assertThat(moment.find()).as(line).isTrue();
-    double begins = moment.group(1).equals("T") ? BEGIN : BEGIN + gap;
+    double begins = moment.group(1).equals("T") ? REFUSAL_S : REFUSAL_S + gap;
     double by = moment.group(2) == null ? 0 : Double.parseDouble(moment.group(2));
     return String.format(
         Locale.ROOT,
@@ -117,7 +119,7 @@
     return String.format(Locale.ROOT, "at %.3f %s%n", seconds, action);
   }
 
-  private static void play(String text) {
+  private static void assertNoViolations(String text) {
     Map<String, String> broken = new TreeMap<>(new Scenario(text).play().broken());
     // Nobody is answered in an outage, however long it is.
     broken.remove("forgotten");
--- a/src/test/java/org/oakwalk/scenario/HandOverTest.java
+++ b/src/test/java/org/oakwalk/scenario/RepeatedFailoverTest.java
@@ -1,7 +1,7 @@
 package org.oakwalk.scenario;
 
-import static org.oakwalk.scenario.Sweeps.line;
-import static org.oakwalk.scenario.Sweeps.play;
+import static org.oakwalk.scenario.ScenarioTestSupport.assertPasses;
+import static org.oakwalk.scenario.ScenarioTestSupport.line;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -12,16 +12,16 @@
  * Leaders that end in small steps of time after each other, and are back a moment later, while jobs
  * are submitted and cancelled: each step of a claim and of the recovery is met by an end.
  */
-class HandOverTest {
+class RepeatedFailoverTest {
   private static final int STEP_MILLIS = 50;
   private static final int STEPS = 30;
-  private static final double[] BACK = {0.1, 0.3, 0.9};
-  private static final int FIRST = 100;
-  private static final int JOBS = 32;
+  private static final double[] RESTART_DELAYS_S = {0.1, 0.3, 0.9};
+  private static final int FIRST_JOB = 100;
+  private static final int JOB_COUNT = 32;
 
   /** The leader ends, the next one so much later, and in the end all do. */
   @TestFactory
-  List<DynamicTest> leadersEndAfterEachOther() {
+  List<DynamicTest> leadersRestartInSuccession() {
     return sweep(
         (apart, back) ->
             "at 9.8 cut host-000001 nodes for=4\n"
@@ -33,7 +33,7 @@
 
   /** All end, one is back, and ends again in the middle of taking over; the others follow later. */
   @TestFactory
-  List<DynamicTest> allEndAndOneReturns() {
+  List<DynamicTest> allCrashAndOneReturns() {
     return sweep(
         (apart, back) ->
             line("at 10 crash all")
@@ -46,7 +46,7 @@
 
   /** The leader loses the store, then all do, while leaders end. */
   @TestFactory
-  List<DynamicTest> refusedAndEnding() {
+  List<DynamicTest> storeFailuresDuringRestarts() {
     return sweep(
         (apart, back) ->
             line("at 10 refuse leading for=%.2f", 3 + back)
@@ -55,19 +55,19 @@
                 + line("at %.2f cut leading everybody for=%.2f", 14 + apart, 2 * back));
   }
 
-  private interface Troubles {
+  private interface FailoverFaults {
     String lines(double apart, double back);
   }
 
-  private static List<DynamicTest> sweep(Troubles troubles) {
+  private static List<DynamicTest> sweep(FailoverFaults troubles) {
     List<DynamicTest> tests = new ArrayList<>();
     for (int step = 1; step <= STEPS; step++) {
       double apart = step * STEP_MILLIS / 1000.0;
-      double back = BACK[step % BACK.length];
+      double back = RESTART_DELAYS_S[step % RESTART_DELAYS_S.length];
       tests.add(
           DynamicTest.dynamicTest(
               line("%.2f s apart, back after %.1f s", apart, back).trim(),
-              () -> play(text(troubles.lines(apart, back), apart))));
+              () -> assertPasses(text(troubles.lines(apart, back), apart))));
     }
     return tests;
   }
@@ -76,7 +76,7 @@
     StringBuilder text = new StringBuilder();
     text.append("settings nodes=3\ntype m cpus=4 mem=16 boot=10\nmachine m a 4\n");
     text.append("capacity m a 4\n");
-    text.append(line("every 0.25 8 %.2f %d array tasks=2 run=3", 8 + JOBS * 0.25, FIRST));
+    text.append(line("every 0.25 8 %.2f %d array tasks=2 run=3", 8 + JOB_COUNT * 0.25, FIRST_JOB));
     text.append("at 3 submit j-1 service tasks=2\nat 3 submit j-2 service tasks=2\n");
     text.append("at 4 submit j-3 array tasks=20 run=4\n");
     text.append(line("at %.2f cancel j-2", 10 + apart + 0.05));
@@ -85,7 +85,7 @@
     text.append(troubles);
     text.append("at 75 expect j-1 on least=2\nat 75 expect j-1 open\nat 75 expect j-2 cancelled\n");
     text.append("at 75 expect j-2 on most=0\nat 75 expect j-3 done\n");
-    for (int job = FIRST; job < FIRST + JOBS; job++) {
+    for (int job = FIRST_JOB; job < FIRST_JOB + JOB_COUNT; job++) {
       if (job != 104 && job != 112) {
         text.append(line("at 75 expect j-%d done", job));
       }
--- a/src/test/java/org/oakwalk/scenario/ScalingTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScalingTest.java
@@ -35,38 +35,38 @@
  */
 class ScalingTest {
   /** Where the counts can be read after a run. */
-  private static final Path FIGURES = Path.of("target/scaling.txt");
+  private static final Path RESULTS_FILE = Path.of("target/scaling.txt");
 
-  private static final String SIZES = System.getProperty("oakwalk.scaling", "500,1000");
+  private static final String FLEET_SIZES = System.getProperty("oakwalk.scaling", "500,1000");
 
   /** How much more a machine or task may cost on the largest fleet than on the smallest. */
-  private static final double GROWTH = 1.1;
+  private static final double MAX_GROWTH_FACTOR = 1.1;
 
   /**
    * A task is looked at when it is placed, begins to run, ends, and when its result is stored; its
    * job's other tasks share that, and each attempt to place costs a search.
    */
-  private static final double EVALUATIONS_A_TASK = 5;
+  private static final double MAX_EVALUATIONS_PER_TASK = 5;
 
   /** Its acceptance, its end, and at most one stored part of its results. */
-  private static final double CHANGES_A_JOB = 3;
+  private static final double MAX_CHANGES_PER_JOB = 3;
 
   /** Machines are registered dozens to a key, a dozen at least. */
-  private static final double CHANGES_A_MACHINE = 1.0 / 12;
+  private static final double MAX_CHANGES_PER_MACHINE = 1.0 / 12;
 
   /** Leader key, machine types and the like. */
-  private static final double CHANGES_OF_A_LEADER = 20;
+  private static final double MAX_LEADER_CHANGES = 20;
 
   /** Head of a report, and for each of a machine's tasks, running or ended, its id and state. */
-  private static final double BYTES_A_REPORT = 256;
+  private static final double MAX_REPORT_HEADER_BYTES = 256;
 
-  private static final double BYTES_A_TASK = 64;
+  private static final double MAX_REPORT_BYTES_PER_TASK = 64;
 
   /** A job's id with two counts, each second to each peer. */
-  private static final double DIGEST_BYTES_A_JOB = 32;
+  private static final double MAX_DIGEST_BYTES_PER_JOB = 32;
 
   /** Entries of collections a machine that the leader keeps, its tasks included. */
-  private static final double ENTRIES_A_MACHINE = 200;
+  private static final double MAX_ENTRIES_PER_MACHINE = 200;
 
   private record Measured(int machines, Map<String, Double> counts) {
     double get(String name) {
@@ -75,21 +75,26 @@
   }
 
   @Test
-  void costsGrowWithTheFleetAndNoFaster() throws Exception {
+  void costsGrowAtMostLinearly() throws Exception {
     List<Measured> all =
-        Arrays.stream(SIZES.split(",")).map(Integer::parseInt).map(ScalingTest::measure).toList();
-    Files.write(FIGURES, all.stream().map(Measured::toString).toList());
+        Arrays.stream(FLEET_SIZES.split(","))
+            .map(Integer::parseInt)
+            .map(ScalingTest::measure)
+            .toList();
+    Files.write(RESULTS_FILE, all.stream().map(Measured::toString).toList());
     for (Measured measured : all) {
-      assertThat(measured.get("evaluations a task")).isLessThan(EVALUATIONS_A_TASK);
+      assertThat(measured.get("evaluations a task")).isLessThan(MAX_EVALUATIONS_PER_TASK);
       assertThat(measured.get("changes"))
           .isLessThan(
-              CHANGES_A_JOB * measured.get("jobs")
-                  + CHANGES_A_MACHINE * measured.machines()
-                  + CHANGES_OF_A_LEADER);
+              MAX_CHANGES_PER_JOB * measured.get("jobs")
+                  + MAX_CHANGES_PER_MACHINE * measured.machines()
+                  + MAX_LEADER_CHANGES);
       assertThat(measured.get("bytes a report"))
-          .isLessThan(BYTES_A_REPORT + BYTES_A_TASK * measured.get("listed a report"));
-      assertThat(measured.get("digest bytes a job")).isLessThan(DIGEST_BYTES_A_JOB);
-      assertThat(measured.get("entries a machine")).isLessThan(ENTRIES_A_MACHINE);
+          .isLessThan(
+              MAX_REPORT_HEADER_BYTES
+                  + MAX_REPORT_BYTES_PER_TASK * measured.get("listed a report"));
+      assertThat(measured.get("digest bytes a job")).isLessThan(MAX_DIGEST_BYTES_PER_JOB);
+      assertThat(measured.get("entries a machine")).isLessThan(MAX_ENTRIES_PER_MACHINE);
     }
     Measured least = all.get(0);
     Measured most = all.get(all.size() - 1);
@@ -103,7 +108,7 @@
             "bytes a report",
             "digest bytes a job",
             "entries a machine")) {
-      assertThat(most.get(name)).as(name).isLessThan(least.get(name) * GROWTH);
+      assertThat(most.get(name)).as(name).isLessThan(least.get(name) * MAX_GROWTH_FACTOR);
     }
   }
 
@@ -124,17 +129,17 @@
   private static String text(int machines) {
     StringBuilder text = new StringBuilder();
     text.append(
-        Sweeps.line(
+        ScenarioTestSupport.line(
             "settings nodes=5 zones=a,b report=2.5 lease=15 cancel=45 rps=%d write_rps=%d txn=32",
             machines, machines / 2));
     text.append("type m cpus=16 mem=64 boot=20 cache=50 fetch=1\n");
     for (String zone : List.of("a", "b")) {
-      text.append(Sweeps.line("machine m %s %d", zone, machines / 2));
-      text.append(Sweeps.line("capacity m %s 0", zone));
+      text.append(ScenarioTestSupport.line("machine m %s %d", zone, machines / 2));
+      text.append(ScenarioTestSupport.line("capacity m %s 0", zone));
     }
-    text.append(Sweeps.services(machines));
+    text.append(ScenarioTestSupport.serviceJobs(machines));
     text.append(
-        Sweeps.line(
+        ScenarioTestSupport.line(
             "every %.4f 8 68 1000 array tasks=16 run=30 guess=30 class=batch image=b gb=1",
             50.0 / machines));
     text.append("end 70\n");
@@ -147,11 +152,13 @@
     double jobs = figures.get("batch.jobs") + figures.get("front.jobs");
     double tasks = figures.get("batch.tasks_started") + figures.get("front.tasks_started");
     Controller leader = leader(scenario);
-    Object term = ((Optional<?>) Census.field(leader, "term")).orElseThrow();
+    Object term = ((Optional<?>) CollectionEntryCounter.readField(leader, "term")).orElseThrow();
     Map<String, Double> counts = new LinkedHashMap<>();
     counts.put("jobs", jobs);
     counts.put("tasks", tasks);
-    counts.put("evaluations a task", ((Placer) Census.field(term, "placer")).evaluations() / tasks);
+    counts.put(
+        "evaluations a task",
+        ((Placer) CollectionEntryCounter.readField(term, "placer")).evaluations() / tasks);
     counts.put("changes", figures.get("state.changes"));
     counts.put("changes a job", figures.get("state.changes") / jobs);
     counts.put("requests a machine", figures.get("state.requests") / machines);
@@ -159,16 +166,16 @@
     counts.put("commands a task", figures.get("commands.executed") / tasks);
     counts.put(
         "listed a report", figures.get("reports.mean_tasks") + figures.get("reports.mean_ended"));
-    counts.put("bytes a report", bytesOfReport(scenario));
-    counts.put("digest bytes a job", digestBytes(term));
-    counts.put("entries a machine", entries(leader) / machines);
+    counts.put("bytes a report", meanReportBytes(scenario));
+    counts.put("digest bytes a job", digestBytesPerJob(term));
+    counts.put("entries a machine", retainedEntries(leader) / machines);
     return counts;
   }
 
   private static Controller leader(Scenario scenario) throws ReflectiveOperationException {
-    Object world = Census.field(scenario, "world");
-    for (Object node : (List<?>) Census.field(world, "nodes")) {
-      Controller controller = (Controller) Census.field(node, "controller");
+    Object world = CollectionEntryCounter.readField(scenario, "world");
+    for (Object node : (List<?>) CollectionEntryCounter.readField(world, "nodes")) {
+      Controller controller = (Controller) CollectionEntryCounter.readField(node, "controller");
       if (controller.leads()) {
         return controller;
       }
@@ -177,33 +184,36 @@
   }
 
   /** Mean size of the reports that all workers would send now, as controllers carry them. */
-  private static double bytesOfReport(Scenario scenario) throws ReflectiveOperationException {
-    Object world = Census.field(scenario, "world");
-    Collection<?> workers = ((Map<?, ?>) Census.field(world, "workers")).values();
+  private static double meanReportBytes(Scenario scenario) throws ReflectiveOperationException {
+    Object world = CollectionEntryCounter.readField(scenario, "world");
+    Collection<?> workers =
+        ((Map<?, ?>) CollectionEntryCounter.readField(world, "workers")).values();
     double bytes = 0;
     for (Object worker : workers) {
-      Report report = (Report) Census.call(worker, "snapshot");
+      Report report = (Report) CollectionEntryCounter.invoke(worker, "snapshot");
       bytes += PeerCodec.encode(new PeerMessage.ForwardReport(report)).length;
     }
     return bytes / workers.size();
   }
 
   /** What a job adds to the digest that the leader sends to each peer every second. */
-  private static double digestBytes(Object term) throws ReflectiveOperationException {
+  private static double digestBytesPerJob(Object term) throws ReflectiveOperationException {
     @SuppressWarnings("unchecked")
     Map<JobId, PeerMessage.TaskCounts> counts =
-        (Map<JobId, PeerMessage.TaskCounts>) Census.call(term, "counts");
-    int empty = digest(new HashMap<>());
-    return (digest(counts) - empty) / (double) counts.size();
+        (Map<JobId, PeerMessage.TaskCounts>) CollectionEntryCounter.invoke(term, "counts");
+    int empty = digestSize(new HashMap<>());
+    return (digestSize(counts) - empty) / (double) counts.size();
   }
 
-  private static int digest(Map<JobId, PeerMessage.TaskCounts> counts) {
+  private static int digestSize(Map<JobId, PeerMessage.TaskCounts> counts) {
     return PeerCodec.encode(
             new PeerMessage.Digest(new NodeId("node-0"), new Token(1), true, counts, Set.of()))
         .length;
   }
 
-  private static double entries(Controller leader) throws ReflectiveOperationException {
-    return Census.of(leader).values().stream().mapToDouble(Integer::doubleValue).sum();
+  private static double retainedEntries(Controller leader) throws ReflectiveOperationException {
+    return CollectionEntryCounter.countEntries(leader).values().stream()
+        .mapToDouble(Integer::doubleValue)
+        .sum();
   }
 }
--- a/src/test/java/org/oakwalk/scenario/ScenarioTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScenarioTest.java
@@ -17,11 +17,11 @@
 
 /** Plays each scenario file: every rule is checked, and what the file itself expects. */
 class ScenarioTest {
-  private static final Path FOLDER = Path.of("src/test/resources/scenarios");
+  private static final Path SCENARIO_DIRECTORY = Path.of("src/test/resources/scenarios");
 
   @TestFactory
   List<DynamicTest> scenarios() throws IOException {
-    try (Stream<Path> files = Files.list(FOLDER)) {
+    try (Stream<Path> files = Files.list(SCENARIO_DIRECTORY)) {
       List<Path> texts = files.filter(file -> file.toString().endsWith(".txt")).sorted().toList();
       assertThat(texts).isNotEmpty();
       return texts.stream()
@@ -32,10 +32,10 @@
 
   private static void play(Path file) throws IOException {
     Outcome outcome = new Scenario(Files.readString(file)).play();
-    Optional<KnownRed> red = KnownRed.of(file.getFileName().toString());
+    Optional<KnownFailure> red = KnownFailure.forScenario(file.getFileName().toString());
     if (red.isPresent()) {
       assertThat(outcome.held()).as("holds again, so KNOWN-RED.txt is out of date").isFalse();
-      assertThat(red.get().explains(outcome.complaint()))
+      assertThat(red.get().matches(outcome.complaint()))
           .as("fails for %s alone: %s", red.get().faults(), outcome.complaint())
           .isTrue();
       abort("known red: " + red.get());
@@ -45,14 +45,14 @@
 
   /** Each line names a scenario that is there, and tells all that is known of its fault. */
   @Test
-  void knownRedIsCurrent() throws IOException {
-    assertThat(KnownRed.all())
+  void knownFailuresAreCurrent() throws IOException {
+    assertThat(KnownFailure.readAll())
         .allSatisfy(
             entry -> {
-              assertThat(FOLDER.resolve(entry.scenario())).exists();
+              assertThat(SCENARIO_DIRECTORY.resolve(entry.scenario())).exists();
               assertThat(entry.command()).startsWith("experiment ");
               assertThat(entry.faults()).isNotEmpty().noneMatch(String::isBlank);
-              assertThat(entry.seen()).isNotBlank();
+              assertThat(entry.observed()).isNotBlank();
               assertThat(entry.cause()).isNotBlank();
               assertThat(entry.issue()).matches("issue \\d+");
             });
--- a/src/test/java/org/oakwalk/scenario/Sweeps.java
+++ b/src/test/java/org/oakwalk/scenario/ScenarioTestSupport.java
@@ -7,8 +7,8 @@
 import org.oakwalk.model.Scenario;
 
 /** What tests share that write scenarios, step by step of some time. */
-final class Sweeps {
-  private Sweeps() {}
+final class ScenarioTestSupport {
+  private ScenarioTestSupport() {}
 
   /** One line of a scenario. */
   static String line(String form, Object... values) {
@@ -16,7 +16,7 @@
   }
 
   /** Services that come within 2 s, a replica of two cpus for each second machine. */
-  static String services(int machines) {
+  static String serviceJobs(int machines) {
     StringBuilder text = new StringBuilder();
     for (int job = 0; job < machines / 10; job++) {
       text.append(
@@ -28,7 +28,7 @@
   }
 
   /** Plays a scenario that has to hold; its text stands in the failure. */
-  static void play(String text) {
+  static void assertPasses(String text) {
     Outcome outcome;
     try {
       outcome = new Scenario(text).play();
--- a/src/test/java/org/oakwalk/scenario/CarriedStartsTest.java
+++ b/src/test/java/org/oakwalk/scenario/StaleForwardedStartTest.java
@@ -13,19 +13,21 @@
  * carried reports it starts these very jobs as room comes free. The follower, which knows better,
  * handed the starts on to the workers.
  *
- * <p>Found by reading, when the paths of seed 3617 were listed ({@link ForwardedAnswersTest}):
- * there the leader itself had told the user. The rule started_after_cancel left out what a follower
- * hands on, so no draw could show it.
+ * <p>Found by reading, when the paths of seed 3617 were listed ({@link
+ * StartAfterForwardedCancelTest}): there the leader itself had told the user. The rule
+ * started_after_cancel left out what a follower hands on, so no draw could show it.
  */
-class CarriedStartsTest {
-  private static final int JOBS = 24;
+class StaleForwardedStartTest {
+  private static final int JOB_COUNT = 24;
 
   @TestFactory
-  Stream<DynamicTest> aFollowerHandsOnNoStartOfAJobThatItToldIsCancelled() {
+  Stream<DynamicTest> followerForwardsNoStartOfCancelledJob() {
     List<DynamicTest> tests = new ArrayList<>();
     for (double refused = 17; refused < 22; refused += 0.125) {
       String text = text(refused);
-      tests.add(DynamicTest.dynamicTest("refused at " + refused, () -> Sweeps.play(text)));
+      tests.add(
+          DynamicTest.dynamicTest(
+              "refused at " + refused, () -> ScenarioTestSupport.assertPasses(text)));
     }
     return tests.stream();
   }
@@ -36,16 +38,21 @@
     text.append("type m cpus=4 mem=16 boot=8\ncapacity m a 0\ncapacity m b 0\n");
     text.append("machine m a 3\nmachine m b 3\n");
     for (int host = 3; host < 6; host++) {
-      text.append(Sweeps.line("at 6.5 cut leader host-%06d for=40", host));
+      text.append(ScenarioTestSupport.line("at 6.5 cut leader host-%06d for=40", host));
     }
-    for (int job = 1; job <= JOBS; job++) {
+    for (int job = 1; job <= JOB_COUNT; job++) {
       double run = (job <= 8 ? 13.5 : 11.4) + 0.2 * job;
-      text.append(Sweeps.line("at 3 submit j-%d array tasks=1 run=%.2f priority=high", job, run));
-      text.append(Sweeps.line("at %.2f submit j-%d service tasks=1", 8 + job * 0.05, 100 + job));
+      text.append(
+          ScenarioTestSupport.line(
+              "at 3 submit j-%d array tasks=1 run=%.2f priority=high", job, run));
+      text.append(
+          ScenarioTestSupport.line(
+              "at %.2f submit j-%d service tasks=1", 8 + job * 0.05, 100 + job));
       double cancelled = refused + 0.05 + 0.01 * job;
-      text.append(Sweeps.line("at %.3f cancel j-%d on=followers", cancelled, 100 + job));
+      text.append(
+          ScenarioTestSupport.line("at %.3f cancel j-%d on=followers", cancelled, 100 + job));
     }
-    text.append(Sweeps.line("at %.3f refuse leader for=9", refused));
+    text.append(ScenarioTestSupport.line("at %.3f refuse leader for=9", refused));
     text.append("end 120\n");
     return text.toString();
   }
--- a/src/test/java/org/oakwalk/scenario/OldReportsAtANewLeaderTest.java
+++ b/src/test/java/org/oakwalk/scenario/StaleReportsTest.java
@@ -1,7 +1,7 @@
 package org.oakwalk.scenario;
 
-import static org.oakwalk.scenario.Sweeps.line;
-import static org.oakwalk.scenario.Sweeps.play;
+import static org.oakwalk.scenario.ScenarioTestSupport.assertPasses;
+import static org.oakwalk.scenario.ScenarioTestSupport.line;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -13,13 +13,15 @@
  * and reach every controller as it begins, in each step of its recovery, or once it has acted. Then
  * the newest reports come, or none, since the machines are cut off.
  */
-class OldReportsAtANewLeaderTest {
+class StaleReportsTest {
   /** They arrive the moment it begins, and in steps after that. */
-  private static final double[] AFTER = {0, 0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 1, 1.5, 2.5, 5, 9, 14};
+  private static final double[] ARRIVAL_DELAYS_S = {
+    0, 0.02, 0.05, 0.1, 0.15, 0.3, 0.6, 1, 1.5, 2.5, 5, 9, 14
+  };
 
   /** The last reports to the old leader, and the machines go on after them. */
   @TestFactory
-  List<DynamicTest> ofTheOldLeadersTime() {
+  List<DynamicTest> reportsToPreviousLeader() {
     return sweep(
         (after, how) ->
             line("at 8.2 latereports workers for=1.6 fornext after=%.2f %s", after, how)
@@ -28,7 +30,7 @@
 
   /** And some machines are heard of by nothing else for a while, or for longer than their lease. */
   @TestFactory
-  List<DynamicTest> ofMachinesThatAreCutOff() {
+  List<DynamicTest> reportsOfCutOffMachines() {
     return sweep(
         (after, how) ->
             line("at 8.2 latereports workers for=1.6 fornext after=%.2f %s", after, how)
@@ -41,7 +43,7 @@
    * returned.
    */
   @TestFactory
-  List<DynamicTest> ofTheSessionBefore() {
+  List<DynamicTest> reportsOfPreviousSession() {
     return sweep(
         (after, how) ->
             line("at 6 latereports workers for=2 fornext after=%.2f %s", after, how)
@@ -54,7 +56,7 @@
    * before the next leader begins.
    */
   @TestFactory
-  List<DynamicTest> fromBeforeTheLastStarts() {
+  List<DynamicTest> reportsFromBeforeLastStarts() {
     return sweep(
         (after, how) ->
             line("at 5 latereports workers for=0.9 fornext after=%.2f %s", after, how)
@@ -65,7 +67,7 @@
 
   /** The reports themselves never came: all of the last seconds are held back. */
   @TestFactory
-  List<DynamicTest> heldBackUntilItHasActed() {
+  List<DynamicTest> originalReportsHeldBack() {
     return sweep(
         (after, how) ->
             line("at 7 latereports workers for=3.5 fornext held after=%.2f %s", after, how)
@@ -74,7 +76,7 @@
 
   /** They carry the new leader's own token: it answers before it can make use of reports. */
   @TestFactory
-  List<DynamicTest> underItsOwnToken() {
+  List<DynamicTest> reportsUnderNewToken() {
     return sweep(
         (after, how) ->
             "at 9.9 slownet nodes state by=0.4 for=7\n"
@@ -86,7 +88,7 @@
 
   /** Two leaders begin within seconds. */
   @TestFactory
-  List<DynamicTest> twoLeadersInARow() {
+  List<DynamicTest> twoSuccessiveLeaders() {
     return sweep(
         (after, how) ->
             line("at 8.2 latereports workers for=5 fornext after=%.2f %s", after, how)
@@ -94,18 +96,18 @@
                 + "at 11.3 restart leading after=0.1\nat 12.9 restart leading after=0.1\n");
   }
 
-  private interface Troubles {
+  private interface ReportFaults {
     String lines(double after, String how);
   }
 
-  private static List<DynamicTest> sweep(Troubles troubles) {
+  private static List<DynamicTest> sweep(ReportFaults troubles) {
     List<DynamicTest> tests = new ArrayList<>();
-    for (double after : AFTER) {
+    for (double after : ARRIVAL_DELAYS_S) {
       for (String how : List.of("", "acted")) {
         tests.add(
             DynamicTest.dynamicTest(
                 line("%.2f s after it %s", after, how.isEmpty() ? "began" : how).trim(),
-                () -> play(text(troubles.lines(after, how)))));
+                () -> assertPasses(text(troubles.lines(after, how)))));
       }
     }
     return tests;
--- a/src/test/java/org/oakwalk/scenario/ForwardedAnswersTest.java
+++ b/src/test/java/org/oakwalk/scenario/StartAfterForwardedCancelTest.java
@@ -22,16 +22,17 @@
  * <p>Here one waiting job after the other finds room every 100 ms from the refusal on, and is
  * cancelled through the leader some time before its turn.
  */
-class ForwardedAnswersTest {
-  private static final double REFUSED = 20.5;
-  private static final int JOBS = 24;
-  private static final double SPACING = 0.1;
+class StartAfterForwardedCancelTest {
+  private static final double REFUSAL_S = 20.5;
+  private static final int JOB_COUNT = 24;
+  private static final double START_INTERVAL_S = 0.1;
 
   /** How long before a job would find room its user cancels it. */
-  private static final List<Double> LEADS = List.of(0.0, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2);
+  private static final List<Double> CANCEL_LEADS_S =
+      List.of(0.0, 0.02, 0.05, 0.1, 0.2, 0.4, 0.8, 1.2);
 
   /** What else goes on between the controllers and the state service. */
-  private static final List<String> BESIDE =
+  private static final List<String> CONCURRENT_FAULTS =
       List.of(
           "",
           "at 20.45 slownet nodes state by=0.15 for=4",
@@ -42,14 +43,15 @@
           "at 22 outage state for=20");
 
   @TestFactory
-  Stream<DynamicTest> noStartAfterAForwardedAnswer() {
+  Stream<DynamicTest> noStartAfterForwardedCancellation() {
     List<DynamicTest> tests = new ArrayList<>();
-    for (double lead : LEADS) {
-      for (String beside : BESIDE) {
+    for (double lead : CANCEL_LEADS_S) {
+      for (String beside : CONCURRENT_FAULTS) {
         String text = text(lead, beside);
         tests.add(
             DynamicTest.dynamicTest(
-                "cancelled " + lead + " s before, " + beside, () -> Sweeps.play(text)));
+                "cancelled " + lead + " s before, " + beside,
+                () -> ScenarioTestSupport.assertPasses(text)));
       }
     }
     return tests.stream();
@@ -60,15 +62,19 @@
     text.append("settings nodes=3 zones=a,b report=1 lease=10 cancel=45\n");
     text.append("type m cpus=4 mem=16 boot=8\ncapacity m a 0\ncapacity m b 0\n");
     text.append("machine m a 3\nmachine m b 3\n");
-    for (int job = 1; job <= JOBS; job++) {
-      double room = REFUSED + job * SPACING;
+    for (int job = 1; job <= JOB_COUNT; job++) {
+      double room = REFUSAL_S + job * START_INTERVAL_S;
       text.append(
-          Sweeps.line("at 3 submit j-%d array tasks=1 run=%.2f priority=high", job, room - 3.2));
-      text.append(Sweeps.line("at %.2f submit j-%d service tasks=1", 4 + job * 0.05, 100 + job));
-      text.append(Sweeps.line("at %.3f cancel j-%d on=leading", room - lead, 100 + job));
+          ScenarioTestSupport.line(
+              "at 3 submit j-%d array tasks=1 run=%.2f priority=high", job, room - 3.2));
+      text.append(
+          ScenarioTestSupport.line(
+              "at %.2f submit j-%d service tasks=1", 4 + job * 0.05, 100 + job));
+      text.append(
+          ScenarioTestSupport.line("at %.3f cancel j-%d on=leading", room - lead, 100 + job));
     }
     text.append("at 20 restart leader after=0.1\n");
-    text.append(Sweeps.line("at %.2f refuse leading for=9", REFUSED));
+    text.append(ScenarioTestSupport.line("at %.2f refuse leading for=9", REFUSAL_S));
     if (!beside.isEmpty()) {
       text.append(beside).append('\n');
     }
--- a/src/test/java/org/oakwalk/scenario/LimitsTest.java
+++ b/src/test/java/org/oakwalk/scenario/TeamLimitFailoverTest.java
@@ -1,7 +1,7 @@
 package org.oakwalk.scenario;
 
-import static org.oakwalk.scenario.Sweeps.line;
-import static org.oakwalk.scenario.Sweeps.play;
+import static org.oakwalk.scenario.ScenarioTestSupport.assertPasses;
+import static org.oakwalk.scenario.ScenarioTestSupport.line;
 
 import java.util.ArrayList;
 import java.util.List;
@@ -14,73 +14,73 @@
  * so that some are stored after the takeover and may be placed before anything is known of those
  * machines. No limit is exceeded, and once the machines are back or gone their room is used.
  */
-class LimitsTest {
+class TeamLimitFailoverTest {
   private static final int STEP_MILLIS = 150;
   private static final int STEPS = 24;
-  private static final double[] BACK = {0.1, 0.9, 4.0};
+  private static final double[] RESTART_DELAYS_S = {0.1, 0.9, 4.0};
 
   /** When the first trouble comes. */
-  private static final double BEGIN = 12;
+  private static final double FAULT_S = 12;
 
   /** All troubles are over by then, and so are the leases of what was out of reach. */
-  private static final double PROVEN = 60;
+  private static final double FAULTS_OVER_S = 60;
 
   /** Each team's stream of jobs, by its first number, and what its tasks take. */
-  private static final String[] STREAMS = {"100 red", "200 blue", "300 green"};
+  private static final String[] TEAM_STREAMS = {"100 red", "200 blue", "300 green"};
 
-  private static final int JOBS = 40;
+  private static final int JOBS_PER_STREAM = 40;
 
   /** Machines with cancelled tasks are cut off, some messages to and from them come late. */
   @TestFactory
-  List<DynamicTest> cutOff() {
+  List<DynamicTest> machinesCutOff() {
     return sweep(
         (apart, back) ->
-            line("at %.2f cut of:j-1/0 nodes for=20 hold", BEGIN)
-                + line("at %.2f cut of:j-12/0 nodes for=14", BEGIN)
-                + line("at %.2f cut of:j-21/0 nodes for=17 hold", BEGIN + apart)
-                + line("at %.2f restart leading after=%.2f", BEGIN + apart, back));
+            line("at %.2f cut of:j-1/0 nodes for=20 hold", FAULT_S)
+                + line("at %.2f cut of:j-12/0 nodes for=14", FAULT_S)
+                + line("at %.2f cut of:j-21/0 nodes for=17 hold", FAULT_S + apart)
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back));
   }
 
   /** They confirm to the new leader, but are long in doing what it orders. */
   @TestFactory
-  List<DynamicTest> slowToEndThem() {
+  List<DynamicTest> slowTaskStops() {
     List<String> slow = List.of("j-1/0", "j-12/0", "j-21/0");
     return sweep(
         (apart, back) ->
             line(
                     "at %.2f slownet of:%s nodes by=%.2f for=25",
-                    BEGIN,
+                    FAULT_S,
                     slow.get((int) Math.round(apart * 1000 / STEP_MILLIS) % 3),
                     0.2 + apart / 2)
-                + line("at %.2f restart leading after=%.2f", BEGIN + apart, back));
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back));
   }
 
   /** So many are cut off that none is returned, and they never come back. */
   @TestFactory
-  List<DynamicTest> cutOffForGood() {
+  List<DynamicTest> machinesCutOffPermanently() {
     return sweep(
         (apart, back) -> {
           StringBuilder lines = new StringBuilder();
           for (int machine = 0; machine < 8; machine++) {
             // Some before the new leader can ask them, some just after they have confirmed.
-            double at = machine % 2 == 0 ? BEGIN : BEGIN + apart + back + 2.5;
+            double at = machine % 2 == 0 ? FAULT_S : FAULT_S + apart + back + 2.5;
             lines.append(line("at %.2f cut host-00000%d nodes for=200", at, machine));
           }
           return lines
-              .append(line("at %.2f restart leading after=%.2f", BEGIN + apart, back))
+              .append(line("at %.2f restart leading after=%.2f", FAULT_S + apart, back))
               .toString();
         });
   }
 
   /** They hang, and go on within their leases or after them. */
   @TestFactory
-  List<DynamicTest> hanging() {
+  List<DynamicTest> machinesHang() {
     return sweep(
         (apart, back) ->
-            line("at %.2f hang of:j-1/0 for=%.2f", BEGIN, 8 + apart)
-                + line("at %.2f hang of:j-12/0 for=30", BEGIN)
-                + line("at %.2f hang of:j-21/0 for=%.2f", BEGIN + apart, 3 + apart)
-                + line("at %.2f restart leading after=%.2f", BEGIN + apart, back));
+            line("at %.2f hang of:j-1/0 for=%.2f", FAULT_S, 8 + apart)
+                + line("at %.2f hang of:j-12/0 for=30", FAULT_S)
+                + line("at %.2f hang of:j-21/0 for=%.2f", FAULT_S + apart, 3 + apart)
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back));
   }
 
   /**
@@ -88,30 +88,30 @@
    * nothing.
    */
   @TestFactory
-  List<DynamicTest> leadersInARow() {
+  List<DynamicTest> successiveLeaders() {
     return sweep(
         (apart, back) ->
-            line("at %.2f noreports of:j-1/0 for=20", BEGIN)
-                + line("at %.2f deaf of:j-12/0 for=22", BEGIN)
-                + line("at %.2f noreports of:j-21/0 for=9", BEGIN + apart)
-                + line("at %.2f restart leading after=%.2f", BEGIN + apart, back)
-                + line("at %.2f restart leading after=%.2f", BEGIN + 2 * apart + 0.4, back)
-                + line("at %.2f restart leading after=%.2f", BEGIN + 3 * apart + 3, back)
-                + line("at %.2f restart all after=%.2f", BEGIN + 12 + apart, back));
+            line("at %.2f noreports of:j-1/0 for=20", FAULT_S)
+                + line("at %.2f deaf of:j-12/0 for=22", FAULT_S)
+                + line("at %.2f noreports of:j-21/0 for=9", FAULT_S + apart)
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back)
+                + line("at %.2f restart leading after=%.2f", FAULT_S + 2 * apart + 0.4, back)
+                + line("at %.2f restart leading after=%.2f", FAULT_S + 3 * apart + 3, back)
+                + line("at %.2f restart all after=%.2f", FAULT_S + 12 + apart, back));
   }
 
   /** The cloud takes spot machines meanwhile, and new ones come up as the leader ends. */
   @TestFactory
-  List<DynamicTest> spotWaveAndNewMachines() {
+  List<DynamicTest> spotReclaimsAndNewMachines() {
     return sweep(
         (apart, back) ->
-            line("at %.2f notice host-000008 in=%.2f", BEGIN - 4, 3 + apart)
-                + line("at %.2f take host-000009", BEGIN - 3)
-                + line("at %.2f notice host-000010 in=%.2f", BEGIN - 2, 2 + 2 * apart)
-                + line("at %.2f cut of:j-1/0 nodes for=15", BEGIN)
-                + line("at %.2f hang of:j-21/0 for=14", BEGIN)
-                + line("at %.2f latewrites leading for=6 key=oak/machine/", BEGIN - 3)
-                + line("at %.2f restart leading after=%.2f", BEGIN + apart, back));
+            line("at %.2f notice host-000008 in=%.2f", FAULT_S - 4, 3 + apart)
+                + line("at %.2f take host-000009", FAULT_S - 3)
+                + line("at %.2f notice host-000010 in=%.2f", FAULT_S - 2, 2 + 2 * apart)
+                + line("at %.2f cut of:j-1/0 nodes for=15", FAULT_S)
+                + line("at %.2f hang of:j-21/0 for=14", FAULT_S)
+                + line("at %.2f latewrites leading for=6 key=oak/machine/", FAULT_S - 3)
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back));
   }
 
   /** The list of machines can't be read by the next leaders. */
@@ -119,12 +119,12 @@
   List<DynamicTest> damagedRecords() {
     return sweep(
         (apart, back) ->
-            line("at %.2f damage oak/machine/", BEGIN)
-                + line("at %.2f cut of:j-1/0 nodes for=15 hold", BEGIN)
-                + line("at %.2f cut of:j-21/0 nodes for=6", BEGIN + apart)
-                + line("at %.2f hang of:j-12/0 for=14", BEGIN)
-                + line("at %.2f restart leading after=%.2f", BEGIN + apart, back)
-                + line("at %.2f restart leading after=%.2f", BEGIN + 2 * apart + 5, back));
+            line("at %.2f damage oak/machine/", FAULT_S)
+                + line("at %.2f cut of:j-1/0 nodes for=15 hold", FAULT_S)
+                + line("at %.2f cut of:j-21/0 nodes for=6", FAULT_S + apart)
+                + line("at %.2f hang of:j-12/0 for=14", FAULT_S)
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back)
+                + line("at %.2f restart leading after=%.2f", FAULT_S + 2 * apart + 5, back));
   }
 
   /** A zone is cut off for longer than a lease; followers keep its leases alive. */
@@ -132,24 +132,24 @@
   List<DynamicTest> zoneCutOff() {
     return sweep(
         (apart, back) ->
-            line("at %.2f cut zone:a zone:b for=25 hold", BEGIN)
-                + line("at %.2f cut of:j-22/0 nodes for=20", BEGIN + 2 * apart)
-                + line("at %.2f restart leading after=%.2f", BEGIN + 2 + 2 * apart, back));
+            line("at %.2f cut zone:a zone:b for=25 hold", FAULT_S)
+                + line("at %.2f cut of:j-22/0 nodes for=20", FAULT_S + 2 * apart)
+                + line("at %.2f restart leading after=%.2f", FAULT_S + 2 + 2 * apart, back));
   }
 
-  private interface Troubles {
+  private interface MachineFaults {
     String lines(double apart, double back);
   }
 
-  private static List<DynamicTest> sweep(Troubles troubles) {
+  private static List<DynamicTest> sweep(MachineFaults troubles) {
     List<DynamicTest> tests = new ArrayList<>();
     for (int step = 1; step <= STEPS; step++) {
       double apart = step * STEP_MILLIS / 1000.0;
-      double back = BACK[step % BACK.length];
+      double back = RESTART_DELAYS_S[step % RESTART_DELAYS_S.length];
       tests.add(
           DynamicTest.dynamicTest(
               line("%.2f s apart, back after %.1f s", apart, back).trim(),
-              () -> play(text(troubles.lines(apart, back), apart))));
+              () -> assertPasses(text(troubles.lines(apart, back), apart))));
     }
     return tests;
   }
@@ -170,29 +170,29 @@
     text.append("at 7 submit j-3 array tasks=8 run=4 team=red\n");
     text.append("at 7 submit j-13 gang tasks=3 run=4 team=blue\n");
     text.append("at 7 submit j-23 array tasks=6 run=2 gpus=1 team=green\n");
-    for (String stream : STREAMS) {
+    for (String stream : TEAM_STREAMS) {
       String[] words = stream.split(" ");
       String gpus = words[1].equals("green") ? " gpus=1" : "";
       text.append(
           line("every 0.5 8 28 %s array tasks=1 run=1 team=%s%s", words[0], words[1], gpus));
     }
     text.append(troubles);
-    text.append(line("at %.2f cancel j-1", BEGIN + apart / 2));
-    text.append(line("at %.2f cancel j-12", BEGIN + apart - 0.1));
-    text.append(line("at %.2f cancel j-21", BEGIN + apart + 0.3));
+    text.append(line("at %.2f cancel j-1", FAULT_S + apart / 2));
+    text.append(line("at %.2f cancel j-12", FAULT_S + apart - 0.1));
+    text.append(line("at %.2f cancel j-21", FAULT_S + apart + 0.3));
     for (int cancelled : List.of(1, 12, 21)) {
-      text.append(line("at %.2f expect j-%d on most=0", PROVEN, cancelled));
-      text.append(line("at %.2f expect j-%d cancelled", PROVEN, cancelled));
+      text.append(line("at %.2f expect j-%d on most=0", FAULTS_OVER_S, cancelled));
+      text.append(line("at %.2f expect j-%d cancelled", FAULTS_OVER_S, cancelled));
     }
-    double used = PROVEN + 90;
+    double used = FAULTS_OVER_S + 90;
     text.append(line("at %.2f expect j-2 on least=4", used));
     text.append(line("at %.2f expect j-11 on least=3", used));
     for (int waits : List.of(3, 13, 23)) {
       text.append(line("at %.2f expect j-%d done", used, waits));
     }
-    for (String stream : STREAMS) {
+    for (String stream : TEAM_STREAMS) {
       int first = Integer.parseInt(stream.split(" ")[0]);
-      for (int job = first; job < first + JOBS; job++) {
+      for (int job = first; job < first + JOBS_PER_STREAM; job++) {
         text.append(line("at %.2f expect j-%d done", used, job));
       }
     }
