--- a/src/test/java/org/oakwalk/scenario/AbandonedSubmissionTest.java
+++ b/src/test/java/org/oakwalk/scenario/AbandonedSubmissionTest.java
@@ -6,7 +6,10 @@
 import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Scenario;
 
-/** Whose job need not be done: who tried for as long as users do, while nobody could store it. */
+/**
+ * Checks when the simulator excuses a job that is not done: only if it was never accepted and its
+ * user retried for the whole retry period while no controller could store the job.
+ */
 class AbandonedSubmissionTest {
   private static final String FLEET =
       "settings nodes=3 zones=a report=1 lease=10 cancel=40\n"
@@ -38,7 +41,7 @@
 
   @Test
   void shorterOutageDoesNotExcuseUnservedJob() {
-    // A user whom nobody hears stands for controllers that do not accept what they could.
+    // Muting the user simulates controllers that fail to accept a job that they could store.
     Outcome outcome =
         play(
             "at 19 outage state for=50\n"
@@ -49,7 +52,7 @@
 
   @Test
   void acceptedJobMustBeServed() {
-    // The submission is under way as its user falls silent.
+    // The submission is already in transit when its user is muted.
     Outcome outcome = play("at 20 submit j-2 array tasks=2 run=5\nat 20.001 mute j-2\n");
     assertThat(outcome.complaint()).contains("expected at 118 expect j-2 served");
   }
--- a/src/test/java/org/oakwalk/scenario/CancelAtRefusalTest.java
+++ b/src/test/java/org/oakwalk/scenario/CancelAtRefusalTest.java
@@ -13,10 +13,11 @@
 import org.oakwalk.model.Scenario;
 
 /**
- * Jobs are cancelled at the very moment at which the state service refuses the leader alone, a few
- * milliseconds before and after; a second later it is out for all, for longer than cancel_s. Beside
- * it withdrawals lose their answers or are carried out late, and machines hang and go on within
- * their leases, some of them the last that were answered.
+ * Guards against tasks of cancelled jobs that outlive the cancel deadline. Jobs are cancelled
+ * around the moment at which the state service starts to refuse the leader only, most of them
+ * within a few milliseconds of it; a second later the service is down for all, for longer than
+ * cancel_s. In addition, withdrawals lose their answers or are applied late, and machines hang and
+ * resume within their leases; some of these are the last machines that the leader answered.
  */
 class CancelAtRefusalTest {
   private static final double REFUSAL_S = 20;
@@ -24,7 +25,7 @@
       List.of(-400, -40, -20, -10, -6, -3, -2, -1, 0, 1, 2, 3, 6, 10, 20, 40, 200, 600, 900, 990);
 
   private record LeaseTiming(double report, double lease, double cancel) {
-    double answeringSeconds() {
+    double leaseGraceSeconds() {
       return Math.max(1.8, cancel - lease - 2);
     }
   }
@@ -35,7 +36,10 @@
           new LeaseTiming(4, 22, 47),
           new LeaseTiming(2.5, 15.25, 20));
 
-  /** What becomes of withdrawals; T is the moment of the refusal. */
+  /**
+   * Faults that affect the withdrawal writes; T is the start of the refusal, followed by an offset
+   * in seconds.
+   */
   private static final List<String> WITHDRAWAL_FAULTS =
       List.of(
           "",
@@ -44,27 +48,32 @@
           "T -0.004 cut nodes state for=0.012",
           "T -0.5 slownet nodes state by=0.2 for=2");
 
-  /** When machines hang, and for how long, in parts of the lease, beside the refusal. */
+  /**
+   * Times at which machines hang, relative to the refusal: none, around it, around the end of the
+   * leader's grace period, or before it.
+   */
   private static final List<String> HANG_TIMES = List.of("", "now", "last", "before");
 
   @TestFactory
   Stream<DynamicTest> cancelledTasksStopWithinDeadline() {
     List<DynamicTest> tests = new ArrayList<>();
     for (LeaseTiming timing : TIMINGS) {
-      for (String writes : WITHDRAWAL_FAULTS) {
-        for (String hangs : HANG_TIMES) {
-          String who = tests.size() % 7 == 6 ? "followers" : "leader";
-          String text = text(timing, who, writes, hangs);
+      for (String withdrawalFault : WITHDRAWAL_FAULTS) {
+        for (String hangTime : HANG_TIMES) {
+          String refused = tests.size() % 7 == 6 ? "followers" : "leader";
+          String text = text(timing, refused, withdrawalFault, hangTime);
           tests.add(
               DynamicTest.dynamicTest(
-                  timing + " " + who + " " + writes + " " + hangs, () -> assertNoViolations(text)));
+                  timing + " " + refused + " " + withdrawalFault + " " + hangTime,
+                  () -> assertNoViolations(text)));
         }
       }
     }
     return tests.stream();
   }
 
-  private static String text(LeaseTiming timing, String who, String writes, String hangs) {
+  private static String text(
+      LeaseTiming timing, String refused, String withdrawalFault, String hangTime) {
     StringBuilder text = new StringBuilder();
     text.append(
         String.format(
@@ -80,32 +89,32 @@
       text.append(at(3, "submit j-" + job + " service tasks=4"));
       text.append(at(REFUSAL_S + millis / 1000.0, "cancel j-" + job));
     }
-    text.append(at(REFUSAL_S, "refuse " + who + " for=" + (1 + timing.cancel() / 2)));
+    text.append(at(REFUSAL_S, "refuse " + refused + " for=" + (1 + timing.cancel() / 2)));
     text.append(at(REFUSAL_S + 1, "outage state for=" + (timing.cancel() + 12)));
-    if (!writes.isEmpty()) {
-      String[] words = writes.split(" ", 3);
+    if (!withdrawalFault.isEmpty()) {
+      String[] words = withdrawalFault.split(" ", 3);
       text.append(at(REFUSAL_S + Double.parseDouble(words[1]), words[2]));
     }
-    appendHangs(text, timing, hangs);
+    appendHangs(text, timing, hangTime);
     text.append("end ").append(REFUSAL_S + 2 * timing.cancel() + 60).append('\n');
     return text.toString();
   }
 
-  /** Eight machines hang one beside the other, at eight times and for eight spans. */
-  private static void appendHangs(StringBuilder text, LeaseTiming timing, String hangs) {
-    for (int host = 0; host < 8 && !hangs.isEmpty(); host++) {
-      double part = (host + 1) / 8.0;
-      double begins =
-          switch (hangs) {
+  /** Lets eight machines hang, with eight different starting times and durations. */
+  private static void appendHangs(StringBuilder text, LeaseTiming timing, String hangTime) {
+    for (int host = 0; host < 8 && !hangTime.isEmpty(); host++) {
+      double leaseShare = (host + 1) / 8.0;
+      double start =
+          switch (hangTime) {
             case "now" -> REFUSAL_S - 0.05 + host * 0.15;
-            // Just about when the leader answers for the last time.
-            case "last" -> REFUSAL_S + timing.answeringSeconds() - 2 + host * 0.4;
-            default -> REFUSAL_S - timing.lease() * part;
+            // Around the time of the leader's last answer to workers.
+            case "last" -> REFUSAL_S + timing.leaseGraceSeconds() - 2 + host * 0.4;
+            default -> REFUSAL_S - timing.lease() * leaseShare;
           };
-      // It goes on just before its lease may run out, or long before.
-      double lasts = host % 2 == 0 ? timing.lease() - 0.2 : timing.lease() * part;
-      lasts = Math.min(lasts, REFUSAL_S + timing.cancel() - 1 - begins);
-      text.append(at(begins, String.format(Locale.ROOT, "hang host-%06d for=%.3f", host, lasts)));
+      // The machine resumes just before its lease may expire, or long before.
+      double duration = host % 2 == 0 ? timing.lease() - 0.2 : timing.lease() * leaseShare;
+      duration = Math.min(duration, REFUSAL_S + timing.cancel() - 1 - start);
+      text.append(at(start, String.format(Locale.ROOT, "hang host-%06d for=%.3f", host, duration)));
     }
   }
 
@@ -114,9 +123,9 @@
   }
 
   private static void assertNoViolations(String text) {
-    Map<String, String> broken = new TreeMap<>(new Scenario(text).play().broken());
-    // Nobody is answered in an outage, however long it is.
-    broken.remove("forgotten");
-    assertThat(broken).as(text).isEmpty();
+    Map<String, String> violations = new TreeMap<>(new Scenario(text).play().broken());
+    // Users get no answers during an outage, however long it lasts.
+    violations.remove("forgotten");
+    assertThat(violations).as(text).isEmpty();
   }
 }
--- a/src/test/java/org/oakwalk/scenario/CancelDuringFailoverTest.java
+++ b/src/test/java/org/oakwalk/scenario/CancelDuringFailoverTest.java
@@ -9,51 +9,58 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Jobs are cancelled in the seconds in which one controller's work changes hands. Their times step
- * finely over the end of the leader, the claim, the recovery and the first round of the next one,
- * and the hand-over after that; the request goes to the old leader, to a follower, or to whoever
- * leads.
+ * Cancels jobs during a failover, at times that step finely over the loss of the leader, its
+ * successor's claim, recovery and first scheduling round, and the seconds after that. Some of the
+ * jobs wait for room, some are running, and some are submitted as the leader ends. The requests go
+ * to the old leader, to a follower, or to the current leader. Guards against tasks that start or
+ * keep running after their users were told that the job is cancelled.
  */
 class CancelDuringFailoverTest {
   private static final int STEP_MILLIS = 20;
   private static final int FIRST_JOB = 100;
   private static final int JOB_COUNT = 60;
 
-  /** One job waits for room, one has begun, one comes as the leader ends; each is cancelled. */
+  /** Nodes to which cancellations are sent; "leading" is the leader at that time. */
   private static final String[] TARGET_NODES = {"node-0", "node-1", "node-2", "leading"};
 
-  /** It is gone at once; what it had sent arrives. */
+  /** The leader crashes; messages that it had already sent arrive. */
   @TestFactory
   List<DynamicTest> leaderCrashes() {
     return sweep(0, 4, 0.1, "at 10 crash leader\nat 14 restart down\n");
   }
 
-  /** It is back at once and may lead again. */
+  /** The leader restarts at once and may be elected again. */
   @TestFactory
   List<DynamicTest> leaderRestarts() {
     return sweep(0, 1.6, 0.1, "at 10 restart leader after=0.1\nat 11 restart leading after=0.2\n");
   }
 
-  /** What it has just ordered leaves it when it goes on, long after its successor began. */
+  /**
+   * The leader freezes and sends its last orders when it resumes, long after its successor took
+   * over.
+   */
   @TestFactory
   List<DynamicTest> leaderFreezes() {
-    // It wakes at 16.1 s and sends what it decided before.
+    // The leader resumes at 16.1 s and sends the orders that it decided on before the freeze.
     return sweep(0, 8, 0.1, "at 10 freeze leader for=6\n");
   }
 
-  /** It is cut off from the store, so it does not know for as long as it may keep tasks alive. */
+  /**
+   * The leader is cut off from the store, so it does not see the cancellations while it may still
+   * renew worker leases.
+   */
   @TestFactory
   List<DynamicTest> leaderCutFromStore() {
     return sweep(-1, 5, 2.5, "at 10 cut leader state for=12\n");
   }
 
-  /** The store refuses it alone. */
+  /** The store refuses the requests of the leader only. */
   @TestFactory
   List<DynamicTest> leaderRefusedByStore() {
     return sweep(-1, 5, 2.5, "at 10 refuse leader for=12\n");
   }
 
-  /** Start commands are held up on their way, and reach workers that know the next leader. */
+  /** Start commands are delayed and reach workers that already know the next leader. */
   @TestFactory
   List<DynamicTest> startCommandsDelayed() {
     return sweep(
@@ -63,14 +70,14 @@
         "at 10.4 slownet nodes workers by=1.5 for=6\nat 10.6 restart leader after=0.1\n");
   }
 
-  /** What the leader sends to the workers is held back from before its end until after it. */
+  /** The leader's messages to workers are held back from before its restart until after it. */
   @TestFactory
   List<DynamicTest> startCommandsHeldBack() {
     return sweep(
         0, 4, 0.1, "at 10.4 cut leader workers for=5 hold\nat 10.6 restart leader after=0.1\n");
   }
 
-  /** The withdrawal's own write is late. */
+  /** The write that stores the withdrawal is applied late. */
   @TestFactory
   List<DynamicTest> withdrawalWriteDelayed() {
     return sweep(
@@ -81,54 +88,55 @@
   }
 
   /**
-   * Cancellations every 20 ms.
+   * Creates one test for each starting time of a series of cancellations that are 20 ms apart.
    *
-   * @param startsWithin how long after its user was told a task of a cancelled job may start: the
-   *     way of an order, or what a controller that can't know may still order
+   * @param maxStartDelay seconds after the confirmation within which a task of a cancelled job may
+   *     still start: the delivery time of an order, or the time for which a leader that cannot see
+   *     the cancellation may still issue orders
    */
   private static List<DynamicTest> sweep(
-      double from, double until, double startsWithin, String troubles) {
+      double from, double until, double maxStartDelay, String faults) {
     List<DynamicTest> tests = new ArrayList<>();
     int step = 0;
     for (double at = 9.8 + from; at < 10 + until; at += STEP_MILLIS / 1000.0 * 3) {
       double when = at;
-      String on = TARGET_NODES[step++ % TARGET_NODES.length];
+      String target = TARGET_NODES[step++ % TARGET_NODES.length];
       tests.add(
           DynamicTest.dynamicTest(
-              line("cancelled from %.2f s on at %s", when, on).trim(),
-              () -> assertPasses(text(when, on, startsWithin, troubles))));
+              line("cancelled from %.2f s on at %s", when, target).trim(),
+              () -> assertPasses(text(when, target, maxStartDelay, faults))));
     }
     return tests;
   }
 
-  private static String text(double at, String on, double startsWithin, String troubles) {
+  private static String text(double at, String target, double maxStartDelay, String faults) {
     StringBuilder text = new StringBuilder();
     text.append("settings nodes=3\ntype m cpus=4 mem=16 boot=10\nmachine m a 3\n");
-    // There is always room for the small jobs, so what is accepted starts at once.
+    // There is always room for the small jobs, so accepted jobs start at once.
     text.append("type n cpus=32 mem=64 boot=10\nmachine n a 2\n");
     text.append("capacity m a 2\ncapacity n a 1\n");
     text.append(
         "at 3 submit j-1 array tasks=6 run=6.5 types=n\nat 3 submit j-2 service tasks=2 types=n\n");
-    // Of these something starts at any moment until they are cancelled.
+    // Tasks of these jobs start continuously until the jobs are cancelled.
     text.append(
         "at 3 submit j-3 array tasks=150 run=1.1 types=m\n"
             + "at 3 submit j-4 array tasks=150 run=0.7 types=m\n");
     text.append("at 3 submit j-5 array tasks=150 run=0.3 types=m\n");
     text.append(
         line("every 0.1 8 %.2f %d array tasks=2 run=0.9 types=n", 8 + JOB_COUNT * 0.1, FIRST_JOB));
-    text.append(troubles);
+    text.append(faults);
     for (int i = 0; i < 4; i++) {
       double time = at + i * STEP_MILLIS / 1000.0;
-      text.append(line("at %.2f cancel j-%d on=%s", time, 2 + i, on));
+      text.append(line("at %.2f cancel j-%d on=%s", time, 2 + i, target));
       int last = FIRST_JOB + (int) Math.floor((time - 8) * 10 - 0.01);
       for (int job = Math.max(FIRST_JOB, last - 2 * i);
           job <= last - i && job < FIRST_JOB + JOB_COUNT;
           job++) {
-        text.append(line("at %.2f cancel j-%d on=%s", time, job, on));
+        text.append(line("at %.2f cancel j-%d on=%s", time, job, target));
       }
     }
     text.append("at 90 expect j-1 done\nat 90 expect j-2 cancelled\nat 90 expect j-2 on most=0\n");
-    text.append(line("at 90 expect laststart most=%.2f", startsWithin));
+    text.append(line("at 90 expect laststart most=%.2f", maxStartDelay));
     return text.append("at 90 expect answered within=9 open\nend 91\n").toString();
   }
 }
--- a/src/test/java/org/oakwalk/scenario/CollectionEntryCounter.java
+++ b/src/test/java/org/oakwalk/scenario/CollectionEntryCounter.java
@@ -15,8 +15,8 @@
 import java.util.TreeMap;
 
 /**
- * Counts what an object keeps, through all fields of our own classes: how many entries there are in
- * the collections of each field.
+ * Counts the collection entries reachable from an object through the fields of this project's
+ * classes. Tests use it to find entries that are never removed, and to bound memory use.
  */
 final class CollectionEntryCounter {
   private static final String PROJECT_PACKAGE = "org.oakwalk.";
@@ -29,50 +29,52 @@
 
   private CollectionEntryCounter() {}
 
-  /** How many entries each field's collections have together, by class and field. */
+  /**
+   * Returns the total number of entries in each field's collections, keyed fieldName "Class.field".
+   */
   static Map<String, Integer> countEntries(Object root) throws IllegalAccessException {
-    CollectionEntryCounter census = new CollectionEntryCounter();
-    census.enqueue("", root);
-    while (!census.pending.isEmpty()) {
-      ReachedObject reached = census.pending.poll();
-      census.visit(reached.fieldName(), reached.object());
+    CollectionEntryCounter counter = new CollectionEntryCounter();
+    counter.enqueue("", root);
+    while (!counter.pending.isEmpty()) {
+      ReachedObject reached = counter.pending.poll();
+      counter.visit(reached.fieldName(), reached.object());
     }
-    return census.entries;
+    return counter.entries;
   }
 
-  /** The value of a field, whoever may see it. */
-  static Object readField(Object of, String name) throws ReflectiveOperationException {
-    Field field = of.getClass().getDeclaredField(name);
+  /** Reads a field regardless of its visibility. */
+  static Object readField(Object object, String name) throws ReflectiveOperationException {
+    Field field = object.getClass().getDeclaredField(name);
     field.setAccessible(true);
-    return field.get(of);
+    return field.get(object);
   }
 
-  /** What a method without parameters returns, whoever may call it. */
-  static Object invoke(Object on, String name) throws ReflectiveOperationException {
-    Method method = on.getClass().getDeclaredMethod(name);
+  /** Calls a method without parameters regardless of its visibility. */
+  static Object invoke(Object object, String name) throws ReflectiveOperationException {
+    Method method = object.getClass().getDeclaredMethod(name);
     method.setAccessible(true);
-    return method.invoke(on);
+    return method.invoke(object);
   }
 
-  private void enqueue(String by, Object object) {
+  private void enqueue(String fieldName, Object object) {
     if (object != null && visited.add(object)) {
-      pending.add(new ReachedObject(by, object));
+      pending.add(new ReachedObject(fieldName, object));
     }
   }
 
-  private void visit(String by, Object object) throws IllegalAccessException {
+  private void visit(String fieldName, Object object) throws IllegalAccessException {
     if (object instanceof Collection<?> collection) {
-      entries.merge(by, collection.size(), Integer::sum);
-      collection.forEach(each -> enqueue(by, each));
+      entries.merge(fieldName, collection.size(), Integer::sum);
+      collection.forEach(each -> enqueue(fieldName, each));
     } else if (object instanceof Map<?, ?> map) {
-      entries.merge(by, map.size(), Integer::sum);
-      map.keySet().forEach(key -> enqueue(by, key));
-      map.values().forEach(value -> enqueue(by, value));
+      entries.merge(fieldName, map.size(), Integer::sum);
+      map.keySet().forEach(key -> enqueue(fieldName, key));
+      map.values().forEach(value -> enqueue(fieldName, value));
     } else if (object instanceof Optional<?> optional) {
-      optional.ifPresent(value -> enqueue(by, value));
+      optional.ifPresent(value -> enqueue(fieldName, value));
     } else if (object.getClass().isArray() && !object.getClass().componentType().isPrimitive()) {
       for (int i = 0; i < Array.getLength(object); i++) {
-        enqueue(by, Array.get(object, i));
+        enqueue(fieldName, Array.get(object, i));
       }
     } else if (object.getClass().getName().startsWith(PROJECT_PACKAGE)
         && !(object instanceof Enum)) {
--- a/src/test/java/org/oakwalk/scenario/DelayedWritesTest.java
+++ b/src/test/java/org/oakwalk/scenario/DelayedWritesTest.java
@@ -9,14 +9,17 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * A small busy day on which the transactions of one writer get no answer and are carried out late,
- * or at once, so that other nodes read what the writer does not know to be stored, while leaders
- * end: each writer by the keys it writes, each for some delays. Users ask at all nodes within
- * milliseconds of all news. Every rule is checked, that all work is done, and that no task is run
- * again once its result was to be kept.
+ * Guards against controllers that act on a wrong assumption about a write that got no answer.
+ * Transactions of one writer get no answer and are applied late, or at once so that other nodes
+ * read state that the writer does not know to be stored, while leaders restart. Covers each group
+ * of keys with several delays. After every change of a job's state, users query all nodes within
+ * milliseconds. Checks every rule, that all work is done, and that no task is run again once its
+ * result was recorded.
  */
 class DelayedWritesTest {
-  /** What is written, by whom and what that is. */
+  /**
+   * Key prefixes of the affected writes; each prefix stands for one kind of record and its writer.
+   */
   private static final List<String> KEY_PREFIXES =
       List.of(
           "oak/a/leader",
@@ -30,7 +33,7 @@
           "oak/done/",
           "oak/shared/");
 
-  /** When a transaction without an answer is carried out. */
+  /** Times at which a transaction without an answer is applied. */
   private static final List<String> DELAYS =
       List.of("atonce", "after=2.0", "after=4.5", "after=7.0", "after=12.0");
 
@@ -38,14 +41,14 @@
   List<DynamicTest> delayedWrites() {
     List<DynamicTest> tests = new ArrayList<>();
     for (String key : KEY_PREFIXES) {
-      for (String when : DELAYS) {
-        tests.add(DynamicTest.dynamicTest(key + " " + when, () -> assertPasses(text(key, when))));
+      for (String delay : DELAYS) {
+        tests.add(DynamicTest.dynamicTest(key + " " + delay, () -> assertPasses(text(key, delay))));
       }
     }
     return tests;
   }
 
-  private static String text(String key, String when) {
+  private static String text(String key, String delay) {
     return String.format(
         Locale.ROOT,
         """
@@ -67,7 +70,7 @@
         at 4 submit j-3 array tasks=2 run=3,55
         at 5 submit j-4 array tasks=12 run=6 team=small
         at 6 submit j-5 service tasks=2 team=small
-        # each writer has its late transactions three times: at the start of work, and round two changes of leader
+        # writes are delayed in three periods: at the start of work, and around two leader changes
         at 2 latewrites leading for=6 share=0.5 %1$s key=%2$s
         at 14 latewrites all for=9 share=0.6 %1$s key=%2$s
         at 16 submit j-6 array tasks=6 run=4
@@ -94,7 +97,7 @@
         at 140 expect keys oak/machine most=4
         end 140
         """,
-        when,
+        delay,
         key);
   }
 }
--- a/src/test/java/org/oakwalk/scenario/EndedJobRetentionTest.java
+++ b/src/test/java/org/oakwalk/scenario/EndedJobRetentionTest.java
@@ -9,7 +9,10 @@
 import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Scenario;
 
-/** One-task jobs come in a stream, a quarter of them cancelled: what a controller keeps of them. */
+/**
+ * Guards against memory growth from ended jobs. A stream of one-task jobs runs, a quarter of which
+ * are cancelled; then the entries that each controller still keeps are counted.
+ */
 class EndedJobRetentionTest {
   private static final int JOB_COUNT = 1200;
   private static final int MAX_MACHINES = 16;
@@ -19,7 +22,7 @@
           "UnmatchedAttempts.unclearedTasks",
           "PendingStarts.commandStarted");
 
-  private static String text(double rest) {
+  private static String text(double idleSeconds) {
     return """
         settings nodes=5 zones=a,b report=2.5 lease=15.25 cancel=45.25 rps=500 write_rps=180 txn=16 limited
         type m cpus=16 mem=64 boot=20
@@ -30,12 +33,13 @@
         every 0.25 5 305 1000 array tasks=1 run=3,12,25 cancels=4 by=0.1,2,6,14
         end %s
         """
-        .formatted(305 + rest);
+        .formatted(305 + idleSeconds);
   }
 
   /**
-   * Long after the last one each controller keeps one entry a job, by which it answers for ever;
-   * the leader besides, of each machine, the last starts by command that might come once more.
+   * Long after the last job has ended, each controller keeps one entry per job, from which it
+   * answers users permanently. The leader also keeps, for each machine, the latest starts by
+   * command, because such a command may arrive again.
    */
   @Test
   void endedJobsLeaveOneEntryEach() throws Exception {
@@ -49,9 +53,11 @@
       Map<String, Integer> kept =
           CollectionEntryCounter.countEntries(CollectionEntryCounter.readField(node, "controller"));
       assertThat(kept.remove("KnownJobs.jobs")).isEqualTo(JOB_COUNT + 1);
-      for (String starts : COMMAND_START_FIELDS) {
-        assertThat(kept.getOrDefault(starts, 0)).as(starts).isLessThanOrEqualTo(100 * MAX_MACHINES);
-        kept.remove(starts);
+      for (String startsField : COMMAND_START_FIELDS) {
+        assertThat(kept.getOrDefault(startsField, 0))
+            .as(startsField)
+            .isLessThanOrEqualTo(100 * MAX_MACHINES);
+        kept.remove(startsField);
       }
       assertThat(kept).allSatisfy((field, size) -> assertThat(size).as(field).isLessThan(40));
       Object line = CollectionEntryCounter.readField(node, "line");
--- a/src/test/java/org/oakwalk/scenario/GeneratedScenariosTest.java
+++ b/src/test/java/org/oakwalk/scenario/GeneratedScenariosTest.java
@@ -11,9 +11,9 @@
 import org.oakwalk.model.Scenario;
 
 /**
- * Plays drawn troubles from fixed seeds. Every rule is checked, and that all work is done some time
- * after the last trouble. The text of a draw that fails stands in the failure, ready to be kept as
- * a scenario.
+ * Runs generated scenarios with random faults from fixed seeds. Checks every rule, and that all
+ * work is done some time after the last fault. The failure message includes the scenario text,
+ * which can be saved as a scenario file.
  */
 class GeneratedScenariosTest {
   private static final int FAULT_SEEDS = 80;
@@ -27,7 +27,7 @@
         .toList();
   }
 
-  /** The same while all machines are replaced. */
+  /** Random faults while all machines are replaced step by step. */
   @TestFactory
   List<DynamicTest> faultsDuringRollingReplacement() {
     return IntStream.rangeClosed(1, FAULT_SEEDS)
@@ -38,7 +38,7 @@
         .toList();
   }
 
-  /** The same while room is kept for replicas. */
+  /** Random faults while headroom is reserved for replicas. */
   @TestFactory
   List<DynamicTest> faultsWithHeadroom() {
     return IntStream.rangeClosed(1, FAULT_SEEDS)
@@ -49,7 +49,10 @@
         .toList();
   }
 
-  /** Troubles that overlap, while users cancel; a share in a roll, a share with all products. */
+  /**
+   * Overlapping faults while users cancel; some of the seeds with rolling replacement, some with
+   * all product terms.
+   */
   @TestFactory
   List<DynamicTest> overlappingFaults() {
     return IntStream.rangeClosed(1, OVERLAP_SEEDS)
@@ -61,14 +64,17 @@
   }
 
   private static Draw withOverlappingFaults(int seed) {
-    Draw draw = new Draw(seed).withMeetings();
+    Draw generator = new Draw(seed).withMeetings();
     if (seed > OVERLAP_SEEDS - 20) {
-      return draw.withProducts();
+      return generator.withProducts();
     }
-    return seed > OVERLAP_SEEDS - 40 ? draw.withRoll() : draw;
+    return seed > OVERLAP_SEEDS - 40 ? generator.withRoll() : generator;
   }
 
-  /** The newer kinds, with teams at their limits; a share in a roll, a share with all products. */
+  /**
+   * Edge-case faults with teams at their limits; some of the seeds with rolling replacement, some
+   * with all product terms.
+   */
   @TestFactory
   List<DynamicTest> edgeCaseFaults() {
     return IntStream.rangeClosed(1, EDGE_CASE_SEEDS)
@@ -79,15 +85,15 @@
   }
 
   private static Draw withEdgeCaseFaults(int seed) {
-    Draw draw = new Draw(seed).withHunts();
+    Draw generator = new Draw(seed).withHunts();
     if (seed > EDGE_CASE_SEEDS - 10) {
-      return draw.withProducts();
+      return generator.withProducts();
     }
-    return seed > EDGE_CASE_SEEDS - 20 ? draw.withRoll() : draw;
+    return seed > EDGE_CASE_SEEDS - 20 ? generator.withRoll() : generator;
   }
 
-  private static void play(int seed, Draw draw) {
-    String text = draw.text();
+  private static void play(int seed, Draw generator) {
+    String text = generator.text();
     try {
       Outcome outcome = new Scenario(text).play();
       assertThat(outcome.held()).as(outcome.complaint()).isTrue();
--- a/src/test/java/org/oakwalk/scenario/KnownFailure.java
+++ b/src/test/java/org/oakwalk/scenario/KnownFailure.java
@@ -8,15 +8,16 @@
 import java.util.regex.Pattern;
 
 /**
- * One line of KNOWN-RED.txt: a scenario that fails for a fault that is not mended yet. The fields
- * are separated by bars.
+ * One line of KNOWN-RED.txt: a scenario that fails because of a known fault that is not fixed yet.
+ * The fields are separated by vertical bars.
  *
- * @param scenario file among the scenarios
- * @param command how to play it, with its seed if it was drawn
- * @param faults words of which each stands in a complaint, and one in every complaint
- * @param observed what was seen
- * @param cause the cause if it is proven, else "not proven"
- * @param issue the open issue that is to mend it
+ * @param scenario name of the scenario file
+ * @param command command that runs it, with the seed if it was generated
+ * @param faults texts that identify the fault: each occurs in the failure message, and every line
+ *     of the message contains at least one
+ * @param observed observed behaviour
+ * @param cause the cause if it is proven, otherwise "not proven"
+ * @param issue the open issue for the fix
  */
 record KnownFailure(
     String scenario,
@@ -33,7 +34,7 @@
     return Files.readAllLines(FILE).stream().map(KnownFailure::parse).toList();
   }
 
-  /** The entry of this scenario, if it is known to fail. */
+  /** Returns the entry of a scenario if it is known to fail. */
   static Optional<KnownFailure> forScenario(String scenario) throws IOException {
     return readAll().stream().filter(entry -> entry.scenario.equals(scenario)).findFirst();
   }
@@ -42,19 +43,25 @@
     String[] fields = SEPARATOR.split(line.strip(), -1);
     if (fields.length != FIELD_COUNT) {
       throw new IllegalArgumentException(
-          "KNOWN-RED.txt: test | command and seed | fault: what was seen | cause | issue: " + line);
+          "KNOWN-RED.txt entry must be \"scenario | command and seed | faults: observation | cause | issue\": "
+              + line);
     }
-    String[] seen = fields[2].split(":\\s*", 2);
-    if (seen.length != 2) {
-      throw new IllegalArgumentException("KNOWN-RED.txt names no fault: " + line);
+    String[] observation = fields[2].split(":\\s*", 2);
+    if (observation.length != 2) {
+      throw new IllegalArgumentException("KNOWN-RED.txt entry names no fault: " + line);
     }
     return new KnownFailure(
-        fields[0], fields[1], List.of(seen[0].split(",\\s*")), seen[1], fields[3], fields[4]);
+        fields[0],
+        fields[1],
+        List.of(observation[0].split(",\\s*")),
+        observation[1],
+        fields[3],
+        fields[4]);
   }
 
-  /** Whether a run fails for these faults, for each of them, and for nothing else. */
-  boolean matches(String complaint) {
-    List<String> lines = complaint.lines().filter(line -> !line.isBlank()).toList();
+  /** Returns whether a failure message shows each of these faults and nothing else. */
+  boolean matches(String message) {
+    List<String> lines = message.lines().filter(line -> !line.isBlank()).toList();
     return lines.stream().allMatch(line -> faults.stream().anyMatch(line::contains))
         && faults.stream().allMatch(fault -> lines.stream().anyMatch(line -> line.contains(fault)));
   }
--- a/src/test/java/org/oakwalk/scenario/LargeFleetTest.java
+++ b/src/test/java/org/oakwalk/scenario/LargeFleetTest.java
@@ -9,11 +9,12 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * A fleet under steady work meets what large fleets meet: all rules hold, and work that comes in
- * the middle of it begins within a time that docs/design.md ("How soon a new leader places") adds
- * up from the settings.
+ * Injects the faults that large fleets meet into a fleet under steady load. All rules must hold,
+ * and an urgent job that is submitted during the fault must start within the time that
+ * docs/design.md derives from the settings.
  *
- * <p>The build plays 400 machines; {@code -Doakwalk.largeFleet=4000} plays others.
+ * <p>The build runs 400 machines; {@code -Doakwalk.largeFleet=4000} runs other sizes, separated by
+ * commas.
  */
 class LargeFleetTest {
   private static final String FLEET_SIZES = System.getProperty("oakwalk.largeFleet", "400");
@@ -21,21 +22,26 @@
   private static final double LEASE_S = 15;
   private static final double CANCEL_DEADLINE_S = 45;
 
-  /** The leader key's lease and what it may end late. */
+  /** Lease of the leader key, including the delay with which it may expire. */
   private static final double LEADER_LEASE_S = 2.6;
 
-  /** A node finds that the key is gone, gets a lease, and sees its own claim. */
+  /** Time in which a node notices that the key is gone, obtains a lease and sees its own claim. */
   private static final double CLAIM_S = 1;
 
-  /** Machines that are shown the new token between two ticks, and how far these are apart. */
+  /**
+   * Maximum number of machines to which the new token is pushed in one tick, and the tick interval.
+   */
   private static final double TOKENS_PER_TICK = 50;
 
   private static final double TICK_S = 0.05;
 
-  /** A round after that, the start's way to its machine, and its image's way there. */
+  /** One scheduling round, the delivery of the start and the fetch of the image. */
   private static final double ROUND_AND_START_S = 3;
 
-  /** What is added to a lease before it counts as over, and how long the next read may take. */
+  /**
+   * Margin added to a lease before it counts as expired, and maximum time until the next read of
+   * the store.
+   */
   private static final double LEASE_EXPIRY_MARGIN_S = 0.5;
 
   private static final double READ_S = 1.5;
@@ -50,49 +56,53 @@
   }
 
   private static Stream<DynamicTest> tests(int machines) {
-    double takeOver = takeoverSeconds(machines);
-    Map<String, String> troubles = new TreeMap<>();
-    troubles.put(
-        "the leader ends",
-        text(machines, "crash leader", "") + expectStart(700_000, FAULT_S + 0.1, takeOver));
-    troubles.put(
-        "all end and are back within a fraction of a second",
+    double takeover = takeoverSeconds(machines);
+    Map<String, String> faults = new TreeMap<>();
+    faults.put(
+        "leader crashes",
+        text(machines, "crash leader", "") + expectStart(700_000, FAULT_S + 0.1, takeover));
+    faults.put(
+        "all controllers restart within 0.3 s",
         text(machines, "restart all after=0.3", "")
-            + expectStart(700_000, FAULT_S + 1, takeOver + 1));
-    troubles.put(
-        "a zone is cut off for longer than a lease",
+            + expectStart(700_000, FAULT_S + 1, takeover + 1));
+    faults.put(
+        "zone cut off for longer than a lease",
         text(machines, "cut zone:b everybody for=20 hold", "")
-            + expectStart(700_000, FAULT_S + 0.1, takeOver + 20));
-    troubles.put(
-        "the state service is out for a minute",
-        text(machines, "outage state for=60", "") + expectStart(700_000, FAULT_S + 62, takeOver));
-    troubles.put(
+            + expectStart(700_000, FAULT_S + 0.1, takeover + 20));
+    faults.put(
+        "state service down for a minute",
+        text(machines, "outage state for=60", "") + expectStart(700_000, FAULT_S + 62, takeover));
+    faults.put(
         "a fifth of all machines die",
         text(machines, machineDeaths(machines / 5), "")
             + expectStart(700_000, FAULT_S + 0.1, restartElsewhereSeconds()));
-    return troubles.entrySet().stream()
+    return faults.entrySet().stream()
         .map(
-            trouble ->
+            fault ->
                 DynamicTest.dynamicTest(
-                    machines + " machines: " + trouble.getKey(),
-                    () -> ScenarioTestSupport.assertPasses(trouble.getValue())));
+                    machines + " machines: " + fault.getKey(),
+                    () -> ScenarioTestSupport.assertPasses(fault.getValue())));
   }
 
-  /** By when a new leader has placed what came meanwhile, counted from the end of the old one. */
+  /**
+   * Returns the time from the loss of the leader until its successor has placed the jobs that
+   * arrived in between.
+   */
   private static double takeoverSeconds(int machines) {
-    double confirmed = Math.max(1.25 * REPORT_INTERVAL_S, machines / TOKENS_PER_TICK * TICK_S);
-    return LEADER_LEASE_S + CLAIM_S + confirmed + ROUND_AND_START_S;
+    double tokenConfirmed = Math.max(1.25 * REPORT_INTERVAL_S, machines / TOKENS_PER_TICK * TICK_S);
+    return LEADER_LEASE_S + CLAIM_S + tokenConfirmed + ROUND_AND_START_S;
   }
 
   /**
-   * By when a task begins that was sent to a machine which had just died. Nobody knows that it has;
-   * the task may start elsewhere only once a read shows that its lease has surely run out.
+   * Returns the time within which a task starts that was sent to a machine which had just died. The
+   * failure is not detected directly; the task may start elsewhere only when a read shows that its
+   * lease has certainly expired.
    */
   private static double restartElsewhereSeconds() {
     return LEASE_S + LEASE_EXPIRY_MARGIN_S + READ_S + ROUND_AND_START_S;
   }
 
-  private static String text(int machines, String action, String more) {
+  private static String text(int machines, String action, String moreLines) {
     StringBuilder text = new StringBuilder();
     text.append(
         ScenarioTestSupport.line(
@@ -113,7 +123,7 @@
             "every %.4f 8 90 1000 array tasks=16 run=30 guess=30 class=batch image=b gb=1",
             80.0 / machines));
     text.append(ScenarioTestSupport.line("at %.1f %s", FAULT_S, action));
-    text.append(more);
+    text.append(moreLines);
     text.append("end 170\n");
     return text.toString();
   }
@@ -126,7 +136,7 @@
     return text.toString();
   }
 
-  /** An urgent job comes at this moment and has begun within this time. */
+  /** Submits an urgent job at this time and expects it to start within the given time. */
   private static String expectStart(int number, double at, double within) {
     return ScenarioTestSupport.line(
             "at %.2f submit j-%d service tasks=4 cpus=1 priority=high image=s1 gb=1", at, number)
--- a/src/test/java/org/oakwalk/scenario/OverloadPlacementTest.java
+++ b/src/test/java/org/oakwalk/scenario/OverloadPlacementTest.java
@@ -9,14 +9,16 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * More work than room, urgent and not, of every shape, some of it bound to a zone, while links are
- * slow and machines are lost, in steps of how slow they are and when that is. The rules tell
- * whether anything is left waiting beside room, is served by less than half, or begins too late.
+ * Guards against starvation and unused room under overload. There is more work than room, urgent
+ * and ordinary, of every job shape, some of it bound to a zone, while links are slow and machines
+ * are lost; the steps vary the delays and the times of the faults. The rules detect work that is
+ * left waiting although there is room for it, work that gets less than half of its share, and work
+ * that starts too late.
  */
 class OverloadPlacementTest {
   private static final int STEPS = 16;
 
-  /** Orders and reports are slow, and so is the store. */
+  /** Orders, reports and store requests are slow. */
   @TestFactory
   List<DynamicTest> slowLinks() {
     return sweep(
@@ -26,7 +28,7 @@
                 + line("at %.2f restart leading after=0.2", 20 + 1.5 * step));
   }
 
-  /** The links of one zone are slow, and machines die there and elsewhere. */
+  /** The links of one zone are slow, and machines fail there and elsewhere. */
   @TestFactory
   List<DynamicTest> slowZoneWithMachineLoss() {
     return sweep(
@@ -38,7 +40,9 @@
                 + line("at 30 noreports host-000006 for=%d", 8 + 2 * step));
   }
 
-  /** A zone is cut off, the leader ends, and machines are back when their leases are over. */
+  /**
+   * A zone is cut off, the leader restarts, and machines return after their leases have expired.
+   */
   @TestFactory
   List<DynamicTest> cutZone() {
     return sweep(
@@ -52,16 +56,16 @@
     String lines(int step);
   }
 
-  private static List<DynamicTest> sweep(NetworkFaults troubles) {
+  private static List<DynamicTest> sweep(NetworkFaults faults) {
     List<DynamicTest> tests = new ArrayList<>();
     for (int step = 1; step <= STEPS; step++) {
-      String text = text(troubles.lines(step), step);
+      String text = text(faults.lines(step), step);
       tests.add(DynamicTest.dynamicTest("step " + step, () -> assertPasses(text)));
     }
     return tests;
   }
 
-  private static String text(String troubles, int step) {
+  private static String text(String faults, int step) {
     StringBuilder text = new StringBuilder();
     text.append("settings nodes=3 zones=a,b lease=10 cancel=40\n");
     text.append("team red cpus=8 max=24\nteam blue max=14\nteam guest max=20\n");
@@ -78,7 +82,7 @@
     text.append("every 1 14 180 1000 array tasks=3 run=5 team=guest class=small priority=low\n");
     text.append("every 2 14 180 2000 array tasks=2 run=4 team=red class=urgent priority=high\n");
     text.append("every 4 15 180 3000 array tasks=3 run=5 zone=b team=blue class=bound\n");
-    text.append(troubles);
+    text.append(faults);
     text.append(line("at %.2f cancel j-7", 40.0 + step));
     text.append("at 400 expect j-1 on least=4\nat 400 expect j-2 on least=2\n");
     for (int gang : List.of(4, 6)) {
--- a/src/test/java/org/oakwalk/scenario/RefusalThenOutageTest.java
+++ b/src/test/java/org/oakwalk/scenario/RefusalThenOutageTest.java
@@ -15,21 +15,25 @@
 import org.oakwalk.model.Scenario;
 
 /**
- * The state service refuses one controller alone, others confirm cancellations, then it is down for
- * all, while workers go on reporting to the old leader: every task of those jobs is gone within
- * cancel_s of the confirmation. Played over a grid of times, each with something else beside it.
+ * Guards against tasks of cancelled jobs that outlive the cancel deadline. The state service
+ * refuses one controller only, the others confirm cancellations, then the service is down for all,
+ * while workers go on reporting to the old leader. Every task of those jobs must end within
+ * cancel_s of the confirmation. Runs over a grid of times, each combined with one additional fault.
  */
 class RefusalThenOutageTest {
-  /** The refusal begins. */
+  /** Start of the refusal. */
   private static final double REFUSAL_S = 20;
 
-  /** From the refusal until the service is down for all. */
+  /** Times from the start of the refusal until the service is down for all. */
   private static final List<Double> REFUSAL_TO_OUTAGE_S =
       List.of(0.2, 1.3, 2.4, 3.5, 6.0, 13.0, 20.0);
 
   private static final List<Double> OUTAGE_DURATIONS_S = List.of(20.0, 57.2, 120.0);
 
-  /** What happens beside it; T is when the refusal begins, O the outage. */
+  /**
+   * Additional faults: T stands for the start of the refusal, O for that of the outage, ENDS for a
+   * duration of half the time between them.
+   */
   private static final List<String> CONCURRENT_FAULTS =
       List.of(
           "",
@@ -50,26 +54,34 @@
 
   private static final List<NamedTiming> TIMINGS =
       List.of(
-          new NamedTiming("report=2.5 lease=15.25 cancel=45.25", "two leases and more"),
-          new NamedTiming("report=4 lease=22 cancel=47", "no relays"),
-          new NamedTiming("report=2.5 lease=15.25 cancel=20", "hardly more than a lease"));
+          new NamedTiming(
+              "report=2.5 lease=15.25 cancel=45.25", "cancel deadline above two leases"),
+          new NamedTiming("report=4 lease=22 cancel=47", "no lease relays"),
+          new NamedTiming(
+              "report=2.5 lease=15.25 cancel=20", "cancel deadline slightly above one lease"));
 
   @TestFactory
   Stream<DynamicTest> cancelledTasksStopWithinDeadline() {
     List<DynamicTest> tests = new ArrayList<>();
     int number = 0;
-    for (String beside : CONCURRENT_FAULTS) {
+    for (String fault : CONCURRENT_FAULTS) {
       for (double gap : REFUSAL_TO_OUTAGE_S) {
-        // Each place in the grid has one of the rest, in turn.
+        // Outage durations, timings and refused nodes take turns over the grid.
         double outage = OUTAGE_DURATIONS_S.get(number % OUTAGE_DURATIONS_S.size());
         NamedTiming timing = TIMINGS.get(number / OUTAGE_DURATIONS_S.size() % TIMINGS.size());
-        String who = number % 5 == 4 ? "followers" : "leader";
+        String refused = number % 5 == 4 ? "followers" : "leader";
         number++;
-        String text = text(timing, who, gap, outage, beside);
+        String text = text(timing, refused, gap, outage, fault);
         tests.add(
             DynamicTest.dynamicTest(
                 String.format(
-                    Locale.ROOT, "%s, %s, %.1f, %.1f, %s", timing.name(), who, gap, outage, beside),
+                    Locale.ROOT,
+                    "%s, %s, %.1f, %.1f, %s",
+                    timing.name(),
+                    refused,
+                    gap,
+                    outage,
+                    fault),
                 () -> assertNoViolations(text)));
       }
     }
@@ -77,8 +89,8 @@
   }
 
   private static String text(
-      NamedTiming timing, String who, double gap, double outage, String beside) {
-    double out = REFUSAL_S + gap;
+      NamedTiming timing, String refused, double gap, double outage, String fault) {
+    double outageStart = REFUSAL_S + gap;
     StringBuilder text = new StringBuilder();
     text.append("settings nodes=4 zones=a,b ").append(timing.settings()).append('\n');
     text.append("type m cpus=4 mem=16 boot=10\nmachine m a 4\nmachine m b 4\n");
@@ -87,31 +99,31 @@
     }
     text.append(at(REFUSAL_S - 1, "submit j-7 array tasks=6 run=300 image=large gb=18"));
     text.append(at(REFUSAL_S - 0.1, "submit j-8 service tasks=4 image=fresh gb=1"));
-    text.append(at(REFUSAL_S, "refuse " + who + " for=" + (gap + outage * 0.7)));
-    text.append(at(out, "outage state for=" + outage));
-    // Some are asked for while others are refused, some so early that the leader may yet see them.
+    text.append(at(REFUSAL_S, "refuse " + refused + " for=" + (gap + outage * 0.7)));
+    text.append(at(outageStart, "outage state for=" + outage));
+    // Some cancellations come during the refusal, some early enough for the leader to see them.
     for (int job = 1; job <= 8; job++) {
       text.append(at(REFUSAL_S - 0.3 + job * (gap + 0.2) / 8, "cancel j-" + job));
     }
-    if (!beside.isEmpty()) {
-      for (String line : beside.split(";")) {
+    if (!fault.isEmpty()) {
+      for (String line : fault.split(";")) {
         text.append(resolveTimes(line, gap)).append('\n');
       }
     }
-    text.append("end " + (out + outage + 60) + "\n");
+    text.append("end " + (outageStart + outage + 60) + "\n");
     return text.toString();
   }
 
-  /** Puts times for T, O and ENDS. */
+  /** Replaces T, O and ENDS by times. */
   private static String resolveTimes(String line, double gap) {
     Matcher moment = Pattern.compile("at ([TO])([+-][0-9.]+)?").matcher(line);
     assertThat(moment.find()).as(line).isTrue();
-    double begins = moment.group(1).equals("T") ? REFUSAL_S : REFUSAL_S + gap;
-    double by = moment.group(2) == null ? 0 : Double.parseDouble(moment.group(2));
+    double base = moment.group(1).equals("T") ? REFUSAL_S : REFUSAL_S + gap;
+    double offset = moment.group(2) == null ? 0 : Double.parseDouble(moment.group(2));
     return String.format(
         Locale.ROOT,
         "at %.3f%s",
-        begins + by,
+        base + offset,
         line.substring(moment.end()).replace("ENDS", "" + gap / 2));
   }
 
@@ -120,9 +132,9 @@
   }
 
   private static void assertNoViolations(String text) {
-    Map<String, String> broken = new TreeMap<>(new Scenario(text).play().broken());
-    // Nobody is answered in an outage, however long it is.
-    broken.remove("forgotten");
-    assertThat(broken).as(text).isEmpty();
+    Map<String, String> violations = new TreeMap<>(new Scenario(text).play().broken());
+    // Users get no answers during an outage, however long it lasts.
+    violations.remove("forgotten");
+    assertThat(violations).as(text).isEmpty();
   }
 }
--- a/src/test/java/org/oakwalk/scenario/ScalingTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScalingTest.java
@@ -25,47 +25,50 @@
 import org.oakwalk.wire.PeerCodec;
 
 /**
- * What a steady load costs the controllers, in counts that repeat, on fleets of different sizes
- * with work in proportion. Each count is bounded by what the design promises, and must not grow by
- * more than a tenth a machine or a task from the smallest fleet to the largest: so nothing is
- * quadratic.
+ * Measures the cost of a steady load to the controllers in reproducible counts, on fleets of
+ * different sizes with work in proportion. Each count is bounded by a limit from the design, and
+ * from the smallest fleet to the largest it must not grow by more than 10 % per machine or task,
+ * which rules out quadratic costs.
  *
- * <p>The build plays 500 and 1,000 machines; {@code -Doakwalk.scaling=500,1000,2000,4000} plays
- * more.
+ * <p>The build runs 500 and 1,000 machines; {@code -Doakwalk.scaling=500,1000,2000,4000} runs other
+ * sizes.
  */
 class ScalingTest {
-  /** Where the counts can be read after a run. */
+  /** File to which the counts are written. */
   private static final Path RESULTS_FILE = Path.of("target/scaling.txt");
 
   private static final String FLEET_SIZES = System.getProperty("oakwalk.scaling", "500,1000");
 
-  /** How much more a machine or task may cost on the largest fleet than on the smallest. */
+  /** Maximum ratio of the cost per machine or task on the largest fleet to that on the smallest. */
   private static final double MAX_GROWTH_FACTOR = 1.1;
 
   /**
-   * A task is looked at when it is placed, begins to run, ends, and when its result is stored; its
-   * job's other tasks share that, and each attempt to place costs a search.
+   * A task is evaluated when it is placed, starts to run, ends, and when its result is stored. The
+   * other tasks of its job share these evaluations, and each attempt to place costs one search.
    */
   private static final double MAX_EVALUATIONS_PER_TASK = 5;
 
-  /** Its acceptance, its end, and at most one stored part of its results. */
+  /** Store changes of a job: its acceptance, its end, and at most one stored chunk of results. */
   private static final double MAX_CHANGES_PER_JOB = 3;
 
-  /** Machines are registered dozens to a key, a dozen at least. */
+  /** Store changes of a machine: a key holds the entries of at least twelve machines. */
   private static final double MAX_CHANGES_PER_MACHINE = 1.0 / 12;
 
-  /** Leader key, machine types and the like. */
+  /** Store changes that are independent of the load, such as the leader key and machine types. */
   private static final double MAX_LEADER_CHANGES = 20;
 
-  /** Head of a report, and for each of a machine's tasks, running or ended, its id and state. */
+  /** Size of a report's header, and of the id and state of each running or ended task in it. */
   private static final double MAX_REPORT_HEADER_BYTES = 256;
 
   private static final double MAX_REPORT_BYTES_PER_TASK = 64;
 
-  /** A job's id with two counts, each second to each peer. */
+  /**
+   * Size of a job's entry in the digest, an id with two counts, which is sent to each peer every
+   * second.
+   */
   private static final double MAX_DIGEST_BYTES_PER_JOB = 32;
 
-  /** Entries of collections a machine that the leader keeps, its tasks included. */
+  /** Collection entries that the leader keeps per machine, its tasks included. */
   private static final double MAX_ENTRIES_PER_MACHINE = 200;
 
   private record Measured(int machines, Map<String, Double> counts) {
@@ -96,8 +99,8 @@
       assertThat(measured.get("digest bytes a job")).isLessThan(MAX_DIGEST_BYTES_PER_JOB);
       assertThat(measured.get("entries a machine")).isLessThan(MAX_ENTRIES_PER_MACHINE);
     }
-    Measured least = all.get(0);
-    Measured most = all.get(all.size() - 1);
+    Measured smallest = all.get(0);
+    Measured largest = all.get(all.size() - 1);
     for (String name :
         List.of(
             "evaluations a task",
@@ -108,7 +111,7 @@
             "bytes a report",
             "digest bytes a job",
             "entries a machine")) {
-      assertThat(most.get(name)).as(name).isLessThan(least.get(name) * MAX_GROWTH_FACTOR);
+      assertThat(largest.get(name)).as(name).isLessThan(smallest.get(name) * MAX_GROWTH_FACTOR);
     }
   }
 
@@ -124,7 +127,8 @@
   }
 
   /**
-   * Three fifths of the fleet run short tasks, which come steadily, and half of a task a service.
+   * Returns a scenario in which a steady stream of short tasks takes three fifths of the fleet and
+   * services run half a task per machine.
    */
   private static String text(int machines) {
     StringBuilder text = new StringBuilder();
@@ -148,9 +152,9 @@
 
   private static Map<String, Double> counts(int machines, Scenario scenario, Outcome outcome)
       throws ReflectiveOperationException {
-    Map<String, Double> figures = outcome.figures();
-    double jobs = figures.get("batch.jobs") + figures.get("front.jobs");
-    double tasks = figures.get("batch.tasks_started") + figures.get("front.tasks_started");
+    Map<String, Double> metrics = outcome.figures();
+    double jobs = metrics.get("batch.jobs") + metrics.get("front.jobs");
+    double tasks = metrics.get("batch.tasks_started") + metrics.get("front.tasks_started");
     Controller leader = leader(scenario);
     Object term = ((Optional<?>) CollectionEntryCounter.readField(leader, "term")).orElseThrow();
     Map<String, Double> counts = new LinkedHashMap<>();
@@ -159,13 +163,13 @@
     counts.put(
         "evaluations a task",
         ((Placer) CollectionEntryCounter.readField(term, "placer")).evaluations() / tasks);
-    counts.put("changes", figures.get("state.changes"));
-    counts.put("changes a job", figures.get("state.changes") / jobs);
-    counts.put("requests a machine", figures.get("state.requests") / machines);
-    counts.put("reports a machine", figures.get("reports.sent") / machines);
-    counts.put("commands a task", figures.get("commands.executed") / tasks);
+    counts.put("changes", metrics.get("state.changes"));
+    counts.put("changes a job", metrics.get("state.changes") / jobs);
+    counts.put("requests a machine", metrics.get("state.requests") / machines);
+    counts.put("reports a machine", metrics.get("reports.sent") / machines);
+    counts.put("commands a task", metrics.get("commands.executed") / tasks);
     counts.put(
-        "listed a report", figures.get("reports.mean_tasks") + figures.get("reports.mean_ended"));
+        "listed a report", metrics.get("reports.mean_tasks") + metrics.get("reports.mean_ended"));
     counts.put("bytes a report", meanReportBytes(scenario));
     counts.put("digest bytes a job", digestBytesPerJob(term));
     counts.put("entries a machine", retainedEntries(leader) / machines);
@@ -180,10 +184,10 @@
         return controller;
       }
     }
-    throw new AssertionError("nobody leads");
+    throw new AssertionError("no controller leads");
   }
 
-  /** Mean size of the reports that all workers would send now, as controllers carry them. */
+  /** Returns the mean size of all workers' current reports as controllers forward them. */
   private static double meanReportBytes(Scenario scenario) throws ReflectiveOperationException {
     Object world = CollectionEntryCounter.readField(scenario, "world");
     Collection<?> workers =
@@ -196,7 +200,10 @@
     return bytes / workers.size();
   }
 
-  /** What a job adds to the digest that the leader sends to each peer every second. */
+  /**
+   * Returns the number of bytes that a job adds to the digest which the leader sends to each peer
+   * every second.
+   */
   private static double digestBytesPerJob(Object term) throws ReflectiveOperationException {
     @SuppressWarnings("unchecked")
     Map<JobId, PeerMessage.TaskCounts> counts =
--- a/src/test/java/org/oakwalk/scenario/ScenarioTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScenarioTest.java
@@ -15,16 +15,17 @@
 import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Scenario;
 
-/** Plays each scenario file: every rule is checked, and what the file itself expects. */
+/** Runs each scenario file and checks every rule and the file's own expectations. */
 class ScenarioTest {
   private static final Path SCENARIO_DIRECTORY = Path.of("src/test/resources/scenarios");
 
   @TestFactory
   List<DynamicTest> scenarios() throws IOException {
     try (Stream<Path> files = Files.list(SCENARIO_DIRECTORY)) {
-      List<Path> texts = files.filter(file -> file.toString().endsWith(".txt")).sorted().toList();
-      assertThat(texts).isNotEmpty();
-      return texts.stream()
+      List<Path> scenarioFiles =
+          files.filter(file -> file.toString().endsWith(".txt")).sorted().toList();
+      assertThat(scenarioFiles).isNotEmpty();
+      return scenarioFiles.stream()
           .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> play(file)))
           .toList();
     }
@@ -32,18 +33,18 @@
 
   private static void play(Path file) throws IOException {
     Outcome outcome = new Scenario(Files.readString(file)).play();
-    Optional<KnownFailure> red = KnownFailure.forScenario(file.getFileName().toString());
-    if (red.isPresent()) {
-      assertThat(outcome.held()).as("holds again, so KNOWN-RED.txt is out of date").isFalse();
-      assertThat(red.get().matches(outcome.complaint()))
-          .as("fails for %s alone: %s", red.get().faults(), outcome.complaint())
+    Optional<KnownFailure> known = KnownFailure.forScenario(file.getFileName().toString());
+    if (known.isPresent()) {
+      assertThat(outcome.held()).as("passes again, so KNOWN-RED.txt is out of date").isFalse();
+      assertThat(known.get().matches(outcome.complaint()))
+          .as("fails only because of %s: %s", known.get().faults(), outcome.complaint())
           .isTrue();
-      abort("known red: " + red.get());
+      abort("known failure: " + known.get());
     }
     assertThat(outcome.held()).as(outcome.complaint()).isTrue();
   }
 
-  /** Each line names a scenario that is there, and tells all that is known of its fault. */
+  /** Each entry names an existing scenario and describes its fault completely. */
   @Test
   void knownFailuresAreCurrent() throws IOException {
     assertThat(KnownFailure.readAll())
--- a/src/test/java/org/oakwalk/scenario/ScenarioTestSupport.java
+++ b/src/test/java/org/oakwalk/scenario/ScenarioTestSupport.java
@@ -6,16 +6,16 @@
 import org.oakwalk.model.Outcome;
 import org.oakwalk.model.Scenario;
 
-/** What tests share that write scenarios, step by step of some time. */
+/** Helpers for tests that generate scenario texts, often in small steps of time. */
 final class ScenarioTestSupport {
   private ScenarioTestSupport() {}
 
-  /** One line of a scenario. */
-  static String line(String form, Object... values) {
-    return String.format(Locale.ROOT, form, values) + "\n";
+  /** Formats one line of a scenario. */
+  static String line(String format, Object... values) {
+    return String.format(Locale.ROOT, format, values) + "\n";
   }
 
-  /** Services that come within 2 s, a replica of two cpus for each second machine. */
+  /** Submits services within 2 s, with one replica of two CPUs for every second machine. */
   static String serviceJobs(int machines) {
     StringBuilder text = new StringBuilder();
     for (int job = 0; job < machines / 10; job++) {
@@ -27,7 +27,7 @@
     return text.toString();
   }
 
-  /** Plays a scenario that has to hold; its text stands in the failure. */
+  /** Runs a scenario and asserts that it passes; the failure message includes the scenario text. */
   static void assertPasses(String text) {
     Outcome outcome;
     try {
--- a/src/test/java/org/oakwalk/scenario/StaleForwardedStartTest.java
+++ b/src/test/java/org/oakwalk/scenario/StaleForwardedStartTest.java
@@ -7,21 +7,23 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Some workers can't reach the leader, so a follower carries their reports to it and hands its
- * orders back. Then the state service refuses the leader alone. Users cancel jobs at the follower,
- * which stores that and tells them. The leader does not know of it yet, and with its answers to
- * carried reports it starts these very jobs as room comes free. The follower, which knows better,
- * handed the starts on to the workers.
+ * Guards against starts of cancelled jobs that reach workers through a follower.
  *
- * <p>Found by reading, when the paths of seed 3617 were listed ({@link
- * StartAfterForwardedCancelTest}): there the leader itself had told the user. The rule
- * started_after_cancel left out what a follower hands on, so no draw could show it.
+ * <p>Some workers can't reach the leader, so a follower forwards their reports to it and returns
+ * its orders. Then the state service refuses the leader only. Users cancel jobs at the follower,
+ * which stores the withdrawals and confirms them. The leader does not see them yet and starts these
+ * jobs in its answers to forwarded reports as room becomes free. The follower passed these starts
+ * on to the workers although it knew of the withdrawals.
+ *
+ * <p>A review of the paths related to seed 3617 ({@link StartAfterForwardedCancelTest}, where the
+ * leader itself had told the user) found this fault. The rule started_after_cancel did not cover
+ * starts that a follower passes on, so no generated scenario could show it.
  */
 class StaleForwardedStartTest {
   private static final int JOB_COUNT = 24;
 
   @TestFactory
-  Stream<DynamicTest> followerForwardsNoStartOfCancelledJob() {
+  Stream<DynamicTest> noTaskOfCancelledJobStartsThroughFollower() {
     List<DynamicTest> tests = new ArrayList<>();
     for (double refused = 17; refused < 22; refused += 0.125) {
       String text = text(refused);
--- a/src/test/java/org/oakwalk/scenario/TeamLimitFailoverTest.java
+++ b/src/test/java/org/oakwalk/scenario/TeamLimitFailoverTest.java
@@ -9,152 +9,156 @@
 import org.junit.jupiter.api.TestFactory;
 
 /**
- * Three teams stand at their limits, one of them in accelerators, as jobs are cancelled whose
- * machines can't be asked and the leader changes, in small steps of time. Jobs come all the while,
- * so that some are stored after the takeover and may be placed before anything is known of those
- * machines. No limit is exceeded, and once the machines are back or gone their room is used.
+ * Guards against exceeded team limits after a failover. Three teams, one of them limited in
+ * accelerators, are at their limits when jobs are cancelled whose machines are unreachable, and the
+ * leader changes, in small steps of time. Jobs are submitted throughout, so that some are stored
+ * after the takeover and may be placed before the state of those machines is known. No limit may be
+ * exceeded, and once the machines are back or gone their room must be used.
  */
 class TeamLimitFailoverTest {
   private static final int STEP_MILLIS = 150;
   private static final int STEPS = 24;
   private static final double[] RESTART_DELAYS_S = {0.1, 0.9, 4.0};
 
-  /** When the first trouble comes. */
+  /** Start of the first fault. */
   private static final double FAULT_S = 12;
 
-  /** All troubles are over by then, and so are the leases of what was out of reach. */
+  /** Time by which all faults are over and the leases of unreachable machines have expired. */
   private static final double FAULTS_OVER_S = 60;
 
-  /** Each team's stream of jobs, by its first number, and what its tasks take. */
+  /** Streams of jobs: the number of the first job and the team. */
   private static final String[] TEAM_STREAMS = {"100 red", "200 blue", "300 green"};
 
   private static final int JOBS_PER_STREAM = 40;
 
-  /** Machines with cancelled tasks are cut off, some messages to and from them come late. */
+  /** Machines with cancelled tasks are cut off; some messages to and from them arrive late. */
   @TestFactory
   List<DynamicTest> machinesCutOff() {
     return sweep(
-        (apart, back) ->
+        (apart, restartDelay) ->
             line("at %.2f cut of:j-1/0 nodes for=20 hold", FAULT_S)
                 + line("at %.2f cut of:j-12/0 nodes for=14", FAULT_S)
                 + line("at %.2f cut of:j-21/0 nodes for=17 hold", FAULT_S + apart)
-                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back));
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, restartDelay));
   }
 
-  /** They confirm to the new leader, but are long in doing what it orders. */
+  /** The machines confirm the new leader but receive its orders late. */
   @TestFactory
   List<DynamicTest> slowTaskStops() {
     List<String> slow = List.of("j-1/0", "j-12/0", "j-21/0");
     return sweep(
-        (apart, back) ->
+        (apart, restartDelay) ->
             line(
                     "at %.2f slownet of:%s nodes by=%.2f for=25",
                     FAULT_S,
                     slow.get((int) Math.round(apart * 1000 / STEP_MILLIS) % 3),
                     0.2 + apart / 2)
-                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back));
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, restartDelay));
   }
 
-  /** So many are cut off that none is returned, and they never come back. */
+  /** So many machines are cut off permanently that none is returned. */
   @TestFactory
   List<DynamicTest> machinesCutOffPermanently() {
     return sweep(
-        (apart, back) -> {
+        (apart, restartDelay) -> {
           StringBuilder lines = new StringBuilder();
           for (int machine = 0; machine < 8; machine++) {
-            // Some before the new leader can ask them, some just after they have confirmed.
-            double at = machine % 2 == 0 ? FAULT_S : FAULT_S + apart + back + 2.5;
+            // Some before the new leader can reach them, some just after they have confirmed it.
+            double at = machine % 2 == 0 ? FAULT_S : FAULT_S + apart + restartDelay + 2.5;
             lines.append(line("at %.2f cut host-00000%d nodes for=200", at, machine));
           }
           return lines
-              .append(line("at %.2f restart leading after=%.2f", FAULT_S + apart, back))
+              .append(line("at %.2f restart leading after=%.2f", FAULT_S + apart, restartDelay))
               .toString();
         });
   }
 
-  /** They hang, and go on within their leases or after them. */
+  /** Machines hang and resume within their leases or after them. */
   @TestFactory
   List<DynamicTest> machinesHang() {
     return sweep(
-        (apart, back) ->
+        (apart, restartDelay) ->
             line("at %.2f hang of:j-1/0 for=%.2f", FAULT_S, 8 + apart)
                 + line("at %.2f hang of:j-12/0 for=30", FAULT_S)
                 + line("at %.2f hang of:j-21/0 for=%.2f", FAULT_S + apart, 3 + apart)
-                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back));
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, restartDelay));
   }
 
   /**
-   * Leaders end one after the other; some machines can be reached by command alone, some hear
+   * Leaders restart in succession; some machines can be reached by commands only, some receive
    * nothing.
    */
   @TestFactory
   List<DynamicTest> successiveLeaders() {
     return sweep(
-        (apart, back) ->
+        (apart, restartDelay) ->
             line("at %.2f noreports of:j-1/0 for=20", FAULT_S)
                 + line("at %.2f deaf of:j-12/0 for=22", FAULT_S)
                 + line("at %.2f noreports of:j-21/0 for=9", FAULT_S + apart)
-                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back)
-                + line("at %.2f restart leading after=%.2f", FAULT_S + 2 * apart + 0.4, back)
-                + line("at %.2f restart leading after=%.2f", FAULT_S + 3 * apart + 3, back)
-                + line("at %.2f restart all after=%.2f", FAULT_S + 12 + apart, back));
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, restartDelay)
+                + line(
+                    "at %.2f restart leading after=%.2f", FAULT_S + 2 * apart + 0.4, restartDelay)
+                + line("at %.2f restart leading after=%.2f", FAULT_S + 3 * apart + 3, restartDelay)
+                + line("at %.2f restart all after=%.2f", FAULT_S + 12 + apart, restartDelay));
   }
 
-  /** The cloud takes spot machines meanwhile, and new ones come up as the leader ends. */
+  /** The cloud reclaims spot machines, and new machines come up as the leader restarts. */
   @TestFactory
   List<DynamicTest> spotReclaimsAndNewMachines() {
     return sweep(
-        (apart, back) ->
+        (apart, restartDelay) ->
             line("at %.2f notice host-000008 in=%.2f", FAULT_S - 4, 3 + apart)
                 + line("at %.2f take host-000009", FAULT_S - 3)
                 + line("at %.2f notice host-000010 in=%.2f", FAULT_S - 2, 2 + 2 * apart)
                 + line("at %.2f cut of:j-1/0 nodes for=15", FAULT_S)
                 + line("at %.2f hang of:j-21/0 for=14", FAULT_S)
                 + line("at %.2f latewrites leading for=6 key=oak/machine/", FAULT_S - 3)
-                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back));
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, restartDelay));
   }
 
-  /** The list of machines can't be read by the next leaders. */
+  /** The list of machines is unreadable for the next leaders. */
   @TestFactory
   List<DynamicTest> damagedRecords() {
     return sweep(
-        (apart, back) ->
+        (apart, restartDelay) ->
             line("at %.2f damage oak/machine/", FAULT_S)
                 + line("at %.2f cut of:j-1/0 nodes for=15 hold", FAULT_S)
                 + line("at %.2f cut of:j-21/0 nodes for=6", FAULT_S + apart)
                 + line("at %.2f hang of:j-12/0 for=14", FAULT_S)
-                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, back)
-                + line("at %.2f restart leading after=%.2f", FAULT_S + 2 * apart + 5, back));
+                + line("at %.2f restart leading after=%.2f", FAULT_S + apart, restartDelay)
+                + line(
+                    "at %.2f restart leading after=%.2f", FAULT_S + 2 * apart + 5, restartDelay));
   }
 
-  /** A zone is cut off for longer than a lease; followers keep its leases alive. */
+  /** A zone is cut off for longer than a lease; followers relay its leases. */
   @TestFactory
   List<DynamicTest> zoneCutOff() {
     return sweep(
-        (apart, back) ->
+        (apart, restartDelay) ->
             line("at %.2f cut zone:a zone:b for=25 hold", FAULT_S)
                 + line("at %.2f cut of:j-22/0 nodes for=20", FAULT_S + 2 * apart)
-                + line("at %.2f restart leading after=%.2f", FAULT_S + 2 + 2 * apart, back));
+                + line(
+                    "at %.2f restart leading after=%.2f", FAULT_S + 2 + 2 * apart, restartDelay));
   }
 
   private interface MachineFaults {
-    String lines(double apart, double back);
+    String lines(double apart, double restartDelay);
   }
 
-  private static List<DynamicTest> sweep(MachineFaults troubles) {
+  private static List<DynamicTest> sweep(MachineFaults faults) {
     List<DynamicTest> tests = new ArrayList<>();
     for (int step = 1; step <= STEPS; step++) {
       double apart = step * STEP_MILLIS / 1000.0;
-      double back = RESTART_DELAYS_S[step % RESTART_DELAYS_S.length];
+      double restartDelay = RESTART_DELAYS_S[step % RESTART_DELAYS_S.length];
       tests.add(
           DynamicTest.dynamicTest(
-              line("%.2f s apart, back after %.1f s", apart, back).trim(),
-              () -> assertPasses(text(troubles.lines(apart, back), apart))));
+              line("%.2f s apart, back after %.1f s", apart, restartDelay).trim(),
+              () -> assertPasses(text(faults.lines(apart, restartDelay), apart))));
     }
     return tests;
   }
 
-  private static String text(String troubles, double apart) {
+  private static String text(String faults, double apart) {
     StringBuilder text = new StringBuilder();
     text.append("settings nodes=3 zones=a,b lease=10 cancel=40\n");
     text.append("team red max=8\nteam blue max=6\nteam green gpumax=4\n");
@@ -176,7 +180,7 @@
       text.append(
           line("every 0.5 8 28 %s array tasks=1 run=1 team=%s%s", words[0], words[1], gpus));
     }
-    text.append(troubles);
+    text.append(faults);
     text.append(line("at %.2f cancel j-1", FAULT_S + apart / 2));
     text.append(line("at %.2f cancel j-12", FAULT_S + apart - 0.1));
     text.append(line("at %.2f cancel j-21", FAULT_S + apart + 0.3));
@@ -184,25 +188,25 @@
       text.append(line("at %.2f expect j-%d on most=0", FAULTS_OVER_S, cancelled));
       text.append(line("at %.2f expect j-%d cancelled", FAULTS_OVER_S, cancelled));
     }
-    double used = FAULTS_OVER_S + 90;
-    text.append(line("at %.2f expect j-2 on least=4", used));
-    text.append(line("at %.2f expect j-11 on least=3", used));
-    for (int waits : List.of(3, 13, 23)) {
-      text.append(line("at %.2f expect j-%d done", used, waits));
+    double roomUsed = FAULTS_OVER_S + 90;
+    text.append(line("at %.2f expect j-2 on least=4", roomUsed));
+    text.append(line("at %.2f expect j-11 on least=3", roomUsed));
+    for (int queued : List.of(3, 13, 23)) {
+      text.append(line("at %.2f expect j-%d done", roomUsed, queued));
     }
     for (String stream : TEAM_STREAMS) {
       int first = Integer.parseInt(stream.split(" ")[0]);
       for (int job = first; job < first + JOBS_PER_STREAM; job++) {
-        text.append(line("at %.2f expect j-%d done", used, job));
+        text.append(line("at %.2f expect j-%d done", roomUsed, job));
       }
     }
-    // What is left of each limit can be used to the last place.
-    text.append(line("at %.2f submit j-4 service tasks=4 team=red", used));
-    text.append(line("at %.2f submit j-14 service tasks=3 team=blue", used));
-    text.append(line("at %.2f submit j-24 service tasks=3 gpus=1 team=green", used));
-    text.append(line("at %.2f expect j-4 on least=4", used + 30));
-    text.append(line("at %.2f expect j-14 on least=3", used + 30));
-    text.append(line("at %.2f expect j-24 on least=3", used + 30));
-    return text.append(line("end %.2f", used + 31)).toString();
+    // The unused part of each limit can be used completely.
+    text.append(line("at %.2f submit j-4 service tasks=4 team=red", roomUsed));
+    text.append(line("at %.2f submit j-14 service tasks=3 team=blue", roomUsed));
+    text.append(line("at %.2f submit j-24 service tasks=3 gpus=1 team=green", roomUsed));
+    text.append(line("at %.2f expect j-4 on least=4", roomUsed + 30));
+    text.append(line("at %.2f expect j-14 on least=3", roomUsed + 30));
+    text.append(line("at %.2f expect j-24 on least=3", roomUsed + 30));
+    return text.append(line("end %.2f", roomUsed + 31)).toString();
   }
 }
