--- a/src/test/java/org/oakwalk/scenario/AbandonedSubmissionTest.java
+++ b/src/test/java/org/oakwalk/scenario/AbandonedSubmissionTest.java
@@ -17,25 +17,25 @@
           + "machine m a 2\n"
           + "at 3 submit j-1 array tasks=2 run=5\n";
 
-  private static Outcome play(String lines) {
+  private static Outcome run(String lines) {
     return new Scenario(FLEET + lines + "at 118 expect j-2 served\nend 120\n").play();
   }
 
   @Test
   void servedJobPasses() {
-    assertThat(play("at 20 submit j-2 array tasks=2 run=5\n").held()).isTrue();
+    assertThat(run("at 20 submit j-2 array tasks=2 run=5\n").held()).isTrue();
   }
 
   @Test
   void outageOfRetryPeriodExcusesUnservedJob() {
-    Outcome outcome = play("at 19 outage state for=63\nat 20 submit j-2 array tasks=2 run=5\n");
+    Outcome outcome = run("at 19 outage state for=63\nat 20 submit j-2 array tasks=2 run=5\n");
     assertThat(outcome.held()).as(outcome.complaint()).isTrue();
   }
 
   @Test
   void slowStoreAnswersExcuseUnservedJob() {
     Outcome outcome =
-        play("at 19 slownet nodes state for=63 by=0.9\nat 20 submit j-2 array tasks=2 run=5\n");
+        run("at 19 slownet nodes state for=63 by=0.9\nat 20 submit j-2 array tasks=2 run=5\n");
     assertThat(outcome.held()).as(outcome.complaint()).isTrue();
   }
 
@@ -43,7 +43,7 @@
   void shorterOutageDoesNotExcuseUnservedJob() {
     // Muting the user simulates controllers that fail to accept a job that they could store.
     Outcome outcome =
-        play(
+        run(
             "at 19 outage state for=50\n"
                 + "at 20 submit j-2 array tasks=2 run=5\n"
                 + "at 20.001 mute j-2\n");
@@ -53,13 +53,13 @@
   @Test
   void acceptedJobMustBeServed() {
     // The submission is already in transit when its user is muted.
-    Outcome outcome = play("at 20 submit j-2 array tasks=2 run=5\nat 20.001 mute j-2\n");
+    Outcome outcome = run("at 20 submit j-2 array tasks=2 run=5\nat 20.001 mute j-2\n");
     assertThat(outcome.complaint()).contains("expected at 118 expect j-2 served");
   }
 
   @Test
   void unservedJobNotExcusedWhileUserRetries() {
-    Outcome outcome = play("at 60 outage state for=55\nat 70 submit j-2 array tasks=2 run=60\n");
+    Outcome outcome = run("at 60 outage state for=55\nat 70 submit j-2 array tasks=2 run=60\n");
     assertThat(outcome.complaint()).contains("expected at 118 expect j-2 served");
   }
 }
--- a/src/test/java/org/oakwalk/scenario/CollectionEntryCounter.java
+++ b/src/test/java/org/oakwalk/scenario/CollectionEntryCounter.java
@@ -30,7 +30,7 @@
   private CollectionEntryCounter() {}
 
   /**
-   * Returns the total number of entries in each field's collections, keyed fieldName "Class.field".
+   * Returns the total number of entries in each field's collections, with "Class.field" as the key.
    */
   static Map<String, Integer> countEntries(Object root) throws IllegalAccessException {
     CollectionEntryCounter counter = new CollectionEntryCounter();
--- a/src/test/java/org/oakwalk/scenario/GeneratedScenariosTest.java
+++ b/src/test/java/org/oakwalk/scenario/GeneratedScenariosTest.java
@@ -23,7 +23,9 @@
   @TestFactory
   List<DynamicTest> faults() {
     return IntStream.rangeClosed(1, FAULT_SEEDS)
-        .mapToObj(seed -> DynamicTest.dynamicTest("seed " + seed, () -> play(seed, new Draw(seed))))
+        .mapToObj(
+            seed ->
+                DynamicTest.dynamicTest("seed " + seed, () -> assertPasses(seed, new Draw(seed))))
         .toList();
   }
 
@@ -34,7 +36,7 @@
         .mapToObj(
             seed ->
                 DynamicTest.dynamicTest(
-                    "seed " + seed, () -> play(seed, new Draw(seed).withRoll())))
+                    "seed " + seed, () -> assertPasses(seed, new Draw(seed).withRoll())))
         .toList();
   }
 
@@ -45,7 +47,7 @@
         .mapToObj(
             seed ->
                 DynamicTest.dynamicTest(
-                    "seed " + seed, () -> play(seed, new Draw(seed).withHeadroom())))
+                    "seed " + seed, () -> assertPasses(seed, new Draw(seed).withHeadroom())))
         .toList();
   }
 
@@ -59,7 +61,7 @@
         .mapToObj(
             seed ->
                 DynamicTest.dynamicTest(
-                    "seed " + seed, () -> play(seed, withOverlappingFaults(seed))))
+                    "seed " + seed, () -> assertPasses(seed, withOverlappingFaults(seed))))
         .toList();
   }
 
@@ -80,7 +82,8 @@
     return IntStream.rangeClosed(1, EDGE_CASE_SEEDS)
         .mapToObj(
             seed ->
-                DynamicTest.dynamicTest("seed " + seed, () -> play(seed, withEdgeCaseFaults(seed))))
+                DynamicTest.dynamicTest(
+                    "seed " + seed, () -> assertPasses(seed, withEdgeCaseFaults(seed))))
         .toList();
   }
 
@@ -92,7 +95,7 @@
     return seed > EDGE_CASE_SEEDS - 20 ? generator.withRoll() : generator;
   }
 
-  private static void play(int seed, Draw generator) {
+  private static void assertPasses(int seed, Draw generator) {
     String text = generator.text();
     try {
       Outcome outcome = new Scenario(text).play();
--- a/src/test/java/org/oakwalk/scenario/LargeFleetTest.java
+++ b/src/test/java/org/oakwalk/scenario/LargeFleetTest.java
@@ -10,8 +10,8 @@
 
 /**
  * Injects the faults that large fleets meet into a fleet under steady load. All rules must hold,
- * and an urgent job that is submitted during the fault must start within the time that
- * docs/design.md derives from the settings.
+ * and an urgent job that is submitted during the fault or just after it must start within the time
+ * that docs/design.md derives from the settings.
  *
  * <p>The build runs 400 machines; {@code -Doakwalk.largeFleet=4000} runs other sizes, separated by
  * commas.
@@ -22,7 +22,7 @@
   private static final double LEASE_S = 15;
   private static final double CANCEL_DEADLINE_S = 45;
 
-  /** Lease of the leader key, including the delay with which it may expire. */
+  /** Duration of the leader key's lease, plus the delay with which it may expire. */
   private static final double LEADER_LEASE_S = 2.6;
 
   /** Time in which a node notices that the key is gone, obtains a lease and sees its own claim. */
--- a/src/test/java/org/oakwalk/scenario/OverloadPlacementTest.java
+++ b/src/test/java/org/oakwalk/scenario/OverloadPlacementTest.java
@@ -11,9 +11,9 @@
 /**
  * Guards against starvation and unused room under overload. There is more work than room, urgent
  * and ordinary, of every job shape, some of it bound to a zone, while links are slow and machines
- * are lost; the steps vary the delays and the times of the faults. The rules detect work that is
- * left waiting although there is room for it, work that gets less than half of its share, and work
- * that starts too late.
+ * are lost; the steps vary the delays and the times of the faults. The rules detect jobs that are
+ * left waiting although there is room for them, job classes and teams of which less than half is
+ * served, and jobs that start too late.
  */
 class OverloadPlacementTest {
   private static final int STEPS = 16;
--- a/src/test/java/org/oakwalk/scenario/ScenarioTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScenarioTest.java
@@ -26,12 +26,12 @@
           files.filter(file -> file.toString().endsWith(".txt")).sorted().toList();
       assertThat(scenarioFiles).isNotEmpty();
       return scenarioFiles.stream()
-          .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> play(file)))
+          .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> runFile(file)))
           .toList();
     }
   }
 
-  private static void play(Path file) throws IOException {
+  private static void runFile(Path file) throws IOException {
     Outcome outcome = new Scenario(Files.readString(file)).play();
     Optional<KnownFailure> known = KnownFailure.forScenario(file.getFileName().toString());
     if (known.isPresent()) {
--- a/src/test/java/org/oakwalk/scenario/StartAfterForwardedCancelTest.java
+++ b/src/test/java/org/oakwalk/scenario/StartAfterForwardedCancelTest.java
@@ -13,8 +13,8 @@
  * <p>A controller has just become leader when the state service refuses this controller only. A
  * user asks it to cancel a job. It can't write the withdrawal itself, so it forwards the request to
  * a controller that can, receives "cancelled", and tells its user so. Its own copy of the store
- * does not contain the withdrawal, so a second later it started a task of that job on freeAt that
- * had just become free.
+ * does not contain the withdrawal, so a second later it started a task of that job on room that had
+ * just become free.
  *
  * <p>The log of the generated scenario with seed 3617 showed this: "request for job j-42 forwarded
  * to node-0, answered CANCELLED; copy of the store at revision 42" at 24.31 s, where the withdrawal
