--- a/src/test/java/org/oakwalk/scenario/ScenarioTest.java
+++ b/src/test/java/org/oakwalk/scenario/ScenarioTest.java
@@ -15,44 +15,45 @@
 import org.oakwalk.model.Scenario;
 import org.oakwalk.model.ScenarioResult;
 
-/** Plays each scenario file: every rule is checked, and what the file itself expects. */
+/** Runs each scenario file and checks every rule and the file's own expectations. */
 class ScenarioTest {
-  private static final Path FOLDER = Path.of("src/test/resources/scenarios");
+  private static final Path SCENARIO_DIRECTORY = Path.of("src/test/resources/scenarios");
 
   @TestFactory
   List<DynamicTest> scenarios() throws IOException {
-    try (Stream<Path> files = Files.list(FOLDER)) {
-      List<Path> texts = files.filter(file -> file.toString().endsWith(".txt")).sorted().toList();
-      assertThat(texts).isNotEmpty();
-      return texts.stream()
-          .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> play(file)))
+    try (Stream<Path> files = Files.list(SCENARIO_DIRECTORY)) {
+      List<Path> scenarioFiles =
+          files.filter(file -> file.toString().endsWith(".txt")).sorted().toList();
+      assertThat(scenarioFiles).isNotEmpty();
+      return scenarioFiles.stream()
+          .map(file -> DynamicTest.dynamicTest(file.getFileName().toString(), () -> runFile(file)))
           .toList();
     }
   }
 
-  private static void play(Path file) throws IOException {
+  private static void runFile(Path file) throws IOException {
     ScenarioResult outcome = new Scenario(Files.readString(file)).run();
-    Optional<KnownRed> red = KnownRed.of(file.getFileName().toString());
-    if (red.isPresent()) {
-      assertThat(outcome.passed()).as("holds again, so KNOWN-RED.txt is out of date").isFalse();
-      assertThat(red.get().explains(outcome.failureMessage()))
-          .as("fails for %s alone: %s", red.get().faults(), outcome.failureMessage())
+    Optional<KnownFailure> known = KnownFailure.forScenario(file.getFileName().toString());
+    if (known.isPresent()) {
+      assertThat(outcome.passed()).as("passes again, so KNOWN-RED.txt is out of date").isFalse();
+      assertThat(known.get().matches(outcome.failureMessage()))
+          .as("fails only because of %s: %s", known.get().faults(), outcome.failureMessage())
           .isTrue();
-      abort("known red: " + red.get());
+      abort("known failure: " + known.get());
     }
     assertThat(outcome.passed()).as(outcome.failureMessage()).isTrue();
   }
 
-  /** Each line names a scenario that is there, and tells all that is known of its fault. */
+  /** Each entry names an existing scenario and describes its fault completely. */
   @Test
-  void knownRedIsCurrent() throws IOException {
-    assertThat(KnownRed.all())
+  void knownFailuresAreCurrent() throws IOException {
+    assertThat(KnownFailure.readAll())
         .allSatisfy(
             entry -> {
-              assertThat(FOLDER.resolve(entry.scenario())).exists();
+              assertThat(SCENARIO_DIRECTORY.resolve(entry.scenario())).exists();
               assertThat(entry.command()).startsWith("experiment ");
               assertThat(entry.faults()).isNotEmpty().noneMatch(String::isBlank);
-              assertThat(entry.seen()).isNotBlank();
+              assertThat(entry.observed()).isNotBlank();
               assertThat(entry.cause()).isNotBlank();
               assertThat(entry.issue()).matches("issue \\d+");
             });
