--- a/src/main/java/org/oakwalk/model/PlanningWindowTracker.java
+++ b/src/main/java/org/oakwalk/model/PlanningWindowTracker.java
@@ -262,7 +262,7 @@
               lines.add(
                   String.format(
                       Locale.ROOT,
-                      "deadline %s, window %d, %s: promised %d, completed %d of %d tasks",
+                      "dawn %s, night %d, %s: promised %d, done %d of %d tasks",
                       name,
                       i + 1,
                       entry.getKey(),
