--- a/src/main/java/org/oakwalk/adapter/ConnectionLimiter.java
+++ b/src/main/java/org/oakwalk/adapter/ConnectionLimiter.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.eclipse.jetty.io.Connection;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -34,7 +34,7 @@
    * Time after which a connection without any request counts as idle; a younger one may be about to
    * send its first request.
    */
-  private static final Span FIRST_REQUEST_TIMEOUT = Span.seconds(2);
+  private static final TimeSpan FIRST_REQUEST_TIMEOUT = TimeSpan.seconds(2);
 
   private static final class TrackedConnection {
     ClientKind kind = ClientKind.UNKNOWN;
--- a/src/main/java/org/oakwalk/adapter/InboundRequestHandler.java
+++ b/src/main/java/org/oakwalk/adapter/InboundRequestHandler.java
@@ -16,7 +16,7 @@
 import org.eclipse.jetty.util.Callback;
 import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.port.Event;
 import org.oakwalk.core.port.UserRequest;
 import org.oakwalk.wire.MalformedMessageException;
@@ -165,7 +165,7 @@
 
   private void offer(PendingReply reply, Function<InboundRequestId, Event> event) {
     if (!sink.offer(reply, event)) {
-      reply.error(503, "overloaded", Optional.of(Span.seconds(1)));
+      reply.error(503, "overloaded", Optional.of(TimeSpan.seconds(1)));
     }
   }
 
@@ -315,7 +315,7 @@
       }
     }
 
-    void error(int status, String reason, Optional<Span> retryAfter) {
+    void error(int status, String reason, Optional<TimeSpan> retryAfter) {
       retryAfter.ifPresent(
           span ->
               response
--- a/src/main/java/org/oakwalk/cli/ExperimentCommand.java
+++ b/src/main/java/org/oakwalk/cli/ExperimentCommand.java
@@ -154,11 +154,11 @@
     return passed;
   }
 
-  private boolean runScenario(String name, String text, QueueOrder queueing)
+  private boolean runScenario(String name, String text, QueueOrder queueOrder)
       throws InvalidSettingsException {
     ScenarioResult outcome;
     try {
-      outcome = new Scenario(text, queueing).run();
+      outcome = new Scenario(text, queueOrder).run();
     } catch (IllegalArgumentException e) {
       throw new InvalidSettingsException(name + ": " + e.getMessage());
     }
--- a/src/main/java/org/oakwalk/cli/Main.java
+++ b/src/main/java/org/oakwalk/cli/Main.java
@@ -3,7 +3,7 @@
 import java.nio.file.Path;
 import java.util.concurrent.Callable;
 import org.oakwalk.core.Policy;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.daemon.Daemon;
 import org.oakwalk.daemon.InvalidSettingsException;
 import org.oakwalk.daemon.PlatformSettings;
@@ -93,8 +93,8 @@
     return 0;
   }
 
-  private static Span sinceStart() {
-    return Span.millis((System.nanoTime() - START_NANOS) / 1_000_000);
+  private static TimeSpan sinceStart() {
+    return TimeSpan.millis((System.nanoTime() - START_NANOS) / 1_000_000);
   }
 
   /** Reads the version from the manifest of the jar file. */
--- a/src/main/java/org/oakwalk/core/CapacityProducts.java
+++ b/src/main/java/org/oakwalk/core/CapacityProducts.java
@@ -39,13 +39,13 @@
       Fleet fleet,
       JobRegistry jobs,
       Quota quota,
-      DisruptionLimiter gate,
+      DisruptionLimiter disruptionLimiter,
       RunTimeEstimates runTimes,
-      Span suspectAfter,
+      TimeSpan suspectAfter,
       CapacityReserve reserve,
       BiConsumer<Machine, Job> reserveForGang) {}
 
-  private final ProductTermsWriter keeper;
+  private final ProductTermsWriter termsWriter;
   private final Outbox outbox;
   private final Guard leader;
   private final Settings settings;
@@ -68,7 +68,7 @@
     this.headroom = headroom;
     this.planner = planner;
     this.context = context;
-    this.keeper = new ProductTermsWriter(outbox, view, leader, declared);
+    this.termsWriter = new ProductTermsWriter(outbox, view, leader, declared);
     this.outbox = outbox;
     this.leader = leader;
     this.settings = settings;
@@ -79,7 +79,7 @@
    * none.
    */
   boolean allowsPlacement() {
-    return keeper.activeTerms().isUndeclared()
+    return termsWriter.activeTerms().isUndeclared()
         || shared.filter(SharedRecords::isLoaded).isPresent();
   }
 
@@ -89,18 +89,18 @@
   }
 
   /** Applies the terms in force. */
-  void tick(Map<String, MachineType> types, boolean recovered, Moment now, WallTime wall) {
-    if (keeper.isUnused()) {
+  void tick(Map<String, MachineType> types, boolean recovered, MonotonicTime now, WallTime wall) {
+    if (termsWriter.isUnused()) {
       return;
     }
-    keeper.tick(now);
-    ProductTerms terms = keeper.activeTerms();
+    termsWriter.tick(now);
+    ProductTerms terms = termsWriter.activeTerms();
     if (terms.isUndeclared()) {
       headroom.disable();
       planner.disable();
       return;
     }
-    if (!keeper.isUpToDate()) {
+    if (!termsWriter.isUpToDate()) {
       return;
     }
     if (shared.isEmpty()) {
@@ -115,20 +115,20 @@
   }
 
   private void openRecords(ProductTerms terms) {
-    SharedRecords state = new SharedRecords(outbox, leader, settings.state());
-    headroom.declareRecord(state);
-    plans = state.declare(DeadlinePlanner.RECORD_NAME, PlanRow.class);
-    shared = Optional.of(state);
+    SharedRecords records = new SharedRecords(outbox, leader, settings.state());
+    headroom.declareRecord(records);
+    plans = records.declare(DeadlinePlanner.RECORD_NAME, PlanRow.class);
+    shared = Optional.of(records);
     if (!terms.exchanges().isEmpty()) {
       exchange =
           Optional.of(
               new ExchangeController(
                   terms.exchanges(),
-                  state.declare("exchange", CapacityTransfer.class),
+                  records.declare("exchange", CapacityTransfer.class),
                   context.fleet(),
                   context.jobs(),
                   context.quota(),
-                  context.gate(),
+                  context.disruptionLimiter(),
                   context.runTimes(),
                   context.suspectAfter(),
                   context.reserve(),
@@ -142,7 +142,8 @@
   }
 
   @Override
-  public boolean requestRoom(Job job, List<Machine> machines, Moment now, WallTime wall) {
-    return exchange.filter(each -> each.requestRoom(job, machines, now, wall)).isPresent();
+  public boolean requestCapacity(
+      Job job, List<Machine> machines, MonotonicTime now, WallTime wall) {
+    return exchange.filter(each -> each.requestCapacity(job, machines, now, wall)).isPresent();
   }
 }
--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -31,25 +31,25 @@
  */
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
-  private static final Span DIGEST_INTERVAL = Span.millis(1000);
-  private static final Span SUMMARY_INTERVAL = Span.seconds(10);
+  private static final TimeSpan DIGEST_INTERVAL = TimeSpan.millis(1000);
+  private static final TimeSpan SUMMARY_INTERVAL = TimeSpan.seconds(10);
 
   /** A node without a store read for longer than this is ready only while a peer can serve it. */
-  private static final Span READY_CONTACT_TIMEOUT = Span.seconds(6);
+  private static final TimeSpan READY_CONTACT_TIMEOUT = TimeSpan.seconds(6);
 
   /** How long after its last digest a leader still counts as able to serve user requests. */
-  private static final Span SERVING_PEER_TIMEOUT = Span.millis(2500);
+  private static final TimeSpan SERVING_PEER_TIMEOUT = TimeSpan.millis(2500);
 
-  private static final Span RETRY_AFTER = Span.seconds(1);
+  private static final TimeSpan RETRY_AFTER = TimeSpan.seconds(1);
 
   /** Ticks arrive far more often; a longer gap between events means that this process stalled. */
-  private static final Span STALL_THRESHOLD = Span.seconds(1);
+  private static final TimeSpan STALL_THRESHOLD = TimeSpan.seconds(1);
 
   /** Maximum age of the last store read for a worker to be redirected to the leader it names. */
-  private static final Span LEADER_INFO_MAX_AGE = Span.seconds(5);
+  private static final TimeSpan LEADER_INFO_MAX_AGE = TimeSpan.seconds(5);
 
   /** How long after a stall this node waits for a read of the store. */
-  private static final Span STALL_READ_TIMEOUT = Span.seconds(1);
+  private static final TimeSpan STALL_READ_TIMEOUT = TimeSpan.seconds(1);
 
   private final Settings settings;
   private final Outbox outbox = new Outbox();
@@ -61,17 +61,17 @@
   private final UserRequestHandler userRequests;
   private final WithdrawalHalts halts;
   private final PendingUserRequests pendingRequests = new PendingUserRequests();
-  private final MachineTypeCatalog catalogue;
+  private final MachineTypeCatalog machineTypeCatalog;
   private Optional<LeaderTerm> term = Optional.empty();
-  private Moment nextDigest = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextDigest = new MonotonicTime(Long.MIN_VALUE / 2);
   private Optional<NodeId> digestSender = Optional.empty();
-  private Moment lastServingDigest = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextSummary = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime lastServingDigest = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime nextSummary = new MonotonicTime(Long.MIN_VALUE / 2);
   private long rejectedDigests;
-  private Optional<Moment> lastEvent = Optional.empty();
+  private Optional<MonotonicTime> lastEvent = Optional.empty();
   private Set<JobId> suspects = Set.of();
-  private Moment stallEnd = new Moment(Long.MIN_VALUE / 2);
-  private Moment now = new Moment(0);
+  private MonotonicTime stallEnd = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime now = new MonotonicTime(0);
   private WallTime wall = new WallTime(0);
 
   /**
@@ -83,7 +83,7 @@
     this.settings = settings;
     this.view =
         new StoreView(outbox, settings.state().requestsPerSecond(), settings.peers().size() + 1);
-    Span graceLimit = settings.workers().graceLimit();
+    TimeSpan graceLimit = settings.workers().graceLimit();
     if (!settings.workers().meetsCancelDeadline()) {
       LOG.warn("lease_s is too long for cancel_s: unreachable tasks may outlive a cancellation");
     }
@@ -97,7 +97,7 @@
             graceLimit,
             new Leadership.Listener() {
               @Override
-              public void leadershipGained(Token token, Moment at) {
+              public void leadershipGained(Token token, MonotonicTime at) {
                 view.setLeading(true);
                 term =
                     Optional.of(
@@ -114,7 +114,7 @@
               }
 
               @Override
-              public void leadershipLost(Token token, Moment at) {
+              public void leadershipLost(Token token, MonotonicTime at) {
                 view.setLeading(false);
                 term = Optional.empty();
               }
@@ -127,21 +127,21 @@
             view,
             settings.teams(),
             new AdmissionControl(settings.teams(), view, policy.maxOpenJobs()));
-    this.catalogue = new MachineTypeCatalog(outbox);
+    this.machineTypeCatalog = new MachineTypeCatalog(outbox);
     view.setListener(
         new StoreView.Listener() {
           @Override
-          public void leaderChanged(Moment at) {
+          public void leaderChanged(MonotonicTime at) {
             leadership.leaderChanged(at);
           }
 
           @Override
-          public void jobChanged(KnownJob job, Moment at) {
+          public void jobChanged(KnownJob job, MonotonicTime at) {
             term.ifPresent(t -> t.jobChanged(job, at));
           }
 
           @Override
-          public void historyTruncated(Moment at) {
+          public void historyTruncated(MonotonicTime at) {
             leadership.historyLost(at);
           }
         });
@@ -157,7 +157,7 @@
   }
 
   /** Handles an event and returns the resulting effects. */
-  public List<Effect> handle(Event event, Moment monotonicTime, WallTime timeOfDay) {
+  public List<Effect> handle(Event event, MonotonicTime monotonicTime, WallTime timeOfDay) {
     now = monotonicTime;
     wall = timeOfDay;
     if (lastEvent.isPresent() && now.isPast(lastEvent.get(), STALL_THRESHOLD)) {
@@ -242,8 +242,8 @@
     }
     leadership.tick(now);
     relay.tick(leadership.holdsToken(), now);
-    catalogue.tick(leadership.holdsToken(), view.machineTypes(), now);
-    userRequests.machineTypes(catalogue.types());
+    machineTypeCatalog.tick(leadership.holdsToken(), view.machineTypes(), now);
+    userRequests.machineTypes(machineTypeCatalog.types());
     if (term.isPresent()
         && leadership.mayStepDown(now)
         && term.get().isCutOffFromWorkers(redirects.hasTarget(now), now)) {
@@ -252,7 +252,7 @@
     term.ifPresent(
         t ->
             t.tick(
-                catalogue.types(),
+                machineTypeCatalog.types(),
                 leadership.mayAnswerWorkers(now) && hasReadSinceStall(),
                 now,
                 wall));
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -51,7 +51,7 @@
   private static final Logger LOG = LoggerFactory.getLogger(LeaderTerm.class);
 
   /** Minimum time between a placement round triggered by an event and the round before it. */
-  private static final Span MIN_EVENT_ROUND_INTERVAL = Span.millis(100);
+  private static final TimeSpan MIN_EVENT_ROUND_INTERVAL = TimeSpan.millis(100);
 
   private final Token token;
   private final Outbox outbox;
@@ -61,28 +61,28 @@
   private final RelayExpiry relayExpiry;
   private final Fleet fleet;
   private final CommandDispatcher dispatcher;
-  private final MachineRegistry registry;
+  private final MachineRegistry machineRegistry;
   private final ResultWriter results;
   private final Recovery recovery;
   private final RunTimeEstimates runTimes = new RunTimeEstimates();
-  private final SlowMachineDetector pace = new SlowMachineDetector(runTimes);
+  private final SlowMachineDetector slowMachineDetector = new SlowMachineDetector(runTimes);
   private final Placer placer;
-  private final Autoscaler capacity;
-  private final DisruptionLimiter gate;
-  private final ReplicaMover mover;
-  private final DrainController drainer;
-  private final MachineTypeWriter catalogueKeeper;
+  private final Autoscaler autoscaler;
+  private final DisruptionLimiter disruptionLimiter;
+  private final ReplicaMover replicaMover;
+  private final DrainController drainController;
+  private final MachineTypeWriter machineTypeWriter;
   private final CapacityProducts products;
   private final DeadlinePlanner planner;
   private boolean roundDue = true;
-  private Moment nextRegularRound;
-  private Moment lastRound = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextRegularRound;
+  private MonotonicTime lastRound = new MonotonicTime(Long.MIN_VALUE / 2);
   private Map<String, MachineType> types = Map.of();
   private boolean hasPlaced;
-  private Optional<Moment> recoveryCompletedAt = Optional.empty();
+  private Optional<MonotonicTime> recoveryCompletedAt = Optional.empty();
   private boolean recoveryLogged;
-  private final Moment termStart;
-  private Moment currentTime;
+  private final MonotonicTime termStart;
+  private MonotonicTime currentTime;
 
   /** The time of day of the last tick if starts may be ordered; empty otherwise. */
   private Optional<WallTime> placementWallTime = Optional.empty();
@@ -93,9 +93,9 @@
       Policy policy,
       Outbox outbox,
       StoreView view,
-      Span graceLimit,
+      TimeSpan graceLimit,
       Consumer<Token> onHigherToken,
-      Moment now) {
+      MonotonicTime now) {
     this.token = token;
     this.outbox = outbox;
     this.view = view;
@@ -104,7 +104,7 @@
     this.currentTime = now;
     this.nextRegularRound = now;
     Guard guard = new Guard(StoreKeys.LEADER, new Revision(token.value()));
-    Span suspectAfter = settings.workers().suspectAfter();
+    TimeSpan suspectAfter = settings.workers().suspectAfter();
     this.jobs = new JobRegistry(view, token, now);
     this.relayExpiry = new RelayExpiry(outbox, view, guard, token, settings.workers());
     this.fleet = new Fleet(token, jobs, view, relayExpiry, settings.workers(), this);
@@ -120,7 +120,7 @@
                 fleet.handleReport(report, false, currentTime);
               }
             });
-    this.registry = new MachineRegistry(outbox, fleet, guard, settings.state());
+    this.machineRegistry = new MachineRegistry(outbox, fleet, guard, settings.state());
     this.results = new ResultWriter(outbox, jobs, view, guard, settings.state());
     this.recovery =
         new Recovery(
@@ -128,11 +128,11 @@
             fleet,
             jobs,
             results,
-            registry,
+            machineRegistry,
             peersPossiblyInGrace(settings, view, graceLimit, now),
             graceLimit,
             now);
-    this.gate =
+    this.disruptionLimiter =
         new DisruptionLimiter(
             policy.drains().budgetsFor(settings.teams().keySet()),
             new StopGrants(outbox, guard, view.recentStops(), view::recentStopsRevision),
@@ -141,11 +141,12 @@
             suspectAfter);
     Quota quota = new Quota(settings.teams(), fleet);
     HeadroomController headroom =
-        new HeadroomController(fleet, jobs, quota, settings, gate::allows);
+        new HeadroomController(fleet, jobs, quota, settings, disruptionLimiter::allows);
     this.planner =
         new DeadlinePlanner(
             fleet, jobs, settings, policy.scoring().minTimeLeft(), headroom::reservedSpecs);
-    this.mover = new ReplicaMover(fleet, quota, gate, outbox, suspectAfter, headroom);
+    this.replicaMover =
+        new ReplicaMover(fleet, quota, disruptionLimiter, outbox, suspectAfter, headroom);
     this.products =
         new CapacityProducts(
             policy.product(),
@@ -156,7 +157,14 @@
             headroom,
             planner,
             new CapacityProducts.ProductContext(
-                fleet, jobs, quota, gate, runTimes, suspectAfter, headroom, this::reserveForGang));
+                fleet,
+                jobs,
+                quota,
+                disruptionLimiter,
+                runTimes,
+                suspectAfter,
+                headroom,
+                this::reserveForGang));
     this.placer =
         new Placer(
             fleet,
@@ -166,16 +174,16 @@
             quota,
             runTimes,
             suspectAfter,
-            gate::allows,
+            disruptionLimiter::allows,
             headroom,
             products);
-    this.catalogueKeeper = new MachineTypeWriter(outbox, view, guard, settings.state());
-    this.capacity =
+    this.machineTypeWriter = new MachineTypeWriter(outbox, view, guard, settings.state());
+    this.autoscaler =
         new Autoscaler(
             outbox,
             fleet,
             jobs,
-            registry,
+            machineRegistry,
             policy.capacity(),
             settings,
             runTimes,
@@ -183,21 +191,21 @@
             suspectAfter,
             sort -> isExcludedByDrain(view, sort),
             spec -> quota.placesLeft(spec.team(), spec.resources()));
-    capacity.setReservedSpecs(headroom::reservedSpecs);
-    this.drainer =
+    autoscaler.setReservedSpecs(headroom::reservedSpecs);
+    this.drainController =
         new DrainController(
             fleet,
             jobs,
             view,
-            capacity,
+            autoscaler,
             new DrainPlanRegistry(outbox, view, guard, fleet, policy.drains().plans()),
-            gate,
-            mover);
+            disruptionLimiter,
+            replicaMover);
   }
 
-  private static boolean isExcludedByDrain(StoreView view, BootTracker.RentalPool sort) {
+  private static boolean isExcludedByDrain(StoreView view, BootTracker.RentalPool pool) {
     return view.drainPlans().all().stream()
-        .anyMatch(drain -> drain.plan().forbidsRenting(sort.zone(), sort.type(), sort.spot()));
+        .anyMatch(drain -> drain.plan().forbidsRenting(pool.zone(), pool.type(), pool.spot()));
   }
 
   /**
@@ -206,7 +214,7 @@
    * for that long.
    */
   private static Set<NodeId> peersPossiblyInGrace(
-      Settings settings, StoreView view, Span graceLimit, Moment now) {
+      Settings settings, StoreView view, TimeSpan graceLimit, MonotonicTime now) {
     Set<NodeId> peers = new HashSet<>(settings.peers());
     view.recentLeaders(graceLimit.plusClockDrift(), now).ifPresent(peers::retainAll);
     return peers;
@@ -227,7 +235,7 @@
   }
 
   /** Handles a job that was stored, finished or withdrawn. */
-  void jobChanged(KnownJob job, Moment now) {
+  void jobChanged(KnownJob job, MonotonicTime now) {
     Optional<Job> withdrawn = jobs.applyStoredChange(job, now);
     withdrawn.ifPresent(this::haltAll);
     if (job.phase().isFinal()) {
@@ -239,7 +247,7 @@
   private void haltAll(Job job) {
     List<Placement> placements = fleet.placementsOf(job);
     placements.forEach(
-        placement -> fleet.halt(placement, Span.millis(0), Fleet.StopReason.WITHDRAWN));
+        placement -> fleet.halt(placement, TimeSpan.millis(0), Fleet.StopReason.WITHDRAWN));
     dispatcher.cancelStarts(placements);
   }
 
@@ -249,7 +257,7 @@
   }
 
   /** Records an answer to a worker, which may come before its report can be processed. */
-  void workerAnswered(MachineId machine, Moment now) {
+  void workerAnswered(MachineId machine, MonotonicTime now) {
     recovery.leaseRenewedBeforeReports(now);
     if (!recovery.complete()) {
       dispatcher.responseSent(machine, now);
@@ -257,7 +265,7 @@
   }
 
   /** Orders for a worker that reported; empty if its report can't be used yet. */
-  Optional<Response.Orders> report(Report report, boolean forwarded, Moment now) {
+  Optional<Response.Orders> report(Report report, boolean forwarded, MonotonicTime now) {
     currentTime = now;
     Optional<Machine> machine = fleet.handleReport(report, true, now);
     if (machine.isEmpty() || fleet.mustNotRenewLease(machine.get(), now)) {
@@ -275,13 +283,13 @@
   }
 
   /** Halts tasks that will not finish before the cloud reclaims the machine, to place them anew. */
-  private void preemptBeforeReclaim(Machine machine, Moment now) {
+  private void preemptBeforeReclaim(Machine machine, MonotonicTime now) {
     if (machine.reclaimedAt() == null) {
       return;
     }
     double secondsLeft = machine.reclaimedAt().since(now).asSeconds();
     for (Placement placement : machine.placements()) {
-      Span expected = runTimes.expected(placement.job().spec());
+      TimeSpan expected = runTimes.expected(placement.job().spec());
       double ran =
           placement.runningSince() == null ? 0 : now.since(placement.runningSince()).asSeconds();
       boolean endsInTime =
@@ -294,17 +302,17 @@
   }
 
   /** Whether machines exist but hardly any of them reaches this node. */
-  boolean isCutOffFromWorkers(boolean followersForward, Moment now) {
-    return recovery.complete() && capacity.failureDetector().isCutOff(followersForward, now);
+  boolean isCutOffFromWorkers(boolean followersForward, MonotonicTime now) {
+    return recovery.complete() && autoscaler.failureDetector().isCutOff(followersForward, now);
   }
 
   /** Records a stall of this process, so that machines silent until now do not count as lost. */
-  void processStalled(Moment now) {
-    capacity.failureDetector().processStalled(now);
+  void processStalled(MonotonicTime now) {
+    autoscaler.failureDetector().processStalled(now);
   }
 
   /** Records that a peer no longer acts under any older token. */
-  void peerRelinquished(NodeId peer, Moment now) {
+  void peerRelinquished(NodeId peer, MonotonicTime now) {
     recovery.peerRelinquished(peer, now);
   }
 
@@ -315,7 +323,10 @@
    *     and returns nothing and stores no results
    */
   void tick(
-      Map<String, MachineType> currentTypes, boolean leaseCertain, Moment now, WallTime wall) {
+      Map<String, MachineType> currentTypes,
+      boolean leaseCertain,
+      MonotonicTime now,
+      WallTime wall) {
     currentTime = now;
     placementWallTime = Optional.empty();
     logRecovery(now);
@@ -336,11 +347,11 @@
     dispatcher.probeSilentMachines(now);
     if (leaseCertain) {
       relayExpiry.tick(now);
-      registry.tick(now);
+      machineRegistry.tick(now);
       results.tick(now);
-      catalogueKeeper.tick(types, now);
-      capacity.tick(types, recovery.complete(), now, wall);
-      drainer.tick(recovery.complete(), now, wall);
+      machineTypeWriter.tick(types, now);
+      autoscaler.tick(types, recovery.complete(), now, wall);
+      drainController.tick(recovery.complete(), now, wall);
       products.tick(types, recovery.complete(), now, wall);
       if (products.allowsPlacement()) {
         placementWallTime = Optional.of(wall);
@@ -355,21 +366,21 @@
    * Logs once how long recovery took until tasks of earlier leaders were placed again. A round
    * can't read a clock, so the duration of the first one is measured by the time of the next tick.
    */
-  private void logRecovery(Moment now) {
+  private void logRecovery(MonotonicTime now) {
     if (recoveryCompletedAt.isPresent() && !recoveryLogged) {
       recoveryLogged = true;
       LOG.info("{}; first round {}", recovery.summary(), now.since(recoveryCompletedAt.get()));
     }
   }
 
-  private void round(Moment now, WallTime wall) {
+  private void round(MonotonicTime now, WallTime wall) {
     boolean regular = !nextRegularRound.isAfter(now);
     if (!regular && !(roundDue && now.isPast(lastRound, MIN_EVENT_ROUND_INTERVAL))) {
       return;
     }
     if (regular) {
       nextRegularRound = now.plus(policy.roundInterval());
-      pace.checkRunning(fleet.machines(), now);
+      slowMachineDetector.checkRunning(fleet.machines(), now);
     }
     roundDue = false;
     lastRound = now;
@@ -436,14 +447,14 @@
         + " spot "
         + spot
         + "; "
-        + capacity.summary()
+        + autoscaler.summary()
         + products.summary();
   }
 
   @Override
-  public void completed(Placement placement, Span ran) {
+  public void completed(Placement placement, TimeSpan ran) {
     if (ran != null) {
-      pace.completed(placement, ran);
+      slowMachineDetector.completed(placement, ran);
       runTimes.record(placement.job(), ran);
       if (placement.attempt().token().equals(token)) {
         // A task started by an earlier leader has run for longer than this leader has observed.
@@ -453,22 +464,22 @@
   }
 
   @Override
-  public void placed(Job job, Moment now) {
+  public void placed(Job job, MonotonicTime now) {
     outbox.recordDuration(Effect.DurationMetric.QUEUE_WAIT, now.since(job.waitingSince()));
   }
 
   @Override
-  public void stopRequested(Placement placement, Fleet.StopReason why) {
-    gate.recordStop(placement, why);
+  public void stopRequested(Placement placement, Fleet.StopReason reason) {
+    disruptionLimiter.recordStop(placement, reason);
   }
 
   @Override
-  public void placementEnded(Placement placement, Moment now) {
-    mover.placementEnded(placement, now);
+  public void placementEnded(Placement placement, MonotonicTime now) {
+    replicaMover.placementEnded(placement, now);
   }
 
   @Override
-  public void roomChanged() {
+  public void capacityChanged() {
     roundDue = true;
   }
 }
--- a/src/main/java/org/oakwalk/core/Order.java
+++ b/src/main/java/org/oakwalk/core/Order.java
@@ -12,7 +12,7 @@
   record Run(TaskId task, Attempt attempt) implements Order {}
 
   /** Stops a task, with a grace period in which it can save its progress. */
-  record Halt(TaskId task, Attempt attempt, Span grace) implements Order {}
+  record Halt(TaskId task, Attempt attempt, TimeSpan grace) implements Order {}
 
   /** Removes an ended task from the worker's reports. */
   record Clear(TaskId task, Attempt attempt) implements Order {}
--- a/src/main/java/org/oakwalk/core/Policy.java
+++ b/src/main/java/org/oakwalk/core/Policy.java
@@ -7,7 +7,7 @@
 public record Policy(
     ScoringPolicy scoring,
     PlacementPolicy placement,
-    Span roundInterval,
+    TimeSpan roundInterval,
     CapacityPolicy capacity,
     int maxOpenJobs,
     DrainPolicy drains,
@@ -20,7 +20,7 @@
       double remainingWeight,
       double waitWeight,
       double guaranteeBonus,
-      Span minTimeLeft) {}
+      TimeSpan minTimeLeft) {}
 
   /**
    * Selection of machines for tasks.
@@ -35,18 +35,19 @@
   public record CapacityPolicy(
       double headroom,
       int spareMachines,
-      Span idleTimeout,
+      TimeSpan idleTimeout,
       double spotShare,
-      Span suspectAfter,
-      Span bootTimeout) {}
+      TimeSpan suspectAfter,
+      TimeSpan bootTimeout) {}
 
   /** The policy that applies where the operators set nothing. */
   public static Policy defaults() {
     return new Policy(
-        new ScoringPolicy(0.3, 0.3, 0.3, 0.35, 150, Span.seconds(5)),
+        new ScoringPolicy(0.3, 0.3, 0.3, 0.35, 150, TimeSpan.seconds(5)),
         new PlacementPolicy(1.0, 1.0, 2),
-        Span.seconds(2),
-        new CapacityPolicy(0.15, 2, Span.seconds(40), 0.5, Span.seconds(5), Span.seconds(120)),
+        TimeSpan.seconds(2),
+        new CapacityPolicy(
+            0.15, 2, TimeSpan.seconds(40), 0.5, TimeSpan.seconds(5), TimeSpan.seconds(120)),
         10_000,
         DrainPolicy.NONE,
         ProductTerms.NONE);
--- a/src/main/java/org/oakwalk/core/Report.java
+++ b/src/main/java/org/oakwalk/core/Report.java
@@ -19,7 +19,7 @@
     SessionId session,
     long sequence,
     Token token,
-    Optional<Span> reclaimNotice,
+    Optional<TimeSpan> reclaimNotice,
     List<ReportedTask> tasks) {
 
   /** State of a task on a machine. */
--- a/src/main/java/org/oakwalk/core/Settings.java
+++ b/src/main/java/org/oakwalk/core/Settings.java
@@ -18,7 +18,7 @@
     WorkerTiming workers,
     StateLimits state,
     CloudLimits cloud,
-    Span maxClockError) {
+    TimeSpan maxClockError) {
 
   /** A team's guarantee and limit; zero means none. */
   public record Team(String name, double cpus, double cpusMax, double gpus, double gpusMax) {
@@ -37,18 +37,19 @@
    *
    * @param cancelDeadline time within which all tasks of a cancelled job must have ended
    */
-  public record WorkerTiming(Span reportInterval, Span leaseDuration, Span cancelDeadline) {
-    private static final Span RELAY_MARGIN = Span.seconds(4);
-    private static final Span GRACE_MARGIN = Span.seconds(2);
+  public record WorkerTiming(
+      TimeSpan reportInterval, TimeSpan leaseDuration, TimeSpan cancelDeadline) {
+    private static final TimeSpan RELAY_MARGIN = TimeSpan.seconds(4);
+    private static final TimeSpan GRACE_MARGIN = TimeSpan.seconds(2);
 
     /** A leader's copy of the store lags by less than this while the store answers normally. */
-    private static final Span MIN_GRACE = Span.millis(1800);
+    private static final TimeSpan MIN_GRACE = TimeSpan.millis(1800);
 
     /** Silence after which a machine is suspected, in report intervals. */
     private static final double SUSPECT_AFTER_REPORTS = 2.2;
 
     /** How long a machine may be silent before it is suspected to be unreachable or broken. */
-    public Span suspectAfter() {
+    public TimeSpan suspectAfter() {
       return reportInterval.times(SUSPECT_AFTER_REPORTS);
     }
 
@@ -57,10 +58,10 @@
      * delayed by a partition is executed as long as its session lives; by then at most {@code
      * cancelDeadline} may have passed since the user was told that the job is cancelled.
      */
-    public Span relayWindow() {
-      Span window = cancelDeadline.minus(leaseDuration.times(2)).minus(RELAY_MARGIN);
+    public TimeSpan relayWindow() {
+      TimeSpan window = cancelDeadline.minus(leaseDuration.times(2)).minus(RELAY_MARGIN);
       // A shorter window gains nothing over the lease that the workers hold in any case.
-      return window.compareTo(leaseDuration.times(0.5)) > 0 ? window : Span.millis(0);
+      return window.compareTo(leaseDuration.times(0.5)) > 0 ? window : TimeSpan.millis(0);
     }
 
     /** Whether followers renew leases for the leader at all. */
@@ -75,8 +76,8 @@
      * {@code cancelDeadline} of that moment. If the settings leave no time for this, the limit is
      * the normal lag of a store copy, without which the leader could never answer.
      */
-    public Span graceLimit() {
-      Span limit = cancelDeadline.minus(leaseDuration).minus(GRACE_MARGIN);
+    public TimeSpan graceLimit() {
+      TimeSpan limit = cancelDeadline.minus(leaseDuration).minus(GRACE_MARGIN);
       return limit.compareTo(MIN_GRACE) > 0 ? limit : MIN_GRACE;
     }
 
@@ -94,5 +95,5 @@
       double requestsPerSecond, double writesPerSecond, double valueKb, int changesPerCommit) {}
 
   /** Request limits of the cloud, and the lag of its machine list. */
-  public record CloudLimits(double requestsPerSecond, Span listLag) {}
+  public record CloudLimits(double requestsPerSecond, TimeSpan listLag) {}
 }
--- a/src/main/java/org/oakwalk/core/WallTime.java
+++ b/src/main/java/org/oakwalk/core/WallTime.java
@@ -5,7 +5,7 @@
  * because wall clocks may be wrong.
  */
 public record WallTime(long millis) {
-  public Span since(WallTime earlier) {
-    return new Span(millis - earlier.millis);
+  public TimeSpan since(WallTime earlier) {
+    return new TimeSpan(millis - earlier.millis);
   }
 }
--- a/src/main/java/org/oakwalk/core/capacity/Autoscaler.java
+++ b/src/main/java/org/oakwalk/core/capacity/Autoscaler.java
@@ -12,10 +12,10 @@
 import java.util.function.Supplier;
 import java.util.function.ToIntFunction;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Policy;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
@@ -37,8 +37,8 @@
 /** Rents and releases machines according to demand, and reads the cloud's list of rentals. */
 public final class Autoscaler {
   private static final Logger LOG = LoggerFactory.getLogger(Autoscaler.class);
-  private static final Span PLAN_INTERVAL = Span.seconds(1);
-  private static final Span RELEASE_RETRY_INTERVAL = Span.seconds(1);
+  private static final TimeSpan PLAN_INTERVAL = TimeSpan.seconds(1);
+  private static final TimeSpan RELEASE_RETRY_INTERVAL = TimeSpan.seconds(1);
   private static final int MAX_RELEASE_BATCH = 100;
 
   /** Half-life of past peaks of the demand that can't wait for machines to boot. */
@@ -54,7 +54,7 @@
   private static final double DEFERRABLE_HEADROOM_SHARE = 0.3;
 
   /** How long a silent machine counts as capacity while silence is not evidence of a failure. */
-  private static final Span UNREACHABLE_COUNTED_FOR = Span.seconds(10);
+  private static final TimeSpan UNREACHABLE_COUNTED_FOR = TimeSpan.seconds(10);
 
   private final Outbox outbox;
   private final Fleet fleet;
@@ -62,7 +62,7 @@
   private final MachineRegistry registry;
   private final Policy.CapacityPolicy policy;
   private final Settings.CloudLimits limits;
-  private final Span suspectAfter;
+  private final TimeSpan suspectAfter;
   private final Demand demand;
   private final BootTracker bootTracker;
   private final MachineFailureDetector failureDetector;
@@ -73,12 +73,12 @@
   private final Set<MachineId> releasedIds = new HashSet<>();
   private final Set<Machine> releasing = new HashSet<>();
   private Map<String, MachineType> types = Map.of();
-  private Moment nextPlan = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextList = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextRelease = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextPlan = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime nextList = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime nextRelease = new MonotonicTime(Long.MIN_VALUE / 2);
   private final Map<String, Integer> sufficientByType = new HashMap<>();
   private boolean cloudUnavailable;
-  private Moment firstListRequest;
+  private MonotonicTime firstListRequest;
   private boolean listComplete;
   private String summary = "";
   private boolean listInFlight;
@@ -104,7 +104,7 @@
       Settings settings,
       RunTimeEstimates runTimes,
       PlannedDeadlines plannedDeadlines,
-      Span suspectAfter,
+      TimeSpan suspectAfter,
       Predicate<BootTracker.RentalPool> isForbidden,
       ToIntFunction<JobSpec> quotaRemaining) {
     this.outbox = outbox;
@@ -138,7 +138,7 @@
    * @param recovered whether the fleet is completely known; machines are rented only then
    */
   public void tick(
-      Map<String, MachineType> machineTypes, boolean recovered, Moment now, WallTime wall) {
+      Map<String, MachineType> machineTypes, boolean recovered, MonotonicTime now, WallTime wall) {
     types = machineTypes;
     if (types.isEmpty()) {
       return;
@@ -158,7 +158,7 @@
     }
   }
 
-  private void requestList(Optional<MachineId> after, Moment now) {
+  private void requestList(Optional<MachineId> after, MonotonicTime now) {
     listInFlight = true;
     firstListRequest = firstListRequest == null ? now : firstListRequest;
     outbox.call(
@@ -185,7 +185,7 @@
    * Applies one entry of the list. Since the list may be outdated, only unknown machines and
    * failures are taken from it.
    */
-  private void applyListEntry(Rental rental, Moment now) {
+  private void applyListEntry(Rental rental, MonotonicTime now) {
     Optional<Machine> machine = fleet.find(rental.id());
     if (machine.isPresent()) {
       if (rental.status() == Rental.Status.FAILED
@@ -200,7 +200,7 @@
       // returns. Added as booting, it would be given up later and count as a failed boot.
       return;
     }
-    Moment rented = new Moment(now.millis() - rental.rentedFor().millis());
+    MonotonicTime rented = new MonotonicTime(now.millis() - rental.rentedFor().millis());
     fleet
         .add(
             rental.id(),
@@ -225,7 +225,7 @@
     releasing.add(machine);
   }
 
-  private void releaseBatch(Moment now) {
+  private void releaseBatch(MonotonicTime now) {
     List<Machine> batch = new ArrayList<>();
     for (Machine machine : releasing) {
       if (batch.size() < MAX_RELEASE_BATCH) {
@@ -235,12 +235,12 @@
     if (batch.isEmpty()) {
       return;
     }
-    nextRelease = now.plus(Span.seconds(10));
+    nextRelease = now.plus(TimeSpan.seconds(10));
     outbox.call(
         new Request.ReleaseMachines(batch.stream().map(Machine::id).toList()),
         answer -> {
           nextRelease =
-              now.plus(answer instanceof Answer.Ok ? Span.millis(0) : RELEASE_RETRY_INTERVAL);
+              now.plus(answer instanceof Answer.Ok ? TimeSpan.millis(0) : RELEASE_RETRY_INTERVAL);
           if (answer instanceof Answer.Ok) {
             for (Machine machine : batch) {
               releasing.remove(machine);
@@ -267,7 +267,7 @@
     }
   }
 
-  private void plan(Moment now, WallTime wall) {
+  private void plan(MonotonicTime now, WallTime wall) {
     Map<String, MachineDemand> demandByType = new HashMap<>();
     for (Job job : jobs.all()) {
       if (job.isOpen()) {
@@ -324,7 +324,7 @@
   /**
    * Provides machines in one pool regardless of those in other pools, which become surplus later.
    */
-  private void provideMachines(BootTracker.RentalPool pool, int count, Moment now) {
+  private void provideMachines(BootTracker.RentalPool pool, int count, MonotonicTime now) {
     int left = count - scaleDown.reactivate(pool, count, now);
     if (left > 0 && pool.spot()) {
       left -= rentalRequester.rent(pool, left, now);
@@ -345,7 +345,7 @@
     return held;
   }
 
-  private void scale(MachineType type, MachineDemand typeDemand, int wanted, Moment now) {
+  private void scale(MachineType type, MachineDemand typeDemand, int wanted, MonotonicTime now) {
     int ordinary = 0;
     int spot = 0;
     for (Machine machine : fleet.machines()) {
@@ -410,12 +410,12 @@
   }
 
   /** Time within which a replacement for a machine comes up or is given up. */
-  public Span bootTimeout(Machine machine) {
+  public TimeSpan bootTimeout(Machine machine) {
     return bootTracker.bootTimeout(BootTracker.RentalPool.of(machine), machine.type());
   }
 
   /** Returns whether consecutive boots have failed recently in any pool. */
-  public boolean anyPoolFailing(Moment now) {
+  public boolean anyPoolFailing(MonotonicTime now) {
     return bootTracker.anyFailing(now);
   }
 
@@ -444,7 +444,7 @@
     return summary;
   }
 
-  private boolean countsAsCapacity(Machine machine, Moment now) {
+  private boolean countsAsCapacity(Machine machine, MonotonicTime now) {
     return switch (machine.state()) {
       case BOOTING ->
           !now.isPast(
--- a/src/main/java/org/oakwalk/core/capacity/BootTracker.java
+++ b/src/main/java/org/oakwalk/core/capacity/BootTracker.java
@@ -2,8 +2,8 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
 
@@ -38,7 +38,7 @@
 
   private static final int MAX_COUNTED_FAILURES = 4;
   private static final int FAILING_AFTER_FAILURES = 2;
-  private static final Span FAILING_PERIOD = Span.seconds(90);
+  private static final TimeSpan FAILING_PERIOD = TimeSpan.seconds(90);
 
   /** Machines of one type and one kind (spot or ordinary) in one zone. */
   public record RentalPool(String type, String zone, boolean spot) {
@@ -51,10 +51,10 @@
     double meanSeconds;
     double meanDeviation;
     int consecutiveFailures;
-    Moment lastFailure = new Moment(Long.MIN_VALUE / 2);
+    MonotonicTime lastFailure = new MonotonicTime(Long.MIN_VALUE / 2);
   }
 
-  private final Span configuredTimeout;
+  private final TimeSpan configuredTimeout;
   private final Map<RentalPool, BootStatistics> statistics = new HashMap<>();
 
   /**
@@ -62,12 +62,12 @@
    *
    * @param configuredTimeout limit of the boot timeout for pools without late or failed boots
    */
-  BootTracker(Span configuredTimeout) {
+  BootTracker(TimeSpan configuredTimeout) {
     this.configuredTimeout = configuredTimeout;
   }
 
   /** Records that a machine came up after the given boot time. */
-  void recordSuccess(RentalPool pool, MachineType type, Span bootTime) {
+  void recordSuccess(RentalPool pool, MachineType type, TimeSpan bootTime) {
     BootStatistics stats = statisticsOf(pool, type);
     double difference = bootTime.asSeconds() - stats.meanSeconds;
     stats.consecutiveFailures = 0;
@@ -79,7 +79,7 @@
    * Records that a machine was given up. Consecutive failures extend the timeout: if no machine
    * comes up, boots may be slow rather than failed, and only a longer wait can tell.
    */
-  void recordFailure(RentalPool pool, MachineType type, Moment now) {
+  void recordFailure(RentalPool pool, MachineType type, MonotonicTime now) {
     BootStatistics stats = statisticsOf(pool, type);
     stats.consecutiveFailures++;
     stats.lastFailure = now;
@@ -89,13 +89,13 @@
    * Returns whether several consecutive boots in the pool failed and the last failure was recent. A
    * single failure does not count, since occasional boot failures occur in every pool.
    */
-  boolean isFailing(RentalPool pool, Moment now) {
+  boolean isFailing(RentalPool pool, MonotonicTime now) {
     BootStatistics stats = statistics.get(pool);
     return failsRepeatedly(stats) && !now.isPast(stats.lastFailure, FAILING_PERIOD);
   }
 
   /** Returns whether any pool is failing. */
-  boolean anyFailing(Moment now) {
+  boolean anyFailing(MonotonicTime now) {
     return statistics.keySet().stream().anyMatch(pool -> isFailing(pool, now));
   }
 
@@ -104,31 +104,31 @@
   }
 
   /** Boot time after which a replacement is rented for a machine that is still booting. */
-  Span replacementDelay(RentalPool pool, MachineType type) {
+  TimeSpan replacementDelay(RentalPool pool, MachineType type) {
     return typicalBootTime(pool, type).times(REPLACEMENT_FACTOR);
   }
 
   /** Boot time after which a machine that is still booting is given up. */
-  Span bootTimeout(RentalPool pool, MachineType type) {
+  TimeSpan bootTimeout(RentalPool pool, MachineType type) {
     BootStatistics stats = statistics.get(pool);
     boolean failing = failsRepeatedly(stats);
     int countedFailures = failing ? Math.min(MAX_COUNTED_FAILURES, stats.consecutiveFailures) : 0;
-    Span timeout =
+    TimeSpan timeout =
         typicalBootTime(pool, type)
             .times(TIMEOUT_FACTOR * (1 + countedFailures * TIMEOUT_INCREASE_PER_FAILURE));
     boolean bootsLate =
         failing
             || typicalBootTime(pool, type).compareTo(type.bootTime().times(NORMAL_VARIATION_FACTOR))
                 > 0;
-    Span limit = bootsLate ? configuredTimeout.times(MAX_TIMEOUT_FACTOR) : configuredTimeout;
+    TimeSpan limit = bootsLate ? configuredTimeout.times(MAX_TIMEOUT_FACTOR) : configuredTimeout;
     return timeout.compareTo(limit) < 0 ? timeout : limit;
   }
 
   /** Recent mean boot time plus its mean deviation, but at least the catalog's boot time. */
-  private Span typicalBootTime(RentalPool pool, MachineType type) {
+  private TimeSpan typicalBootTime(RentalPool pool, MachineType type) {
     BootStatistics stats = statistics.get(pool);
     double seconds = stats == null ? 0 : stats.meanSeconds + stats.meanDeviation;
-    return Span.seconds(Math.max(type.bootTime().asSeconds(), seconds));
+    return TimeSpan.seconds(Math.max(type.bootTime().asSeconds(), seconds));
   }
 
   private BootStatistics statisticsOf(RentalPool pool, MachineType type) {
--- a/src/main/java/org/oakwalk/core/capacity/DecayingPeaks.java
+++ b/src/main/java/org/oakwalk/core/capacity/DecayingPeaks.java
@@ -2,14 +2,14 @@
 
 import java.util.HashMap;
 import java.util.Map;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /** Recent peak demand by name; peaks decay exponentially. */
 final class DecayingPeaks {
   private final double decayFactor;
   private final Map<String, Double> values = new HashMap<>();
 
-  DecayingPeaks(Span updateInterval, double halfLifeSeconds) {
+  DecayingPeaks(TimeSpan updateInterval, double halfLifeSeconds) {
     this.decayFactor = Math.pow(0.5, updateInterval.asSeconds() / halfLifeSeconds);
   }
 
--- a/src/main/java/org/oakwalk/core/capacity/Demand.java
+++ b/src/main/java/org/oakwalk/core/capacity/Demand.java
@@ -4,7 +4,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.Job;
@@ -20,7 +20,7 @@
   private static final double BOOT_TIME_MARGIN = 1.4;
 
   /** Completion target of jobs without a deadline or a shorter objective. */
-  private static final Span DEFAULT_TARGET = Span.seconds(120);
+  private static final TimeSpan DEFAULT_TARGET = TimeSpan.seconds(120);
 
   /**
    * Share of the time until the planned deadline within which the known work should finish.
@@ -29,10 +29,10 @@
    */
   private static final double PLANNED_TIME_SHARE = 0.5;
 
-  private static final Span NO_TARGET = Span.millis(Long.MAX_VALUE);
+  private static final TimeSpan NO_TARGET = TimeSpan.millis(Long.MAX_VALUE);
 
   /** Period over which background work is spread. */
-  private static final Span BACKGROUND_PERIOD = Span.seconds(600);
+  private static final TimeSpan BACKGROUND_PERIOD = TimeSpan.seconds(600);
 
   private final List<Settings.Objective> objectives;
   private final RunTimeEstimates runTimes;
@@ -62,7 +62,7 @@
       return Math.max(1, job.assignedCount());
     }
     double runSeconds = Math.max(1, runTimes.expected(spec).asSeconds());
-    Optional<Span> plannedEnd = plannedDeadlines.timeToEnd(job, now);
+    Optional<TimeSpan> plannedEnd = plannedDeadlines.timeToEnd(job, now);
     if (plannedEnd.isPresent()
         && !hasEarlierTarget(spec, now.since(job.acceptedAt()), plannedEnd.get())) {
       // Jobs of a plan use the machines one after the other, so fractions of slots are added up.
@@ -90,13 +90,13 @@
     if (spec.service()) {
       return true;
     }
-    Optional<Span> plannedEnd = plannedDeadlines.timeToEnd(job, now);
+    Optional<TimeSpan> plannedEnd = plannedDeadlines.timeToEnd(job, now);
     if (isBackground(spec)
         || plannedEnd.isPresent()
             && !hasEarlierTarget(spec, now.since(job.acceptedAt()), plannedEnd.get())) {
       return false;
     }
-    Span slack =
+    TimeSpan slack =
         effectiveTarget(spec).minus(runTimes.expected(spec)).minus(type.fetchTime(spec.imageGb()));
     return slack.compareTo(type.bootTime().times(BOOT_TIME_MARGIN)) < 0;
   }
@@ -110,22 +110,22 @@
   }
 
   /** Returns whether a job's own target is earlier than its planned deadline. */
-  private boolean hasEarlierTarget(JobSpec spec, Span age, Span plannedEnd) {
+  private boolean hasEarlierTarget(JobSpec spec, TimeSpan age, TimeSpan plannedEnd) {
     return ownTarget(spec).filter(due -> due.minus(age).compareTo(plannedEnd) < 0).isPresent();
   }
 
   /** A job's own target, but at most the default unless the job has a deadline. */
-  private Span effectiveTarget(JobSpec spec) {
-    Span own = ownTarget(spec).orElse(DEFAULT_TARGET);
+  private TimeSpan effectiveTarget(JobSpec spec) {
+    TimeSpan own = ownTarget(spec).orElse(DEFAULT_TARGET);
     return spec.deadline().isEmpty() && own.compareTo(DEFAULT_TARGET) > 0 ? DEFAULT_TARGET : own;
   }
 
   /** The earlier of a job's deadline and the objective of its class, if there is one. */
-  private Optional<Span> ownTarget(JobSpec spec) {
-    Span target = spec.deadline().orElse(NO_TARGET);
+  private Optional<TimeSpan> ownTarget(JobSpec spec) {
+    TimeSpan target = spec.deadline().orElse(NO_TARGET);
     for (Settings.Objective objective : objectives) {
       if (objective.jobClass().equals(spec.jobClass()) && objective.kind().equals("finished")) {
-        Span within = Span.seconds(objective.withinSeconds());
+        TimeSpan within = TimeSpan.seconds(objective.withinSeconds());
         target = within.compareTo(target) < 0 ? within : target;
       }
     }
@@ -139,7 +139,7 @@
     for (MachineType type : types) {
       boolean allowed =
           type.zones().stream().anyMatch(zone -> spec.allows(type.name(), zone, false));
-      int perMachine = type.room().capacityFor(spec.resources());
+      int perMachine = type.resources().capacityFor(spec.resources());
       if (allowed && perMachine > 0 && type.price() / perMachine < least) {
         least = type.price() / perMachine;
         best = type;
@@ -150,7 +150,7 @@
 
   /** Converts a number of concurrent tasks into machines of a type. */
   static double machineCount(Resources perTask, double tasks, MachineType type) {
-    int perMachine = type.room().capacityFor(perTask);
+    int perMachine = type.resources().capacityFor(perTask);
     return perMachine <= 0 ? 0 : tasks / perMachine;
   }
 }
--- a/src/main/java/org/oakwalk/core/capacity/MachineFailureDetector.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineFailureDetector.java
@@ -3,9 +3,9 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.function.Consumer;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Policy;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.SchedulingMode;
@@ -18,28 +18,28 @@
  */
 public final class MachineFailureDetector {
   private static final Logger LOG = LoggerFactory.getLogger(MachineFailureDetector.class);
-  private static final Span MIN_BILLED_TIME = Span.seconds(60);
+  private static final TimeSpan MIN_BILLED_TIME = TimeSpan.seconds(60);
 
   /** Time within which a known machine has to report to a new leader. */
-  private static final Span CONFIRMATION_TIMEOUT = Span.seconds(4);
+  private static final TimeSpan CONFIRMATION_TIMEOUT = TimeSpan.seconds(4);
 
   /**
    * Confirmation timeout once nearly all other machines have confirmed. A lost packet can delay a
    * confirmation by one second.
    */
-  private static final Span FINAL_CONFIRMATION_TIMEOUT = Span.seconds(2);
+  private static final TimeSpan FINAL_CONFIRMATION_TIMEOUT = TimeSpan.seconds(2);
 
   /**
    * The shorter timeout applies only after this time without a new confirmation: a busy leader may
    * not have processed the last reports yet.
    */
-  private static final Span NO_CONFIRMATION_PERIOD = Span.millis(900);
+  private static final TimeSpan NO_CONFIRMATION_PERIOD = TimeSpan.millis(900);
 
   /** Share of the suspicion timeout after which a machine counts towards mass silence. */
   private static final double OVERDUE_SHARE = 0.7;
 
   /** Time that a machine may take to find that it still can't reach the leader directly. */
-  private static final Span DIRECT_ATTEMPT_TIME = Span.seconds(7);
+  private static final TimeSpan DIRECT_ATTEMPT_TIME = TimeSpan.seconds(7);
 
   /** Approximate interval of command probes to silent machines, in suspicion timeouts. */
   private static final double PROBE_INTERVAL_FACTOR = 3;
@@ -52,17 +52,17 @@
   private final Fleet fleet;
   private final BootTracker bootTracker;
   private final Policy.CapacityPolicy policy;
-  private final Span suspectAfter;
+  private final TimeSpan suspectAfter;
   private int knownMachines;
   private int unreachedMachines;
   private int commandOnlyMachines;
   private int previousUnconfirmed;
-  private Moment lastConfirmation = new Moment(Long.MIN_VALUE / 2);
-  private Moment lastMassSilence = new Moment(Long.MIN_VALUE / 2);
-  private Moment lastProcessStall = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime lastConfirmation = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime lastMassSilence = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime lastProcessStall = new MonotonicTime(Long.MIN_VALUE / 2);
 
   MachineFailureDetector(
-      Fleet fleet, BootTracker bootTracker, Policy.CapacityPolicy policy, Span suspectAfter) {
+      Fleet fleet, BootTracker bootTracker, Policy.CapacityPolicy policy, TimeSpan suspectAfter) {
     this.fleet = fleet;
     this.bootTracker = bootTracker;
     this.policy = policy;
@@ -73,7 +73,7 @@
    * Notes that this process has been stalled until now. Messages that arrived meanwhile have not
    * been read, so for a while no machine is treated as silent and no boot as late.
    */
-  public void processStalled(Moment now) {
+  public void processStalled(MonotonicTime now) {
     lastMassSilence = now;
     lastProcessStall = now;
   }
@@ -83,7 +83,7 @@
    *
    * @param returnMachine called with each machine that is to be returned
    */
-  void checkMachines(Moment now, Consumer<Machine> returnMachine) {
+  void checkMachines(MonotonicTime now, Consumer<Machine> returnMachine) {
     List<Machine> silent = new ArrayList<>();
     List<Machine> unanswered = new ArrayList<>();
     int up = 0;
@@ -190,12 +190,12 @@
   }
 
   /** Returns whether a machine is silent or its reports arrive only through a peer. */
-  private boolean isUnreached(Machine machine, Moment now) {
+  private boolean isUnreached(Machine machine, MonotonicTime now) {
     return machine.reportForwarded() || now.isPast(machine.lastReportAt(), suspectAfter);
   }
 
   /** Returns whether a machine has stopped reporting but still answers commands. */
-  private boolean answersCommandsOnly(Machine machine, Moment now) {
+  private boolean answersCommandsOnly(Machine machine, MonotonicTime now) {
     return now.isPast(machine.lastReportAt(), suspectAfter)
         && machine.lastCommandReplyAt().isPast(machine.lastReportAt(), suspectAfter)
         && !now.isPast(machine.lastCommandReplyAt(), suspectAfter.times(PROBE_INTERVAL_FACTOR));
@@ -205,7 +205,7 @@
    * Silence after which a machine counts as silent. One whose reports are forwarded spends
    * additional time on attempts to reach this node directly.
    */
-  private Span silenceTimeout(Machine machine) {
+  private TimeSpan silenceTimeout(Machine machine) {
     return machine.reportForwarded() ? suspectAfter.plus(DIRECT_ATTEMPT_TIME) : suspectAfter;
   }
 
@@ -217,7 +217,7 @@
    *     that reach them. A machine that answers commands and whose reports are not forwarded
    *     reaches no peer either, so another leader would be cut off from it as well
    */
-  public boolean isCutOff(boolean peersForward, Moment now) {
+  public boolean isCutOff(boolean peersForward, MonotonicTime now) {
     return knownMachines >= MIN_MACHINES_TO_JUDGE
         && unreachedMachines - (peersForward ? commandOnlyMachines : 0)
             >= knownMachines * CUT_OFF_SHARE
@@ -225,7 +225,7 @@
   }
 
   /** Returns whether reports have had time to resume since an incident. */
-  private boolean hasSettledSince(Moment incident, Moment now) {
+  private boolean hasSettledSince(MonotonicTime incident, MonotonicTime now) {
     return now.isPast(incident, suspectAfter.plus(policy.suspectAfter()));
   }
 
@@ -233,7 +233,7 @@
    * Returns whether silence is evidence of a failed machine. It is not if many machines were silent
    * at once recently.
    */
-  public boolean isSilenceReliable(Moment now) {
+  public boolean isSilenceReliable(MonotonicTime now) {
     return hasSettledSince(lastMassSilence, now);
   }
 
--- a/src/main/java/org/oakwalk/core/capacity/MachineTypeCatalog.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineTypeCatalog.java
@@ -1,8 +1,8 @@
 package org.oakwalk.core.capacity;
 
 import java.util.Map;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
@@ -10,15 +10,15 @@
 
 /** Machine types offered by the cloud, as of the last successful read. */
 public final class MachineTypeCatalog {
-  private static final Span RETRY_INTERVAL = Span.millis(700);
-  private static final Span LEADER_REFRESH_INTERVAL = Span.seconds(60);
-  private static final Span FOLLOWER_REFRESH_INTERVAL = Span.seconds(600);
+  private static final TimeSpan RETRY_INTERVAL = TimeSpan.millis(700);
+  private static final TimeSpan LEADER_REFRESH_INTERVAL = TimeSpan.seconds(60);
+  private static final TimeSpan FOLLOWER_REFRESH_INTERVAL = TimeSpan.seconds(600);
 
   private final Outbox outbox;
   private Map<String, MachineType> types = Map.of();
   private boolean requestInFlight;
-  private Moment lastRead = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime lastRead = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime nextAttemptAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
   public MachineTypeCatalog(Outbox outbox) {
     this.outbox = outbox;
@@ -33,11 +33,11 @@
    *
    * @param stored the types from the state store, used until the cloud has answered
    */
-  public void tick(boolean leading, Map<String, MachineType> stored, Moment now) {
+  public void tick(boolean leading, Map<String, MachineType> stored, MonotonicTime now) {
     if (types.isEmpty()) {
       types = stored;
     }
-    Span maxAge = leading ? LEADER_REFRESH_INTERVAL : FOLLOWER_REFRESH_INTERVAL;
+    TimeSpan maxAge = leading ? LEADER_REFRESH_INTERVAL : FOLLOWER_REFRESH_INTERVAL;
     if (requestInFlight || nextAttemptAt.isAfter(now) || !now.isPast(lastRead, maxAge)) {
       return;
     }
--- a/src/main/java/org/oakwalk/core/capacity/MachineTypeWriter.java
+++ b/src/main/java/org/oakwalk/core/capacity/MachineTypeWriter.java
@@ -3,9 +3,9 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
@@ -20,7 +20,7 @@
  * node can accept requests and a new leader can take over.
  */
 public final class MachineTypeWriter {
-  private static final Span RETRY_INTERVAL = Span.seconds(5);
+  private static final TimeSpan RETRY_INTERVAL = TimeSpan.seconds(5);
 
   /** Upper bound of the stored size of one machine type. */
   private static final int MAX_BYTES_PER_TYPE = 300;
@@ -30,7 +30,7 @@
   private final Guard guard;
   private final int maxTypes;
   private boolean writeInFlight;
-  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextAttemptAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
   public MachineTypeWriter(
       Outbox outbox, StoreView view, Guard guard, Settings.StateLimits limits) {
@@ -44,7 +44,7 @@
    * Stores the types if they differ from the stored ones in more than the prices, which change
    * continuously.
    */
-  public void tick(Map<String, MachineType> types, Moment now) {
+  public void tick(Map<String, MachineType> types, MonotonicTime now) {
     if (writeInFlight
         || nextAttemptAt.isAfter(now)
         || types.size() > maxTypes
--- a/src/main/java/org/oakwalk/core/capacity/RentalRequester.java
+++ b/src/main/java/org/oakwalk/core/capacity/RentalRequester.java
@@ -9,9 +9,9 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.RentalRequestId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
@@ -25,16 +25,16 @@
 /** Rents machines with one request at a time per pool, and backs off after a refusal. */
 final class RentalRequester {
   private static final Logger LOG = LoggerFactory.getLogger(RentalRequester.class);
-  private static final Span REFUSAL_BACKOFF = Span.seconds(8);
+  private static final TimeSpan REFUSAL_BACKOFF = TimeSpan.seconds(8);
   private static final int MAX_MACHINES_PER_REQUEST = 50;
 
   private final Outbox outbox;
   private final Fleet fleet;
   private final BootTracker bootTracker;
   private final Predicate<BootTracker.RentalPool> isForbidden;
-  private final Map<BootTracker.RentalPool, Moment> refusedUntil = new HashMap<>();
+  private final Map<BootTracker.RentalPool, MonotonicTime> refusedUntil = new HashMap<>();
   private final Set<BootTracker.RentalPool> requestsInFlight = new HashSet<>();
-  private Moment currentTime = new Moment(0);
+  private MonotonicTime currentTime = new MonotonicTime(0);
   private long lastRequestNumber;
 
   RentalRequester(
@@ -53,7 +53,7 @@
    * are used only if all zones have them. Returns the number requested, or {@code count} if nothing
    * was requested but a request for the type is in flight.
    */
-  int rent(MachineType type, boolean spot, int count, Moment now) {
+  int rent(MachineType type, boolean spot, int count, MonotonicTime now) {
     currentTime = now;
     Map<String, Integer> held = new HashMap<>();
     for (Machine machine : fleet.machines()) {
@@ -99,7 +99,7 @@
    * Requests machines in one pool, regardless of those in other pools. Returns the number
    * requested, or {@code count} if a request for the pool is in flight.
    */
-  int rent(BootTracker.RentalPool pool, int count, Moment now) {
+  int rent(BootTracker.RentalPool pool, int count, MonotonicTime now) {
     currentTime = now;
     if (requestsInFlight.contains(pool)) {
       // The request in flight may provide the missing machines.
@@ -119,8 +119,8 @@
         || machine.schedulingMode() == SchedulingMode.CORDONED;
   }
 
-  private boolean canRequest(BootTracker.RentalPool pool, Moment now) {
-    Moment until = refusedUntil.get(pool);
+  private boolean canRequest(BootTracker.RentalPool pool, MonotonicTime now) {
+    MonotonicTime until = refusedUntil.get(pool);
     return !requestsInFlight.contains(pool) && (until == null || !until.isAfter(now));
   }
 
--- a/src/main/java/org/oakwalk/core/capacity/ScaleDown.java
+++ b/src/main/java/org/oakwalk/core/capacity/ScaleDown.java
@@ -4,9 +4,9 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.function.Predicate;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Policy;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
@@ -20,21 +20,21 @@
 
   private final Fleet fleet;
   private final Policy.CapacityPolicy policy;
-  private final Span suspectAfter;
+  private final TimeSpan suspectAfter;
 
-  ScaleDown(Fleet fleet, Policy.CapacityPolicy policy, Span suspectAfter) {
+  ScaleDown(Fleet fleet, Policy.CapacityPolicy policy, TimeSpan suspectAfter) {
     this.fleet = fleet;
     this.policy = policy;
     this.suspectAfter = suspectAfter;
   }
 
   /** Takes up to {@code count} retiring machines of a type back into use; returns how many. */
-  int reactivate(MachineType type, int count, Moment now) {
+  int reactivate(MachineType type, int count, MonotonicTime now) {
     return reactivate(type, machine -> true, count, now);
   }
 
   /** Same as {@link #reactivate(MachineType, int, Moment)}, for ordinary machines only. */
-  int reactivateOrdinary(MachineType type, int count, Moment now) {
+  int reactivateOrdinary(MachineType type, int count, MonotonicTime now) {
     return reactivate(type, machine -> !machine.spot(), count, now);
   }
 
@@ -42,7 +42,7 @@
    * Same as {@link #reactivate(MachineType, int, Moment)}, for one pool; ordinary machines qualify
    * for a spot pool as well.
    */
-  int reactivate(BootTracker.RentalPool pool, int count, Moment now) {
+  int reactivate(BootTracker.RentalPool pool, int count, MonotonicTime now) {
     return fleet.machines().stream()
         .map(Machine::type)
         .filter(type -> type.name().equals(pool.type()))
@@ -58,7 +58,8 @@
         .orElse(0);
   }
 
-  private int reactivate(MachineType type, Predicate<Machine> filter, int count, Moment now) {
+  private int reactivate(
+      MachineType type, Predicate<Machine> filter, int count, MonotonicTime now) {
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
       if (machine.type().name().equals(type.name())
@@ -85,7 +86,7 @@
    * last task has ended; without this, a load spread evenly over all machines would leave none
    * idle.
    */
-  void retire(MachineType type, int surplus, int ordinarySurplus, Moment now) {
+  void retire(MachineType type, int surplus, int ordinarySurplus, MonotonicTime now) {
     int remaining = surplus - cordonPending(type, surplus);
     List<Machine> candidates = new ArrayList<>();
     for (Machine machine : fleet.machines()) {
--- a/src/main/java/org/oakwalk/core/capacity/ZoneBoundDemand.java
+++ b/src/main/java/org/oakwalk/core/capacity/ZoneBoundDemand.java
@@ -6,8 +6,8 @@
 import java.util.function.Function;
 import java.util.function.ToIntFunction;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
@@ -27,7 +27,7 @@
    * Minimum wait of a job before machines are rented for it: other tasks may end in the zone, or
    * booting machines may come up.
    */
-  private static final Span MIN_WAIT = Span.seconds(20);
+  private static final TimeSpan MIN_WAIT = TimeSpan.seconds(20);
 
   /** Maximum number of jobs evaluated in one run. */
   private static final int MAX_JOBS = 100;
@@ -55,7 +55,10 @@
    * enough. Free room and machines that are coming up are deducted.
    */
   Map<BootTracker.RentalPool, Integer> missingMachines(
-      Function<JobSpec, MachineType> cheapestType, Span suspectAfter, Moment now, WallTime wall) {
+      Function<JobSpec, MachineType> cheapestType,
+      TimeSpan suspectAfter,
+      MonotonicTime now,
+      WallTime wall) {
     Map<BootTracker.RentalPool, Double> missingByPool = new LinkedHashMap<>();
     Map<String, Integer> grantedByTeam = new HashMap<>();
     Map<String, Double> claimedByZone = new HashMap<>();
@@ -88,7 +91,7 @@
       grantedByTeam.merge(spec.team(), tasks, Integer::sum);
       // Room that one job can use now or soon is not available to the next job.
       double claimedMachines = claimedByZone.getOrDefault(zone, 0.0);
-      int perMachine = type.room().capacityFor(spec.resources());
+      int perMachine = type.resources().capacityFor(spec.resources());
       int free =
           (int)
               Math.max(
@@ -108,12 +111,13 @@
   }
 
   /** Tasks of a job that fit into a zone, on machines that accept tasks or are coming up. */
-  private int availableSlots(JobSpec spec, String zone, Span suspectAfter, Moment now) {
+  private int availableSlots(JobSpec spec, String zone, TimeSpan suspectAfter, MonotonicTime now) {
     int slots = 0;
     for (Machine machine : fleet.machines()) {
       if (machine.zone().equals(zone) && spec.allows(machine.type().name(), zone, machine.spot())) {
         switch (machine.state()) {
-          case BOOTING, REGISTERING -> slots += machine.type().room().capacityFor(spec.resources());
+          case BOOTING, REGISTERING ->
+              slots += machine.type().resources().capacityFor(spec.resources());
           case UP ->
               slots +=
                   machine.acceptsTasks(now, suspectAfter)
--- a/src/main/java/org/oakwalk/core/cells/GuestLoan.java
+++ b/src/main/java/org/oakwalk/core/cells/GuestLoan.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 
 /**
  * The guest cell's view of a loan: tasks that the home cell lends to the guest cell to run. The
@@ -22,7 +22,10 @@
  *     has no tasks of the loan
  */
 public record GuestLoan(
-    State state, Optional<Moment> requestedAt, Optional<Moment> permitExpiry, boolean tasksAbsent) {
+    State state,
+    Optional<MonotonicTime> requestedAt,
+    Optional<MonotonicTime> permitExpiry,
+    boolean tasksAbsent) {
   /** States of a loan in the guest cell. */
   public enum State {
     /** Stored, without a permit: no task may start. */
@@ -60,27 +63,27 @@
   }
 
   /** Requests a permit. Its duration counts from the request, however long the response takes. */
-  public GuestLoan requestPermit(Moment now) {
+  public GuestLoan requestPermit(MonotonicTime now) {
     return needsPermit() ? new GuestLoan(state, Optional.of(now), permitExpiry, tasksAbsent) : this;
   }
 
   /** Applies a granted permit; responses to older requests are ignored. */
-  public GuestLoan permitGranted(Moment requestTime, LoanTerms terms) {
+  public GuestLoan permitGranted(MonotonicTime requestTime, LoanTerms terms) {
     if (!needsPermit() || !requestedAt.equals(Optional.of(requestTime))) {
       return this;
     }
-    Moment end = requestTime.plus(terms.permitDuration().minusClockDrift());
-    Moment latest = permitExpiry.filter(previous -> previous.isAfter(end)).orElse(end);
+    MonotonicTime end = requestTime.plus(terms.permitDuration().minusClockDrift());
+    MonotonicTime latest = permitExpiry.filter(previous -> previous.isAfter(end)).orElse(end);
     return enter(State.RUNNING, Optional.empty(), Optional.of(latest), tasksAbsent);
   }
 
   /** Returns whether tasks may be started, and running ones continued. */
-  public boolean mayRun(Moment now) {
+  public boolean mayRun(MonotonicTime now) {
     return state == State.RUNNING && permitExpiry.filter(expiry -> expiry.isAfter(now)).isPresent();
   }
 
   /** Records that a task start is ordered. */
-  public GuestLoan taskStarted(Moment now) {
+  public GuestLoan taskStarted(MonotonicTime now) {
     if (!mayRun(now)) {
       throw new IllegalStateException("task start without a valid permit");
     }
@@ -97,7 +100,7 @@
   /**
    * Records that every machine has confirmed, under this leader's token, to have no tasks of it.
    */
-  public GuestLoan confirmTasksAbsent(Moment now) {
+  public GuestLoan confirmTasksAbsent(MonotonicTime now) {
     return mayRun(now) ? this : new GuestLoan(state, requestedAt, permitExpiry, true);
   }
 
@@ -115,7 +118,7 @@
 
   /** The only place where the state changes; rejects illegal transitions. */
   private GuestLoan enter(
-      State next, Optional<Moment> request, Optional<Moment> expiry, boolean absent) {
+      State next, Optional<MonotonicTime> request, Optional<MonotonicTime> expiry, boolean absent) {
     if (next != state && !TRANSITIONS.get(state).contains(next)) {
       throw new IllegalStateException("illegal loan transition from " + state + " to " + next);
     }
--- a/src/main/java/org/oakwalk/core/cells/HomeLoan.java
+++ b/src/main/java/org/oakwalk/core/cells/HomeLoan.java
@@ -5,7 +5,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.Set;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 
 /**
  * The home cell's view of a loan: tasks of the home cell that it lends to a guest cell to run. The
@@ -15,7 +15,7 @@
  * @param state current state
  * @param lastPermit the latest moment at which a permit may have been granted; empty if none was
  */
-public record HomeLoan(State state, Optional<Moment> lastPermit) {
+public record HomeLoan(State state, Optional<MonotonicTime> lastPermit) {
   /** States of a loan in the home cell. */
   public enum State {
     /** Offered; the guest may run the tasks once it has requested a permit. */
@@ -47,7 +47,7 @@
    *
    * @param olderUntil until when an older leader may still have granted permits
    */
-  public static HomeLoan recovered(Moment olderUntil) {
+  public static HomeLoan recovered(MonotonicTime olderUntil) {
     return new HomeLoan(State.LENT, Optional.of(olderUntil));
   }
 
@@ -60,11 +60,11 @@
    * Applies a permit request, which also shows that the guest has stored the loan; the permit is
    * granted if the state allows it.
    */
-  public HomeLoan permitRequested(Moment now) {
+  public HomeLoan permitRequested(MonotonicTime now) {
     if (!grantsPermits()) {
       return this;
     }
-    Moment latest = lastPermit.filter(last -> last.isAfter(now)).orElse(now);
+    MonotonicTime latest = lastPermit.filter(last -> last.isAfter(now)).orElse(now);
     return enter(State.LENT, Optional.of(latest));
   }
 
@@ -84,18 +84,18 @@
   }
 
   /** Returns whether the loan is recalled and every permit has provably expired. */
-  public boolean permitsExpired(LoanTerms terms, Moment now) {
+  public boolean permitsExpired(LoanTerms terms, MonotonicTime now) {
     return state == State.RECALLED
         && lastPermit.map(last -> now.isPast(last, terms.maxTaskLifetime())).orElse(true);
   }
 
   /** Settles the loan if its permits have expired; to be called once that is stored. */
-  public HomeLoan settleIfExpired(LoanTerms terms, Moment now) {
+  public HomeLoan settleIfExpired(LoanTerms terms, MonotonicTime now) {
     return permitsExpired(terms, now) ? enter(State.SETTLED, lastPermit) : this;
   }
 
   /** The only place where the state changes; rejects illegal transitions. */
-  private HomeLoan enter(State next, Optional<Moment> permit) {
+  private HomeLoan enter(State next, Optional<MonotonicTime> permit) {
     if (next != state && !TRANSITIONS.get(state).contains(next)) {
       throw new IllegalStateException("illegal loan transition from " + state + " to " + next);
     }
--- a/src/main/java/org/oakwalk/core/cells/LoanTerms.java
+++ b/src/main/java/org/oakwalk/core/cells/LoanTerms.java
@@ -1,7 +1,7 @@
 package org.oakwalk.core.cells;
 
 import java.util.Optional;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /**
  * The terms that two cells have agreed on for loans from one to the other.
@@ -10,16 +10,16 @@
  * @param guestLease lease of a worker in the guest cell: how long it runs without a response
  * @param homeCancelDeadline time within which a withdrawn task must have ended in the home cell
  */
-public record LoanTerms(Span permitDuration, Span guestLease, Span homeCancelDeadline) {
+public record LoanTerms(TimeSpan permitDuration, TimeSpan guestLease, TimeSpan homeCancelDeadline) {
   /** Allowance for timer granularity. */
-  private static final Span TIMER_MARGIN = Span.millis(500);
+  private static final TimeSpan TIMER_MARGIN = TimeSpan.millis(500);
 
   /**
    * Returns for how long after a permit was granted its tasks may be on machines: the guest's
    * leader renews no lease under an expired permit, and a worker's last lease ends one lease
    * duration later.
    */
-  public Span maxTaskLifetime() {
+  public TimeSpan maxTaskLifetime() {
     return permitDuration.plus(guestLease).plusClockDrift().plus(TIMER_MARGIN);
   }
 
--- a/src/main/java/org/oakwalk/core/drain/DisruptionLimiter.java
+++ b/src/main/java/org/oakwalk/core/drain/DisruptionLimiter.java
@@ -6,8 +6,8 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
@@ -33,7 +33,7 @@
   private final StopGrants stopGrants;
   private final Fleet fleet;
   private final JobRegistry jobs;
-  private final Span suspectAfter;
+  private final TimeSpan suspectAfter;
   private final Map<DisruptionBudget, DisruptionTally> tallies = new LinkedHashMap<>();
   private boolean talliesValid;
 
@@ -47,7 +47,7 @@
       StopGrants stopGrants,
       Fleet fleet,
       JobRegistry jobs,
-      Span suspectAfter) {
+      TimeSpan suspectAfter) {
     this.budgets = budgets;
     this.stopGrants = stopGrants;
     this.fleet = fleet;
@@ -65,7 +65,7 @@
    * Counts the tasks that are down, and requests grants for the stops asked for. No covered stop is
    * allowed while the fleet is not completely known.
    */
-  public void updateTallies(boolean fleetKnown, Moment now, WallTime wall) {
+  public void updateTallies(boolean fleetKnown, MonotonicTime now, WallTime wall) {
     talliesValid = fleetKnown;
     if (budgets.isEmpty() || !fleetKnown) {
       return;
--- a/src/main/java/org/oakwalk/core/drain/DrainController.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainController.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.capacity.Autoscaler;
 import org.oakwalk.core.fleet.Fleet;
@@ -28,8 +28,8 @@
  */
 public final class DrainController {
   private static final Logger LOG = LoggerFactory.getLogger(DrainController.class);
-  private static final Span TICK_INTERVAL = Span.millis(400);
-  private static final Span PROGRESS_LOG_INTERVAL = Span.seconds(10);
+  private static final TimeSpan TICK_INTERVAL = TimeSpan.millis(400);
+  private static final TimeSpan PROGRESS_LOG_INTERVAL = TimeSpan.seconds(10);
   private static final String DRAINED_MESSAGE = "all selected machines are drained";
 
   /**
@@ -39,13 +39,13 @@
   private static final int REPLICA_HOLDER_DIVISOR = 2;
 
   /** Pause in selecting machines after a replacement did not come up. */
-  private static final Span NO_REPLACEMENT_BACKOFF = Span.seconds(60);
+  private static final TimeSpan NO_REPLACEMENT_BACKOFF = TimeSpan.seconds(60);
 
   /** Progress of a plan since the start of this leader's term. */
   private static final class DrainProgress {
-    Moment startedAt;
+    MonotonicTime startedAt;
     int initialRemaining;
-    Moment nextSelection = new Moment(Long.MIN_VALUE / 2);
+    MonotonicTime nextSelection = new MonotonicTime(Long.MIN_VALUE / 2);
     String lastLogged = "";
     String waitReason = "";
   }
@@ -85,9 +85,9 @@
   private final Evictor evictor;
   private final DrainSafetyCheck safetyCheck;
   private final Map<String, DrainProgress> progressByPlan = new HashMap<>();
-  private final Map<Machine, Moment> waitingSince = new HashMap<>();
-  private Moment nextTick = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextProgressLog = new Moment(Long.MIN_VALUE / 2);
+  private final Map<Machine, MonotonicTime> waitingSince = new HashMap<>();
+  private MonotonicTime nextTick = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime nextProgressLog = new MonotonicTime(Long.MIN_VALUE / 2);
 
   public DrainController(
       Fleet fleet,
@@ -107,7 +107,7 @@
   }
 
   /** Runs the steps that are due; does nothing if neither a plan nor a budget is declared. */
-  public void tick(boolean fleetKnown, Moment now, WallTime wall) {
+  public void tick(boolean fleetKnown, MonotonicTime now, WallTime wall) {
     if (nextTick.isAfter(now) || planRegistry.isEmpty() && !disruptionLimiter.hasBudgets()) {
       return;
     }
@@ -186,7 +186,7 @@
       TrackedDrain drain,
       Map<Machine, List<TrackedDrain>> plansByMachine,
       Optional<String> pauseReason,
-      Moment now) {
+      MonotonicTime now) {
     DrainPlan plan = drain.record.plan();
     DrainProgress progress = drain.progress;
     if (progress.startedAt == null) {
@@ -202,10 +202,10 @@
     for (Machine machine : drain.machines) {
       if (machine.schedulingMode() == SchedulingMode.CORDONED) {
         // Of several plans the longest timeout applies.
-        Span timeout =
+        TimeSpan timeout =
             plansByMachine.get(machine).stream()
                 .map(other -> other.record.plan().drainTimeout())
-                .max(Span::compareTo)
+                .max(TimeSpan::compareTo)
                 .orElse(plan.drainTimeout());
         boolean timedOut = now.isPast(waitingSince.computeIfAbsent(machine, m -> now), timeout);
         evictor
@@ -217,7 +217,7 @@
 
   /** Selects the next machines to drain, up to the plan's limit. */
   private void selectMachines(
-      TrackedDrain drain, Map<Machine, List<TrackedDrain>> plansByMachine, Moment now) {
+      TrackedDrain drain, Map<Machine, List<TrackedDrain>> plansByMachine, MonotonicTime now) {
     if (drain.progress.nextSelection.isAfter(now) || drain.isAtLimit()) {
       return;
     }
@@ -279,7 +279,7 @@
    * Cordons selected machines as far as the remaining capacity suffices without them. A machine
    * whose replacement does not come up in time is deselected.
    */
-  private void cordonSelected(TrackedDrain drain, Moment now) {
+  private void cordonSelected(TrackedDrain drain, MonotonicTime now) {
     DrainPlan plan = drain.record.plan();
     DrainProgress progress = drain.progress;
     Map<String, Integer> spare = new HashMap<>();
@@ -310,7 +310,7 @@
   }
 
   /** Logs changes of a plan's state, and the progress of a running plan. */
-  private void logProgress(TrackedDrain drain, Moment now) {
+  private void logProgress(TrackedDrain drain, MonotonicTime now) {
     StoredValue.DrainRecord record = drain.record;
     DrainPlan plan = record.plan();
     DrainProgress progress = drain.progress;
@@ -337,7 +337,8 @@
         drained <= 0
             ? "remaining time unknown"
             : "about "
-                + Span.millis(now.since(progress.startedAt).millis() * left / drained).asSeconds()
+                + TimeSpan.millis(now.since(progress.startedAt).millis() * left / drained)
+                    .asSeconds()
                 + " s remaining";
     LOG.info(
         "drain {} version {}: {} of {} machines done, {} in progress, {} left, {} replicas moving;"
--- a/src/main/java/org/oakwalk/core/drain/DrainPlan.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainPlan.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Machine;
 
 /**
@@ -32,10 +32,10 @@
     DrainMode mode,
     double concurrency,
     int surge,
-    Span selectionInterval,
-    Span drainTimeout,
-    Span maxReplicaWait,
-    Span maxWorkWait) {
+    TimeSpan selectionInterval,
+    TimeSpan drainTimeout,
+    TimeSpan maxReplicaWait,
+    TimeSpan maxWorkWait) {
 
   /** Declared state of a plan. */
   public enum Status {
--- a/src/main/java/org/oakwalk/core/drain/DrainPlanRegistry.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainPlanRegistry.java
@@ -6,8 +6,8 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.port.Answer;
@@ -29,7 +29,7 @@
  */
 public final class DrainPlanRegistry {
   private static final Logger LOG = LoggerFactory.getLogger(DrainPlanRegistry.class);
-  private static final Span RETRY_INTERVAL = Span.seconds(5);
+  private static final TimeSpan RETRY_INTERVAL = TimeSpan.seconds(5);
   private static final int MAX_PLANS = 32;
 
   private final Outbox outbox;
@@ -39,7 +39,7 @@
   private final List<DrainPlan> declared;
   private final Set<String> loggedWarnings = new HashSet<>();
   private boolean writeInFlight;
-  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextAttemptAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
   public DrainPlanRegistry(
       Outbox outbox, StoreView view, Guard guard, Fleet fleet, List<DrainPlan> declared) {
@@ -63,7 +63,7 @@
   /**
    * Stores plans that are new in this node's file; call only once the fleet is completely known.
    */
-  void tick(Moment now) {
+  void tick(MonotonicTime now) {
     if (writeInFlight || nextAttemptAt.isAfter(now)) {
       return;
     }
@@ -98,7 +98,7 @@
     }
   }
 
-  private void store(DrainPlan plan, Moment now) {
+  private void store(DrainPlan plan, MonotonicTime now) {
     writeInFlight = true;
     nextAttemptAt = now.plus(RETRY_INTERVAL);
     MachineId newest = new MachineId("");
--- a/src/main/java/org/oakwalk/core/drain/DrainSafetyCheck.java
+++ b/src/main/java/org/oakwalk/core/drain/DrainSafetyCheck.java
@@ -2,9 +2,9 @@
 
 import java.util.Collection;
 import java.util.Optional;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.capacity.Autoscaler;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.SchedulingMode;
@@ -18,16 +18,16 @@
  * so that drains do not resume and pause again with each report.
  */
 final class DrainSafetyCheck {
-  private static final Span REASON_HOLD_TIME = Span.seconds(10);
+  private static final TimeSpan REASON_HOLD_TIME = TimeSpan.seconds(10);
 
   /**
    * Time without a confirmation after which the state service counts as unreachable. It answers a
    * watch request after at most one second.
    */
-  private static final Span STORE_TIMEOUT = Span.seconds(5);
+  private static final TimeSpan STORE_TIMEOUT = TimeSpan.seconds(5);
 
   /** Age up to which an unfit machine indicates a problem with new machines. */
-  private static final Span NEW_MACHINE_AGE = Span.seconds(120);
+  private static final TimeSpan NEW_MACHINE_AGE = TimeSpan.seconds(120);
 
   private static final int MIN_UNFIT_MACHINES = 2;
 
@@ -37,7 +37,7 @@
   private final JobRegistry jobs;
   private final ReplicaMover replicaMover;
   private String lastReason = "";
-  private Moment lastSeen = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime lastSeen = new MonotonicTime(Long.MIN_VALUE / 2);
 
   DrainSafetyCheck(
       Fleet fleet,
@@ -56,7 +56,7 @@
    * Returns the reason why drains have to pause, if there is one. Of several plans the shortest
    * permitted waits apply.
    */
-  Optional<String> pauseReason(Collection<DrainPlan> plans, Moment now) {
+  Optional<String> pauseReason(Collection<DrainPlan> plans, MonotonicTime now) {
     Optional<String> current = currentReason(plans, now);
     if (current.isPresent()) {
       lastReason = current.get();
@@ -65,7 +65,7 @@
     return now.isPast(lastSeen, REASON_HOLD_TIME) ? Optional.empty() : Optional.of(lastReason);
   }
 
-  private Optional<String> currentReason(Collection<DrainPlan> plans, Moment now) {
+  private Optional<String> currentReason(Collection<DrainPlan> plans, MonotonicTime now) {
     if (now.isPast(view.lastConfirmed(), STORE_TIMEOUT)) {
       return Optional.of("the state service is unreachable");
     }
@@ -81,8 +81,9 @@
     if (newMachinesFail(now)) {
       return Optional.of("new machines fail their tasks or are slow");
     }
-    Optional<Span> replica = plans.stream().map(DrainPlan::maxReplicaWait).min(Span::compareTo);
-    Optional<Span> work = plans.stream().map(DrainPlan::maxWorkWait).min(Span::compareTo);
+    Optional<TimeSpan> replica =
+        plans.stream().map(DrainPlan::maxReplicaWait).min(TimeSpan::compareTo);
+    Optional<TimeSpan> work = plans.stream().map(DrainPlan::maxWorkWait).min(TimeSpan::compareTo);
     if (replica.isEmpty() || work.isEmpty()) {
       return Optional.empty();
     }
@@ -97,7 +98,7 @@
   /**
    * Returns whether several recently rented machines that no plan removes have been marked unfit.
    */
-  private boolean newMachinesFail(Moment now) {
+  private boolean newMachinesFail(MonotonicTime now) {
     return fleet.machines().stream()
             .filter(
                 machine ->
@@ -111,7 +112,7 @@
    * Returns whether a job has a pending task that is not being moved and has waited too long.
    * Suspect and low-priority jobs don't count.
    */
-  private boolean waitsTooLong(Job job, Span maxWait, Moment now) {
+  private boolean waitsTooLong(Job job, TimeSpan maxWait, MonotonicTime now) {
     if (!job.isOpen()
         || job.pendingCount() <= 0
         || job.isSuspect()
--- a/src/main/java/org/oakwalk/core/drain/Evictor.java
+++ b/src/main/java/org/oakwalk/core/drain/Evictor.java
@@ -4,8 +4,8 @@
 import java.util.Comparator;
 import java.util.List;
 import java.util.Optional;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
@@ -34,7 +34,7 @@
    * @param timedOut whether the drain timeout has passed
    * @return why some tasks that are due could not be moved or stopped, if that is so
    */
-  Optional<String> evictTasks(Machine machine, boolean timedOut, Moment now) {
+  Optional<String> evictTasks(Machine machine, boolean timedOut, MonotonicTime now) {
     Optional<String> blockedBy = Optional.empty();
     List<Placement> remaining = new ArrayList<>(machine.placements());
     remaining.removeIf(Placement::halting);
@@ -64,11 +64,11 @@
   }
 
   /** Seconds of work that a stop would lose; none for tasks with checkpoints. */
-  private static double lostSeconds(Placement placement, Moment now) {
+  private static double lostSeconds(Placement placement, MonotonicTime now) {
     if (placement.job().spec().checkpointInterval().millis() > 0) {
       return 0;
     }
-    Moment running = placement.runningSince();
+    MonotonicTime running = placement.runningSince();
     return running == null ? 0 : now.since(running).asSeconds();
   }
 
@@ -93,7 +93,7 @@
     if (!disruptionLimiter.allows(tasks)) {
       return Optional.of("budget of " + job.spec().team());
     }
-    Span grace = job.spec().checkpointDuration();
+    TimeSpan grace = job.spec().checkpointDuration();
     tasks.forEach(task -> fleet.halt(task, grace, Fleet.StopReason.DRAINED));
     return Optional.empty();
   }
--- a/src/main/java/org/oakwalk/core/drain/ReplicaMover.java
+++ b/src/main/java/org/oakwalk/core/drain/ReplicaMover.java
@@ -4,9 +4,9 @@
 import java.util.LinkedHashMap;
 import java.util.List;
 import java.util.Map;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
@@ -41,10 +41,10 @@
   private static final class ReplicaMove {
     final Placement source;
     final Machine target;
-    final Moment startedAt;
+    final MonotonicTime startedAt;
     State state = State.STOPPING;
 
-    ReplicaMove(Placement source, Machine target, Moment startedAt) {
+    ReplicaMove(Placement source, Machine target, MonotonicTime startedAt) {
       this.source = source;
       this.target = target;
       this.startedAt = startedAt;
@@ -64,7 +64,7 @@
   private final Quota quota;
   private final DisruptionLimiter disruptionLimiter;
   private final Outbox outbox;
-  private final Span suspectAfter;
+  private final TimeSpan suspectAfter;
   private final CapacityReserve capacityReserve;
   private final Map<TaskId, ReplicaMove> movesByTask = new LinkedHashMap<>();
 
@@ -73,7 +73,7 @@
       Quota quota,
       DisruptionLimiter disruptionLimiter,
       Outbox outbox,
-      Span suspectAfter,
+      TimeSpan suspectAfter,
       CapacityReserve capacityReserve) {
     this.capacityReserve = capacityReserve;
     this.fleet = fleet;
@@ -100,7 +100,7 @@
    * @param allowRemovalPlanned whether a machine that will be drained later is acceptable as a
    *     target
    */
-  boolean tryMove(Placement placement, boolean allowRemovalPlanned, Moment now) {
+  boolean tryMove(Placement placement, boolean allowRemovalPlanned, MonotonicTime now) {
     if (placement.halting() || movesByTask.containsKey(placement.task())) {
       return true;
     }
@@ -120,7 +120,7 @@
    * Returns the best target: preferably a machine that stays, has the image, is in the same zone
    * and has the lowest utilization. Tasks of jobs with zone constraints stay in their zone.
    */
-  private Machine findTarget(Placement placement, boolean allowRemovalPlanned, Moment now) {
+  private Machine findTarget(Placement placement, boolean allowRemovalPlanned, MonotonicTime now) {
     JobSpec spec = placement.job().spec();
     Machine source = placement.machine();
     return fleet.machines().stream()
@@ -133,7 +133,8 @@
             Comparator.comparingInt((Machine machine) -> machine.removalPlanned() ? 1 : 0)
                 .thenComparingInt(machine -> machine.hasImage(spec.image()) ? 0 : 1)
                 .thenComparingInt(machine -> machine.zone().equals(source.zone()) ? 0 : 1)
-                .thenComparingDouble(machine -> machine.used().dominantShare(machine.type().room()))
+                .thenComparingDouble(
+                    machine -> machine.used().dominantShare(machine.type().resources()))
                 .thenComparing(Machine::id))
         .orElse(null);
   }
@@ -144,7 +145,7 @@
   }
 
   /** Returns whether a machine that is not being drained has room for a task now. */
-  private boolean hasRoomFor(Machine machine, JobSpec spec, Moment now) {
+  private boolean hasRoomFor(Machine machine, JobSpec spec, MonotonicTime now) {
     return machine.schedulingMode() == SchedulingMode.ACTIVE
         && machine.acceptsTasks(now, suspectAfter)
         && spec.resources().fitsInto(unreserved(machine));
@@ -153,7 +154,7 @@
   /**
    * Called when an attempt has certainly ended; a task that is being moved starts on its target.
    */
-  public void placementEnded(Placement placement, Moment now) {
+  public void placementEnded(Placement placement, MonotonicTime now) {
     ReplicaMove move = movesByTask.get(placement.task());
     if (move == null || move.source != placement || move.state != State.STOPPING) {
       return;
@@ -173,13 +174,13 @@
           placement.task().index(),
           fleet.nextAttempt(),
           move.target,
-          Span.millis(0),
+          TimeSpan.millis(0),
           now);
     }
   }
 
   /** Removes finished moves, and detects moves whose target is no longer usable. */
-  void tick(Moment now) {
+  void tick(MonotonicTime now) {
     movesByTask
         .values()
         .removeIf(
--- a/src/main/java/org/oakwalk/core/drain/StopGrants.java
+++ b/src/main/java/org/oakwalk/core/drain/StopGrants.java
@@ -6,9 +6,9 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import java.util.function.Supplier;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
@@ -33,7 +33,7 @@
   /** Maximum number of stops granted to a budget in one write. */
   private static final int MAX_GRANT = 25;
 
-  private static final Span RETRY_INTERVAL = Span.seconds(1);
+  private static final TimeSpan RETRY_INTERVAL = TimeSpan.seconds(1);
 
   private final Outbox outbox;
   private final Guard guard;
@@ -47,7 +47,7 @@
   private Revision revision;
 
   private boolean writeInFlight;
-  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextAttemptAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
   /**
    * Creates the grants of a leader from those of earlier leaders.
@@ -113,7 +113,7 @@
   void tick(
       List<DisruptionBudget> budgets,
       Map<DisruptionBudget, Integer> notRestarted,
-      Moment now,
+      MonotonicTime now,
       WallTime wall) {
     if (writeInFlight || requested.isEmpty() || nextAttemptAt.isAfter(now)) {
       return;
--- a/src/main/java/org/oakwalk/core/exchange/ExchangeController.java
+++ b/src/main/java/org/oakwalk/core/exchange/ExchangeController.java
@@ -5,8 +5,8 @@
 import java.util.List;
 import java.util.Optional;
 import java.util.function.BiConsumer;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.drain.DisruptionLimiter;
@@ -44,7 +44,7 @@
   private final Quota quota;
   private final DisruptionLimiter disruptionLimiter;
   private final Token token;
-  private final Span suspectAfter;
+  private final TimeSpan suspectAfter;
   private final TaskStarter starter;
   private final TransferPlanner planner;
   private final BiConsumer<Machine, Job> reserveForGang;
@@ -65,7 +65,7 @@
       Quota quota,
       DisruptionLimiter disruptionLimiter,
       RunTimeEstimates runTimes,
-      Span suspectAfter,
+      TimeSpan suspectAfter,
       CapacityReserve reserve,
       BiConsumer<Machine, Job> reserveForGang) {
     this.terms = terms;
@@ -101,7 +101,8 @@
   }
 
   @Override
-  public boolean requestRoom(Job job, List<Machine> machines, Moment now, WallTime wall) {
+  public boolean requestCapacity(
+      Job job, List<Machine> machines, MonotonicTime now, WallTime wall) {
     Optional<ExchangeTerms> found = openTransfers.isUsable() ? termsFor(job) : Optional.empty();
     if (found.isEmpty()) {
       return false;
@@ -139,7 +140,8 @@
    *
    * @return the transfer that is given back; the new one replaces it, at the same demand level
    */
-  private Optional<CapacityTransfer> returnUnusedTransfer(Job job, Moment now, WallTime wall) {
+  private Optional<CapacityTransfer> returnUnusedTransfer(
+      Job job, MonotonicTime now, WallTime wall) {
     List<TrackedTransfer> held = openTransfers.activeFor(job);
     if (held.size() < job.spec().tasks()) {
       return Optional.empty();
@@ -157,7 +159,7 @@
   }
 
   /** Returns whether the transfer's machine accepts tasks now, rather than being unreachable. */
-  private boolean machineAcceptsTasks(TrackedTransfer tracked, Moment now) {
+  private boolean machineAcceptsTasks(TrackedTransfer tracked, MonotonicTime now) {
     return fleet
         .find(tracked.transfer.machine())
         .filter(machine -> machine.acceptsTasks(now, suspectAfter))
@@ -184,7 +186,7 @@
       Job job,
       TransferPlanner.TransferPlan plan,
       int level,
-      Moment now,
+      MonotonicTime now,
       WallTime wall) {
     CapacityTransfer transfer =
         new CapacityTransfer(
@@ -214,7 +216,7 @@
   }
 
   /** Advances the open transfers; orders no stop or start before recovery is complete. */
-  public void tick(boolean recovered, Moment now, WallTime wall) {
+  public void tick(boolean recovered, MonotonicTime now, WallTime wall) {
     if (!openTransfers.restoreWhenLoaded(now)) {
       return;
     }
@@ -228,7 +230,7 @@
     openTransfers.writeChanges();
   }
 
-  private void step(TrackedTransfer tracked, Moment now, WallTime wall) {
+  private void step(TrackedTransfer tracked, MonotonicTime now, WallTime wall) {
     switch (tracked.transfer.state()) {
       case INTENDED, SAVING -> proceed(tracked, now, wall);
       case TAKEN -> checkTaken(tracked, now, wall);
@@ -237,14 +239,14 @@
     }
   }
 
-  private boolean withinHoldTimeout(TrackedTransfer tracked, Moment now) {
-    Span holdTimeout =
-        termsOf(tracked.transfer).map(ExchangeTerms::holdTimeout).orElse(Span.seconds(0));
+  private boolean withinHoldTimeout(TrackedTransfer tracked, MonotonicTime now) {
+    TimeSpan holdTimeout =
+        termsOf(tracked.transfer).map(ExchangeTerms::holdTimeout).orElse(TimeSpan.seconds(0));
     return !now.isPast(tracked.stateSince, holdTimeout);
   }
 
   /** Stops the giver's tasks once the intent is stored, and starts the taker when they are gone. */
-  private void proceed(TrackedTransfer tracked, Moment now, WallTime wall) {
+  private void proceed(TrackedTransfer tracked, MonotonicTime now, WallTime wall) {
     Machine machine = tracked.reservedMachine;
     Optional<Job> taker = findTaker(tracked);
     if (machine == null
@@ -254,7 +256,7 @@
       proceedWithoutTaker(tracked, now, wall);
     } else if (!withinHoldTimeout(tracked, now)) {
       beginReturn(tracked, "hold timeout exceeded", now, wall);
-    } else if (tracked.isRoomFree()) {
+    } else if (tracked.isCapacityFree()) {
       startTaker(tracked, taker.get(), now, wall);
     } else if (tracked.transfer.state() == CapacityTransfer.State.INTENDED
         && openTransfers.isStored(tracked)) {
@@ -267,10 +269,10 @@
    * stop, the room is kept as if it had been used, so that fluctuating demand does not stop the
    * giver each time it returns.
    */
-  private void proceedWithoutTaker(TrackedTransfer tracked, Moment now, WallTime wall) {
+  private void proceedWithoutTaker(TrackedTransfer tracked, MonotonicTime now, WallTime wall) {
     if (tracked.transfer.state() == CapacityTransfer.State.INTENDED) {
       beginReturn(tracked, "no job waits for the room", now, wall);
-    } else if (tracked.isRoomFree()) {
+    } else if (tracked.isCapacityFree()) {
       openTransfers.advance(tracked, tracked.transfer.toTaken(tracked.transfer.taker()), now);
     } else if (!withinHoldTimeout(tracked, now)) {
       beginReturn(tracked, "hold timeout exceeded", now, wall);
@@ -280,24 +282,24 @@
   /** Returns the job to use the room: the recorded taker, or else another that waits for room. */
   private Optional<Job> findTaker(TrackedTransfer tracked) {
     Optional<Job> recordedTaker =
-        jobs.find(tracked.transfer.taker()).filter(job -> waitsForRoom(job, tracked));
+        jobs.find(tracked.transfer.taker()).filter(job -> waitsForCapacity(job, tracked));
     if (recordedTaker.isPresent() || termsOf(tracked.transfer).isEmpty()) {
       return recordedTaker;
     }
     ExchangeTerms exchange = termsOf(tracked.transfer).get();
     return jobs.all().stream()
-        .filter(job -> exchange.isTaker(job.spec()) && waitsForRoom(job, tracked))
+        .filter(job -> exchange.isTaker(job.spec()) && waitsForCapacity(job, tracked))
         .filter(job -> openTransfers.pendingCountFor(job) < job.pendingCount())
         .min(Comparator.comparing(Job::waitingSince));
   }
 
-  private boolean waitsForRoom(Job job, TrackedTransfer tracked) {
+  private boolean waitsForCapacity(Job job, TrackedTransfer tracked) {
     return job.isOpen()
         && job.pendingCount() > 0
         && job.spec().resources().fitsInto(tracked.transfer.resources());
   }
 
-  private void orderStops(TrackedTransfer tracked, Job taker, Moment now) {
+  private void orderStops(TrackedTransfer tracked, Job taker, MonotonicTime now) {
     List<Placement> victims = new ArrayList<>();
     if (tracked.victims.isEmpty()) {
       // An earlier leader planned the transfer: select among the giver's remaining tasks.
@@ -328,7 +330,7 @@
     openTransfers.advance(tracked, tracked.transfer.toSaving(), now);
   }
 
-  private void startTaker(TrackedTransfer tracked, Job taker, Moment now, WallTime wall) {
+  private void startTaker(TrackedTransfer tracked, Job taker, MonotonicTime now, WallTime wall) {
     Machine machine = tracked.reservedMachine;
     int index = taker.nextPending(0, now);
     if (taker.spec().allows(machine.type().name(), machine.zone(), machine.spot())
@@ -344,13 +346,14 @@
     }
   }
 
-  private void beginReturn(TrackedTransfer tracked, String reason, Moment now, WallTime wall) {
+  private void beginReturn(
+      TrackedTransfer tracked, String reason, MonotonicTime now, WallTime wall) {
     LOG.info("transfer {}: returning the room, {}", tracked.transfer.id(), reason);
     openTransfers.advance(tracked, tracked.transfer.toReturning(wall), now);
   }
 
   /** Reuses or reserves the room when the taker's replica has ended. */
-  private void checkTaken(TrackedTransfer tracked, Moment now, WallTime wall) {
+  private void checkTaken(TrackedTransfer tracked, MonotonicTime now, WallTime wall) {
     Optional<Machine> machine = fleet.find(tracked.transfer.machine());
     if (machine.isEmpty()) {
       LOG.info(
@@ -366,13 +369,13 @@
       }
       tracked.reserveOn(machine.get());
     }
-    if (tracked.isRoomFree()) {
+    if (tracked.isCapacityFree()) {
       findTaker(tracked).ifPresent(taker -> startTaker(tracked, taker, now, wall));
     }
   }
 
   /** Begins the return of room that the takers no longer need, the oldest transfers first. */
-  private void returnExcess(Moment now, WallTime wall) {
+  private void returnExcess(MonotonicTime now, WallTime wall) {
     for (ExchangeTerms exchange : terms) {
       List<TrackedTransfer> held =
           openTransfers.all().stream()
@@ -401,7 +404,7 @@
   }
 
   /** Resumes the giver in the room reserved for it, or on any machine with room. */
-  private void resumeGiver(TrackedTransfer tracked, Moment now) {
+  private void resumeGiver(TrackedTransfer tracked, MonotonicTime now) {
     Optional<Job> giver = jobs.find(tracked.transfer.giver()).filter(Job::isOpen);
     if (giver.isEmpty() || giver.get().pendingCount() <= 0 || !withinHoldTimeout(tracked, now)) {
       LOG.info(
--- a/src/main/java/org/oakwalk/core/exchange/OpenTransfers.java
+++ b/src/main/java/org/oakwalk/core/exchange/OpenTransfers.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.job.Job;
@@ -38,14 +38,14 @@
    *
    * @return whether the transfers are usable
    */
-  boolean restoreWhenLoaded(Moment now) {
+  boolean restoreWhenLoaded(MonotonicTime now) {
     if (!restored && record.isLoaded() && !record.isUnusable()) {
       restore(now);
     }
     return isUsable();
   }
 
-  private void restore(Moment now) {
+  private void restore(MonotonicTime now) {
     restored = true;
     for (CapacityTransfer transfer : record.storedRows()) {
       TrackedTransfer tracked = new TrackedTransfer(transfer, now);
@@ -71,7 +71,7 @@
   }
 
   /** Moves a transfer to its next state; every state change goes through this method. */
-  void advance(TrackedTransfer tracked, CapacityTransfer next, Moment now) {
+  void advance(TrackedTransfer tracked, CapacityTransfer next, MonotonicTime now) {
     LOG.info("transfer {}: {} to {}", next.id(), tracked.transfer.state(), next.state());
     tracked.transfer = next;
     tracked.writeRevision = 0;
--- a/src/main/java/org/oakwalk/core/exchange/TakerDemand.java
+++ b/src/main/java/org/oakwalk/core/exchange/TakerDemand.java
@@ -3,8 +3,8 @@
 import java.util.HashMap;
 import java.util.List;
 import java.util.Map;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.product.ExchangeTerms;
@@ -13,20 +13,20 @@
  * Tracks the replica demand of takers, and how many transfers are due for return after it falls.
  */
 final class TakerDemand {
-  private static final Span COUNT_INTERVAL = Span.seconds(1);
+  private static final TimeSpan COUNT_INTERVAL = TimeSpan.seconds(1);
 
   /** Demand of the takers of one exchange. */
   private static final class ReplicaDemand {
     int replicas;
 
     /** Since when more room is held than needed; null if it is not. */
-    Moment lowSince;
+    MonotonicTime lowSince;
   }
 
   private final List<ExchangeTerms> terms;
   private final JobRegistry jobs;
   private final Map<String, ReplicaDemand> demandByExchange = new HashMap<>();
-  private Moment nextCount = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextCount = new MonotonicTime(Long.MIN_VALUE / 2);
 
   TakerDemand(List<ExchangeTerms> terms, JobRegistry jobs) {
     this.terms = terms;
@@ -35,7 +35,7 @@
   }
 
   /** Recounts the replicas that the takers' open jobs request, at most once per interval. */
-  void update(Moment now) {
+  void update(MonotonicTime now) {
     if (nextCount.isAfter(now)) {
       return;
     }
@@ -63,7 +63,7 @@
    *
    * @param held the transfers whose room the takers hold
    */
-  int dueForReturn(ExchangeTerms exchange, List<CapacityTransfer> held, Moment now) {
+  int dueForReturn(ExchangeTerms exchange, List<CapacityTransfer> held, MonotonicTime now) {
     ReplicaDemand demand = demandByExchange.get(exchange.name());
     int replicasBefore =
         held.stream().mapToInt(transfer -> transfer.demandLevel() - 1).min().orElse(0);
--- a/src/main/java/org/oakwalk/core/exchange/TaskStarter.java
+++ b/src/main/java/org/oakwalk/core/exchange/TaskStarter.java
@@ -1,9 +1,9 @@
 package org.oakwalk.core.exchange;
 
 import java.util.Comparator;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.job.Job;
@@ -17,14 +17,14 @@
   private final Quota quota;
   private final CapacityReserve reserve;
   private final RunTimeEstimates runTimes;
-  private final Span suspectAfter;
+  private final TimeSpan suspectAfter;
 
   TaskStarter(
       Fleet fleet,
       Quota quota,
       CapacityReserve reserve,
       RunTimeEstimates runTimes,
-      Span suspectAfter) {
+      TimeSpan suspectAfter) {
     this.fleet = fleet;
     this.quota = quota;
     this.reserve = reserve;
@@ -35,19 +35,19 @@
   /**
    * Returns whether a task may start on a machine now, given room; an index of -1 means no task.
    */
-  boolean mayStart(Job job, int index, Machine machine, Moment now) {
+  boolean mayStart(Job job, int index, Machine machine, MonotonicTime now) {
     return index >= 0
         && machine.acceptsTasks(now, suspectAfter)
         && !machine.refusesNewAttempt(new TaskId(job.id(), index))
         && quota.allows(job, 1);
   }
 
-  void place(Job job, int index, Machine machine, Moment now) {
+  void place(Job job, int index, Machine machine, MonotonicTime now) {
     fleet.place(job, index, fleet.nextAttempt(), machine, runTimes.expected(job.spec()), now);
   }
 
   /** Starts up to the given number of a job's pending tasks; returns the number started. */
-  int startUpTo(Job job, int maxTasks, Machine machine, Moment now) {
+  int startUpTo(Job job, int maxTasks, Machine machine, MonotonicTime now) {
     int placed = 0;
     int index = job.nextPending(0, now);
     while (placed < maxTasks
@@ -63,7 +63,7 @@
   /**
    * Returns a machine with room for a task, preferably one with its image; null if there is none.
    */
-  Machine findMachine(Job job, Moment now) {
+  Machine findMachine(Job job, MonotonicTime now) {
     return fleet.machines().stream()
         .filter(machine -> machine.acceptsTasks(now, suspectAfter))
         .filter(machine -> !machine.schedulingMode().backfillOnly())
--- a/src/main/java/org/oakwalk/core/exchange/TrackedTransfer.java
+++ b/src/main/java/org/oakwalk/core/exchange/TrackedTransfer.java
@@ -1,7 +1,7 @@
 package org.oakwalk.core.exchange;
 
 import java.util.List;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
 
@@ -22,9 +22,9 @@
   List<Placement> victims = List.of();
 
   /** When this leader put the transfer into its current state, or restored it. */
-  Moment stateSince;
+  MonotonicTime stateSince;
 
-  TrackedTransfer(CapacityTransfer transfer, Moment stateSince) {
+  TrackedTransfer(CapacityTransfer transfer, MonotonicTime stateSince) {
     this.transfer = transfer;
     this.stateSince = stateSince;
   }
@@ -45,7 +45,7 @@
   }
 
   /** Returns whether the room is free on the reserved machine, its own reservation aside. */
-  boolean isRoomFree() {
+  boolean isCapacityFree() {
     return transfer.resources().fitsInto(reservedMachine.free().plus(transfer.resources()));
   }
 }
--- a/src/main/java/org/oakwalk/core/exchange/TransferPlanner.java
+++ b/src/main/java/org/oakwalk/core/exchange/TransferPlanner.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.ToIntFunction;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
@@ -72,7 +72,7 @@
 
   /** Returns the cheapest plan for one replica of the taker; empty if no giver is eligible. */
   Optional<TransferPlan> cheapestPlan(
-      Job taker, ExchangeTerms terms, List<Machine> machines, Moment now) {
+      Job taker, ExchangeTerms terms, List<Machine> machines, MonotonicTime now) {
     Map<Job, List<Placement>> gangs = new HashMap<>();
     TransferPlan cheapest = null;
     for (Machine machine : machines) {
@@ -89,7 +89,7 @@
       Job taker,
       ExchangeTerms terms,
       Map<Job, List<Placement>> gangs,
-      Moment now) {
+      MonotonicTime now) {
     Resources required = taker.spec().resources();
     Resources free = reserve.freeFor(taker.spec(), machine);
     List<Placement> candidates = new ArrayList<>();
@@ -158,7 +158,8 @@
    * Returns the cost of stopping a task, in seconds. A job that checkpoints loses the time to write
    * the checkpoint, any other job all its work. Stopping one task of a gang stops all of them.
    */
-  private double stopCostSeconds(Placement placement, Map<Job, List<Placement>> gangs, Moment now) {
+  private double stopCostSeconds(
+      Placement placement, Map<Job, List<Placement>> gangs, MonotonicTime now) {
     Job job = placement.job();
     double own = STOP_COST_S + OPEN_TRANSFER_COST_S * openTransfersOf.applyAsInt(job);
     if (!job.spec().gang()) {
@@ -170,13 +171,13 @@
     return own + gangCost;
   }
 
-  private static double lostWorkSeconds(Placement placement, Moment now) {
+  private static double lostWorkSeconds(Placement placement, MonotonicTime now) {
     JobSpec spec = placement.job().spec();
     if (spec.checkpointInterval().millis() > 0) {
       return spec.checkpointDuration().asSeconds();
     }
-    Moment since = placement.runningSince();
-    Span runTime = since == null ? Span.millis(0) : now.since(since);
+    MonotonicTime since = placement.runningSince();
+    TimeSpan runTime = since == null ? TimeSpan.millis(0) : now.since(since);
     return runTime.asSeconds();
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/CommandDispatcher.java
+++ b/src/main/java/org/oakwalk/core/fleet/CommandDispatcher.java
@@ -6,12 +6,12 @@
 import java.util.Map;
 import java.util.function.Consumer;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Order;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.SessionId;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
@@ -26,7 +26,7 @@
  */
 public final class CommandDispatcher {
   private static final Logger LOG = LoggerFactory.getLogger(CommandDispatcher.class);
-  private static final Span TOKEN_PUSH_INTERVAL = Span.millis(1000);
+  private static final TimeSpan TOKEN_PUSH_INTERVAL = TimeSpan.millis(1000);
   private static final int MAX_ORDERS_PER_COMMAND = 200;
 
   /**
@@ -45,16 +45,16 @@
    * Time after a response in which no token is pushed: the worker has the token from the response
    * and confirms it in a report within half a second.
    */
-  private static final Span CONFIRMATION_WAIT = Span.millis(1000);
+  private static final TimeSpan CONFIRMATION_WAIT = TimeSpan.millis(1000);
 
   private final Outbox outbox;
   private final Fleet fleet;
   private final Consumer<Report> reportHandler;
-  private final Map<MachineId, Moment> lastTokenPush = new HashMap<>();
-  private final Map<MachineId, Moment> lastResponse = new HashMap<>();
-  private final Span suspectAfter;
+  private final Map<MachineId, MonotonicTime> lastTokenPush = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> lastResponse = new HashMap<>();
+  private final TimeSpan suspectAfter;
   private int activeProbes;
-  private Moment clock = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime clock = new MonotonicTime(Long.MIN_VALUE / 2);
 
   /**
    * Creates a dispatcher for one term.
@@ -63,7 +63,7 @@
    * @param reportHandler receives the reports that workers send in reply to commands
    */
   public CommandDispatcher(
-      Outbox outbox, Fleet fleet, Span suspectAfter, Consumer<Report> reportHandler) {
+      Outbox outbox, Fleet fleet, TimeSpan suspectAfter, Consumer<Report> reportHandler) {
     this.suspectAfter = suspectAfter;
     this.outbox = outbox;
     this.fleet = fleet;
@@ -71,7 +71,7 @@
   }
 
   /** Sends the halts and starts that are due to machines without a command in flight. */
-  public void flush(Moment now) {
+  public void flush(MonotonicTime now) {
     clock = now;
     for (Machine machine : fleet.takeCommandable()) {
       // A machine whose reports are forwarded by another controller can't be reached by command
@@ -124,7 +124,7 @@
   }
 
   /** Records that a response with this leader's token was sent to a machine's report. */
-  public void responseSent(MachineId machine, Moment now) {
+  public void responseSent(MachineId machine, MonotonicTime now) {
     lastResponse.put(machine, now);
   }
 
@@ -132,7 +132,7 @@
    * Sends the fencing token, in commands without orders, to machines that have not confirmed it yet
    * or do not seem to receive responses. A reply shows that they are reached.
    */
-  public void pushTokens(Moment now) {
+  public void pushTokens(MonotonicTime now) {
     int sent = 0;
     for (Machine machine : fleet.machines()) {
       if (sent == MAX_TOKEN_PUSHES_PER_TICK) {
@@ -157,7 +157,7 @@
    * Probes machines that have stopped reporting with commands without orders. A worker that can't
    * reach any controller but can be reached itself replies with its ended tasks and its session.
    */
-  public void probeSilentMachines(Moment now) {
+  public void probeSilentMachines(MonotonicTime now) {
     for (Machine machine : fleet.machines()) {
       if (activeProbes >= MAX_CONCURRENT_PROBES) {
         return;
@@ -177,8 +177,8 @@
   }
 
   private static boolean within(
-      Map<MachineId, Moment> times, Span span, Machine machine, Moment now) {
-    Moment last = times.get(machine.id());
+      Map<MachineId, MonotonicTime> times, TimeSpan span, Machine machine, MonotonicTime now) {
+    MonotonicTime last = times.get(machine.id());
     return last != null && !now.isPast(last, span);
   }
 
--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -12,12 +12,12 @@
 import java.util.Set;
 import org.oakwalk.core.Attempt;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Order;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobRegistry;
@@ -34,14 +34,14 @@
  */
 public final class Fleet {
   private static final Logger LOG = LoggerFactory.getLogger(Fleet.class);
-  private static final Span LEASE_EXPIRY_MARGIN = Span.millis(500);
+  private static final TimeSpan LEASE_EXPIRY_MARGIN = TimeSpan.millis(500);
 
   /**
    * Margin before the cancel deadline within which no start of a withdrawn job is sent. It covers
    * that another controller may have told the user of the withdrawal before the task was placed
    * here, and the time that a response to a report may take, with some reserve.
    */
-  private static final Span START_MARGIN = Span.seconds(10);
+  private static final TimeSpan START_MARGIN = TimeSpan.seconds(10);
 
   /**
    * Ended attempts listed only because duplicates of their starts may still arrive, from which on
@@ -87,19 +87,19 @@
      *
      * @param ran how long it ran, or null if that is unknown
      */
-    void completed(Placement placement, Span ran);
+    void completed(Placement placement, TimeSpan ran);
 
     /** A task was placed on a machine. */
-    void placed(Job job, Moment now);
+    void placed(Job job, MonotonicTime now);
 
     /** A stop of a task was requested. */
     default void stopRequested(Placement placement, StopReason reason) {}
 
     /** An attempt is certain not to be on its machine any more. */
-    default void placementEnded(Placement placement, Moment now) {}
+    default void placementEnded(Placement placement, MonotonicTime now) {}
 
     /** A machine now accepts tasks, or has more free room. */
-    void roomChanged();
+    void capacityChanged();
   }
 
   private final Token token;
@@ -122,10 +122,10 @@
    * The last moment at which a lease may have been renewed unknown to this fleet, mostly by an
    * older leader; null if not determined yet.
    */
-  private Moment lastUnseenRenewal;
+  private MonotonicTime lastUnseenRenewal;
 
   /** Cached, since it is read for each task that is placed; null if it has to be computed. */
-  private Resources unaccountedRoom;
+  private Resources unaccountedResources;
 
   public Fleet(
       Token token,
@@ -171,21 +171,23 @@
    * their tasks in this term, and that of orphans, such as tasks of a job whose record can't be
    * read.
    */
-  public Resources unaccountedRoom() {
-    if (unaccountedRoom == null) {
-      unaccountedRoom = Resources.NONE;
+  public Resources unaccountedResources() {
+    if (unaccountedResources == null) {
+      unaccountedResources = Resources.NONE;
       for (Machine machine : machines.values()) {
-        unaccountedRoom =
-            unaccountedRoom.plus(
-                machine.unverified() ? machine.type().room() : machine.unmatched().orphanRoom());
+        unaccountedResources =
+            unaccountedResources.plus(
+                machine.unverified()
+                    ? machine.type().resources()
+                    : machine.unmatched().orphanResources());
       }
     }
-    return unaccountedRoom;
+    return unaccountedResources;
   }
 
   /** Invalidates the unaccounted room after a change of a machine's orphans. */
-  void unaccountedRoomChanged() {
-    unaccountedRoom = null;
+  void unaccountedResourcesChanged() {
+    unaccountedResources = null;
   }
 
   /** Whether attempts that earlier leaders ordered may be on some machine without being known. */
@@ -195,7 +197,7 @@
 
   void markVerified(Machine machine) {
     machine.markVerified();
-    unaccountedRoom = null;
+    unaccountedResources = null;
   }
 
   /**
@@ -211,7 +213,7 @@
       String zone,
       boolean spot,
       Machine.State state,
-      Moment known) {
+      MonotonicTime known) {
     MachineType kind = types.get(type);
     if (kind == null && state != Machine.State.UNCONFIRMED) {
       return Optional.empty();
@@ -224,7 +226,7 @@
       machine.schedulingMode(SchedulingMode.UNFIT);
     }
     machines.put(id, machine);
-    unaccountedRoom = null;
+    unaccountedResources = null;
     return Optional.of(machine);
   }
 
@@ -239,7 +241,7 @@
    */
   private static MachineType unboundedType(String name) {
     Resources all = new Resources(Double.MAX_VALUE, Double.MAX_VALUE, Double.MAX_VALUE);
-    return new MachineType(name, all, 0, 0, 0, 0, Span.seconds(0), List.of());
+    return new MachineType(name, all, 0, 0, 0, 0, TimeSpan.seconds(0), List.of());
   }
 
   /**
@@ -248,7 +250,7 @@
    * @param expected expected time until the task ends
    */
   public Placement place(
-      Job job, int index, Attempt attempt, Machine machine, Span expected, Moment now) {
+      Job job, int index, Attempt attempt, Machine machine, TimeSpan expected, MonotonicTime now) {
     Placement placement =
         addPlacement(job, new TaskId(job.id(), index), attempt, machine, expected, now);
     commandable.add(machine);
@@ -259,7 +261,12 @@
   }
 
   Placement addPlacement(
-      Job job, TaskId task, Attempt attempt, Machine machine, Span expected, Moment now) {
+      Job job,
+      TaskId task,
+      Attempt attempt,
+      Machine machine,
+      TimeSpan expected,
+      MonotonicTime now) {
     job.assign(task.index());
     Placement placement = new Placement(job, task, attempt, machine, now, expected);
     machine.add(placement);
@@ -270,7 +277,7 @@
   }
 
   /** Requests that a placement be stopped. */
-  public void halt(Placement placement, Span grace, StopReason reason) {
+  public void halt(Placement placement, TimeSpan grace, StopReason reason) {
     if (!placement.halting()) {
       listener.stopRequested(placement, reason);
     }
@@ -317,7 +324,7 @@
    * @param unsolicited whether the worker sent it on its own, rather than in reply to a command
    * @return the machine, or empty if the report can't be used
    */
-  public Optional<Machine> handleReport(Report report, boolean unsolicited, Moment now) {
+  public Optional<Machine> handleReport(Report report, boolean unsolicited, MonotonicTime now) {
     return reconciler.handleReport(report, unsolicited, now);
   }
 
@@ -356,41 +363,41 @@
     } else {
       LOG.info("machine {} is up: zone {}, spot {}", machine.id(), machine.zone(), machine.spot());
     }
-    listener.roomChanged();
+    listener.capacityChanged();
   }
 
   /** Removes a placement whose attempt is certain not to be on its machine any more. */
-  void removePlacement(Placement placement, Moment now) {
+  void removePlacement(Placement placement, MonotonicTime now) {
     preemptionIndex.removed(placement);
     placement.enter(Placement.State.ENDED, now);
     placement.machine().remove(placement, now);
     byTask.remove(placement.task(), placement);
     placement.job().unassign(placement.task().index(), now);
-    Resources room = placement.job().spec().resources();
-    teamUsage.computeIfPresent(placement.job().spec().team(), (team, use) -> use.minus(room));
+    Resources resources = placement.job().spec().resources();
+    teamUsage.computeIfPresent(placement.job().spec().team(), (team, use) -> use.minus(resources));
     listener.placementEnded(placement, now);
-    listener.roomChanged();
+    listener.capacityChanged();
   }
 
-  void removeAllPlacements(Machine machine, Moment now) {
+  void removeAllPlacements(Machine machine, MonotonicTime now) {
     for (Placement placement : machine.placementsCopy()) {
       LOG.debug("task {} lost on machine {}", placement.task(), machine.id());
       removePlacement(placement, now);
     }
     machine.unmatched().clear();
-    unaccountedRoom = null;
+    unaccountedResources = null;
   }
 
   /**
    * Whether a machine's lease must not be renewed, so that a delayed start of a withdrawn job can't
    * be executed on it.
    */
-  public boolean mustNotRenewLease(Machine machine, Moment now) {
+  public boolean mustNotRenewLease(Machine machine, MonotonicTime now) {
     return machine.mustNotRenewLease(now, timing.graceLimit().minusClockDrift());
   }
 
   /** The orders to send in response to an unsolicited report, which renews the machine's lease. */
-  public List<Order> respond(Machine machine, Moment now) {
+  public List<Order> respond(Machine machine, MonotonicTime now) {
     machine.leaseRenewedAt(now);
     List<Order> orders = new ArrayList<>(clearOrders(machine));
     raiseTokenIfDue(machine);
@@ -401,7 +408,7 @@
           machine
               .pendingStarts()
               .sentInResponse(new Machine.TaskAttempt(placement.task(), placement.attempt()));
-          orders.add(new Order.Halt(placement.task(), placement.attempt(), Span.millis(0)));
+          orders.add(new Order.Halt(placement.task(), placement.attempt(), TimeSpan.millis(0)));
         } else {
           orders.add(haltOrder(placement));
         }
@@ -414,7 +421,7 @@
       }
     }
     for (Machine.TaskAttempt orphan : machine.unmatched().orphans()) {
-      orders.add(new Order.Halt(orphan.task(), orphan.attempt(), Span.millis(0)));
+      orders.add(new Order.Halt(orphan.task(), orphan.attempt(), TimeSpan.millis(0)));
     }
     return orders;
   }
@@ -427,7 +434,7 @@
    * remains, so the task is placed nowhere else. A task of a withdrawn job must not start when its
    * user may have been told of the withdrawal longer ago than the cancel deadline allows.
    */
-  private boolean mustRepeatStart(Placement placement, Moment now) {
+  private boolean mustRepeatStart(Placement placement, MonotonicTime now) {
     Machine machine = placement.machine();
     boolean inTime =
         placement.job().state() != Job.State.WITHDRAWN
@@ -515,7 +522,7 @@
     if (reported.compareTo(token) >= 0 || lastUnseenRenewal == null) {
       return false;
     }
-    Moment renewed =
+    MonotonicTime renewed =
         lastUnseenRenewal.isAfter(machine.knownSince()) ? lastUnseenRenewal : machine.knownSince();
     return view.lastConfirmed()
         .isPast(renewed, timing.leaseDuration().plusClockDrift().plus(LEASE_EXPIRY_MARGIN));
@@ -527,11 +534,11 @@
    * @param lastUnseenRenewal the last moment at which a lease may have been renewed unknown to this
    *     fleet
    */
-  public void expireLeases(Moment now, Moment lastUnseenRenewal) {
+  public void expireLeases(MonotonicTime now, MonotonicTime lastUnseenRenewal) {
     this.lastUnseenRenewal = lastUnseenRenewal;
-    Span lease = timing.leaseDuration().plusClockDrift().plus(LEASE_EXPIRY_MARGIN);
+    TimeSpan lease = timing.leaseDuration().plusClockDrift().plus(LEASE_EXPIRY_MARGIN);
     for (Machine machine : machines.values()) {
-      Moment renewed = machine.leaseRenewedAt();
+      MonotonicTime renewed = machine.leaseRenewedAt();
       if (machine.unverified() && lastUnseenRenewal.isAfter(renewed)) {
         renewed = lastUnseenRenewal;
       }
@@ -571,11 +578,11 @@
   }
 
   /** Removes a machine that the cloud has confirmed as gone. */
-  public void confirmGone(Machine machine, Moment now) {
+  public void confirmGone(Machine machine, MonotonicTime now) {
     machine.enter(Machine.State.GONE);
     removeAllPlacements(machine, now);
     machines.remove(machine.id());
-    unaccountedRoom = null;
+    unaccountedResources = null;
     gone.add(machine.id());
     LOG.info("machine {} was returned", machine.id());
   }
--- a/src/main/java/org/oakwalk/core/fleet/Machine.java
+++ b/src/main/java/org/oakwalk/core/fleet/Machine.java
@@ -12,10 +12,10 @@
 import org.oakwalk.core.Attempt;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.SessionId;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.Resources;
@@ -59,17 +59,17 @@
   private final MachineType type;
   private final String zone;
   private final boolean spot;
-  private final Moment knownSince;
+  private final MonotonicTime knownSince;
   private String address;
   private State state;
   private final SessionTracker sessions = new SessionTracker();
-  private Moment leaseRenewedAt;
-  private Moment lastReportAt;
-  private Moment reclaimedAt;
-  private Moment idleSince;
-  private Moment blockedUntil;
+  private MonotonicTime leaseRenewedAt;
+  private MonotonicTime lastReportAt;
+  private MonotonicTime reclaimedAt;
+  private MonotonicTime idleSince;
+  private MonotonicTime blockedUntil;
   private Rental.Status cloudStatus;
-  private Optional<Span> bootTime = Optional.empty();
+  private Optional<TimeSpan> bootTime = Optional.empty();
   private boolean unverified;
   private boolean representsUnreadableList;
   private boolean reportForwarded;
@@ -80,10 +80,10 @@
   private Resources used = Resources.NONE;
   private Resources cachedFree;
   private Resources cachedUsed;
-  private Resources cachedOrphanRoom;
+  private Resources cachedOrphanResources;
   private Resources cachedReserved;
   private int replicas;
-  private Moment expectedEmptyAt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime expectedEmptyAt = new MonotonicTime(Long.MIN_VALUE / 2);
   private final Map<TaskId, Placement> placements = new LinkedHashMap<>();
   private final ImageCache images;
   private final UnmatchedAttempts unmatched = new UnmatchedAttempts();
@@ -100,7 +100,7 @@
       boolean spot,
       State state,
       Token granted,
-      Moment known) {
+      MonotonicTime known) {
     this.id = id;
     this.fence = new Fence(granted);
     this.address = address;
@@ -168,7 +168,7 @@
   }
 
   /** When the machine became known to this leader; for a booting one, when it was rented. */
-  public Moment knownSince() {
+  public MonotonicTime knownSince() {
     return knownSince;
   }
 
@@ -177,22 +177,22 @@
   }
 
   /** When its last unsolicited report arrived, directly or forwarded by another controller. */
-  public Moment lastReportAt() {
+  public MonotonicTime lastReportAt() {
     return lastReportAt;
   }
 
   /** When it last replied to a command. */
-  public Moment lastCommandReplyAt() {
+  public MonotonicTime lastCommandReplyAt() {
     return delivery.lastCommandReplyAt();
   }
 
   /** Moment from which its lease is counted: the last at which it may have been renewed here. */
-  public Moment leaseRenewedAt() {
+  public MonotonicTime leaseRenewedAt() {
     return leaseRenewedAt;
   }
 
   /** When its last placement was removed; if it never had any, when it became known. */
-  public Moment idleSince() {
+  public MonotonicTime idleSince() {
     return idleSince;
   }
 
@@ -238,7 +238,7 @@
   }
 
   /** When the cloud reclaims the machine, or null if it has given no notice. */
-  public Moment reclaimedAt() {
+  public MonotonicTime reclaimedAt() {
     return reclaimedAt;
   }
 
@@ -252,24 +252,26 @@
    * these changes, since every search of a placement round reads it.
    */
   public Resources free() {
-    Resources orphanRoom = unmatched.orphanRoom();
-    if (cachedUsed != used || cachedOrphanRoom != orphanRoom || cachedReserved != reserved) {
+    Resources orphanResources = unmatched.orphanResources();
+    if (cachedUsed != used
+        || cachedOrphanResources != orphanResources
+        || cachedReserved != reserved) {
       cachedUsed = used;
-      cachedOrphanRoom = orphanRoom;
+      cachedOrphanResources = orphanResources;
       cachedReserved = reserved;
-      cachedFree = type.room().minus(used).minus(orphanRoom).minus(reserved);
+      cachedFree = type.resources().minus(used).minus(orphanResources).minus(reserved);
     }
     return cachedFree;
   }
 
   /** Reserves room for a task that is to be placed here, such as one moved from another machine. */
-  public void reserve(Resources room) {
-    reserved = reserved.plus(room);
+  public void reserve(Resources resources) {
+    reserved = reserved.plus(resources);
   }
 
   /** Releases reserved room once the task is placed here, or will not be. */
-  public void releaseReservation(Resources room) {
-    reserved = reserved.minus(room);
+  public void releaseReservation(Resources resources) {
+    reserved = reserved.minus(resources);
   }
 
   public Collection<Placement> placements() {
@@ -281,12 +283,12 @@
     return placements.get(task);
   }
 
-  private static Moment later(Moment one, Moment other) {
+  private static MonotonicTime later(MonotonicTime one, MonotonicTime other) {
     return other == null || one.isAfter(other) ? one : other;
   }
 
   /** When the last of its tasks, services apart, is expected to end. */
-  public Moment expectedEmptyAt() {
+  public MonotonicTime expectedEmptyAt() {
     return expectedEmptyAt;
   }
 
@@ -308,7 +310,7 @@
    * Whether tasks may be placed on it now; in a backfill-only mode, only those that do not extend
    * its use.
    */
-  public boolean acceptsTasks(Moment now, Span suspectAfter) {
+  public boolean acceptsTasks(MonotonicTime now, TimeSpan suspectAfter) {
     return state == State.UP
         && (schedulingMode == SchedulingMode.ACTIVE || schedulingMode.backfillOnly())
         && session().isPresent()
@@ -341,13 +343,13 @@
   }
 
   /** Records the boot time at the first report since the machine was rented. */
-  void booted(Moment now) {
+  void booted(MonotonicTime now) {
     bootTime = Optional.of(now.since(knownSince));
   }
 
   /** The measured boot time; empty if there is none or it was taken before. */
-  public Optional<Span> takeBootTime() {
-    Optional<Span> took = bootTime;
+  public Optional<TimeSpan> takeBootTime() {
+    Optional<TimeSpan> took = bootTime;
     bootTime = Optional.empty();
     return took;
   }
@@ -365,20 +367,20 @@
     address = current;
   }
 
-  void lastReportAt(Moment now) {
+  void lastReportAt(MonotonicTime now) {
     lastReportAt = now;
   }
 
-  void leaseRenewedAt(Moment now) {
+  void leaseRenewedAt(MonotonicTime now) {
     leaseRenewedAt = now;
   }
 
-  void reclaimedAt(Moment at) {
+  void reclaimedAt(MonotonicTime at) {
     reclaimedAt = at;
     schedulingMode(SchedulingMode.RECLAIMED);
   }
 
-  void blockedUntil(Moment until) {
+  void blockedUntil(MonotonicTime until) {
     blockedUntil = until;
   }
 
@@ -440,10 +442,10 @@
     images.use(placement.job().spec().image(), placement.job().spec().imageGb());
   }
 
-  void remove(Placement placement, Moment now) {
+  void remove(Placement placement, MonotonicTime now) {
     if (placements.remove(placement.task(), placement)) {
       replicas -= placement.job().spec().service() ? 1 : 0;
-      expectedEmptyAt = new Moment(Long.MIN_VALUE / 2);
+      expectedEmptyAt = new MonotonicTime(Long.MIN_VALUE / 2);
       for (Placement left : placements.values()) {
         expectedEmptyAt = later(expectedEmptyAt, left.expectedEnd());
       }
@@ -521,9 +523,9 @@
    * the network, and its job was withdrawn more than {@code limit} ago. Renewing the lease would
    * keep the session alive, and the start would be executed whenever it arrives.
    */
-  boolean mustNotRenewLease(Moment now, Span limit) {
+  boolean mustNotRenewLease(MonotonicTime now, TimeSpan limit) {
     for (Placement placement : placements.values()) {
-      Moment withdrawn = placement.job().earliestWithdrawalNotice();
+      MonotonicTime withdrawn = placement.job().earliestWithdrawalNotice();
       if (withdrawn != null
           && now.isPast(withdrawn, limit)
           && pendingStarts.commandUnanswered(
--- a/src/main/java/org/oakwalk/core/fleet/MachineRegistry.java
+++ b/src/main/java/org/oakwalk/core/fleet/MachineRegistry.java
@@ -8,10 +8,10 @@
 import java.util.Optional;
 import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
@@ -35,10 +35,10 @@
  * this.
  */
 public final class MachineRegistry {
-  private static final Span RETRY_DELAY = Span.millis(500);
+  private static final TimeSpan RETRY_DELAY = TimeSpan.millis(500);
 
   /** Machines that come up within this interval are written together. */
-  private static final Span COMMIT_INTERVAL = Span.millis(200);
+  private static final TimeSpan COMMIT_INTERVAL = TimeSpan.millis(200);
 
   /** Limits the machines that are unknown to the next leader if one value is damaged. */
   private static final int MAX_MACHINES_PER_KEY = 50;
@@ -88,7 +88,7 @@
   private final Map<String, MachineBatch> batches = new LinkedHashMap<>();
   private long lastKeyNumber;
   private boolean writing;
-  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextAttemptAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
   public MachineRegistry(Outbox outbox, Fleet fleet, Guard guard, Settings.StateLimits limits) {
     this.outbox = outbox;
@@ -145,7 +145,7 @@
   }
 
   /** Starts the next transaction if there are changes to write and none is in flight. */
-  public void tick(Moment now) {
+  public void tick(MonotonicTime now) {
     if (writing || nextAttemptAt.isAfter(now)) {
       return;
     }
--- a/src/main/java/org/oakwalk/core/fleet/MachineType.java
+++ b/src/main/java/org/oakwalk/core/fleet/MachineType.java
@@ -1,7 +1,7 @@
 package org.oakwalk.core.fleet;
 
 import java.util.List;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.Resources;
 
 /**
@@ -12,12 +12,12 @@
  */
 public record MachineType(
     String name,
-    Resources room,
+    Resources resources,
     double cacheGb,
     double fetchGbPerSecond,
     double price,
     double spotPrice,
-    Span bootTime,
+    TimeSpan bootTime,
     List<String> zones) {
 
   public double price(boolean spot) {
@@ -27,12 +27,21 @@
   /** Whether the other type is equal apart from its prices. */
   public boolean equalsExceptPrices(MachineType other) {
     return new MachineType(
-            name, room, cacheGb, fetchGbPerSecond, other.price, other.spotPrice, bootTime, zones)
+            name,
+            resources,
+            cacheGb,
+            fetchGbPerSecond,
+            other.price,
+            other.spotPrice,
+            bootTime,
+            zones)
         .equals(other);
   }
 
   /** Time that an otherwise idle machine takes to fetch an image of this size. */
-  public Span fetchTime(double imageGb) {
-    return fetchGbPerSecond <= 0 ? Span.seconds(0) : Span.seconds(imageGb / fetchGbPerSecond);
+  public TimeSpan fetchTime(double imageGb) {
+    return fetchGbPerSecond <= 0
+        ? TimeSpan.seconds(0)
+        : TimeSpan.seconds(imageGb / fetchGbPerSecond);
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/Placement.java
+++ b/src/main/java/org/oakwalk/core/fleet/Placement.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.Set;
 import org.oakwalk.core.Attempt;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.Job;
 
 /**
@@ -43,18 +43,24 @@
   private final TaskId task;
   private final Attempt attempt;
   private final Machine machine;
-  private final Moment orderedAt;
+  private final MonotonicTime orderedAt;
   private State state = State.ORDERED;
-  private Moment runningSince;
-  private Span haltGrace;
+  private MonotonicTime runningSince;
+  private TimeSpan haltGrace;
   private boolean runCommanded;
-  private Span haltCommanded;
+  private TimeSpan haltCommanded;
   private boolean continuouslyObserved = true;
   private boolean late;
-  private final Moment expectedEnd;
+  private final MonotonicTime expectedEnd;
   private final PreemptionIndex.PreemptionKey preemptionKey;
 
-  Placement(Job job, TaskId task, Attempt attempt, Machine machine, Moment ordered, Span expected) {
+  Placement(
+      Job job,
+      TaskId task,
+      Attempt attempt,
+      Machine machine,
+      MonotonicTime ordered,
+      TimeSpan expected) {
     this.job = job;
     this.task = task;
     this.attempt = attempt;
@@ -89,17 +95,17 @@
     return state;
   }
 
-  public Moment orderedAt() {
+  public MonotonicTime orderedAt() {
     return orderedAt;
   }
 
   /** When a report first showed it running, or null. */
-  public Moment runningSince() {
+  public MonotonicTime runningSince() {
     return runningSince;
   }
 
   /** When it is expected to end; null for a replica of a service. */
-  public Moment expectedEnd() {
+  public MonotonicTime expectedEnd() {
     return expectedEnd;
   }
 
@@ -129,12 +135,12 @@
   }
 
   /** Time to save progress before it is stopped; null if no stop was requested. */
-  public Span haltGrace() {
+  public TimeSpan haltGrace() {
     return haltGrace;
   }
 
   /** Requests a stop; a shorter grace period replaces a longer one. */
-  void halt(Span grace) {
+  void halt(TimeSpan grace) {
     if (haltGrace == null || grace.compareTo(haltGrace) < 0) {
       haltGrace = grace;
     }
@@ -153,7 +159,7 @@
   }
 
   /** Changes the state; all changes go through this method. */
-  void enter(State next, Moment now) {
+  void enter(State next, MonotonicTime now) {
     if (next == state) {
       return;
     }
--- a/src/main/java/org/oakwalk/core/fleet/Reconciler.java
+++ b/src/main/java/org/oakwalk/core/fleet/Reconciler.java
@@ -2,11 +2,11 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobRegistry;
 import org.oakwalk.core.job.Resources;
@@ -21,12 +21,12 @@
    * Assumed limit on the delay of a report from which to conclude that a session ended before its
    * lease would have expired.
    */
-  private static final Span MAX_REPORT_DELAY = Span.seconds(1);
+  private static final TimeSpan MAX_REPORT_DELAY = TimeSpan.seconds(1);
 
   /**
    * A worker waits longer for a response; reports that arrive at shorter intervals were delayed.
    */
-  private static final Span MIN_RESPONSE_WAIT = Span.seconds(3);
+  private static final TimeSpan MIN_RESPONSE_WAIT = TimeSpan.seconds(3);
 
   private final Fleet fleet;
   private final JobRegistry jobs;
@@ -48,7 +48,7 @@
    * @return the machine, or empty if the report can't be used or its worker no longer waits for a
    *     response
    */
-  Optional<Machine> handleReport(Report report, boolean unsolicited, Moment now) {
+  Optional<Machine> handleReport(Report report, boolean unsolicited, MonotonicTime now) {
     if (fleet.isGone(report.machine())) {
       // Delayed by a network fault: the cloud has confirmed that this machine no longer exists.
       return Optional.empty();
@@ -158,11 +158,12 @@
   }
 
   /** Updates whether responses reach the machine, as far as a report shows it. */
-  private void checkDelivery(Machine machine, Report report, boolean newSession, Moment now) {
+  private void checkDelivery(
+      Machine machine, Report report, boolean newSession, MonotonicTime now) {
     if (machine.fence().mayHaveIssued(report.token())) {
       machine.delivery().tokenConfirmed();
     }
-    Span lease = timing.leaseDuration();
+    TimeSpan lease = timing.leaseDuration();
     if (!newSession) {
       machine.delivery().sessionContinued(lease.plusClockDrift(), now);
     } else if (now.isPast(machine.leaseRenewedAt(), MIN_RESPONSE_WAIT)
@@ -173,16 +174,16 @@
     }
   }
 
-  private static void handleReclaimNotice(Machine machine, Span left, Moment now) {
-    Moment at = now.plus(left);
+  private static void handleReclaimNotice(Machine machine, TimeSpan left, MonotonicTime now) {
+    MonotonicTime at = now.plus(left);
     if (machine.reclaimedAt() == null) {
       LOG.info("machine {} will be reclaimed in {}", machine.id(), left);
     }
     machine.reclaimedAt(at);
   }
 
-  private void reconcile(Machine machine, Report report, Moment now) {
-    Resources previousOrphanRoom = machine.unmatched().orphanRoom();
+  private void reconcile(Machine machine, Report report, MonotonicTime now) {
+    Resources previousOrphanResources = machine.unmatched().orphanResources();
     machine.unmatched().clear();
     List<Placement> missing = machine.placementsCopy();
     for (Report.ReportedTask reported : report.tasks()) {
@@ -194,8 +195,8 @@
         handleUnmatched(machine, reported, now);
       }
     }
-    if (!previousOrphanRoom.equals(machine.unmatched().orphanRoom())) {
-      fleet.unaccountedRoomChanged();
+    if (!previousOrphanResources.equals(machine.unmatched().orphanResources())) {
+      fleet.unaccountedResourcesChanged();
     }
     // Removed while processing the report, because it lists a later attempt at the task.
     missing.removeIf(placement -> placement.state() == Placement.State.ENDED);
@@ -213,7 +214,7 @@
     }
   }
 
-  private void observe(Placement placement, Report.ReportedTask reported, Moment now) {
+  private void observe(Placement placement, Report.ReportedTask reported, MonotonicTime now) {
     switch (reported.state()) {
       case FETCHING -> {
         if (placement.state() == Placement.State.ORDERED) {
@@ -238,7 +239,7 @@
     }
   }
 
-  private void handleEnd(Placement placement, Report.Cause cause, Moment now) {
+  private void handleEnd(Placement placement, Report.Cause cause, MonotonicTime now) {
     Job job = placement.job();
     Machine machine = placement.machine();
     int index = placement.task().index();
@@ -247,7 +248,7 @@
       case DONE -> {
         job.complete(index, now);
         machine.recordSuccess();
-        Moment since = placement.runningSince();
+        MonotonicTime since = placement.runningSince();
         boolean known = since != null && placement.continuouslyObserved();
         listener.completed(placement, known ? now.since(since) : null);
       }
@@ -258,7 +259,7 @@
         job.backOff(index, true, now);
       }
       case NO_ROOM -> {
-        machine.blockedUntil(now.plus(Span.seconds(2)));
+        machine.blockedUntil(now.plus(TimeSpan.seconds(2)));
         job.backOff(index, false, now);
       }
       case BUSY, UNKNOWN -> job.backOff(index, false, now);
@@ -268,7 +269,7 @@
   }
 
   /** Handles an attempt without a placement: ordered by an earlier leader, or ended before. */
-  private void handleUnmatched(Machine machine, Report.ReportedTask reported, Moment now) {
+  private void handleUnmatched(Machine machine, Report.ReportedTask reported, MonotonicTime now) {
     Machine.TaskAttempt attempt = new Machine.TaskAttempt(reported.task(), reported.attempt());
     int index = reported.task().index();
     // An ended attempt is no reason to load a finished job; it may remain in reports for long.
@@ -281,7 +282,7 @@
         machine.unmatched().uncleared(attempt, reported.cause() == Report.Cause.DONE);
       } else {
         // Neither its room nor its team is known, so the whole machine is counted.
-        machine.unmatched().addOrphan(attempt, machine.type().room());
+        machine.unmatched().addOrphan(attempt, machine.type().resources());
       }
       return;
     }
@@ -309,7 +310,7 @@
             job, reported.task(), reported.attempt(), machine, job.spec().estimatedRunTime(), now);
     observe(adopted, reported, now);
     if (!job.isOpen()) {
-      fleet.halt(adopted, Span.millis(0), Fleet.StopReason.WITHDRAWN);
+      fleet.halt(adopted, TimeSpan.millis(0), Fleet.StopReason.WITHDRAWN);
     }
   }
 
@@ -318,7 +319,7 @@
    * has shown. An older leader ordered the later attempt when it was certain that the earlier one
    * had ended. Without the removal, the later attempt would be stopped as a duplicate.
    */
-  private void removeSuperseded(Job job, Report.ReportedTask reported, Moment now) {
+  private void removeSuperseded(Job job, Report.ReportedTask reported, MonotonicTime now) {
     if (job.isDone(reported.task().index())
         || reported.attempt().token().compareTo(fleet.token()) >= 0) {
       return;
@@ -345,10 +346,10 @@
     return machine.state() == Machine.State.UP && !machine.unverified();
   }
 
-  private void completeFromOtherAttempt(Job job, TaskId task, Moment now) {
+  private void completeFromOtherAttempt(Job job, TaskId task, MonotonicTime now) {
     job.complete(task.index(), now);
     fleet
         .placementOf(task)
-        .ifPresent(other -> fleet.halt(other, Span.millis(0), Fleet.StopReason.NEEDLESS));
+        .ifPresent(other -> fleet.halt(other, TimeSpan.millis(0), Fleet.StopReason.NEEDLESS));
   }
 }
--- a/src/main/java/org/oakwalk/core/fleet/Rental.java
+++ b/src/main/java/org/oakwalk/core/fleet/Rental.java
@@ -1,7 +1,7 @@
 package org.oakwalk.core.fleet;
 
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /**
  * A rented machine as listed by the cloud.
@@ -15,7 +15,7 @@
     String zone,
     boolean spot,
     Status status,
-    Span rentedFor) {
+    TimeSpan rentedFor) {
 
   /** State of a rented machine. */
   public enum Status {
--- a/src/main/java/org/oakwalk/core/fleet/ResponseDelivery.java
+++ b/src/main/java/org/oakwalk/core/fleet/ResponseDelivery.java
@@ -1,7 +1,7 @@
 package org.oakwalk.core.fleet;
 
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 
 /**
  * Tracks whether responses and commands reach a machine whose reports arrive, which a one-way
@@ -22,36 +22,36 @@
   }
 
   private State state = State.DELIVERED;
-  private Moment failingSince;
-  private Moment lastProbeAt = new Moment(Long.MIN_VALUE / 2);
-  private Moment lastCommandReplyAt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime failingSince;
+  private MonotonicTime lastProbeAt = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime lastCommandReplyAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
   boolean working() {
     return state == State.DELIVERED;
   }
 
-  void markFailing(State failure, Moment now) {
+  void markFailing(State failure, MonotonicTime now) {
     state = failure;
     failingSince = now;
   }
 
   /** Records that the machine has replied to a command. */
-  void commandReplied(Moment now) {
+  void commandReplied(MonotonicTime now) {
     state = State.DELIVERED;
     lastCommandReplyAt = now;
   }
 
   /** When the machine was last probed because its reports had stopped. */
-  Moment lastProbeAt() {
+  MonotonicTime lastProbeAt() {
     return lastProbeAt;
   }
 
-  void probed(Moment now) {
+  void probed(MonotonicTime now) {
     lastProbeAt = now;
   }
 
   /** When the machine last replied to a command. */
-  Moment lastCommandReplyAt() {
+  MonotonicTime lastCommandReplyAt() {
     return lastCommandReplyAt;
   }
 
@@ -63,7 +63,7 @@
   }
 
   /** Records a report of the same session as before, which continues only if responses arrive. */
-  void sessionContinued(Span lease, Moment now) {
+  void sessionContinued(TimeSpan lease, MonotonicTime now) {
     if (state == State.RESPONSES_NOT_RECEIVED && now.isPast(failingSince, lease)) {
       state = State.DELIVERED;
     }
--- a/src/main/java/org/oakwalk/core/fleet/UnmatchedAttempts.java
+++ b/src/main/java/org/oakwalk/core/fleet/UnmatchedAttempts.java
@@ -14,14 +14,14 @@
   private final Map<Machine.TaskAttempt, Boolean> uncleared = new LinkedHashMap<>();
   private final Set<TaskId> unclearedTasks = new HashSet<>();
   private final List<Machine.TaskAttempt> orphans = new ArrayList<>();
-  private Resources orphanRoom = Resources.NONE;
+  private Resources orphanResources = Resources.NONE;
 
   /** Discards all entries before a new report is processed. */
   void clear() {
     uncleared.clear();
     unclearedTasks.clear();
     orphans.clear();
-    orphanRoom = Resources.NONE;
+    orphanResources = Resources.NONE;
   }
 
   /**
@@ -43,16 +43,16 @@
   }
 
   /** Adds an attempt that should not run on the machine, with the room that it occupies. */
-  void addOrphan(Machine.TaskAttempt attempt, Resources room) {
+  void addOrphan(Machine.TaskAttempt attempt, Resources resources) {
     orphans.add(attempt);
-    orphanRoom = orphanRoom.plus(room);
+    orphanResources = orphanResources.plus(resources);
   }
 
   List<Machine.TaskAttempt> orphans() {
     return orphans;
   }
 
-  Resources orphanRoom() {
-    return orphanRoom;
+  Resources orphanResources() {
+    return orphanResources;
   }
 }
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomCalculator.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomCalculator.java
@@ -11,8 +11,8 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.TreeMap;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Resources;
@@ -35,7 +35,7 @@
   private static final double MIN_STORED_CHANGE = 0.1;
 
   /** Time for which a lower slot count must have been sufficient before it takes effect. */
-  private static final Span LOWERING_DELAY = Span.seconds(10);
+  private static final TimeSpan LOWERING_DELAY = TimeSpan.seconds(10);
 
   private static final int MAX_ROWS = 64;
 
@@ -48,10 +48,10 @@
   private final Quota quota;
   private final List<String> zones;
   private final Map<HeadroomRow.HeadroomKey, Double> peaks = new HashMap<>();
-  private final Map<HeadroomRow.HeadroomKey, Moment> lowerTargetSince = new HashMap<>();
+  private final Map<HeadroomRow.HeadroomKey, MonotonicTime> lowerTargetSince = new HashMap<>();
   private final Map<HeadroomRow.HeadroomKey, String> reasons = new HashMap<>();
   private final Set<Job> unplacedGuaranteed = new LinkedHashSet<>();
-  private Moment lastDecay;
+  private MonotonicTime lastDecay;
 
   HeadroomCalculator(Quota quota, List<String> zones) {
     this.quota = quota;
@@ -82,7 +82,7 @@
       Collection<Job> jobs,
       Set<String> liveZones,
       boolean usageUncertain,
-      Moment now) {
+      MonotonicTime now) {
     unplacedGuaranteed.removeIf(
         job -> !job.isOpen() || job.pendingCount() <= 0 || !quota.withinGuarantee(job));
     Map<HeadroomRow.HeadroomKey, ServiceDemand> demand = currentDemand(terms, jobs);
@@ -128,7 +128,7 @@
     return reasons.getOrDefault(key, "as declared");
   }
 
-  private boolean loweringDelayPassed(HeadroomRow.HeadroomKey key, Moment now) {
+  private boolean loweringDelayPassed(HeadroomRow.HeadroomKey key, MonotonicTime now) {
     return now.isPast(lowerTargetSince.computeIfAbsent(key, k -> now), LOWERING_DELAY);
   }
 
@@ -166,7 +166,7 @@
   private void decayPeaks(
       Collection<HeadroomRow> rows,
       Map<HeadroomRow.HeadroomKey, ServiceDemand> demand,
-      Moment now) {
+      MonotonicTime now) {
     double decay =
         lastDecay == null ? 1 : Math.pow(0.5, now.since(lastDecay).asSeconds() / PEAK_HALF_LIFE_S);
     lastDecay = now;
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomController.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomController.java
@@ -11,9 +11,9 @@
 import java.util.Set;
 import java.util.TreeMap;
 import java.util.function.Predicate;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
@@ -39,13 +39,13 @@
   public static final String RECORD_NAME = "headroom";
 
   private static final Logger LOG = LoggerFactory.getLogger(HeadroomController.class);
-  private static final Span TICK_INTERVAL = Span.seconds(1);
+  private static final TimeSpan TICK_INTERVAL = TimeSpan.seconds(1);
 
   /**
    * Time after which the slots of a zone without usable machines move to other zones; longer than
    * most network partitions last.
    */
-  private static final Span ZONE_LOSS_DELAY = Span.seconds(30);
+  private static final TimeSpan ZONE_LOSS_DELAY = TimeSpan.seconds(30);
 
   /** Larger than all other terms of the distance between a task and a machine together. */
   private static final double IMAGE_EVICTION_PENALTY = 4;
@@ -53,17 +53,17 @@
   private final Fleet fleet;
   private final JobRegistry jobs;
   private final Quota quota;
-  private final Span suspectAfter;
+  private final TimeSpan suspectAfter;
   private final HeadroomCalculator calculator;
   private final HeadroomAllocator allocator = new HeadroomAllocator();
   private final HeadroomPreemptor preemptor;
-  private final Map<String, Moment> zoneLastLive = new HashMap<>();
+  private final Map<String, MonotonicTime> zoneLastLive = new HashMap<>();
   private final Map<String, Double> warmShares = new HashMap<>();
   private final Set<HeadroomRow.HeadroomKey> reportedMissing = new HashSet<>();
   private Optional<SharedRecord<HeadroomRow>> record = Optional.empty();
   private List<HeadroomRow> targetRows = List.of();
   private List<HeadroomRow> activeRows = List.of();
-  private Moment nextTick = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextTick = new MonotonicTime(Long.MIN_VALUE / 2);
   private JobSpec cachedSpec;
   private HeadroomRow.HeadroomKey cachedKey;
 
@@ -102,7 +102,7 @@
    *
    * @param recovered whether recovery of the state that earlier leaders left is complete
    */
-  public void tick(List<HeadroomTerms> terms, boolean recovered, Moment now) {
+  public void tick(List<HeadroomTerms> terms, boolean recovered, MonotonicTime now) {
     SharedRecord<HeadroomRow> sharedRecord = record.orElseThrow();
     if (sharedRecord.isUnusable()) {
       disable();
@@ -150,7 +150,7 @@
     return List.copyOf(rows.values());
   }
 
-  private Set<String> liveZones(Moment now) {
+  private Set<String> liveZones(MonotonicTime now) {
     for (Machine machine : fleet.machines()) {
       if (machine.acceptsTasks(now, suspectAfter)) {
         zoneLastLive.put(machine.zone(), now);
@@ -255,17 +255,17 @@
   }
 
   @Override
-  public boolean hasRoomReservedFor(JobSpec spec, Machine machine) {
+  public boolean hasResourcesReservedFor(JobSpec spec, Machine machine) {
     HeadroomRow.HeadroomKey key = activeRows.isEmpty() ? null : keyOf(spec);
     return key != null && allocator.slotsOn(key, machine) > 0;
   }
 
   @Override
-  public boolean claimsFreedRoom(Job job) {
+  public boolean claimsFreedResources(Job job) {
     if (allocator.missingSlots().isEmpty() || job.spec().service()) {
       return false;
     }
-    onNoRoom(job);
+    onPlacementFailed(job);
     return allocator.missingSlots().values().stream()
         .flatMap(zones -> zones.keySet().stream())
         .anyMatch(zone -> job.spec().zone().map(zone::equals).orElse(true));
@@ -279,7 +279,7 @@
   }
 
   @Override
-  public void onNoRoom(Job job) {
+  public void onPlacementFailed(Job job) {
     boolean reservedForOthers =
         activeRows.stream()
             .anyMatch(row -> row.totalSlots() > 0 && !row.key().team().equals(job.spec().team()));
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomPreemptor.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomPreemptor.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
@@ -31,16 +31,16 @@
   private static final double BOOT_TIME_FACTOR = 1.5;
 
   /** Added to the wait for booting machines. */
-  private static final Span EXTRA_WAIT = Span.seconds(5);
+  private static final TimeSpan EXTRA_WAIT = TimeSpan.seconds(5);
 
   private static final int MAX_STOPS_PER_SLOT = 4;
 
   private final Fleet fleet;
   private final Predicate<List<Placement>> budgetsAllow;
-  private final Span suspectAfter;
-  private final Map<HeadroomRow.HeadroomKey, Moment> missingSince = new HashMap<>();
+  private final TimeSpan suspectAfter;
+  private final Map<HeadroomRow.HeadroomKey, MonotonicTime> missingSince = new HashMap<>();
 
-  HeadroomPreemptor(Fleet fleet, Predicate<List<Placement>> budgetsAllow, Span suspectAfter) {
+  HeadroomPreemptor(Fleet fleet, Predicate<List<Placement>> budgetsAllow, TimeSpan suspectAfter) {
     this.fleet = fleet;
     this.budgetsAllow = budgetsAllow;
     this.suspectAfter = suspectAfter;
@@ -50,14 +50,14 @@
   private record PreemptionOption(Machine machine, List<Placement> stops) {}
 
   /** Frees one slot for each row and zone that has lacked slots for long enough. */
-  void tick(List<HeadroomRow> rows, HeadroomAllocator allocator, Moment now) {
+  void tick(List<HeadroomRow> rows, HeadroomAllocator allocator, MonotonicTime now) {
     missingSince.keySet().retainAll(allocator.missingSlots().keySet());
     for (HeadroomRow row : rows) {
       Map<String, Integer> missingByZone = allocator.missingSlots().get(row.key());
       if (missingByZone == null) {
         continue;
       }
-      Moment since = missingSince.computeIfAbsent(row.key(), key -> now);
+      MonotonicTime since = missingSince.computeIfAbsent(row.key(), key -> now);
       missingByZone.forEach((zone, missing) -> fillSlot(row, zone, missing, since, allocator, now));
     }
   }
@@ -66,9 +66,9 @@
       HeadroomRow row,
       String zone,
       int missing,
-      Moment since,
+      MonotonicTime since,
       HeadroomAllocator allocator,
-      Moment now) {
+      MonotonicTime now) {
     JobSpec spec = row.spec();
     int beingFreed = 0;
     PreemptionOption best = null;
@@ -82,7 +82,7 @@
       beingFreed +=
           freeAfterStops(machine, allocator).capacityFor(spec.resources())
               - allocator.unreserved(machine).capacityFor(spec.resources());
-      Span waitTime = machine.type().bootTime().times(BOOT_TIME_FACTOR).plus(EXTRA_WAIT);
+      TimeSpan waitTime = machine.type().bootTime().times(BOOT_TIME_FACTOR).plus(EXTRA_WAIT);
       PreemptionOption option =
           now.isPast(since, waitTime) ? findOption(machine, row, allocator, now) : null;
       if (option != null && (best == null || cost(option, row) < cost(best, row))) {
@@ -121,9 +121,9 @@
   }
 
   private static PreemptionOption findOption(
-      Machine machine, HeadroomRow row, HeadroomAllocator allocator, Moment now) {
+      Machine machine, HeadroomRow row, HeadroomAllocator allocator, MonotonicTime now) {
     Resources free = freeAfterStops(machine, allocator);
-    if (!row.key().resources().fitsInto(machine.type().room())
+    if (!row.key().resources().fitsInto(machine.type().resources())
         || row.key().resources().fitsInto(free)) {
       return null;
     }
@@ -153,8 +153,8 @@
   }
 
   /** Returns the seconds of work lost by a stop; none if the job checkpoints. */
-  private static double lostWorkSeconds(Placement placement, Moment now) {
-    Moment running = placement.runningSince();
+  private static double lostWorkSeconds(Placement placement, MonotonicTime now) {
+    MonotonicTime running = placement.runningSince();
     boolean checkpoints = placement.job().spec().checkpointInterval().millis() > 0;
     return checkpoints || running == null ? 0 : now.since(running).asSeconds();
   }
--- a/src/main/java/org/oakwalk/core/headroom/HeadroomRow.java
+++ b/src/main/java/org/oakwalk/core/headroom/HeadroomRow.java
@@ -4,7 +4,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
@@ -87,9 +87,9 @@
         spotAllowed,
         image,
         imageGb,
-        Span.millis(0),
-        Span.millis(0),
-        Span.millis(0),
+        TimeSpan.millis(0),
+        TimeSpan.millis(0),
+        TimeSpan.millis(0),
         Optional.empty());
   }
 
--- a/src/main/java/org/oakwalk/core/job/Job.java
+++ b/src/main/java/org/oakwalk/core/job/Job.java
@@ -6,9 +6,9 @@
 import java.util.function.Consumer;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 
 /** The leader's state of one job: which tasks are done, assigned to a machine, or pending. */
@@ -25,18 +25,18 @@
     WITHDRAWN
   }
 
-  private static final Span MIN_BACKOFF = Span.seconds(1);
-  private static final Span MAX_BACKOFF = Span.seconds(60);
+  private static final TimeSpan MIN_BACKOFF = TimeSpan.seconds(1);
+  private static final TimeSpan MAX_BACKOFF = TimeSpan.seconds(60);
 
   private final JobSpec spec;
   private final WallTime acceptedAt;
   private final boolean inherited;
-  private final Moment firstSeen;
+  private final MonotonicTime firstSeen;
   private final BitSet done = new BitSet();
   private final BitSet storedDone = new BitSet();
   private final BitSet assigned = new BitSet();
   private final BitSet started = new BitSet();
-  private final Map<Integer, Moment> notBefore = new HashMap<>();
+  private final Map<Integer, MonotonicTime> notBefore = new HashMap<>();
   private final Map<Integer, Integer> failures = new HashMap<>();
   private final JobFaultDetector faultDetector = new JobFaultDetector();
   private State state = State.OPEN;
@@ -45,15 +45,19 @@
   private int assignedCount;
   private int runningCount;
   private int errorCount;
-  private Moment waitingSince;
-  private Moment dirtySince;
-  private Moment earliestWithdrawalNotice;
+  private MonotonicTime waitingSince;
+  private MonotonicTime dirtySince;
+  private MonotonicTime earliestWithdrawalNotice;
   private final Consumer<Job> changeListener;
   private int unplacedSinceRound = -1;
 
   /** Creates an open job without a change listener. */
   public Job(
-      JobSpec spec, Revision revision, WallTime acceptedAt, boolean inherited, Moment firstSeen) {
+      JobSpec spec,
+      Revision revision,
+      WallTime acceptedAt,
+      boolean inherited,
+      MonotonicTime firstSeen) {
     this(spec, revision, acceptedAt, inherited, firstSeen, job -> {});
   }
 
@@ -68,7 +72,7 @@
       Revision revision,
       WallTime acceptedAt,
       boolean inherited,
-      Moment firstSeen,
+      MonotonicTime firstSeen,
       Consumer<Job> changeListener) {
     this.changeListener = changeListener;
     this.spec = spec;
@@ -118,12 +122,12 @@
   }
 
   /** Returns when this leader first loaded the job. */
-  public Moment firstSeen() {
+  public MonotonicTime firstSeen() {
     return firstSeen;
   }
 
   /** Returns the start of the job's wait; it is reset whenever an unfinished task is unassigned. */
-  public Moment waitingSince() {
+  public MonotonicTime waitingSince() {
     return waitingSince;
   }
 
@@ -161,14 +165,14 @@
    * Returns the first task at or after {@code from} that may be placed now, or -1 if there is none.
    * Tasks in backoff are skipped. A suspect job has one task assigned at a time, as a probe.
    */
-  public int nextPending(int from, Moment now) {
+  public int nextPending(int from, MonotonicTime now) {
     faultDetector.clearAfterHealthyRun(now);
     if (isSuspect() && (assignedCount > 0 || !faultDetector.mayProbe(now))) {
       return -1;
     }
     int index = assigned.nextClearBit(from);
     while (index < spec.tasks()) {
-      Moment backoffEnd = notBefore.get(index);
+      MonotonicTime backoffEnd = notBefore.get(index);
       if (backoffEnd == null || !backoffEnd.isAfter(now)) {
         return index;
       }
@@ -189,7 +193,7 @@
   }
 
   /** Records that a task is certainly on no machine any more; unless done, it is pending again. */
-  public void unassign(int index, Moment now) {
+  public void unassign(int index, MonotonicTime now) {
     assignedCount--;
     if (!done.get(index)) {
       assigned.clear(index);
@@ -202,16 +206,16 @@
    * Delays the next attempt of a task that failed or was refused by its machine. The backoff
    * doubles with each failure of the task, and errors all over the job raise its minimum.
    */
-  public void backOff(int index, boolean error, Moment now) {
+  public void backOff(int index, boolean error, MonotonicTime now) {
     int count = failures.merge(index, 1, Integer::sum);
     errorCount += error ? 1 : 0;
     int shift = Math.min(6, Math.max(count - 1, error ? Math.min(5, errorCount / 8) : 0));
-    Span backoff = Span.millis(MIN_BACKOFF.millis() << shift);
+    TimeSpan backoff = TimeSpan.millis(MIN_BACKOFF.millis() << shift);
     notBefore.put(index, now.plus(backoff.compareTo(MAX_BACKOFF) > 0 ? MAX_BACKOFF : backoff));
   }
 
   /** Records that one of the job's tasks failed on the machine. */
-  public void recordFailure(MachineId machine, Moment now) {
+  public void recordFailure(MachineId machine, MonotonicTime now) {
     faultDetector.recordFailure(machine, now);
     changeListener.accept(this);
   }
@@ -228,7 +232,7 @@
   }
 
   /** Records that a task has completed, in any of its attempts. */
-  public void complete(int index, Moment now) {
+  public void complete(int index, MonotonicTime now) {
     if (!done.get(index)) {
       done.set(index);
       doneCount++;
@@ -250,7 +254,7 @@
   }
 
   /** Records that a task has started to run, or no longer runs. */
-  public void setRunning(int index, boolean isRunning, Moment now) {
+  public void setRunning(int index, boolean isRunning, MonotonicTime now) {
     runningCount += isRunning ? 1 : -1;
     if (isRunning) {
       started.set(index);
@@ -276,7 +280,7 @@
   }
 
   /** Returns since when the job has had unstored results, or null if all results are stored. */
-  public Moment dirtySince() {
+  public MonotonicTime dirtySince() {
     return dirtySince;
   }
 
@@ -293,7 +297,7 @@
   }
 
   /** Records that the tasks of {@code snapshot} in {@code [from, to)} are stored as done. */
-  public void markStored(BitSet snapshot, int from, int to, Moment now) {
+  public void markStored(BitSet snapshot, int from, int to, MonotonicTime now) {
     BitSet range = (BitSet) snapshot.clone();
     range.clear(0, from);
     range.clear(to, Math.max(to, range.length()));
@@ -329,7 +333,7 @@
   }
 
   /** Sets the earliest moment at which a user may have been told of the withdrawal. */
-  void earliestWithdrawalNotice(Moment earliest) {
+  void earliestWithdrawalNotice(MonotonicTime earliest) {
     earliestWithdrawalNotice = earliest;
   }
 
@@ -337,7 +341,7 @@
    * Returns the earliest moment at which a user may have been told of the withdrawal; null unless
    * this leader saw the job change from open to withdrawn.
    */
-  public Moment earliestWithdrawalNotice() {
+  public MonotonicTime earliestWithdrawalNotice() {
     return earliestWithdrawalNotice;
   }
 
--- a/src/main/java/org/oakwalk/core/job/JobFaultDetector.java
+++ b/src/main/java/org/oakwalk/core/job/JobFaultDetector.java
@@ -3,8 +3,8 @@
 import java.util.HashSet;
 import java.util.Set;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 
 /**
  * Detects jobs that are at fault themselves: their tasks fail on several machines, and none has
@@ -25,18 +25,18 @@
   private static final int SUSPECT_MACHINES_SMALL_FLEET = 2;
 
   private static final int SUSPECT_ERRORS_SMALL_FLEET = 8;
-  private static final Span MIN_PROBE_BACKOFF = Span.seconds(2);
-  private static final Span MAX_PROBE_BACKOFF = Span.seconds(60);
+  private static final TimeSpan MIN_PROBE_BACKOFF = TimeSpan.seconds(2);
+  private static final TimeSpan MAX_PROBE_BACKOFF = TimeSpan.seconds(60);
 
   /** A task that runs for this long does not fail the way the earlier ones did. */
-  private static final Span HEALTHY_RUN_TIME = Span.seconds(5);
+  private static final TimeSpan HEALTHY_RUN_TIME = TimeSpan.seconds(5);
 
   private final Set<MachineId> failedMachines = new HashSet<>();
   private int errorCount;
   private boolean reportedByEarlierLeader;
-  private Moment runningSince;
-  private Span probeBackoff = MIN_PROBE_BACKOFF;
-  private Moment nextProbe = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime runningSince;
+  private TimeSpan probeBackoff = MIN_PROBE_BACKOFF;
+  private MonotonicTime nextProbe = new MonotonicTime(Long.MIN_VALUE / 2);
 
   /** Returns whether the failures indicate that the job is at fault. */
   boolean isSuspect() {
@@ -47,12 +47,12 @@
   }
 
   /** Records whether any task of the job is running now. */
-  void setRunning(boolean anyRunning, Moment now) {
+  void setRunning(boolean anyRunning, MonotonicTime now) {
     runningSince = !anyRunning ? null : runningSince == null ? now : runningSince;
   }
 
   /** Clears the suspicion if tasks of the job have been running for {@link #HEALTHY_RUN_TIME}. */
-  void clearAfterHealthyRun(Moment now) {
+  void clearAfterHealthyRun(MonotonicTime now) {
     if (runningSince != null && now.isPast(runningSince, HEALTHY_RUN_TIME)) {
       failedMachines.clear();
       errorCount = 0;
@@ -69,7 +69,7 @@
    * Records a failed task. Failures during a probe backoff don't extend it, because those tasks
    * were started before it.
    */
-  void recordFailure(MachineId machine, Moment now) {
+  void recordFailure(MachineId machine, MonotonicTime now) {
     errorCount++;
     if (failedMachines.size() < SUSPECT_MACHINES) {
       failedMachines.add(machine);
@@ -84,7 +84,7 @@
   }
 
   /** Returns whether a probe task may start. */
-  boolean mayProbe(Moment now) {
+  boolean mayProbe(MonotonicTime now) {
     return !nextProbe.isAfter(now);
   }
 }
--- a/src/main/java/org/oakwalk/core/job/JobRegistry.java
+++ b/src/main/java/org/oakwalk/core/job/JobRegistry.java
@@ -11,7 +11,7 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.store.JobRecord;
 import org.oakwalk.core.store.KnownJob;
@@ -40,7 +40,7 @@
   private Optional<Consumer<Job>> changeListener = Optional.empty();
 
   /** Loads all open jobs from the copy of the store. */
-  public JobRegistry(StoreView view, Token token, Moment now) {
+  public JobRegistry(StoreView view, Token token, MonotonicTime now) {
     this.view = view;
     this.token = token;
     List<KnownJob> open = new ArrayList<>();
@@ -65,7 +65,7 @@
    * Returns the job, loading it from the copy of the store if this registry doesn't hold it. A
    * withdrawn job that was removed is needed again when a machine reports tasks of it.
    */
-  public Optional<Job> findOrLoad(JobId id, Moment now) {
+  public Optional<Job> findOrLoad(JobId id, MonotonicTime now) {
     Job job = jobs.get(id);
     if (job == null) {
       Optional<KnownJob> known = view.job(id);
@@ -77,7 +77,7 @@
   }
 
   /** Applies a change seen in the store; returns the job if the change is its withdrawal. */
-  public Optional<Job> applyStoredChange(KnownJob known, Moment now) {
+  public Optional<Job> applyStoredChange(KnownJob known, MonotonicTime now) {
     Job job = jobs.get(known.id());
     if (job == null) {
       if (!known.phase().isFinal()) {
@@ -168,7 +168,7 @@
     }
   }
 
-  private Job add(KnownJob known, Moment now) {
+  private Job add(KnownJob known, MonotonicTime now) {
     boolean inherited = known.revision().value() < token.value();
     Job job =
         new Job(
--- a/src/main/java/org/oakwalk/core/job/JobSpec.java
+++ b/src/main/java/org/oakwalk/core/job/JobSpec.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /**
  * A job as its user submitted it. Immutable once accepted.
@@ -34,10 +34,10 @@
     boolean spotAllowed,
     String image,
     double imageGb,
-    Span estimatedRunTime,
-    Span checkpointInterval,
-    Span checkpointDuration,
-    Optional<Span> deadline) {
+    TimeSpan estimatedRunTime,
+    TimeSpan checkpointInterval,
+    TimeSpan checkpointDuration,
+    Optional<TimeSpan> deadline) {
 
   /** Largest number of tasks a job may have. */
   public static final int MAX_TASKS = 100_000;
--- a/src/main/java/org/oakwalk/core/job/PendingUserRequests.java
+++ b/src/main/java/org/oakwalk/core/job/PendingUserRequests.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Set;
 import org.oakwalk.core.InboundRequestId;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.port.UserRequest;
 
 /**
@@ -21,19 +21,19 @@
  */
 public final class PendingUserRequests {
   /** Clients time out after 2 s for queries; the difference covers the network. */
-  private static final Span QUERY_TIMEOUT = Span.millis(1_700);
+  private static final TimeSpan QUERY_TIMEOUT = TimeSpan.millis(1_700);
 
   /** Clients time out after 5 s for submissions and withdrawals. */
-  private static final Span CHANGE_TIMEOUT = Span.millis(4_500);
+  private static final TimeSpan CHANGE_TIMEOUT = TimeSpan.millis(4_500);
 
-  private record PendingRequest(InboundRequestId id, Moment deadline) {}
+  private record PendingRequest(InboundRequestId id, MonotonicTime deadline) {}
 
   private final Deque<PendingRequest> queries = new ArrayDeque<>();
   private final Deque<PendingRequest> changes = new ArrayDeque<>();
   private final Set<InboundRequestId> unanswered = new HashSet<>();
 
   /** Adds a request that has just been received. */
-  public void add(InboundRequestId id, UserRequest request, Moment now) {
+  public void add(InboundRequestId id, UserRequest request, MonotonicTime now) {
     unanswered.add(id);
     if (request instanceof UserRequest.Query) {
       queries.add(new PendingRequest(id, now.plus(QUERY_TIMEOUT)));
@@ -48,7 +48,7 @@
   }
 
   /** Removes the requests whose timeout has passed and returns them; they count as answered. */
-  public List<InboundRequestId> expire(Moment now) {
+  public List<InboundRequestId> expire(MonotonicTime now) {
     List<InboundRequestId> expired = new ArrayList<>();
     for (Deque<PendingRequest> pending : List.of(queries, changes)) {
       while (!pending.isEmpty() && !pending.peek().deadline().isAfter(now)) {
--- a/src/main/java/org/oakwalk/core/job/ResultWriter.java
+++ b/src/main/java/org/oakwalk/core/job/ResultWriter.java
@@ -10,10 +10,10 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
@@ -39,8 +39,8 @@
  */
 public final class ResultWriter {
   private static final Logger LOG = LoggerFactory.getLogger(ResultWriter.class);
-  private static final Span FLUSH_INTERVAL = Span.seconds(2);
-  private static final Span RETRY_DELAY = Span.millis(300);
+  private static final TimeSpan FLUSH_INTERVAL = TimeSpan.seconds(2);
+  private static final TimeSpan RETRY_DELAY = TimeSpan.millis(300);
   private static final int STATUS_UNAVAILABLE = 503;
 
   /**
@@ -86,8 +86,8 @@
   private boolean finishRefused;
 
   private boolean reading;
-  private Moment nextFlush = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextFinish = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextFlush = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime nextFinish = new MonotonicTime(Long.MIN_VALUE / 2);
 
   public ResultWriter(
       Outbox outbox, JobRegistry jobs, StoreView view, Guard guard, Settings.StateLimits limits) {
@@ -111,7 +111,7 @@
   }
 
   /** Starts the writes and reads that are due. */
-  public void tick(Moment now) {
+  public void tick(MonotonicTime now) {
     if (!nextFinish.isAfter(now)) {
       // While the state service is unavailable, a single write probes it. Retrying all of them
       // several times a second during an outage would use up the requests granted to other nodes.
@@ -128,7 +128,7 @@
     }
   }
 
-  private void finish(Job job, Moment now) {
+  private void finish(Job job, MonotonicTime now) {
     job.markFinishing();
     JobRecord record = new JobRecord(job.spec(), JobRecord.Phase.DONE, job.acceptedAt());
     String key = StoreKeys.job(job.id());
@@ -205,7 +205,7 @@
     }
   }
 
-  private void flush(Moment now) {
+  private void flush(MonotonicTime now) {
     nextFlush = now.plus(FLUSH_INTERVAL);
     int maxChanges = Math.max(1, Math.min(maxBatchSize, batchSize));
     List<Guard> guards = new ArrayList<>(List.of(guard));
@@ -268,7 +268,7 @@
         });
   }
 
-  private void chunkStored(ChunkWrite write, Revision revision, Moment now) {
+  private void chunkStored(ChunkWrite write, Revision revision, MonotonicTime now) {
     chunkRevisions.put(write.key(), revision);
     write.job().markStored(write.snapshot(), write.from(), write.to(), now);
     trackStoredChunks(write.job());
--- a/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
+++ b/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
@@ -8,10 +8,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.port.Answer;
@@ -40,10 +40,10 @@
   private static final Logger LOG = LoggerFactory.getLogger(UserRequestHandler.class);
 
   /** Delay after which clients may retry an unavailable request. */
-  private static final Span RETRY_DELAY = Span.seconds(1);
+  private static final TimeSpan RETRY_DELAY = TimeSpan.seconds(1);
 
   /** Delay after which clients may retry a submission that was refused by admission control. */
-  private static final Span OVERLOAD_RETRY_DELAY = Span.seconds(10);
+  private static final TimeSpan OVERLOAD_RETRY_DELAY = TimeSpan.seconds(10);
 
   private static final int MAX_WITHDRAWAL_ATTEMPTS = 4;
 
@@ -53,7 +53,7 @@
   private final AdmissionControl admission;
   private Map<String, MachineType> machineTypes = Map.of();
   private Map<JobId, PeerMessage.TaskCounts> taskCounts = new HashMap<>();
-  private Moment now = new Moment(0);
+  private MonotonicTime now = new MonotonicTime(0);
   private WallTime wallTime = new WallTime(0);
 
   public UserRequestHandler(
@@ -75,7 +75,7 @@
   }
 
   /** Sets the monotonic time and the wall-clock time for the next calls. */
-  public void clock(Moment monotonicTime, WallTime newWallTime) {
+  public void clock(MonotonicTime monotonicTime, WallTime newWallTime) {
     now = monotonicTime;
     wallTime = newWallTime;
   }
@@ -185,7 +185,7 @@
   private Set<String> zonesFor(JobSpec spec) {
     Set<String> zones = new HashSet<>();
     for (MachineType type : machineTypes.values()) {
-      if (spec.resources().fitsInto(type.room())) {
+      if (spec.resources().fitsInto(type.resources())) {
         type.zones().stream()
             .filter(zone -> spec.allows(type.name(), zone, false))
             .forEach(zones::add);
--- a/src/main/java/org/oakwalk/core/leadership/Leadership.java
+++ b/src/main/java/org/oakwalk/core/leadership/Leadership.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.LeaseId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
@@ -63,46 +63,46 @@
   /** Receives changes of this node's leadership. */
   public interface Listener {
     /** This node has become the leader under this token. */
-    void leadershipGained(Token token, Moment now);
+    void leadershipGained(Token token, MonotonicTime now);
 
     /** This node no longer leads under this token. */
-    void leadershipLost(Token token, Moment now);
+    void leadershipLost(Token token, MonotonicTime now);
   }
 
-  private static final Span LEASE_TTL = Span.millis(2500);
-  private static final Span RENEW_INTERVAL = Span.millis(700);
-  private static final Span RETRY_DELAY = Span.millis(200);
+  private static final TimeSpan LEASE_TTL = TimeSpan.millis(2500);
+  private static final TimeSpan RENEW_INTERVAL = TimeSpan.millis(700);
+  private static final TimeSpan RETRY_DELAY = TimeSpan.millis(200);
 
   /**
    * Minimum time between gaining leadership and stepping down, so that two nodes that are both
    * partly partitioned do not pass leadership back and forth.
    */
-  private static final Span MIN_TERM = Span.seconds(20);
+  private static final TimeSpan MIN_TERM = TimeSpan.seconds(20);
 
   /** How long a node that has stepped down does not campaign. */
-  private static final Span STEP_DOWN_BACKOFF = Span.seconds(5);
+  private static final TimeSpan STEP_DOWN_BACKOFF = TimeSpan.seconds(5);
 
   /**
    * How long a node does not campaign after it has removed the leader key of its own previous
    * incarnation. The other nodes need not load the store first, so a node that crashes repeatedly
    * does not keep them from leading.
    */
-  private static final Span RESTART_BACKOFF = Span.millis(250);
+  private static final TimeSpan RESTART_BACKOFF = TimeSpan.millis(250);
 
   private final Outbox outbox;
   private final StoreView view;
   private final NodeId node;
   private final String zone;
   private final String incarnation;
-  private final Span graceLimit;
+  private final TimeSpan graceLimit;
   private final Listener listener;
   private State state = State.FOLLOWING;
   private Token token;
   private Token highestTokenSeen = new Token(0);
   private LeaseId lease;
-  private Moment leaseStart;
-  private Moment termStart = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextAttempt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime leaseStart;
+  private MonotonicTime termStart = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime nextAttempt = new MonotonicTime(Long.MIN_VALUE / 2);
   private boolean requestPending;
 
   /** Whether a store read that checks a token reported by a worker is in progress. */
@@ -117,7 +117,7 @@
       NodeId node,
       String zone,
       String incarnation,
-      Span graceLimit,
+      TimeSpan graceLimit,
       Listener listener) {
     this.outbox = outbox;
     this.view = view;
@@ -137,7 +137,7 @@
    * Whether workers may be answered under this node's token. Only store reads extend this, because
    * withdrawals become known through reads alone; lease renewals do not.
    */
-  public boolean mayAnswerWorkers(Moment now) {
+  public boolean mayAnswerWorkers(MonotonicTime now) {
     return (state == State.LEADING || state == State.LEASE_GRACE)
         && !now.isPast(view.lastConfirmed(), graceLimit.minusClockDrift());
   }
@@ -148,7 +148,7 @@
   }
 
   /** Advances timeouts, and campaigns or renews the lease when due. */
-  public void tick(Moment now) {
+  public void tick(MonotonicTime now) {
     if (state == State.LEADING && now.isPast(leaseStart, LEASE_TTL.minusClockDrift())) {
       transitionTo(State.LEASE_GRACE);
     }
@@ -176,7 +176,7 @@
   }
 
   /** Handles a change of the leader key in this node's copy of the store. */
-  public void leaderChanged(Moment now) {
+  public void leaderChanged(MonotonicTime now) {
     Optional<StoreView.Leader> leader = view.leader();
     boolean ownKey = leader.isPresent() && leader.get().record().incarnation().equals(incarnation);
     if (state == State.CLAIMING) {
@@ -207,12 +207,12 @@
   }
 
   /** Whether this node may step down now: it has led for the minimum term and its copy is fresh. */
-  public boolean mayStepDown(Moment now) {
+  public boolean mayStepDown(MonotonicTime now) {
     return state == State.LEADING && now.isPast(termStart, MIN_TERM) && view.isFresh(now);
   }
 
   /** Gives up leadership so that a node which reaches more workers can take over. */
-  public void stepDown(Moment now) {
+  public void stepDown(MonotonicTime now) {
     LOG.info("stepping down, token {}", token);
     loseLeadership(now);
     nextAttempt = now.plus(STEP_DOWN_BACKOFF);
@@ -224,7 +224,7 @@
    * later one for as long as that worker lives. The store decides. If it can't be read, this node
    * gives up leadership, unless the store cannot have reached that revision yet.
    */
-  public void workerReportedToken(Token seen, Moment now) {
+  public void workerReportedToken(Token seen, MonotonicTime now) {
     if (!holdsToken() || seen.compareTo(token) <= 0) {
       return;
     }
@@ -267,7 +267,7 @@
    * this node acts under no older token, even if it has yet to learn that a claim of its own was
    * applied.
    */
-  public void observeToken(Token seen, Moment now) {
+  public void observeToken(Token seen, MonotonicTime now) {
     if (seen.compareTo(highestTokenSeen) > 0) {
       highestTokenSeen = seen;
     }
@@ -281,14 +281,14 @@
    * Gives up leadership because the copy of the store must be reloaded. Pages arrive in key order,
    * so jobs stored under a later leader could be seen before the change of leader.
    */
-  public void historyLost(Moment now) {
+  public void historyLost(MonotonicTime now) {
     if (holdsToken()) {
       LOG.info("watch history lost; giving up leadership, token {}", token);
       loseLeadership(now);
     }
   }
 
-  private void loseLeadership(Moment now) {
+  private void loseLeadership(MonotonicTime now) {
     Token lostToken = token;
     token = null;
     returnToFollowing();
@@ -311,7 +311,7 @@
    * it has abandoned. Neither acts under that key any more, so no node need wait for its lease to
    * expire.
    */
-  private void removeStaleKey(StoreView.Leader staleLeader, Moment now) {
+  private void removeStaleKey(StoreView.Leader staleLeader, MonotonicTime now) {
     requestPending = true;
     LOG.info("removing stale leader key of this node, token {}", staleLeader.token());
     outbox.call(
@@ -325,7 +325,7 @@
         });
   }
 
-  private void campaign(Moment now) {
+  private void campaign(MonotonicTime now) {
     transitionTo(State.ACQUIRING_LEASE);
     requestPending = true;
     outbox.call(
@@ -345,7 +345,7 @@
         });
   }
 
-  private void claim(Moment now) {
+  private void claim(MonotonicTime now) {
     requestPending = true;
     StoredValue.LeaderRecord record = new StoredValue.LeaderRecord(node, zone, incarnation);
     outbox.call(
@@ -365,7 +365,7 @@
   }
 
   /** Checks a pending claim. The copy of the store decides it; an expired lease voids it. */
-  private void checkClaim(Moment now) {
+  private void checkClaim(MonotonicTime now) {
     if (now.isPast(leaseStart, LEASE_TTL.plus(LEASE_TTL).plusClockDrift())) {
       // The lease has expired at the store, so the write can no longer be applied.
       returnToFollowing();
@@ -375,7 +375,7 @@
     view.catchUp(now, caughtUp -> {});
   }
 
-  private void renew(Moment now) {
+  private void renew(MonotonicTime now) {
     requestPending = true;
     nextAttempt = now.plus(RENEW_INTERVAL);
     outbox.call(
