--- a/src/main/java/org/oakwalk/core/leadership/LeaseRelay.java
+++ b/src/main/java/org/oakwalk/core/leadership/LeaseRelay.java
@@ -8,12 +8,12 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Consumer;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
@@ -52,21 +52,21 @@
     TRANSITIONS.put(State.ANNOUNCING, EnumSet.of(State.IDLE));
   }
 
-  private static final Span DIGEST_TIMEOUT = Span.millis(1500);
-  private static final Span PROBE_INTERVAL = Span.millis(1000);
+  private static final TimeSpan DIGEST_TIMEOUT = TimeSpan.millis(1500);
+  private static final TimeSpan PROBE_INTERVAL = TimeSpan.millis(1000);
 
   private final Outbox outbox;
   private final StoreView view;
   private final NodeId node;
   private final String zone;
-  private final Span window;
+  private final TimeSpan window;
   private final boolean enabled;
   private final List<Consumer<Boolean>> pendingReports = new ArrayList<>();
   private State state = State.IDLE;
   private Token highestToken = new Token(0);
-  private Moment lastDigest = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextProbe = new Moment(Long.MIN_VALUE / 2);
-  private Moment currentTime = new Moment(0);
+  private MonotonicTime lastDigest = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime nextProbe = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime currentTime = new MonotonicTime(0);
   private boolean probePending;
   private boolean leaderSilent;
 
@@ -80,7 +80,7 @@
   }
 
   /** Records contact with a leader. This node answers under no older token from then on. */
-  public void leaderHeard(Token leader, Moment now) {
+  public void leaderHeard(Token leader, MonotonicTime now) {
     lastDigest = now;
     leaderSilent = false;
     if (leader.compareTo(highestToken) > 0) {
@@ -89,7 +89,7 @@
   }
 
   /** Probes the leader when its digests stop arriving. */
-  public void tick(boolean holdsToken, Moment now) {
+  public void tick(boolean holdsToken, MonotonicTime now) {
     currentTime = now;
     Optional<StoreView.Leader> leader = remoteLeader();
     if (holdsToken || leader.isEmpty() || !now.isPast(lastDigest, DIGEST_TIMEOUT)) {
@@ -109,7 +109,7 @@
    * Probes the leader. Only a missing answer marks it silent: a refused connection may come from a
    * packet filter between the controllers while the workers still reach the leader.
    */
-  private void probe(NodeId leader, Moment now) {
+  private void probe(NodeId leader, MonotonicTime now) {
     probePending = true;
     nextProbe = now.plus(PROBE_INTERVAL);
     outbox.call(
@@ -124,7 +124,7 @@
    * Passes the token under which the worker that sent this report may be answered, if any, to the
    * callback: at once, or after the relay has been announced if that is still to be done.
    */
-  public void resolveToken(Report report, Moment now, Consumer<Optional<Token>> callback) {
+  public void resolveToken(Report report, MonotonicTime now, Consumer<Optional<Token>> callback) {
     currentTime = now;
     Optional<Token> leader =
         remoteLeader()
@@ -171,7 +171,7 @@
             .isPresent();
   }
 
-  private void announce(Token token, Moment now) {
+  private void announce(Token token, MonotonicTime now) {
     transitionTo(State.ANNOUNCING);
     LOG.info("leader with token {} unreachable; announcing lease relay for zone {}", token, zone);
     String key = StoreKeys.relay(zone);
--- a/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
+++ b/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
@@ -1,9 +1,9 @@
 package org.oakwalk.core.leadership;
 
 import java.util.List;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
@@ -17,16 +17,16 @@
  * in each zone, and when their announcements can be removed from the store.
  */
 public final class RelayExpiry {
-  private static final Span RETRY_DELAY = Span.seconds(1);
+  private static final TimeSpan RETRY_DELAY = TimeSpan.seconds(1);
 
   private final Outbox outbox;
   private final StoreView view;
   private final Guard guard;
   private final Token token;
-  private final Span relayPeriod;
-  private final Span leaseDuration;
+  private final TimeSpan relayPeriod;
+  private final TimeSpan leaseDuration;
   private boolean removalPending;
-  private Moment nextAttempt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextAttempt = new MonotonicTime(Long.MIN_VALUE / 2);
 
   public RelayExpiry(
       Outbox outbox, StoreView view, Guard guard, Token token, Settings.WorkerTiming timing) {
@@ -43,7 +43,7 @@
    * leader's token, or {@code fallback} if that is later. An empty zone name stands for an unknown
    * zone, so all zones count.
    */
-  public Moment lastRenewal(String zone, Moment fallback, Moment now) {
+  public MonotonicTime lastRenewal(String zone, MonotonicTime fallback, MonotonicTime now) {
     return zone.isEmpty()
         ? view.relays().stream()
             .map(relayed -> lastRenewal(relayed, now))
@@ -53,15 +53,15 @@
             .orElse(fallback);
   }
 
-  private Moment lastRenewal(StoreView.RelayAnnouncement relayed, Moment now) {
+  private MonotonicTime lastRenewal(StoreView.RelayAnnouncement relayed, MonotonicTime now) {
     if (!relayed.record().token().equals(token)) {
-      return new Moment(Long.MIN_VALUE / 2);
+      return new MonotonicTime(Long.MIN_VALUE / 2);
     }
-    Moment end = relayed.seenAt().plus(relayPeriod);
+    MonotonicTime end = relayed.seenAt().plus(relayPeriod);
     return end.isAfter(now) ? now : end;
   }
 
-  private static Moment later(Moment one, Moment other) {
+  private static MonotonicTime later(MonotonicTime one, MonotonicTime other) {
     return one.isAfter(other) ? one : other;
   }
 
@@ -69,7 +69,7 @@
    * Removes announcements under older tokens, and those under which every lease has expired or has
    * been renewed by the leader itself, so that a later partition can be announced again.
    */
-  public void tick(Moment now) {
+  public void tick(MonotonicTime now) {
     if (removalPending || nextAttempt.isAfter(now)) {
       return;
     }
@@ -82,7 +82,7 @@
     }
   }
 
-  private void remove(StoreView.RelayAnnouncement relayed, Moment now) {
+  private void remove(StoreView.RelayAnnouncement relayed, MonotonicTime now) {
     String key = StoreKeys.relay(relayed.record().zone());
     removalPending = true;
     nextAttempt = now.plus(RETRY_DELAY);
--- a/src/main/java/org/oakwalk/core/leadership/ReportForwarding.java
+++ b/src/main/java/org/oakwalk/core/leadership/ReportForwarding.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Report;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 
 /**
@@ -39,29 +39,29 @@
   }
 
   /** Longest gap between digests at which the leader still counts as reachable. */
-  private static final Span LEADER_TIMEOUT = Span.millis(2500);
+  private static final TimeSpan LEADER_TIMEOUT = TimeSpan.millis(2500);
 
   /**
    * A worker that reports here again within this time after a redirect did not reach the leader. It
    * waits 4 s for an answer and another second before it tries the next node.
    */
-  private static final Span RETURN_WINDOW = Span.seconds(8);
+  private static final TimeSpan RETURN_WINDOW = TimeSpan.seconds(8);
 
   /** How long the reports of a cut-off worker are forwarded before its next redirect. */
-  private static final Span FORWARD_DURATION = Span.seconds(15);
+  private static final TimeSpan FORWARD_DURATION = TimeSpan.seconds(15);
 
   /** A worker that has reported to this node under the current leader. */
   private static final class TrackedWorker {
     State state;
-    Moment since;
+    MonotonicTime since;
 
-    TrackedWorker(State state, Moment since) {
+    TrackedWorker(State state, MonotonicTime since) {
       this.state = state;
       this.since = since;
     }
 
     /** Changes the state; no other method assigns it after construction. */
-    void transitionTo(State next, Moment now) {
+    void transitionTo(State next, MonotonicTime now) {
       if (!TRANSITIONS.get(state).contains(next)) {
         throw new IllegalStateException(
             "illegal forwarding transition from " + state + " to " + next);
@@ -74,10 +74,10 @@
   private final Map<MachineId, TrackedWorker> workers = new HashMap<>();
   private Optional<NodeId> leader = Optional.empty();
   private Token token = new Token(0);
-  private Moment lastHeard = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime lastHeard = new MonotonicTime(Long.MIN_VALUE / 2);
 
   /** Records a digest from a leader. A higher token discards all knowledge of workers. */
-  public void leaderHeard(NodeId from, Token leaderToken, Moment now) {
+  public void leaderHeard(NodeId from, Token leaderToken, MonotonicTime now) {
     if (leaderToken.compareTo(token) > 0) {
       workers.clear();
       token = leaderToken;
@@ -89,12 +89,12 @@
   }
 
   /** The leader, if a digest from it arrived within the timeout. */
-  public Optional<NodeId> leader(Moment now) {
+  public Optional<NodeId> leader(MonotonicTime now) {
     return now.isPast(lastHeard, LEADER_TIMEOUT) ? Optional.empty() : leader;
   }
 
   /** Whether to forward this report to the leader instead of redirecting its worker there. */
-  public boolean shouldForward(Report report, Moment now) {
+  public boolean shouldForward(Report report, MonotonicTime now) {
     if (leader(now).isEmpty()) {
       return false;
     }
--- a/src/main/java/org/oakwalk/core/leadership/WithdrawalHalts.java
+++ b/src/main/java/org/oakwalk/core/leadership/WithdrawalHalts.java
@@ -5,7 +5,7 @@
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.Order;
 import org.oakwalk.core.Report;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.store.JobRecord;
 import org.oakwalk.core.store.StoreView;
 
@@ -14,7 +14,7 @@
  * state, because a task of a withdrawn job must end in any case.
  */
 public final class WithdrawalHalts {
-  private static final Span NO_GRACE = Span.millis(0);
+  private static final TimeSpan NO_GRACE = TimeSpan.millis(0);
 
   private final StoreView view;
 
--- a/src/main/java/org/oakwalk/core/leadership/WorkerRedirects.java
+++ b/src/main/java/org/oakwalk/core/leadership/WorkerRedirects.java
@@ -5,9 +5,9 @@
 import java.util.Map;
 import java.util.Optional;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /**
  * Redirects workers for which the leader has no free sockets to followers in contact with it, which
@@ -18,28 +18,28 @@
  */
 public final class WorkerRedirects {
   /** A follower without a reply for longer than this is no redirect target. */
-  private static final Span FOLLOWER_TIMEOUT = Span.millis(2500);
+  private static final TimeSpan FOLLOWER_TIMEOUT = TimeSpan.millis(2500);
 
   /** Longer than a follower forwards a worker's reports before it redirects the worker back. */
-  private static final Span REDIRECT_RETENTION = Span.seconds(30);
+  private static final TimeSpan REDIRECT_RETENTION = TimeSpan.seconds(30);
 
-  private final Map<NodeId, Moment> followers = new HashMap<>();
-  private final Map<MachineId, Moment> redirectedAt = new HashMap<>();
+  private final Map<NodeId, MonotonicTime> followers = new HashMap<>();
+  private final Map<MachineId, MonotonicTime> redirectedAt = new HashMap<>();
 
   /** Records a reply from a follower. */
-  public void followerHeard(NodeId follower, Moment now) {
+  public void followerHeard(NodeId follower, MonotonicTime now) {
     followers.put(follower, now);
     redirectedAt.values().removeIf(sentAt -> now.isPast(sentAt, REDIRECT_RETENTION));
   }
 
   /** Whether any follower is in contact with this node. */
-  public boolean hasTarget(Moment now) {
+  public boolean hasTarget(MonotonicTime now) {
     return followers.values().stream()
         .anyMatch(lastHeard -> !now.isPast(lastHeard, FOLLOWER_TIMEOUT));
   }
 
   /** Chooses the follower to which this worker is redirected, if any is in contact. */
-  public Optional<NodeId> target(MachineId machine, Moment now) {
+  public Optional<NodeId> target(MachineId machine, MonotonicTime now) {
     List<NodeId> reachable =
         followers.entrySet().stream()
             .filter(follower -> !now.isPast(follower.getValue(), FOLLOWER_TIMEOUT))
@@ -56,8 +56,8 @@
   /**
    * Whether this node redirected this worker recently, which shows that the worker can reach it.
    */
-  public boolean redirectedRecently(MachineId machine, Moment now) {
-    Moment sentAt = redirectedAt.get(machine);
+  public boolean redirectedRecently(MachineId machine, MonotonicTime now) {
+    MonotonicTime sentAt = redirectedAt.get(machine);
     return sentAt != null && !now.isPast(sentAt, REDIRECT_RETENTION);
   }
 }
--- a/src/main/java/org/oakwalk/core/placement/CandidateMachines.java
+++ b/src/main/java/org/oakwalk/core/placement/CandidateMachines.java
@@ -8,8 +8,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
@@ -31,12 +31,12 @@
 
   private final Fleet fleet;
   private final RunTimeEstimates runTimes;
-  private final Span suspectAfter;
+  private final TimeSpan suspectAfter;
   private final CapacityReserve reserve;
   private final Map<Machine, Job> reservations = new LinkedHashMap<>();
 
   /** The time by which the machines reserved for a gang are expected to be free. */
-  private final Map<Job, Moment> expectedStarts = new HashMap<>();
+  private final Map<Job, MonotonicTime> expectedStarts = new HashMap<>();
 
   private final List<Machine> all = new ArrayList<>();
 
@@ -44,10 +44,10 @@
   private final List<Machine> withFreeRoom = new ArrayList<>();
 
   private final Map<MachineType, Integer> machineCounts = new IdentityHashMap<>();
-  private Moment roundStart = new Moment(0);
+  private MonotonicTime roundStart = new MonotonicTime(0);
 
   CandidateMachines(
-      Fleet fleet, RunTimeEstimates runTimes, Span suspectAfter, CapacityReserve reserve) {
+      Fleet fleet, RunTimeEstimates runTimes, TimeSpan suspectAfter, CapacityReserve reserve) {
     this.reserve = reserve;
     this.fleet = fleet;
     this.runTimes = runTimes;
@@ -55,7 +55,7 @@
   }
 
   /** Starts a round: collects the machines that accept tasks and drops outdated reservations. */
-  void refresh(Moment now) {
+  void refresh(MonotonicTime now) {
     roundStart = now;
     all.clear();
     withFreeRoom.clear();
@@ -89,7 +89,7 @@
   }
 
   /** The time by which a waiting gang should be able to start, as first estimated. */
-  Map<Job, Moment> expectedStarts() {
+  Map<Job, MonotonicTime> expectedStarts() {
     return expectedStarts;
   }
 
@@ -98,7 +98,7 @@
    *
    * @param zones the number of the job's tasks in each zone, see {@link #tasksPerZone}
    */
-  List<Machine> eligibleWithFreeRoom(Job job, Map<String, Integer> zones) {
+  List<Machine> eligibleWithFreeResources(Job job, Map<String, Integer> zones) {
     return eligible(job, withFreeRoom, zones);
   }
 
@@ -118,7 +118,7 @@
           }
         });
     List<Machine> candidates = new ArrayList<>();
-    Moment end = roundStart.plus(runTimes.expected(spec));
+    MonotonicTime end = roundStart.plus(runTimes.expected(spec));
     for (Machine machine : machines) {
       Job holder = reservations.get(machine);
       if (spec.allows(machine.type().name(), machine.zone(), machine.spot())
@@ -127,7 +127,7 @@
           && (!machine.schedulingMode().backfillOnly() || endsBeforeEmptied(spec, machine, end))
           && (holder == null
               || holder == job
-              || reserve.hasRoomReservedFor(spec, machine)
+              || reserve.hasResourcesReservedFor(spec, machine)
               || mayUseReserved(job, holder, end))) {
         candidates.add(machine);
       }
@@ -140,7 +140,7 @@
    * is reserved for a gang, and the job either has a higher priority (HIGH or above) or is a batch
    * task that can be backfilled: it ends well before the gang is expected to start.
    */
-  private boolean mayUseReserved(Job job, Job holder, Moment end) {
+  private boolean mayUseReserved(Job job, Job holder, MonotonicTime end) {
     JobSpec spec = job.spec();
     if (!holder.spec().gang()) {
       return false;
@@ -149,7 +149,7 @@
         && spec.priority().compareTo(holder.spec().priority()) > 0) {
       return true;
     }
-    Moment start = expectedStarts.get(holder);
+    MonotonicTime start = expectedStarts.get(holder);
     return start != null
         && !spec.service()
         && !spec.gang()
@@ -160,7 +160,7 @@
    * Whether a task may run on a machine that is to be emptied. The machine is paid for until its
    * longest task has ended, so a task that ends before that adds no cost.
    */
-  private static boolean endsBeforeEmptied(JobSpec spec, Machine machine, Moment end) {
+  private static boolean endsBeforeEmptied(JobSpec spec, Machine machine, MonotonicTime end) {
     return !spec.service() && !spec.gang() && !end.isAfter(machine.expectedEmptyAt());
   }
 
--- a/src/main/java/org/oakwalk/core/placement/CapacityExchange.java
+++ b/src/main/java/org/oakwalk/core/placement/CapacityExchange.java
@@ -1,7 +1,7 @@
 package org.oakwalk.core.placement;
 
 import java.util.List;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
@@ -21,7 +21,8 @@
         }
 
         @Override
-        public boolean requestRoom(Job job, List<Machine> machines, Moment now, WallTime wall) {
+        public boolean requestCapacity(
+            Job job, List<Machine> machines, MonotonicTime now, WallTime wall) {
           return false;
         }
       };
@@ -34,5 +35,5 @@
    *
    * @return whether room for at least one of its tasks is being freed
    */
-  boolean requestRoom(Job job, List<Machine> machines, Moment now, WallTime wall);
+  boolean requestCapacity(Job job, List<Machine> machines, MonotonicTime now, WallTime wall);
 }
--- a/src/main/java/org/oakwalk/core/placement/CapacityReserve.java
+++ b/src/main/java/org/oakwalk/core/placement/CapacityReserve.java
@@ -37,7 +37,7 @@
    * Whether room is reserved on the machine for tasks of this job. They may then use it even if the
    * machine is reserved for another job.
    */
-  default boolean hasRoomReservedFor(JobSpec spec, Machine machine) {
+  default boolean hasResourcesReservedFor(JobSpec spec, Machine machine) {
     return false;
   }
 
@@ -45,7 +45,7 @@
    * Whether the reserve lacks room and takes what a preemption frees, so that nothing should be
    * preempted for this job.
    */
-  default boolean claimsFreedRoom(Job job) {
+  default boolean claimsFreedResources(Job job) {
     return false;
   }
 
@@ -58,5 +58,5 @@
   }
 
   /** To be called when a job found no room; the reserve shrinks for jobs within a guarantee. */
-  default void onNoRoom(Job job) {}
+  default void onPlacementFailed(Job job) {}
 }
--- a/src/main/java/org/oakwalk/core/placement/GangReservations.java
+++ b/src/main/java/org/oakwalk/core/placement/GangReservations.java
@@ -7,8 +7,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.TreeSet;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
@@ -39,15 +39,15 @@
   private static final int MAX_GANGS_PER_ROUND = 4;
 
   /** Machines are reserved only for a gang that can start within this time. */
-  private static final Span MAX_TIME_TO_START = Span.seconds(30);
+  private static final TimeSpan MAX_TIME_TO_START = TimeSpan.seconds(30);
 
   /** The same limit for overdue gangs. */
-  private static final Span MAX_TIME_TO_START_OVERDUE = Span.seconds(60);
+  private static final TimeSpan MAX_TIME_TO_START_OVERDUE = TimeSpan.seconds(60);
 
   /** A gang that has not started this long after its expected start loses its reservations. */
-  private static final Span START_GRACE = Span.seconds(15);
+  private static final TimeSpan START_GRACE = TimeSpan.seconds(15);
 
-  private static final Moment NEVER = new Moment(Long.MAX_VALUE / 4);
+  private static final MonotonicTime NEVER = new MonotonicTime(Long.MAX_VALUE / 4);
 
   private final Fleet fleet;
   private final CandidateMachines candidates;
@@ -69,7 +69,7 @@
   private final Map<Machine, Job> reservedHere = new HashMap<>();
 
   /** Gangs that did not start when expected, and the time until which they get no reservation. */
-  private final Map<Job, Moment> pausedUntil = new HashMap<>();
+  private final Map<Job, MonotonicTime> pausedUntil = new HashMap<>();
 
   GangReservations(
       Fleet fleet,
@@ -103,10 +103,10 @@
   }
 
   /** Places for further tasks of a gang that become free on a machine at a given time. */
-  private record CapacityRelease(Moment at, Machine machine, int places) {}
+  private record CapacityRelease(MonotonicTime at, Machine machine, int places) {}
 
   /** The earliest time at which a gang could start, and the number of its tasks on each machine. */
-  private record GangStart(Moment at, Map<Machine, Integer> tasksPerMachine) {}
+  private record GangStart(MonotonicTime at, Map<Machine, Integer> tasksPerMachine) {}
 
   /**
    * Renews the reservations for the first waiting gang that can start soon.
@@ -115,7 +115,7 @@
    * @param minRounds the number of regular rounds for which a gang must have found no room, unless
    *     preemption may free room for it
    */
-  void reserve(int regularRounds, int minRounds, Moment now, WallTime wall) {
+  void reserve(int regularRounds, int minRounds, MonotonicTime now, WallTime wall) {
     // Reservations made elsewhere, such as by an exchange, are left alone.
     reservedHere.forEach((machine, gang) -> candidates.reservations().remove(machine, gang));
     reservedHere.clear();
@@ -150,21 +150,21 @@
         && (largeJobs.isLarge(gang) || servedShares.underserved(ServedShares.TeamClass.of(gang)));
   }
 
-  private boolean reserve(Job gang, Moment now, WallTime wall) {
-    Moment quotaAt = quotaAvailableAt(gang, now);
+  private boolean reserve(Job gang, MonotonicTime now, WallTime wall) {
+    MonotonicTime quotaAt = quotaAvailableAt(gang, now);
     GangStart start = quotaAt == NEVER ? null : earliestStart(gang, now);
     if (start == null) {
       return false;
     }
     boolean isOverdue = overdue(gang, wall);
-    Moment startAt = start.at().isAfter(quotaAt) ? start.at() : quotaAt;
+    MonotonicTime startAt = start.at().isAfter(quotaAt) ? start.at() : quotaAt;
     if (startAt.isAfter(now.plus(isOverdue ? MAX_TIME_TO_START_OVERDUE : MAX_TIME_TO_START))
         || !isOverdue
             && start.tasksPerMachine().size()
                 > Math.max(1, fleet.machines().size() / MAX_FLEET_DIVISOR)) {
       return false;
     }
-    Moment firstEstimate =
+    MonotonicTime firstEstimate =
         candidates.expectedStarts().merge(gang, startAt, (a, b) -> a.isAfter(b) ? b : a);
     if (now.isPast(firstEstimate, START_GRACE)) {
       candidates.expectedStarts().remove(gang);
@@ -186,7 +186,7 @@
    * The time at which the team's limit should allow the whole gang, if the team starts nothing
    * else.
    */
-  private Moment quotaAvailableAt(Job gang, Moment now) {
+  private MonotonicTime quotaAvailableAt(Job gang, MonotonicTime now) {
     Resources needed = gang.spec().resources().times(gang.pendingCount());
     Resources remaining = quota.remaining(gang.spec().team());
     if (needed.fitsInto(remaining)) {
@@ -211,7 +211,7 @@
     return NEVER;
   }
 
-  private GangStart earliestStart(Job gang, Moment now) {
+  private GangStart earliestStart(Job gang, MonotonicTime now) {
     Map<String, List<CapacityRelease>> byZone = new LinkedHashMap<>();
     for (Machine machine : candidates.eligibleForGang(gang)) {
       String zone = gang.spec().oneZone() ? machine.zone() : "";
@@ -228,20 +228,21 @@
   }
 
   /** Adds the times at which places for the gang become free on a machine. */
-  private void addReleases(Machine machine, Job gang, Moment now, List<CapacityRelease> releases) {
+  private void addReleases(
+      Machine machine, Job gang, MonotonicTime now, List<CapacityRelease> releases) {
     Resources task = gang.spec().resources();
     Resources free = reserve.freeFor(gang.spec(), machine);
     int count = free.capacityFor(task);
     if (count > 0) {
       releases.add(new CapacityRelease(now, machine, count));
     }
-    if (!task.fitsInto(machine.type().room())) {
+    if (!task.fitsInto(machine.type().resources())) {
       return;
     }
     List<Placement> ending = new ArrayList<>();
-    Map<Placement, Moment> ends = new HashMap<>();
+    Map<Placement, MonotonicTime> ends = new HashMap<>();
     for (Placement placement : machine.placements()) {
-      Moment end = expectedEnd(placement, gang, now);
+      MonotonicTime end = expectedEnd(placement, gang, now);
       if (end != NEVER) {
         ending.add(placement);
         ends.put(placement, end);
@@ -258,7 +259,7 @@
     }
   }
 
-  private Moment expectedEnd(Placement placement, Job gang, Moment now) {
+  private MonotonicTime expectedEnd(Placement placement, Job gang, MonotonicTime now) {
     if (placement.halting() || preemption.preemptible(placement, gang)) {
       return now.plus(placement.job().spec().checkpointDuration());
     }
@@ -273,7 +274,7 @@
     Map<Machine, Integer> room = new LinkedHashMap<>();
     int needed = gang.pendingCount();
     ZoneAllocation zones = new ZoneAllocation(gang);
-    Moment at = null;
+    MonotonicTime at = null;
     for (CapacityRelease release : releases) {
       room.merge(release.machine(), release.places(), Integer::sum);
       zones.allocate(release.machine(), release.places());
--- a/src/main/java/org/oakwalk/core/placement/JobScorer.java
+++ b/src/main/java/org/oakwalk/core/placement/JobScorer.java
@@ -1,9 +1,9 @@
 package org.oakwalk.core.placement;
 
 import java.util.List;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Policy;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.Priority;
@@ -42,7 +42,12 @@
    * @param guaranteed whether the job is within its team's guarantee
    */
   public double score(
-      Job job, Span remaining, Span wait, Resources largest, boolean guaranteed, WallTime now) {
+      Job job,
+      TimeSpan remaining,
+      TimeSpan wait,
+      Resources largest,
+      boolean guaranteed,
+      WallTime now) {
     double importance =
         importance(job.spec().priority()) * job.spec().resources().dominantShare(largest);
     double urgency =
@@ -59,8 +64,8 @@
    * larger. It is zero for a job without a deadline and for one that can't meet its deadline any
    * more, since preferring that job would only make others late.
    */
-  private double deadlineUrgency(Job job, Span remaining, WallTime now) {
-    Span age = now.since(job.acceptedAt());
+  private double deadlineUrgency(Job job, TimeSpan remaining, WallTime now) {
+    TimeSpan age = now.since(job.acceptedAt());
     double own =
         targets
             .earliestReachable(job.spec(), age.plus(remaining))
@@ -74,7 +79,7 @@
   }
 
   /** The part of a score that grows with waiting, up to this time; the same for all jobs. */
-  double waitTerm(Moment until) {
+  double waitTerm(MonotonicTime until) {
     return (1 - weights.alpha()) * weights.waitWeight() * until.millis() / HOUR_MS;
   }
 
@@ -82,10 +87,10 @@
    * The time for which the score of a job, without the part that grows with waiting, stays within
    * {@link #TOLERANCE} of its present value; null if there is no limit.
    */
-  Span validFor(Job job, Span remaining, WallTime now) {
-    Span age = now.since(job.acceptedAt());
-    Span due = targets.earliestReachable(job.spec(), age.plus(remaining)).orElse(null);
-    Span planned =
+  TimeSpan validFor(Job job, TimeSpan remaining, WallTime now) {
+    TimeSpan age = now.since(job.acceptedAt());
+    TimeSpan due = targets.earliestReachable(job.spec(), age.plus(remaining)).orElse(null);
+    TimeSpan planned =
         targets
             .planned()
             .timeToStart(job, now)
@@ -97,13 +102,14 @@
     }
     // The score changes at the latest when the job can't meet its deadline any more.
     long reachable = due.minus(age).minus(remaining).millis() + 1;
-    Span own =
-        Span.millis(Math.max(1, Math.min(reachable, validity(due.minus(age).millis()).millis())));
+    TimeSpan own =
+        TimeSpan.millis(
+            Math.max(1, Math.min(reachable, validity(due.minus(age).millis()).millis())));
     return planned == null || own.compareTo(planned) < 0 ? own : planned;
   }
 
-  private static Span validity(long left) {
-    return Span.millis(Math.max(MIN_VALIDITY_MS, Math.round(left * TOLERANCE)));
+  private static TimeSpan validity(long left) {
+    return TimeSpan.millis(Math.max(MIN_VALIDITY_MS, Math.round(left * TOLERANCE)));
   }
 
   /** Jobs whose planned deadlines have changed since the last call. */
@@ -111,7 +117,7 @@
     return targets.planned().takeChangedJobs();
   }
 
-  private double remainingUrgency(Span remaining) {
+  private double remainingUrgency(TimeSpan remaining) {
     return remaining.millis() <= 0 ? 0 : 1 / Math.max(remaining.millis() / HOUR_MS, floorHours);
   }
 
--- a/src/main/java/org/oakwalk/core/placement/JobTargets.java
+++ b/src/main/java/org/oakwalk/core/placement/JobTargets.java
@@ -3,7 +3,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.JobSpec;
 
 /** The times by which jobs should start and be complete: their deadlines and class objectives. */
@@ -32,14 +32,14 @@
    * @param earliest the earliest time at which the job could be complete, measured from the
    *     submission
    */
-  public Optional<Span> earliestReachable(JobSpec spec, Span earliest) {
-    Span best = spec.deadline().orElse(null);
+  public Optional<TimeSpan> earliestReachable(JobSpec spec, TimeSpan earliest) {
+    TimeSpan best = spec.deadline().orElse(null);
     if (best != null && best.compareTo(earliest) < 0) {
       best = null;
     }
     for (Settings.Objective objective : objectives) {
       if (objective.jobClass().equals(spec.jobClass())) {
-        Span target = target(objective, spec);
+        TimeSpan target = target(objective, spec);
         if (target != null
             && target.compareTo(earliest) >= 0
             && (best == null || target.compareTo(best) < 0)) {
@@ -51,11 +51,11 @@
   }
 
   /** The latest completion target of a job before this time, both measured from the submission. */
-  Optional<Span> latestBefore(JobSpec spec, Span bound) {
-    Span best = spec.deadline().filter(due -> due.compareTo(bound) < 0).orElse(null);
+  Optional<TimeSpan> latestBefore(JobSpec spec, TimeSpan bound) {
+    TimeSpan best = spec.deadline().filter(due -> due.compareTo(bound) < 0).orElse(null);
     for (Settings.Objective objective : objectives) {
       if (objective.jobClass().equals(spec.jobClass())) {
-        Span target = target(objective, spec);
+        TimeSpan target = target(objective, spec);
         if (target != null
             && target.compareTo(bound) < 0
             && (best == null || target.compareTo(best) > 0)) {
@@ -66,9 +66,9 @@
     return Optional.ofNullable(best);
   }
 
-  private static Span target(Settings.Objective objective, JobSpec spec) {
+  private static TimeSpan target(Settings.Objective objective, JobSpec spec) {
     return switch (objective.kind()) {
-      case "finished" -> Span.seconds(objective.withinSeconds());
+      case "finished" -> TimeSpan.seconds(objective.withinSeconds());
       case "deadline" ->
           spec.deadline().map(due -> due.times(objective.deadlineFactor())).orElse(null);
       default -> null;
@@ -76,10 +76,10 @@
   }
 
   /** The time within which a task of this job should start, if its class has such an objective. */
-  public Optional<Span> startTarget(JobSpec spec) {
+  public Optional<TimeSpan> startTarget(JobSpec spec) {
     return objectives.stream()
         .filter(o -> o.kind().equals("wait") && o.jobClass().equals(spec.jobClass()))
-        .map(o -> Span.seconds(o.withinSeconds()))
-        .min(Span::compareTo);
+        .map(o -> TimeSpan.seconds(o.withinSeconds()))
+        .min(TimeSpan::compareTo);
   }
 }
--- a/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
+++ b/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
@@ -12,8 +12,8 @@
 import java.util.Set;
 import java.util.TreeSet;
 import java.util.function.ToIntFunction;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
@@ -44,13 +44,13 @@
  */
 final class LargeJobBonus {
   /** The wait after which a large job may get a bonus. */
-  static final Span BONUS_AFTER = Span.seconds(150);
+  static final TimeSpan BONUS_AFTER = TimeSpan.seconds(150);
 
   /** The time after acceptance by which large jobs should have started. */
-  private static final Span START_TARGET = Span.seconds(240);
+  private static final TimeSpan START_TARGET = TimeSpan.seconds(240);
 
   /** The time in which the bonus grows by the size of one guarantee bonus. */
-  private static final Span BONUS_GROWTH_PERIOD = Span.seconds(30);
+  private static final TimeSpan BONUS_GROWTH_PERIOD = TimeSpan.seconds(30);
 
   /** Upper bound of a growing bonus, as a multiple of the guarantee bonus. */
   private static final double MAX_BONUS_FACTOR = 3;
@@ -138,7 +138,7 @@
   /** Classes of which a boosted job found no room in this round. */
   private final Set<ServedShares.TeamClass> classesWithoutRoom = new HashSet<>();
 
-  private Moment decayedAt;
+  private MonotonicTime decayedAt;
   private double placed;
   private double placedFirst;
   private double placedRampUp;
@@ -210,7 +210,7 @@
   }
 
   /** Starts a round: decays old counts and selects the jobs that get a bonus. */
-  void beginRound(Moment now, WallTime wall) {
+  void beginRound(MonotonicTime now, WallTime wall) {
     decay(now);
     while (!unclassified.isEmpty()
         && now.isPast(unclassified.peek().job.firstSeen(), ServedShares.COUNTED_AFTER)) {
@@ -232,7 +232,7 @@
     tallies.get(ServedShares.TeamClass.of(job)).arrived += job.spec().tasks();
   }
 
-  private void decay(Moment now) {
+  private void decay(MonotonicTime now) {
     if (decayedAt != null) {
       double keep = Math.pow(0.5, now.since(decayedAt).asSeconds() / HALF_LIFE_SECONDS);
       placed *= keep;
@@ -259,7 +259,7 @@
     int boosted = 0;
     int late = 0;
     for (TrackedJob entry : tally.waiting) {
-      Span waited = wall.since(entry.job.acceptedAt());
+      TimeSpan waited = wall.since(entry.job.acceptedAt());
       if (waited.compareTo(BONUS_AFTER) < 0 || boosted >= MAX_BOOSTED_PER_ROUND) {
         break;
       }
@@ -300,7 +300,7 @@
   }
 
   /** The bonus for a wait of this length, as a multiple of the guarantee bonus. */
-  private static double bonusFactor(Span waited) {
+  private static double bonusFactor(TimeSpan waited) {
     return Math.min(
         MAX_BONUS_FACTOR,
         1 + waited.minus(BONUS_AFTER).asSeconds() / BONUS_GROWTH_PERIOD.asSeconds());
--- a/src/main/java/org/oakwalk/core/placement/MachineDistance.java
+++ b/src/main/java/org/oakwalk/core/placement/MachineDistance.java
@@ -1,8 +1,8 @@
 package org.oakwalk.core.placement;
 
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Policy;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
@@ -54,7 +54,7 @@
    *
    * @param run the expected run time of the task
    */
-  double otherTerms(Job job, Machine machine, Span run, Moment now) {
+  double otherTerms(Job job, Machine machine, TimeSpan run, MonotonicTime now) {
     JobSpec spec = job.spec();
     return square(imageWeight(spec) * fetchCost(spec, machine))
         + (spec.service()
@@ -66,14 +66,14 @@
 
   /** Whether the task fits on the machine within the utilization limit for CPU and memory. */
   public boolean fits(JobSpec spec, Machine machine) {
-    Resources room = spec.resources();
+    Resources resources = spec.resources();
     Resources free = reserve.freeFor(spec, machine);
-    if (!room.fitsInto(free)) {
+    if (!resources.fitsInto(free)) {
       return false;
     }
-    Resources whole = machine.type().room();
-    return leavesSpare(room.cpus(), free.cpus(), whole.cpus())
-        && leavesSpare(room.memoryGb(), free.memoryGb(), whole.memoryGb());
+    Resources whole = machine.type().resources();
+    return leavesSpare(resources.cpus(), free.cpus(), whole.cpus())
+        && leavesSpare(resources.memoryGb(), free.memoryGb(), whole.memoryGb());
   }
 
   /**
@@ -89,11 +89,11 @@
   /**
    * The time by which a task would delay the moment when the machine is empty, scaled to 0 to 1.
    */
-  private static double addedOccupation(Machine machine, Span run, Moment now) {
+  private static double addedOccupation(Machine machine, TimeSpan run, MonotonicTime now) {
     if (machine.holdsReplica()) {
       return 0;
     }
-    Moment from = machine.expectedEmptyAt().isAfter(now) ? machine.expectedEmptyAt() : now;
+    MonotonicTime from = machine.expectedEmptyAt().isAfter(now) ? machine.expectedEmptyAt() : now;
     double longer = now.plus(run).since(from).asSeconds();
     return Math.min(1, Math.max(0, longer) / LONG_OCCUPATION_SECONDS);
   }
@@ -118,15 +118,15 @@
   }
 
   static double cpuUse(Machine machine) {
-    return use(machine.used().cpus(), machine.type().room().cpus());
+    return use(machine.used().cpus(), machine.type().resources().cpus());
   }
 
   static double memoryUse(Machine machine) {
-    return use(machine.used().memoryGb(), machine.type().room().memoryGb());
+    return use(machine.used().memoryGb(), machine.type().resources().memoryGb());
   }
 
   static double gpuUse(Machine machine) {
-    return use(machine.used().gpus(), machine.type().room().gpus());
+    return use(machine.used().gpus(), machine.type().resources().gpus());
   }
 
   private static double use(double used, double whole) {
--- a/src/main/java/org/oakwalk/core/placement/MachineSearch.java
+++ b/src/main/java/org/oakwalk/core/placement/MachineSearch.java
@@ -1,9 +1,9 @@
 package org.oakwalk.core.placement;
 
 import java.util.List;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.job.Job;
 
@@ -16,8 +16,8 @@
 final class MachineSearch {
   private final MachineDistance distances;
   private final Job job;
-  private final Span run;
-  private final Moment now;
+  private final TimeSpan run;
+  private final MonotonicTime now;
   private final List<Machine> machines;
   private final double[] cpu;
   private final double[] memory;
@@ -32,7 +32,8 @@
    * @param machines the machines on which the job may run
    * @param run the expected run time of a task
    */
-  MachineSearch(MachineDistance distances, Job job, List<Machine> machines, Span run, Moment now) {
+  MachineSearch(
+      MachineDistance distances, Job job, List<Machine> machines, TimeSpan run, MonotonicTime now) {
     this.distances = distances;
     this.job = job;
     this.run = run;
--- a/src/main/java/org/oakwalk/core/placement/Placer.java
+++ b/src/main/java/org/oakwalk/core/placement/Placer.java
@@ -9,10 +9,10 @@
 import java.util.Set;
 import java.util.function.Predicate;
 import org.oakwalk.core.Attempt;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Policy;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
@@ -64,7 +64,7 @@
    */
   private boolean blockedByPastAttempt;
 
-  private Moment now = new Moment(0);
+  private MonotonicTime now = new MonotonicTime(0);
 
   /**
    * Creates a placer for a fleet.
@@ -80,7 +80,7 @@
       JobTargets targets,
       Quota quota,
       RunTimeEstimates runTimes,
-      Span suspectAfter,
+      TimeSpan suspectAfter,
       Predicate<List<Placement>> mayStop,
       CapacityReserve reserve,
       CapacityExchange exchange) {
@@ -131,7 +131,7 @@
    * @param regular whether this is a regular, periodic round rather than one triggered by an event
    * @return the number of tasks placed
    */
-  public int runRound(boolean inheritedToo, boolean regular, Moment time, WallTime wall) {
+  public int runRound(boolean inheritedToo, boolean regular, MonotonicTime time, WallTime wall) {
     placed = 0;
     now = time;
     regularRounds += regular ? 1 : 0;
@@ -233,7 +233,7 @@
         return ClassDecision.CONTINUE;
       }
       case NO_ROOM -> {
-        reserve.onNoRoom(job);
+        reserve.onPlacementFailed(job);
         if (job.spec().gang()) {
           // Gangs with reserved machines are tried individually.
           return ClassDecision.SKIP_CLASS;
@@ -323,8 +323,9 @@
 
   private MachineSearch search(Job job, Map<String, Integer> zones) {
     searches++;
-    Span run = runTimes.expected(job.spec());
-    return new MachineSearch(distances, job, candidates.eligibleWithFreeRoom(job, zones), run, now);
+    TimeSpan run = runTimes.expected(job.spec());
+    return new MachineSearch(
+        distances, job, candidates.eligibleWithFreeResources(job, zones), run, now);
   }
 
   /** Places all tasks of a gang in one round, or none. */
@@ -340,7 +341,7 @@
     }
     Map<Machine, Integer> shares = new LinkedHashMap<>();
     GangReservations.ZoneAllocation allocation = new GangReservations.ZoneAllocation(job);
-    List<Machine> machines = candidates.eligibleWithFreeRoom(job, zones);
+    List<Machine> machines = candidates.eligibleWithFreeResources(job, zones);
     // Machines reserved for the gang come first.
     machines.sort(Comparator.comparing(machine -> candidates.reservations().get(machine) != job));
     for (Machine machine : machines) {
--- a/src/main/java/org/oakwalk/core/placement/PlannedDeadlines.java
+++ b/src/main/java/org/oakwalk/core/placement/PlannedDeadlines.java
@@ -2,7 +2,7 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.Job;
 
@@ -20,7 +20,7 @@
         }
 
         @Override
-        public Optional<Span> timeToEnd(Job job, WallTime now) {
+        public Optional<TimeSpan> timeToEnd(Job job, WallTime now) {
           return Optional.empty();
         }
 
@@ -37,7 +37,7 @@
    * @param fixed whether the value stays the same as time passes, until {@link #takeChangedJobs}
    *     returns the job
    */
-  record TimeLeft(Span span, boolean fixed) {}
+  record TimeLeft(TimeSpan span, boolean fixed) {}
 
   /** The time left until the rest of a job has to start; empty if no plan covers the job. */
   Optional<TimeLeft> timeToStart(Job job, WallTime now);
@@ -46,7 +46,7 @@
    * The time left until a job should be complete, less an allowance for the variation of run times;
    * empty if no plan covers the job.
    */
-  Optional<Span> timeToEnd(Job job, WallTime now);
+  Optional<TimeSpan> timeToEnd(Job job, WallTime now);
 
   /** Jobs whose deadlines have changed notably since the last call. */
   List<Job> takeChangedJobs();
--- a/src/main/java/org/oakwalk/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/oakwalk/core/placement/PreemptionPlanner.java
@@ -6,8 +6,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Set;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
@@ -71,7 +71,7 @@
    * task that may be preempted or is being stopped are inspected: usually there are few of them,
    * while waiting jobs call this many times a second.
    */
-  List<PreemptionPlan> plans(Job job, List<Machine> machines, Moment now, WallTime wall) {
+  List<PreemptionPlan> plans(Job job, List<Machine> machines, MonotonicTime now, WallTime wall) {
     List<PreemptionPlan> plans = new ArrayList<>();
     boolean guaranteed = quota.withinGuarantee(job);
     Set<PreemptionIndex.PreemptionKey> preemptible =
@@ -99,7 +99,8 @@
   }
 
   /** The tasks to preempt on a machine to free this room; empty if that is not possible. */
-  List<Placement> victims(Machine machine, Job job, Resources asked, Moment now, WallTime wall) {
+  List<Placement> victims(
+      Machine machine, Job job, Resources asked, MonotonicTime now, WallTime wall) {
     boolean guaranteed = quota.withinGuarantee(job);
     Set<PreemptionIndex.PreemptionKey> preemptible =
         stoppable.keys(sort -> preemptible(sort, job, guaranteed));
@@ -118,7 +119,7 @@
       Job job,
       Resources asked,
       Set<PreemptionIndex.PreemptionKey> preemptible,
-      Moment now,
+      MonotonicTime now,
       WallTime wall) {
     inspections++;
     Resources free = reserve.freeFor(job.spec(), machine);
@@ -168,35 +169,35 @@
    * and may be preempted for jobs of normal priority. Without checkpoints the work would be lost,
    * so such jobs wait for the tasks to end.
    */
-  static boolean lowPriorityWithCheckpoints(PreemptionIndex.PreemptionKey sort) {
-    return sort.priority() == Priority.LOW && sort.checkpoints();
+  static boolean lowPriorityWithCheckpoints(PreemptionIndex.PreemptionKey key) {
+    return key.priority() == Priority.LOW && key.checkpoints();
   }
 
-  private boolean preemptible(PreemptionIndex.PreemptionKey sort, Job job, boolean guaranteed) {
+  private boolean preemptible(PreemptionIndex.PreemptionKey key, Job job, boolean guaranteed) {
     Priority asking = job.spec().priority();
     boolean mayPreempt = guaranteed || asking.compareTo(Priority.NORMAL) > 0;
-    if (mayPreempt && sort.priority().compareTo(asking) < 0) {
+    if (mayPreempt && key.priority().compareTo(asking) < 0) {
       return true;
     }
     // Tasks of an underserved class would be preempted each time they start.
     if (asking == Priority.NORMAL
-        && lowPriorityWithCheckpoints(sort)
-        && !servedShares.underserved(new ServedShares.TeamClass(sort.team(), sort.jobClass()))) {
+        && lowPriorityWithCheckpoints(key)
+        && !servedShares.underserved(new ServedShares.TeamClass(key.team(), key.jobClass()))) {
       return true;
     }
     return guaranteed
-        && !sort.service()
-        && !sort.team().equals(job.spec().team())
-        && quota.exceedsGuarantee(sort.team());
+        && !key.service()
+        && !key.team().equals(job.spec().team())
+        && quota.exceedsGuarantee(key.team());
   }
 
   /**
    * The seconds of work that a preemption would lose, plus a surcharge if it would make the job
    * miss a target: one task that is restarted makes its whole array late.
    */
-  private double preemptionCost(Placement placement, Moment now, WallTime wall) {
-    Moment since = placement.runningSince();
-    Span ran = since == null ? Span.millis(0) : now.since(since);
+  private double preemptionCost(Placement placement, MonotonicTime now, WallTime wall) {
+    MonotonicTime since = placement.runningSince();
+    TimeSpan ran = since == null ? TimeSpan.millis(0) : now.since(since);
     Job job = placement.job();
     long maxRun = maxRestartableRuns.computeIfAbsent(job, each -> maxRestartableRun(each, wall));
     // Stopping one task of a gang loses the work of all its tasks. The only running task of a job
@@ -213,7 +214,7 @@
    * that could be preempted.
    */
   private long maxRestartableRun(Job job, WallTime wall) {
-    Span afterARun = wall.since(job.acceptedAt()).plus(runTimes.expected(job.spec()));
+    TimeSpan afterARun = wall.since(job.acceptedAt()).plus(runTimes.expected(job.spec()));
     return targets
         .latestBefore(job.spec(), afterARun)
         .map(missed -> afterARun.minus(missed).millis())
--- a/src/main/java/org/oakwalk/core/placement/Quota.java
+++ b/src/main/java/org/oakwalk/core/placement/Quota.java
@@ -44,7 +44,7 @@
     Resources use =
         fleet
             .teamUsage(team.name())
-            .plus(fleet.unaccountedRoom())
+            .plus(fleet.unaccountedResources())
             .plus(job.spec().resources().times(count))
             .plus(reservedForGang(job));
     return (team.cpusMax() <= 0 || use.cpus() <= team.cpusMax() + 1e-6)
@@ -52,8 +52,8 @@
   }
 
   /** The number of further tasks of this size that the team's limit allows. */
-  public int placesLeft(String name, Resources room) {
-    return Math.max(0, remaining(name).capacityFor(room));
+  public int placesLeft(String name, Resources resources) {
+    return Math.max(0, remaining(name).capacityFor(resources));
   }
 
   /** The number of tasks of this job that its team's limit allows at the same time. */
@@ -93,7 +93,7 @@
       // The team was removed from the settings; its jobs wait.
       return Resources.NONE;
     }
-    return remainingAfter(team, fleet.teamUsage(name).plus(fleet.unaccountedRoom()));
+    return remainingAfter(team, fleet.teamUsage(name).plus(fleet.unaccountedResources()));
   }
 
   /** The part of a team's limit that this use leaves; a limit of zero means unlimited. */
--- a/src/main/java/org/oakwalk/core/placement/Ranking.java
+++ b/src/main/java/org/oakwalk/core/placement/Ranking.java
@@ -15,9 +15,9 @@
 import java.util.TreeSet;
 import java.util.function.ToDoubleFunction;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.Job;
@@ -102,7 +102,7 @@
       EquivalenceClass equivalenceClass,
       double sortKey,
       Revision accepted,
-      Moment rescoreAt) {}
+      MonotonicTime rescoreAt) {}
 
   private static final Comparator<RankedJob> OLDEST_FIRST =
       Comparator.comparing(RankedJob::accepted).thenComparing(entry -> entry.job().id().value());
@@ -134,7 +134,7 @@
       new TreeSet<>(Comparator.comparing(RankedJob::rescoreAt).thenComparing(OLDEST_FIRST));
   private Map<MachineType, Integer> machineCounts = Map.of();
   private Resources largestMachine = new Resources(1, 1, 1);
-  private Moment now = new Moment(0);
+  private MonotonicTime now = new MonotonicTime(0);
   private WallTime wall = new WallTime(0);
   private long evaluations;
 
@@ -160,7 +160,7 @@
   List<Job> refresh(
       Map<MachineType, Integer> machines,
       List<Job> guaranteeChanges,
-      Moment time,
+      MonotonicTime time,
       WallTime wallTime) {
     machineCounts = machines;
     now = time;
@@ -184,12 +184,12 @@
   private Resources largestMachine() {
     Resources most = new Resources(1, 1, 1);
     for (MachineType type : machineCounts.keySet()) {
-      Resources room = type.room();
+      Resources resources = type.resources();
       most =
           new Resources(
-              Math.max(most.cpus(), room.cpus()),
-              Math.max(most.gpus(), room.gpus()),
-              Math.max(most.memoryGb(), room.memoryGb()));
+              Math.max(most.cpus(), resources.cpus()),
+              Math.max(most.gpus(), resources.gpus()),
+              Math.max(most.memoryGb(), resources.memoryGb()));
     }
     return most;
   }
@@ -239,12 +239,17 @@
     EquivalenceClass equivalenceClass = EquivalenceClass.of(job, quota.withinGuarantee(job));
     RankedGroup group =
         groups.computeIfAbsent(equivalenceClass, added -> new RankedGroup(places(added.room())));
-    Span remaining = remaining(job, group);
+    TimeSpan remaining = remaining(job, group);
     double sortKey =
         scorer.score(
-                job, remaining, Span.millis(0), largestMachine, equivalenceClass.guaranteed(), wall)
+                job,
+                remaining,
+                TimeSpan.millis(0),
+                largestMachine,
+                equivalenceClass.guaranteed(),
+                wall)
             - scorer.waitTerm(job.waitingSince());
-    Span validity = scorer.validFor(job, remaining, wall);
+    TimeSpan validity = scorer.validFor(job, remaining, wall);
     RankedJob entry =
         new RankedJob(
             job,
@@ -271,9 +276,9 @@
    * its waiting tasks, plus the run of one task. So of two jobs with equal tasks the one with fewer
    * tasks left comes first.
    */
-  private Span remaining(Job job, RankedGroup group) {
+  private TimeSpan remaining(Job job, RankedGroup group) {
     double factor = guessFactors.computeIfAbsent(job.spec().jobClass(), runTimes::guessFactor);
-    Span run = runTimes.expected(job.spec(), factor);
+    TimeSpan run = runTimes.expected(job.spec(), factor);
     return run.plus(run.times(job.pendingCount() / Math.max(1, group.places)));
   }
 
@@ -285,7 +290,7 @@
   static int places(Map<MachineType, Integer> machines, Resources task) {
     int places = 0;
     for (Map.Entry<MachineType, Integer> count : machines.entrySet()) {
-      places += count.getValue() * count.getKey().room().capacityFor(task);
+      places += count.getValue() * count.getKey().resources().capacityFor(task);
     }
     return places;
   }
--- a/src/main/java/org/oakwalk/core/placement/RunTimeEstimates.java
+++ b/src/main/java/org/oakwalk/core/placement/RunTimeEstimates.java
@@ -4,7 +4,7 @@
 import java.util.Map;
 import java.util.Optional;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
 
@@ -38,7 +38,7 @@
   private final Map<JobId, GuessRatio> byJob = new HashMap<>();
 
   /** Records the run time of a completed task. */
-  public void record(Job job, Span ran) {
+  public void record(Job job, TimeSpan ran) {
     double guess = job.spec().estimatedRunTime().asSeconds();
     if (guess > 0) {
       double ratio = Math.min(MAX_RATIO, Math.max(MIN_RATIO, ran.asSeconds() / guess));
@@ -48,12 +48,12 @@
   }
 
   /** The expected run time of a task of this job; zero for services. */
-  public Span expected(JobSpec spec) {
+  public TimeSpan expected(JobSpec spec) {
     return expected(spec, guessFactor(spec.jobClass()));
   }
 
   /** The expected run time if the factor of the job's class is as given. */
-  Span expected(JobSpec spec, double classFactor) {
+  TimeSpan expected(JobSpec spec, double classFactor) {
     GuessRatio job = byJob.get(spec.id());
     return spec.estimatedRunTime().times(job != null && job.seen >= 2 ? job.mean : classFactor);
   }
@@ -65,7 +65,7 @@
   }
 
   /** The mean run time of this job's tasks, once enough of them have completed. */
-  Optional<Span> typical(JobSpec spec) {
+  Optional<TimeSpan> typical(JobSpec spec) {
     GuessRatio job = byJob.get(spec.id());
     return job == null || job.seen < MIN_RUNS_FOR_TYPICAL
         ? Optional.empty()
--- a/src/main/java/org/oakwalk/core/placement/ServedShares.java
+++ b/src/main/java/org/oakwalk/core/placement/ServedShares.java
@@ -5,8 +5,8 @@
 import java.util.HashMap;
 import java.util.IdentityHashMap;
 import java.util.Map;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.Job;
 
 /**
@@ -26,7 +26,7 @@
   /**
    * Time after which a job counts as arrived, since a job that has just come is not underserved.
    */
-  static final Span COUNTED_AFTER = Span.seconds(30);
+  static final TimeSpan COUNTED_AFTER = TimeSpan.seconds(30);
 
   /**
    * Half-life of the counts of finished and placed tasks, so that tasks served long ago do not make
@@ -61,7 +61,7 @@
   private final Map<TeamClass, ServedTally> tallies = new HashMap<>();
   private final Map<Job, JobContribution> contributions = new IdentityHashMap<>();
   private final Deque<JobContribution> notYetCounted = new ArrayDeque<>();
-  private Moment decayedAt;
+  private MonotonicTime decayedAt;
   private double placed;
   private double placedUnderserved;
 
@@ -93,7 +93,7 @@
   }
 
   /** Starts a round: counts jobs that have become old enough and decays old counts. */
-  void beginRound(Moment now) {
+  void beginRound(MonotonicTime now) {
     while (!notYetCounted.isEmpty()
         && now.isPast(notYetCounted.peek().job.firstSeen(), COUNTED_AFTER)) {
       JobContribution contribution = notYetCounted.poll();
--- a/src/main/java/org/oakwalk/core/placement/SlowMachineDetector.java
+++ b/src/main/java/org/oakwalk/core/placement/SlowMachineDetector.java
@@ -2,8 +2,8 @@
 
 import java.util.Collection;
 import java.util.Optional;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.Placement;
 
@@ -25,7 +25,7 @@
   }
 
   /** Records the run time of a completed task. */
-  public void completed(Placement placement, Span ran) {
+  public void completed(Placement placement, TimeSpan ran) {
     if (late(placement, ran)) {
       placement.machine().recordLateTask(placement);
     } else {
@@ -34,7 +34,7 @@
   }
 
   /** Checks running tasks as well, since tasks on a slow machine take long to complete. */
-  public void checkRunning(Collection<Machine> machines, Moment now) {
+  public void checkRunning(Collection<Machine> machines, MonotonicTime now) {
     for (Machine machine : machines) {
       for (Placement placement : machine.placements()) {
         if (placement.state() == Placement.State.RUNNING
@@ -45,8 +45,8 @@
     }
   }
 
-  private boolean late(Placement placement, Span ran) {
-    Optional<Span> typicalRun = runTimes.typical(placement.job().spec());
+  private boolean late(Placement placement, TimeSpan ran) {
+    Optional<TimeSpan> typicalRun = runTimes.typical(placement.job().spec());
     return placement.continuouslyObserved()
         && typicalRun.isPresent()
         && ran.compareTo(typicalRun.get().times(LATE_FACTOR)) > 0;
--- a/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
+++ b/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
@@ -4,8 +4,8 @@
 import java.util.List;
 import java.util.Map;
 import java.util.function.Predicate;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
@@ -29,7 +29,7 @@
   private static final int MAX_VICTIMS_FOR_IMAGE = 2;
 
   /** How long a replica may wait for room on a machine that has its image. */
-  private static final Span MAX_IMAGE_WAIT = Span.millis(2000);
+  private static final TimeSpan MAX_IMAGE_WAIT = TimeSpan.millis(2000);
 
   private final Fleet fleet;
   private final CandidateMachines candidates;
@@ -40,7 +40,7 @@
   private final CapacityReserve reserve;
   private final CapacityExchange exchange;
   private int stopped;
-  private Moment now = new Moment(0);
+  private MonotonicTime now = new MonotonicTime(0);
   private WallTime wall = new WallTime(0);
 
   UnplacedJobHandler(
@@ -63,7 +63,7 @@
   }
 
   /** Starts a round and resets the count of preemptions. */
-  void beginRound(Moment time, WallTime wallTime) {
+  void beginRound(MonotonicTime time, WallTime wallTime) {
     now = time;
     wall = wallTime;
     stopped = 0;
@@ -83,11 +83,11 @@
         || !(mayPreempt || mayPreemptLow)
         || stopped >= MAX_PREEMPTIONS_PER_ROUND
         || !preemption.mayFreeRoom(job)
-        || reserve.claimsFreedRoom(job)) {
+        || reserve.claimsFreedResources(job)) {
       return false;
     }
     List<Machine> machines = candidates.eligible(job, candidates.tasksPerZone(job));
-    if (exchange.requestRoom(job, machines, now, wall)) {
+    if (exchange.requestCapacity(job, machines, now, wall)) {
       return true;
     }
     Iterator<PreemptionPlanner.PreemptionPlan> plans =
@@ -111,7 +111,7 @@
     Resources needed = gang.spec().resources().times(tasks);
     if (stopped < MAX_PREEMPTIONS_PER_ROUND
         && !gang.isSuspect()
-        && !reserve.claimsFreedRoom(gang)) {
+        && !reserve.claimsFreedResources(gang)) {
       List<Placement> victims = preemption.victims(machine, gang, needed, now, wall);
       if (!victims.isEmpty() && mayStop.test(victims)) {
         victims.forEach(
@@ -147,7 +147,7 @@
   }
 
   /** Whether a job may still wait for room on a machine that has its image. */
-  static boolean mayWaitForImage(Job job, Moment now) {
+  static boolean mayWaitForImage(Job job, MonotonicTime now) {
     return job.spec().service()
         && job.spec().priority().compareTo(Priority.NORMAL) > 0
         && !now.isPast(job.waitingSince(), MAX_IMAGE_WAIT);
@@ -205,8 +205,8 @@
     double least = Double.MAX_VALUE;
     for (Machine machine : candidates.eligible(job, candidates.tasksPerZone(job))) {
       Resources shortfall = job.spec().resources().minus(machine.free());
-      double shortage = shortfall.dominantShare(machine.type().room());
-      if (job.spec().resources().fitsInto(machine.type().room()) && shortage < least) {
+      double shortage = shortfall.dominantShare(machine.type().resources());
+      if (job.spec().resources().fitsInto(machine.type().resources()) && shortage < least) {
         least = shortage;
         nearest = machine;
       }
--- a/src/main/java/org/oakwalk/core/planner/CapacityForecast.java
+++ b/src/main/java/org/oakwalk/core/planner/CapacityForecast.java
@@ -8,8 +8,8 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Placement;
@@ -60,10 +60,10 @@
 
   private final Map<MachinePoolKey, PoolHistory> histories = new TreeMap<>(ORDER);
   private final Set<MachineId> countedReclaims = new HashSet<>();
-  private Moment lastObserved;
+  private MonotonicTime lastObserved;
 
   /** Updates the learned figures from the machines that are held; called periodically. */
-  void observe(Iterable<Machine> machines, Moment now) {
+  void observe(Iterable<Machine> machines, MonotonicTime now) {
     double hours =
         lastObserved == null ? 0 : now.since(lastObserved).asSeconds() / SECONDS_PER_HOUR;
     lastObserved = now;
@@ -120,8 +120,8 @@
       Iterable<Machine> machines,
       Map<String, MachineType> types,
       Resources waiting,
-      Span until,
-      Moment now) {
+      TimeSpan until,
+      MonotonicTime now) {
     double slotSeconds = until.asSeconds() / Schedule.SLOTS;
     Map<MachinePoolKey, double[]> held = new TreeMap<>(ORDER);
     Map<MachinePoolKey, Integer> counts = new TreeMap<>(ORDER);
@@ -156,7 +156,7 @@
             0,
             end,
             slotSeconds,
-            -placement.job().spec().resources().dominantShare(machine.type().room()));
+            -placement.job().spec().resources().dominantShare(machine.type().resources()));
       }
     }
     List<PoolForecast> forecasts = new ArrayList<>();
@@ -177,7 +177,7 @@
       MachineType type,
       double[] free,
       int count,
-      Span until,
+      TimeSpan until,
       double slotSeconds) {
     PoolHistory history = histories.getOrDefault(key, new PoolHistory());
     double bootSeconds = type.bootTime().asSeconds() * BOOT_TIME_FACTOR;
@@ -202,12 +202,16 @@
   /** Subtracts the resources that other work will take, spread evenly over all machines. */
   private static void subtractWaiting(List<PoolForecast> forecasts, Resources waiting) {
     double cpus =
-        forecasts.stream().mapToDouble(f -> f.pool().freeHeld()[0] * f.type().room().cpus()).sum();
+        forecasts.stream()
+            .mapToDouble(f -> f.pool().freeHeld()[0] * f.type().resources().cpus())
+            .sum();
     for (PoolForecast forecast : forecasts) {
       double[] free = forecast.pool().freeHeld();
       double part =
-          cpus <= 0 ? 0 : Math.min(1, Math.max(0, free[0]) * forecast.type().room().cpus() / cpus);
-      double taken = waiting.times(part).dominantShare(forecast.type().room());
+          cpus <= 0
+              ? 0
+              : Math.min(1, Math.max(0, free[0]) * forecast.type().resources().cpus() / cpus);
+      double taken = waiting.times(part).dominantShare(forecast.type().resources());
       for (int k = 0; k < free.length; k++) {
         free[k] -= taken;
       }
--- a/src/main/java/org/oakwalk/core/planner/DeadlinePlanner.java
+++ b/src/main/java/org/oakwalk/core/planner/DeadlinePlanner.java
@@ -9,9 +9,9 @@
 import java.util.Optional;
 import java.util.Set;
 import java.util.function.Supplier;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.MachineType;
@@ -35,13 +35,13 @@
   /** Name of the shared record that stores the plan. */
   public static final String RECORD_NAME = "dawn";
 
-  private static final Span OBSERVE_INTERVAL = Span.seconds(5);
-  private static final Span MIN_PLANNING_INTERVAL = Span.seconds(2);
-  private static final Span MAX_PLANNING_INTERVAL = Span.seconds(30);
+  private static final TimeSpan OBSERVE_INTERVAL = TimeSpan.seconds(5);
+  private static final TimeSpan MIN_PLANNING_INTERVAL = TimeSpan.seconds(2);
+  private static final TimeSpan MAX_PLANNING_INTERVAL = TimeSpan.seconds(30);
   private final Fleet fleet;
   private final JobRegistry jobs;
   private final Settings settings;
-  private final Span minTimeLeft;
+  private final TimeSpan minTimeLeft;
   private final DraftBuilder draftBuilder;
   private final PlanningStatistics statistics = new PlanningStatistics();
 
@@ -62,9 +62,9 @@
   private long recordRevision = -1;
   private long requestedRevision;
   private boolean infeasibleBefore;
-  private Moment termStart;
-  private Moment nextPlanning = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextObservation = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime termStart;
+  private MonotonicTime nextPlanning = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime nextObservation = new MonotonicTime(Long.MIN_VALUE / 2);
   private WallTime wallTime = new WallTime(0);
 
   /**
@@ -77,7 +77,7 @@
       Fleet fleet,
       JobRegistry jobs,
       Settings settings,
-      Span minTimeLeft,
+      TimeSpan minTimeLeft,
       Supplier<List<JobSpec>> reservedFor) {
     this.fleet = fleet;
     this.jobs = jobs;
@@ -95,7 +95,7 @@
       SharedRecord<PlanRow> record,
       Map<String, MachineType> types,
       boolean recovered,
-      Moment now,
+      MonotonicTime now,
       WallTime wallTimeNow) {
     wallTime = wallTimeNow;
     if (!terms.equals(dawns)) {
@@ -192,7 +192,7 @@
   }
 
   /** Records the run time of a completed task. */
-  public void taskCompleted(Job job, Span ran) {
+  public void taskCompleted(Job job, TimeSpan ran) {
     if (!dawns.isEmpty() && isCovered(job.spec())) {
       statistics.taskCompleted(job, ran);
     }
@@ -278,11 +278,12 @@
     }
   }
 
-  private void plan(SharedRecord<PlanRow> record, Map<String, MachineType> types, Moment now) {
-    Span shortest =
+  private void plan(
+      SharedRecord<PlanRow> record, Map<String, MachineType> types, MonotonicTime now) {
+    TimeSpan shortest =
         openWindows.values().stream()
             .map(PlanningWindow::length)
-            .min(Span::compareTo)
+            .min(TimeSpan::compareTo)
             .orElseThrow();
     nextPlanning =
         now.plus(
@@ -332,20 +333,21 @@
   }
 
   /** Returns whether machines requested at the beginning of the window may still be booting. */
-  private boolean mayStillBoot(Span shortest, Map<String, MachineType> types, Moment now) {
-    Span boot =
+  private boolean mayStillBoot(
+      TimeSpan shortest, Map<String, MachineType> types, MonotonicTime now) {
+    TimeSpan boot =
         types.values().stream()
             .map(MachineType::bootTime)
-            .max(Span::compareTo)
-            .orElse(Span.seconds(0));
-    Span sinceOpening =
+            .max(TimeSpan::compareTo)
+            .orElse(TimeSpan.seconds(0));
+    TimeSpan sinceOpening =
         openWindows.values().stream()
             .map(window -> wallTime.since(window.opensAt()))
-            .min(Span::compareTo)
+            .min(TimeSpan::compareTo)
             .orElseThrow();
-    Span inTerm = now.since(termStart);
-    Span bootAllowance =
-        PlanRevisionPolicy.clamp(boot.times(2.5), Span.seconds(0), shortest.times(0.1));
+    TimeSpan inTerm = now.since(termStart);
+    TimeSpan bootAllowance =
+        PlanRevisionPolicy.clamp(boot.times(2.5), TimeSpan.seconds(0), shortest.times(0.1));
     return (sinceOpening.compareTo(inTerm) < 0 ? sinceOpening : inTerm).compareTo(bootAllowance)
         < 0;
   }
@@ -443,15 +445,15 @@
         || group.active.window().deadline().millis() <= now.millis()) {
       return Optional.empty();
     }
-    Span minimum = minTimeLeft.times(1 + group.active.rank());
-    Span left = group.active.group().startBy().since(now);
+    TimeSpan minimum = minTimeLeft.times(1 + group.active.rank());
+    TimeSpan left = group.active.group().startBy().since(now);
     // If there is too little time for all groups, none of them waits for its planned start.
     boolean due = group.active.isPartial() || left.compareTo(minimum) <= 0;
     return Optional.of(due ? new TimeLeft(minimum, true) : new TimeLeft(left, false));
   }
 
   @Override
-  public Optional<Span> timeToEnd(Job job, WallTime now) {
+  public Optional<TimeSpan> timeToEnd(Job job, WallTime now) {
     JobGroups.JobGroup group = openWindows.isEmpty() ? null : groups.groupOf(job);
     if (group == null || group.finishBy == null) {
       return Optional.empty();
--- a/src/main/java/org/oakwalk/core/planner/DraftBuilder.java
+++ b/src/main/java/org/oakwalk/core/planner/DraftBuilder.java
@@ -7,9 +7,9 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.function.Supplier;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
@@ -79,7 +79,7 @@
       PlanInputs inputs,
       Fleet fleet,
       Map<String, MachineType> types,
-      Moment now,
+      MonotonicTime now,
       WallTime wallTime) {
     double seconds =
         inputs.openWindows().values().stream()
@@ -91,7 +91,7 @@
     }
     List<CapacityForecast.PoolForecast> pools =
         capacity.forecast(
-            fleet.machines(), types, demandOfOthers(inputs, fleet), Span.seconds(seconds), now);
+            fleet.machines(), types, demandOfOthers(inputs, fleet), TimeSpan.seconds(seconds), now);
     List<PlannedGroup> planned = plannedGroups(inputs);
     List<PlanSolver.GroupLoad> loads = new ArrayList<>();
     double longest =
@@ -191,13 +191,13 @@
   }
 
   /** Returns the fraction of its team's limit that a task takes; zero if there is no limit. */
-  private double limitFraction(String team, Resources room) {
+  private double limitFraction(String team, Resources resources) {
     Settings.Team limits = settings.teams().get(team);
     if (limits == null) {
       return 0;
     }
-    double cpus = limits.cpusMax() > 0 ? room.cpus() / limits.cpusMax() : 0;
-    double gpus = limits.gpusMax() > 0 ? room.gpus() / limits.gpusMax() : 0;
+    double cpus = limits.cpusMax() > 0 ? resources.cpus() / limits.cpusMax() : 0;
+    double gpus = limits.gpusMax() > 0 ? resources.gpus() / limits.gpusMax() : 0;
     return Math.max(cpus, gpus);
   }
 
@@ -270,7 +270,7 @@
     for (Machine machine : fleet.machines()) {
       places +=
           machine.state() == Machine.State.UP
-              ? machine.type().room().capacityFor(group.jobGroup().representative.resources())
+              ? machine.type().resources().capacityFor(group.jobGroup().representative.resources())
               : 0;
     }
     return width <= 1 || places <= 0 ? 0 : longest * Math.min(1, 4 * width / places);
@@ -331,8 +331,8 @@
     return fractions;
   }
 
-  private static double machineFraction(Resources room, MachineType type) {
-    int perMachine = type.room().capacityFor(room);
+  private static double machineFraction(Resources resources, MachineType type) {
+    int perMachine = type.resources().capacityFor(resources);
     return perMachine <= 0 ? 0 : 1.0 / perMachine;
   }
 
--- a/src/main/java/org/oakwalk/core/planner/PlanDraft.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanDraft.java
@@ -7,7 +7,7 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 
 /**
@@ -137,12 +137,13 @@
         Math.max(draftGroup.promisedTasks(), quota),
         start,
         end,
-        new WallTime(finishBy.millis() - Span.seconds(draftGroup.tailSeconds()).millis()),
+        new WallTime(finishBy.millis() - TimeSpan.seconds(draftGroup.tailSeconds()).millis()),
         draftGroup.missingMachineHours());
   }
 
   private static WallTime capped(WallTime now, double seconds, WallTime latest) {
-    return new WallTime(Math.min(latest.millis(), now.millis() + Span.seconds(seconds).millis()));
+    return new WallTime(
+        Math.min(latest.millis(), now.millis() + TimeSpan.seconds(seconds).millis()));
   }
 
   /**
--- a/src/main/java/org/oakwalk/core/planner/PlanRevisionPolicy.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanRevisionPolicy.java
@@ -3,7 +3,7 @@
 import java.util.Locale;
 import java.util.Map;
 import java.util.Optional;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 
 /**
@@ -11,8 +11,8 @@
  * rate, so that the order of the groups does not oscillate.
  */
 final class PlanRevisionPolicy {
-  private static final Span MIN_SPACING = Span.seconds(5);
-  private static final Span MAX_SPACING = Span.seconds(300);
+  private static final TimeSpan MIN_SPACING = TimeSpan.seconds(5);
+  private static final TimeSpan MAX_SPACING = TimeSpan.seconds(300);
 
   /** Maximum number of revisions in a window, unless MAX_SPACING makes the spacing shorter. */
   private static final int MAX_REVISIONS_PER_WINDOW = 40;
@@ -37,11 +37,11 @@
     if (change.isEmpty()) {
       return Optional.empty();
     }
-    Span shortest =
-        open.values().stream().map(PlanningWindow::length).min(Span::compareTo).orElseThrow();
-    Span minSpacing =
+    TimeSpan shortest =
+        open.values().stream().map(PlanningWindow::length).min(TimeSpan::compareTo).orElseThrow();
+    TimeSpan minSpacing =
         clamp(shortest.times(1.0 / MAX_REVISIONS_PER_WINDOW), MIN_SPACING, MAX_SPACING);
-    Span spacing =
+    TimeSpan spacing =
         change.get().deferrable() ? minSpacing.times(DEFERRABLE_SPACING_FACTOR) : minSpacing;
     for (Map.Entry<String, PlanningWindow> window : open.entrySet()) {
       Optional<PlanRow.WindowRow> row = activePlan.window(window.getKey(), window.getValue());
@@ -85,8 +85,8 @@
   }
 
   /** Limits a span to bounds; the lower one takes precedence. */
-  static Span clamp(Span value, Span min, Span max) {
-    Span capped = value.compareTo(max) > 0 ? max : value;
+  static TimeSpan clamp(TimeSpan value, TimeSpan min, TimeSpan max) {
+    TimeSpan capped = value.compareTo(max) > 0 ? max : value;
     return capped.compareTo(min) < 0 ? min : capped;
   }
 }
--- a/src/main/java/org/oakwalk/core/planner/PlanningStatistics.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanningStatistics.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeMap;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.product.BatchDeadlineTerms;
@@ -51,7 +51,7 @@
   }
 
   /** Records the run time of a completed task. */
-  void taskCompleted(Job job, Span ran) {
+  void taskCompleted(Job job, TimeSpan ran) {
     runTimes.taskCompleted(job, ran);
   }
 
--- a/src/main/java/org/oakwalk/core/planner/PlanningWindow.java
+++ b/src/main/java/org/oakwalk/core/planner/PlanningWindow.java
@@ -4,7 +4,7 @@
 import java.time.LocalDate;
 import java.time.ZonedDateTime;
 import java.util.Optional;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.product.BatchDeadlineTerms;
 
@@ -27,14 +27,14 @@
    *     early
    */
   public static Optional<PlanningWindow> current(
-      BatchDeadlineTerms terms, WallTime now, Span maxClockError) {
+      BatchDeadlineTerms terms, WallTime now, TimeSpan maxClockError) {
     Optional<PlanningWindow> next = next(terms, now, maxClockError);
     return next.filter(window -> window.opensAt().millis() <= now.millis());
   }
 
   /** Returns the window of the next deadline, open or not. */
   public static Optional<PlanningWindow> next(
-      BatchDeadlineTerms terms, WallTime now, Span maxClockError) {
+      BatchDeadlineTerms terms, WallTime now, TimeSpan maxClockError) {
     if (terms.daily().isPresent()) {
       return Optional.of(nextDaily(terms, terms.daily().get(), now, maxClockError));
     }
@@ -49,7 +49,7 @@
   }
 
   private static PlanningWindow ofDeadline(
-      long opens, long deadline, BatchDeadlineTerms terms, Span maxClockError) {
+      long opens, long deadline, BatchDeadlineTerms terms, TimeSpan maxClockError) {
     long finishBy = deadline - terms.safetyMargin().millis() - maxClockError.millis();
     return new PlanningWindow(
         new WallTime(opens), new WallTime(deadline), new WallTime(Math.max(opens, finishBy)));
@@ -64,7 +64,7 @@
       BatchDeadlineTerms terms,
       BatchDeadlineTerms.DailyDeadline daily,
       WallTime now,
-      Span maxClockError) {
+      TimeSpan maxClockError) {
     LocalDate today = Instant.ofEpochMilli(now.millis()).atZone(daily.zone()).toLocalDate();
     LocalDate date = today.minusDays(1);
     while (toEpochMillis(date, daily, daily.dueAt()) <= now.millis()) {
@@ -92,23 +92,23 @@
     if (terms.daily().isPresent()) {
       return Instant.ofEpochMilli(now.millis()).atZone(terms.daily().get().zone()).getHour();
     }
-    long every = terms.interval().map(Span::millis).orElse(1L);
+    long every = terms.interval().map(TimeSpan::millis).orElse(1L);
     return (int) (Math.floorMod(now.millis(), every) * SLICES_PER_PERIOD / every);
   }
 
   /** Returns the length of a slice. */
-  static Span sliceLength(BatchDeadlineTerms terms) {
+  static TimeSpan sliceLength(BatchDeadlineTerms terms) {
     return terms.daily().isPresent()
-        ? Span.seconds(3600)
-        : Span.millis(terms.interval().map(Span::millis).orElse(1L) / SLICES_PER_PERIOD);
+        ? TimeSpan.seconds(3600)
+        : TimeSpan.millis(terms.interval().map(TimeSpan::millis).orElse(1L) / SLICES_PER_PERIOD);
   }
 
   /** Returns the time until all work should be done; negative once that has passed. */
-  Span timeLeft(WallTime now) {
+  TimeSpan timeLeft(WallTime now) {
     return finishBy.since(now);
   }
 
-  Span length() {
+  TimeSpan length() {
     return deadline.since(opensAt);
   }
 }
--- a/src/main/java/org/oakwalk/core/planner/RunTimeDistribution.java
+++ b/src/main/java/org/oakwalk/core/planner/RunTimeDistribution.java
@@ -8,7 +8,7 @@
 import org.HdrHistogram.Histogram;
 import org.HdrHistogram.HistogramIterationValue;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.Job;
 
 /**
@@ -37,7 +37,7 @@
   private final Map<JobId, Integer> samplesByJob = new HashMap<>();
 
   /** Records the run time of a completed task. */
-  void taskCompleted(Job job, Span ran) {
+  void taskCompleted(Job job, TimeSpan ran) {
     double estimate = job.spec().estimatedRunTime().asSeconds();
     if (estimate <= 0 || samplesByJob.merge(job.id(), 1, Integer::sum) > MAX_SAMPLES_PER_JOB) {
       return;
--- a/src/main/java/org/oakwalk/core/port/Effect.java
+++ b/src/main/java/org/oakwalk/core/port/Effect.java
@@ -2,7 +2,7 @@
 
 import org.oakwalk.core.CallId;
 import org.oakwalk.core.InboundRequestId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /** An action that the core requests from its environment. */
 public sealed interface Effect {
@@ -30,5 +30,5 @@
   }
 
   /** Records a measured duration. */
-  record RecordDuration(DurationMetric metric, Span span) implements Effect {}
+  record RecordDuration(DurationMetric metric, TimeSpan span) implements Effect {}
 }
--- a/src/main/java/org/oakwalk/core/port/Outbox.java
+++ b/src/main/java/org/oakwalk/core/port/Outbox.java
@@ -7,7 +7,7 @@
 import java.util.function.Consumer;
 import org.oakwalk.core.CallId;
 import org.oakwalk.core.InboundRequestId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /** Collects effects, and matches answers to the callbacks of pending calls. */
 public final class Outbox {
@@ -33,7 +33,7 @@
   }
 
   /** Records a duration for the operators' metrics. */
-  public void recordDuration(Effect.DurationMetric metric, Span span) {
+  public void recordDuration(Effect.DurationMetric metric, TimeSpan span) {
     effects.add(new Effect.RecordDuration(metric, span));
   }
 
--- a/src/main/java/org/oakwalk/core/port/Request.java
+++ b/src/main/java/org/oakwalk/core/port/Request.java
@@ -9,7 +9,7 @@
 import org.oakwalk.core.RentalRequestId;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.SessionId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.store.Change;
 import org.oakwalk.core.store.Guard;
@@ -53,7 +53,7 @@
       implements StateServiceRequest {}
 
   /** Waits for changes below a prefix; with a wait of zero it returns the changes present. */
-  record Watch(String prefix, Revision after, Span maxWait, Urgency urgency)
+  record Watch(String prefix, Revision after, TimeSpan maxWait, Urgency urgency)
       implements StateServiceRequest {}
 
   /** An atomic transaction. */
@@ -66,7 +66,7 @@
   }
 
   /** Requests a lease. */
-  record GrantLease(Span ttl) implements StateServiceRequest {
+  record GrantLease(TimeSpan ttl) implements StateServiceRequest {
     @Override
     public Urgency urgency() {
       return Urgency.LEADERSHIP;
--- a/src/main/java/org/oakwalk/core/port/Response.java
+++ b/src/main/java/org/oakwalk/core/port/Response.java
@@ -5,7 +5,7 @@
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Order;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 
 /** Answer to a request that this node received. */
@@ -24,7 +24,7 @@
       implements Response {}
 
   /** An error; the caller may retry after the span, if there is one. */
-  record Problem(int status, String reason, Optional<Span> retryAfter) implements Response {}
+  record Problem(int status, String reason, Optional<TimeSpan> retryAfter) implements Response {}
 
   /** Orders for a worker that reported. */
   record Orders(Token token, List<Order> orders) implements Response {}
@@ -39,12 +39,12 @@
   record PeerResponse(PeerMessage message) implements Response {}
 
   /** The service is temporarily unavailable. */
-  static Problem unavailable(String reason, Span retryAfter) {
+  static Problem unavailable(String reason, TimeSpan retryAfter) {
     return new Problem(503, reason, Optional.of(retryAfter));
   }
 
   /** Too many open jobs or requests at present; the caller may retry later. */
-  static Problem overloaded(String reason, Span retryAfter) {
+  static Problem overloaded(String reason, TimeSpan retryAfter) {
     return new Problem(429, reason, Optional.of(retryAfter));
   }
 
--- a/src/main/java/org/oakwalk/core/product/BatchDeadlineTerms.java
+++ b/src/main/java/org/oakwalk/core/product/BatchDeadlineTerms.java
@@ -4,7 +4,7 @@
 import java.time.ZoneId;
 import java.util.Optional;
 import java.util.Set;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.JobSpec;
 
 /**
@@ -25,11 +25,11 @@
 public record BatchDeadlineTerms(
     String name,
     Optional<DailyDeadline> daily,
-    Optional<Span> interval,
-    Span windowLength,
+    Optional<TimeSpan> interval,
+    TimeSpan windowLength,
     Set<String> classes,
     Set<String> teams,
-    Span safetyMargin,
+    TimeSpan safetyMargin,
     double runTimeQuantile) {
 
   /**
--- a/src/main/java/org/oakwalk/core/product/ExchangeTerms.java
+++ b/src/main/java/org/oakwalk/core/product/ExchangeTerms.java
@@ -1,7 +1,7 @@
 package org.oakwalk.core.product;
 
 import java.util.Set;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.JobSpec;
 
 /**
@@ -25,8 +25,8 @@
     Set<String> giverTeams,
     int maxOpenTransfers,
     double returnMargin,
-    Span returnDelay,
-    Span holdTimeout) {
+    TimeSpan returnDelay,
+    TimeSpan holdTimeout) {
 
   /** Returns whether replicas of a job may take room. */
   public boolean isTaker(JobSpec spec) {
--- a/src/main/java/org/oakwalk/core/product/ProductTermsWriter.java
+++ b/src/main/java/org/oakwalk/core/product/ProductTermsWriter.java
@@ -2,8 +2,8 @@
 
 import java.util.List;
 import java.util.Optional;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
@@ -22,7 +22,7 @@
  */
 public final class ProductTermsWriter {
   private static final Logger LOG = LoggerFactory.getLogger(ProductTermsWriter.class);
-  private static final Span RETRY_INTERVAL = Span.seconds(2);
+  private static final TimeSpan RETRY_INTERVAL = TimeSpan.seconds(2);
 
   private final Outbox outbox;
   private final StoreView view;
@@ -30,7 +30,7 @@
   private final ProductTerms declared;
   private boolean writing;
   private boolean warned;
-  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextAttemptAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
   /**
    * Creates a writer.
@@ -69,7 +69,7 @@
   }
 
   /** Stores the terms from this node's file if their version is higher than the stored one. */
-  public void tick(Moment now) {
+  public void tick(MonotonicTime now) {
     if (view.productTerms().isUnreadable()) {
       warnOnce(
           "product terms: stored terms are unreadable; "
@@ -94,7 +94,7 @@
     }
   }
 
-  private void store(Moment now) {
+  private void store(MonotonicTime now) {
     writing = true;
     nextAttemptAt = now.plus(RETRY_INTERVAL);
     outbox.call(
--- a/src/main/java/org/oakwalk/core/recovery/Recovery.java
+++ b/src/main/java/org/oakwalk/core/recovery/Recovery.java
@@ -9,9 +9,9 @@
 import java.util.function.Consumer;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
 import org.oakwalk.core.fleet.MachineRegistry;
@@ -47,26 +47,26 @@
     COMPLETE
   }
 
-  private static final Span RETRY_DELAY = Span.millis(200);
+  private static final TimeSpan RETRY_DELAY = TimeSpan.millis(200);
 
   private final Outbox outbox;
   private final Fleet fleet;
   private final JobRegistry jobs;
   private final ResultWriter results;
   private final MachineRegistry registry;
-  private final Moment termStart;
+  private final MonotonicTime termStart;
   private final Set<NodeId> peersOnOlderTokens;
-  private final Moment relayEnd;
-  private Moment lastUnseenRenewal;
+  private final MonotonicTime relayEnd;
+  private MonotonicTime lastUnseenRenewal;
   private Map<String, MachineType> types = Map.of();
   private State state = State.READING_RESULTS;
   private boolean reading;
   private Optional<String> pageCursor = Optional.empty();
-  private final EnumMap<State, Moment> stateEnteredAt = new EnumMap<>(State.class);
+  private final EnumMap<State, MonotonicTime> stateEnteredAt = new EnumMap<>(State.class);
   private int pages;
   private int registered;
-  private Moment clock;
-  private Moment nextAttemptAt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime clock;
+  private MonotonicTime nextAttemptAt = new MonotonicTime(Long.MIN_VALUE / 2);
 
   /**
    * Creates the recovery of a new leader.
@@ -82,8 +82,8 @@
       ResultWriter results,
       MachineRegistry registry,
       Set<NodeId> peersInGrace,
-      Span graceLimit,
-      Moment termStart) {
+      TimeSpan graceLimit,
+      MonotonicTime termStart) {
     this.outbox = outbox;
     this.fleet = fleet;
     this.jobs = jobs;
@@ -117,7 +117,7 @@
    * The last moment at which a worker's lease may have been renewed without being recorded for its
    * machine: by an earlier leader, or by this one before it processed reports.
    */
-  public Moment lastUnseenRenewal() {
+  public MonotonicTime lastUnseenRenewal() {
     return lastUnseenRenewal;
   }
 
@@ -126,14 +126,14 @@
    * processed yet. It renewed the worker's lease. Otherwise the lease of a machine that does not
    * report again would be counted from when the registry was requested, which is earlier.
    */
-  public void leaseRenewedBeforeReports(Moment now) {
+  public void leaseRenewedBeforeReports(MonotonicTime now) {
     if (!acceptsReports() && now.isAfter(lastUnseenRenewal)) {
       lastUnseenRenewal = now;
     }
   }
 
   /** Records that a peer no longer acts under an older token; relevant only if it led recently. */
-  public void peerRelinquished(NodeId peer, Moment now) {
+  public void peerRelinquished(NodeId peer, MonotonicTime now) {
     if (peersOnOlderTokens.remove(peer)
         && peersOnOlderTokens.isEmpty()
         && lastUnseenRenewal.isAfter(now)) {
@@ -147,13 +147,13 @@
    *
    * @param currentTypes the machine types by name; the registry is read once there are any
    */
-  public void tick(Map<String, MachineType> currentTypes, Moment now) {
+  public void tick(Map<String, MachineType> currentTypes, MonotonicTime now) {
     types = currentTypes;
     clock = now;
     step(now);
   }
 
-  private void step(Moment now) {
+  private void step(MonotonicTime now) {
     if (reading || nextAttemptAt.isAfter(now)) {
       return;
     }
@@ -178,7 +178,7 @@
     }
   }
 
-  private void read(String prefix, Consumer<Entry> handler, State next, Moment now) {
+  private void read(String prefix, Consumer<Entry> handler, State next, MonotonicTime now) {
     reading = true;
     outbox.call(
         new Request.ReadPage(prefix, pageCursor, Request.Urgency.LEADERSHIP),
@@ -222,7 +222,7 @@
         + " machines";
   }
 
-  private Span durationOf(State completed) {
+  private TimeSpan durationOf(State completed) {
     return stateEnteredAt
         .get(State.values()[completed.ordinal() + 1])
         .since(stateEnteredAt.get(completed));
@@ -260,7 +260,7 @@
     }
   }
 
-  private void restoreMachines(Entry entry, Moment now) {
+  private void restoreMachines(Entry entry, MonotonicTime now) {
     List<StoredValue.MachineRecord> records;
     if (entry.value() instanceof StoredValue.MachineRecord record) {
       records = List.of(record);
--- a/src/main/java/org/oakwalk/core/shared/SharedRecords.java
+++ b/src/main/java/org/oakwalk/core/shared/SharedRecords.java
@@ -7,10 +7,10 @@
 import java.util.Map;
 import java.util.Optional;
 import java.util.TreeMap;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
@@ -29,7 +29,7 @@
  */
 public final class SharedRecords {
   private static final Logger LOG = LoggerFactory.getLogger(SharedRecords.class);
-  private static final Span READ_RETRY_DELAY = Span.millis(250);
+  private static final TimeSpan READ_RETRY_DELAY = TimeSpan.millis(250);
 
   /** Fraction of the state service's write rate that all records together may use. */
   private static final double WRITE_RATE_SHARE = 0.1;
@@ -43,10 +43,10 @@
   private Optional<String> lastLoadedKey = Optional.empty();
   private boolean readPending;
   private boolean loaded;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextTry = new MonotonicTime(Long.MIN_VALUE / 2);
   private int firstRecord;
   private double writeTokens;
-  private Moment refilledAt;
+  private MonotonicTime refilledAt;
 
   /**
    * Creates the set of records; nothing is read before the first tick.
@@ -78,7 +78,7 @@
   }
 
   /** Reads the records once, then writes pending rows as far as the write rate share allows. */
-  public void tick(Moment now) {
+  public void tick(MonotonicTime now) {
     if (!loaded) {
       read(now);
       return;
@@ -100,7 +100,7 @@
    * Refills the write tokens, up to one second's worth but at least one. A commit may overdraw
    * them.
    */
-  private void refill(Moment now) {
+  private void refill(MonotonicTime now) {
     double perSecond = limits.writesPerSecond() * WRITE_RATE_SHARE;
     if (refilledAt != null) {
       writeTokens += now.since(refilledAt).asSeconds() * perSecond;
@@ -109,7 +109,7 @@
     refilledAt = now;
   }
 
-  private void read(Moment now) {
+  private void read(MonotonicTime now) {
     if (readPending || nextTry.isAfter(now)) {
       return;
     }
--- a/src/main/java/org/oakwalk/core/shared/StoredSharedRecord.java
+++ b/src/main/java/org/oakwalk/core/shared/StoredSharedRecord.java
@@ -4,10 +4,10 @@
 import java.util.List;
 import java.util.Map;
 import java.util.Optional;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
@@ -52,8 +52,8 @@
   private static final int VALUE_OVERHEAD_BYTES = 256;
 
   private static final int SLOT_COUNT = 2;
-  private static final Span MIN_RETRY_DELAY = Span.millis(500);
-  private static final Span MAX_RETRY_DELAY = Span.seconds(4);
+  private static final TimeSpan MIN_RETRY_DELAY = TimeSpan.millis(500);
+  private static final TimeSpan MAX_RETRY_DELAY = TimeSpan.seconds(4);
 
   private final String name;
   private final Class<R> type;
@@ -75,8 +75,8 @@
   private int storedPartCount;
   private int partsWritten;
   private boolean requestPending;
-  private Span retryDelay = MIN_RETRY_DELAY;
-  private Moment nextTry = new Moment(Long.MIN_VALUE / 2);
+  private TimeSpan retryDelay = MIN_RETRY_DELAY;
+  private MonotonicTime nextTry = new MonotonicTime(Long.MIN_VALUE / 2);
 
   StoredSharedRecord(
       String name, Class<R> type, Outbox outbox, Guard leaderGuard, Settings.StateLimits limits) {
@@ -188,7 +188,7 @@
   }
 
   /** Continues writing the pending rows; returns the number of changes it sent. */
-  int tick(Moment now) {
+  int tick(MonotonicTime now) {
     if (requestPending || nextTry.isAfter(now)) {
       return 0;
     }
@@ -205,7 +205,7 @@
     };
   }
 
-  private int startWrite(Moment now) {
+  private int startWrite(MonotonicTime now) {
     writingRows = pendingRows.orElseThrow();
     writingRevision = pendingRevision;
     pendingRows = Optional.empty();
@@ -250,7 +250,7 @@
         Optional.empty());
   }
 
-  private int writeParts(Moment now) {
+  private int writeParts(MonotonicTime now) {
     int until = Math.min(parts.size(), partsWritten + maxChangesPerCommit);
     List<Change> changes = new ArrayList<>();
     for (int i = partsWritten; i < until; i++) {
@@ -268,7 +268,7 @@
     return changes.size();
   }
 
-  private int writeHead(Moment now) {
+  private int writeHead(MonotonicTime now) {
     List<Change> changes = new ArrayList<>();
     for (int i = partsWritten; i < parts.size(); i++) {
       changes.add(part(i));
@@ -297,7 +297,7 @@
     storedPartCount = parts.size();
   }
 
-  private void commit(List<Change> changes, Moment now, Runnable onCommitted) {
+  private void commit(List<Change> changes, MonotonicTime now, Runnable onCommitted) {
     requestPending = true;
     outbox.call(
         new Request.Commit(
@@ -322,13 +322,13 @@
         });
   }
 
-  private void backOff(Moment now) {
+  private void backOff(MonotonicTime now) {
     nextTry = now.plus(retryDelay);
     retryDelay =
         retryDelay.times(2).compareTo(MAX_RETRY_DELAY) > 0 ? MAX_RETRY_DELAY : retryDelay.times(2);
   }
 
-  private void readHead(Moment now) {
+  private void readHead(MonotonicTime now) {
     requestPending = true;
     outbox.call(
         new Request.ReadPage(StoreKeys.sharedHead(name), Optional.empty(), Request.Urgency.ROUTINE),
@@ -354,7 +354,7 @@
   }
 
   /** Rewrites the head unchanged, so that the guards of commits sent earlier fail. */
-  private int rewriteHead(Moment now) {
+  private int rewriteHead(MonotonicTime now) {
     List<SharedRow> rows = storedPartCount > 0 ? List.of() : List.copyOf(storedRows);
     commit(
         List.of(
--- a/src/main/java/org/oakwalk/core/store/StoreView.java
+++ b/src/main/java/org/oakwalk/core/store/StoreView.java
@@ -10,10 +10,10 @@
 import java.util.Set;
 import java.util.function.Consumer;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.port.Answer;
@@ -44,13 +44,13 @@
   /** Is called for each change after it was applied. */
   public interface Listener {
     /** The leader key was written or removed. */
-    void leaderChanged(Moment now);
+    void leaderChanged(MonotonicTime now);
 
     /** A job was added or changed. */
-    void jobChanged(KnownJob job, Moment now);
+    void jobChanged(KnownJob job, MonotonicTime now);
 
     /** The service's history no longer reaches back to this copy; everything is read again. */
-    default void historyTruncated(Moment now) {}
+    default void historyTruncated(MonotonicTime now) {}
   }
 
   /** The leader key as last seen; the token is the revision at which it was written. */
@@ -67,26 +67,26 @@
   public record RelayAnnouncement(
       StoredValue.RelayRecord record,
       Revision revision,
-      Moment seenAt,
-      Moment earliestWrite,
+      MonotonicTime seenAt,
+      MonotonicTime earliestWrite,
       boolean seenByWatch) {}
 
   /** Maximum number of job ends that may be known ahead of this copy. */
   public static final int MAX_LEARNED_ENDS = KnownJobs.MAX_LEARNED_ENDS;
 
   /** Time for which the service holds a watch open if nothing changes. */
-  private static final Span WATCH_HOLD = Span.millis(1000);
+  private static final TimeSpan WATCH_HOLD = TimeSpan.millis(1000);
 
-  private static final Span RETRY_DELAY = Span.millis(250);
+  private static final TimeSpan RETRY_DELAY = TimeSpan.millis(250);
 
   /** Fraction of the request rate for the reads of all nodes, and again for their watches. */
   private static final double RATE_SHARE = 0.4;
 
   /** Age of the last confirmation after which the copy is no longer fresh. */
-  private static final Span STALE_AFTER = Span.millis(1800);
+  private static final TimeSpan STALE_AFTER = TimeSpan.millis(1800);
 
   /** Upper bound, with a margin, on the lag of a fresh copy behind the store. */
-  public static final Span MAX_LAG = Span.millis(2000);
+  public static final TimeSpan MAX_LAG = TimeSpan.millis(2000);
 
   /** Margin for bursts and for differing clocks. */
   private static final double BURST_MARGIN_SECONDS = 60;
@@ -96,8 +96,8 @@
 
   private final Outbox outbox;
   private final double requestsPerSecond;
-  private final Span readInterval;
-  private final Span leaderWatchInterval;
+  private final TimeSpan readInterval;
+  private final TimeSpan leaderWatchInterval;
   private boolean leading;
   private final KnownJobs jobs = new KnownJobs();
   private final Map<String, RelayAnnouncement> relays = new HashMap<>();
@@ -121,26 +121,26 @@
   private Revision leaderRevision = new Revision(0);
 
   /** When this copy last saw each former leader replaced or gone. */
-  private final Map<NodeId, Moment> ledUntil = new HashMap<>();
+  private final Map<NodeId, MonotonicTime> ledUntil = new HashMap<>();
 
   /** When this copy last saw the leader key removed; null if never. */
-  private Moment leaderMissingSince;
+  private MonotonicTime leaderMissingSince;
 
-  private Moment liveSince;
+  private MonotonicTime liveSince;
   private Revision position = new Revision(0);
   private Revision loadRevision;
-  private Moment loadStartedAt;
+  private MonotonicTime loadStartedAt;
   private int loadedPages;
   private boolean leaderLoaded;
   private Optional<String> lastLoadedKey = Optional.empty();
   private boolean loadOrWatchPending;
   private boolean readPending;
-  private Moment nextLoadOrWatch = new Moment(Long.MIN_VALUE / 2);
-  private Moment nextRead = new Moment(Long.MIN_VALUE / 2);
-  private Moment lastConfirmed = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextLoadOrWatch = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime nextRead = new MonotonicTime(Long.MIN_VALUE / 2);
+  private MonotonicTime lastConfirmed = new MonotonicTime(Long.MIN_VALUE / 2);
   private boolean failing;
   private boolean loadedOnce;
-  private Moment clock = new Moment(0);
+  private MonotonicTime clock = new MonotonicTime(0);
 
   /**
    * Creates an empty copy.
@@ -152,8 +152,8 @@
     this.outbox = outbox;
     this.requestsPerSecond = requestsPerSecond;
     this.readInterval =
-        Span.millis(Math.max(10, Math.round(1000 * nodes / (requestsPerSecond * RATE_SHARE))));
-    this.leaderWatchInterval = Span.millis(Math.max(1, Math.round(4000 / requestsPerSecond)));
+        TimeSpan.millis(Math.max(10, Math.round(1000 * nodes / (requestsPerSecond * RATE_SHARE))));
+    this.leaderWatchInterval = TimeSpan.millis(Math.max(1, Math.round(4000 / requestsPerSecond)));
   }
 
   /** Sets whether this node is the leader, which watches more often to see new jobs at once. */
@@ -175,7 +175,7 @@
    * Nodes other than the current leader that may have led within the given past span; empty if this
    * copy has not followed the leader key without a gap for that long.
    */
-  public Optional<Set<NodeId>> recentLeaders(Span span, Moment now) {
+  public Optional<Set<NodeId>> recentLeaders(TimeSpan span, MonotonicTime now) {
     if (state != State.LIVE || !now.isPast(liveSince, span)) {
       return Optional.empty();
     }
@@ -190,7 +190,7 @@
   }
 
   /** When this copy last saw the leader key removed; empty if never. */
-  public Optional<Moment> leaderMissingSince() {
+  public Optional<MonotonicTime> leaderMissingSince() {
     return Optional.ofNullable(leaderMissingSince);
   }
 
@@ -255,7 +255,7 @@
   }
 
   /** Sets the current time, used when answers arrive. */
-  public void setTime(Moment now) {
+  public void setTime(MonotonicTime now) {
     clock = now;
   }
 
@@ -265,12 +265,12 @@
   }
 
   /** Returns true if the copy is complete and was confirmed recently. */
-  public boolean isFresh(Moment now) {
+  public boolean isFresh(MonotonicTime now) {
     return state == State.LIVE && !now.isPast(lastConfirmed, STALE_AFTER);
   }
 
   /** Start of the last successful read: the copy holds everything stored before that time. */
-  public Moment lastConfirmed() {
+  public MonotonicTime lastConfirmed() {
     return lastConfirmed;
   }
 
@@ -301,7 +301,7 @@
    * can hold it: each change takes a request, and the service can't have served that many since
    * this copy was last confirmed.
    */
-  public boolean isImplausible(Token token, Moment now) {
+  public boolean isImplausible(Token token, MonotonicTime now) {
     double maxChanges =
         (now.since(lastConfirmed).asSeconds() + BURST_MARGIN_SECONDS)
             * requestsPerSecond
@@ -310,7 +310,7 @@
   }
 
   /** Starts the next load, watch or read that is due. */
-  public void tick(Moment now) {
+  public void tick(MonotonicTime now) {
     clock = now;
     if (!loadOrWatchPending && !nextLoadOrWatch.isAfter(now)) {
       if (state == State.LOADING) {
@@ -326,7 +326,7 @@
    * Calls back with true once this copy holds everything that was stored before this call, or with
    * false if that can't be confirmed now. Concurrent calls share one read.
    */
-  public void catchUp(Moment now, Consumer<Boolean> callback) {
+  public void catchUp(MonotonicTime now, Consumer<Boolean> callback) {
     if (state != State.LIVE || (failing && !isFresh(now))) {
       callback.accept(false);
       return;
@@ -358,7 +358,7 @@
     return recorded;
   }
 
-  private void read(Moment now) {
+  private void read(MonotonicTime now) {
     if (readPending || catchUpCallbacks.isEmpty() || nextRead.isAfter(now) || state != State.LIVE) {
       return;
     }
@@ -367,7 +367,7 @@
     long startCount = catchUpCount;
     Request.Watch request =
         new Request.Watch(
-            StoreKeys.WATCHED_PREFIX, position, Span.millis(0), Request.Urgency.ACCEPTANCE);
+            StoreKeys.WATCHED_PREFIX, position, TimeSpan.millis(0), Request.Urgency.ACCEPTANCE);
     outbox.call(
         request,
         answer -> {
@@ -398,11 +398,12 @@
     }
   }
 
-  private void watch(Moment now) {
+  private void watch(MonotonicTime now) {
     loadOrWatchPending = true;
     long startCount = catchUpCount;
     // After a load that took long, the changes made in the meantime are requested without waiting.
-    Span hold = now.isPast(lastConfirmed, STALE_AFTER) && !failing ? Span.millis(0) : WATCH_HOLD;
+    TimeSpan hold =
+        now.isPast(lastConfirmed, STALE_AFTER) && !failing ? TimeSpan.millis(0) : WATCH_HOLD;
     outbox.call(
         new Request.Watch(StoreKeys.WATCHED_PREFIX, position, hold, Request.Urgency.LEADERSHIP),
         answer -> {
@@ -425,7 +426,7 @@
    * @param begun time at which the watch was sent
    * @return false if the watch failed
    */
-  private boolean applyChanges(Answer answer, Moment begun) {
+  private boolean applyChanges(Answer answer, MonotonicTime begun) {
     if (answer instanceof Answer.Changes changes) {
       for (KeyChange change : changes.changes()) {
         if (change.revision().compareTo(position) > 0) {
@@ -451,7 +452,7 @@
     return false;
   }
 
-  private void load(Moment now) {
+  private void load(MonotonicTime now) {
     loadOrWatchPending = true;
     if (loadRevision == null) {
       loadStartedAt = now;
@@ -492,7 +493,7 @@
         });
   }
 
-  private void confirmed(Moment begun) {
+  private void confirmed(MonotonicTime begun) {
     failing = false;
     if (begun.isAfter(lastConfirmed)) {
       lastConfirmed = begun;
--- a/src/main/java/org/oakwalk/daemon/DrainPolicyReader.java
+++ b/src/main/java/org/oakwalk/daemon/DrainPolicyReader.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.drain.DisruptionBudget;
 import org.oakwalk.core.drain.DrainPlan;
 import org.oakwalk.core.drain.DrainPolicy;
@@ -139,10 +139,10 @@
         DrainPlan.DrainMode.valueOf(mode.toUpperCase(Locale.ROOT)),
         concurrency,
         surge,
-        Span.seconds(fields.number("pause_s", 0, 86_400, 0)),
-        Span.seconds(fields.number("patience_s", 0, 86_400, 120)),
-        Span.seconds(fields.number("replica_waits_s", 0, 86_400, 5)),
-        Span.seconds(fields.number("work_waits_s", 0, 86_400, 15)));
+        TimeSpan.seconds(fields.number("pause_s", 0, 86_400, 0)),
+        TimeSpan.seconds(fields.number("patience_s", 0, 86_400, 120)),
+        TimeSpan.seconds(fields.number("replica_waits_s", 0, 86_400, 5)),
+        TimeSpan.seconds(fields.number("work_waits_s", 0, 86_400, 15)));
   }
 
   private DisruptionBudget parseBudget(String team, Object block) throws InvalidSettingsException {
--- a/src/main/java/org/oakwalk/daemon/EventLoop.java
+++ b/src/main/java/org/oakwalk/daemon/EventLoop.java
@@ -10,8 +10,8 @@
 import org.oakwalk.adapter.OutboundRequests;
 import org.oakwalk.core.Controller;
 import org.oakwalk.core.InboundRequestId;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.port.Effect;
 import org.oakwalk.core.port.Event;
@@ -82,7 +82,7 @@
           nextTick = now + TICK_INTERVAL_MILLIS;
           handle(new Event.Tick());
           histograms.record(
-              LatencyHistograms.LatencyMetric.ROUND, Span.millis(monotonicMillis() - now));
+              LatencyHistograms.LatencyMetric.ROUND, TimeSpan.millis(monotonicMillis() - now));
           histograms.logIfDue(now);
         }
         Object next = queue.poll(Math.max(1, nextTick - now), TimeUnit.MILLISECONDS);
@@ -123,13 +123,14 @@
   private void handle(Event event) {
     long now = monotonicMillis();
     for (Effect effect :
-        controller.handle(event, new Moment(now), new WallTime(System.currentTimeMillis()))) {
+        controller.handle(
+            event, new MonotonicTime(now), new WallTime(System.currentTimeMillis()))) {
       if (effect instanceof Effect.Respond respond) {
         Long submittedAt = submissionTimes.remove(respond.requestId());
         if (submittedAt != null && respond.response() instanceof Response.JobStatus) {
           histograms.record(
               LatencyHistograms.LatencyMetric.ACCEPTANCE,
-              Span.millis(monotonicMillis() - submittedAt));
+              TimeSpan.millis(monotonicMillis() - submittedAt));
         }
         listener.respond(respond.requestId(), respond.response());
       } else if (effect instanceof Effect.RecordDuration measured) {
--- a/src/main/java/org/oakwalk/daemon/LatencyHistograms.java
+++ b/src/main/java/org/oakwalk/daemon/LatencyHistograms.java
@@ -4,7 +4,7 @@
 import java.util.Locale;
 import java.util.Map;
 import org.HdrHistogram.Histogram;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.slf4j.Logger;
 import org.slf4j.LoggerFactory;
 
@@ -38,7 +38,7 @@
   }
 
   /** Records a duration; values outside the histogram's range are clamped. */
-  void record(LatencyMetric metric, Span duration) {
+  void record(LatencyMetric metric, TimeSpan duration) {
     byMetric.get(metric).recordValue(Math.max(0, Math.min(MAX_RECORDED_MILLIS, duration.millis())));
     if (metric == LatencyMetric.FAILOVER) {
       log();
--- a/src/main/java/org/oakwalk/daemon/PlatformSettings.java
+++ b/src/main/java/org/oakwalk/daemon/PlatformSettings.java
@@ -15,7 +15,7 @@
 import org.oakwalk.adapter.SocketBudget;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /**
  * The settings file provided by the platform (TOML). Unknown fields are ignored.
@@ -84,7 +84,7 @@
               facts.table("workers").workerTiming(),
               facts.table("state").stateLimits(),
               facts.table("cloud").cloudLimits(),
-              Span.seconds(facts.number("clock_off_ms", 0, 1e9, 0) / 1000));
+              TimeSpan.seconds(facts.number("clock_off_ms", 0, 1e9, 0) / 1000));
       return new PlatformSettings(
           core,
           address("serve_on"),
@@ -135,9 +135,9 @@
     private Settings.WorkerTiming workerTiming() throws InvalidSettingsException {
       Settings.WorkerTiming timing =
           new Settings.WorkerTiming(
-              Span.seconds(number("report_s", 0.01, 3600)),
-              Span.seconds(number("lease_s", 0.1, 86400)),
-              Span.seconds(number("cancel_s", 0.1, 86400)));
+              TimeSpan.seconds(number("report_s", 0.01, 3600)),
+              TimeSpan.seconds(number("lease_s", 0.1, 86400)),
+              TimeSpan.seconds(number("cancel_s", 0.1, 86400)));
       if (timing.reportInterval().compareTo(timing.leaseDuration()) >= 0) {
         throw invalid("lease_s", "must be larger than report_s");
       }
@@ -157,7 +157,7 @@
 
     private Settings.CloudLimits cloudLimits() throws InvalidSettingsException {
       return new Settings.CloudLimits(
-          number("rps", 0.01, 1e9), Span.seconds(number("list_lag_s", 0, 3600)));
+          number("rps", 0.01, 1e9), TimeSpan.seconds(number("list_lag_s", 0, 3600)));
     }
 
     private InvalidSettingsException invalid(String name, String problem) {
--- a/src/main/java/org/oakwalk/daemon/PolicyFile.java
+++ b/src/main/java/org/oakwalk/daemon/PolicyFile.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.oakwalk.core.Policy;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /** Reads the operators' policy file (HCL). Unknown fields are rejected by name. */
 public final class PolicyFile {
@@ -87,9 +87,9 @@
     return policy;
   }
 
-  private Span seconds(String block, String name, double min, double max, Span defaultValue)
+  private TimeSpan seconds(String block, String name, double min, double max, TimeSpan defaultValue)
       throws InvalidSettingsException {
-    return Span.seconds(number(block, name, min, max, defaultValue.asSeconds()));
+    return TimeSpan.seconds(number(block, name, min, max, defaultValue.asSeconds()));
   }
 
   private double number(String block, String name, double min, double max, double defaultValue)
--- a/src/main/java/org/oakwalk/daemon/ProductTermsReader.java
+++ b/src/main/java/org/oakwalk/daemon/ProductTermsReader.java
@@ -11,7 +11,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.product.BatchDeadlineTerms;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.product.HeadroomTerms;
@@ -113,12 +113,13 @@
     Optional<BatchDeadlineTerms.DailyDeadline> dailyDeadline =
         daily ? Optional.of(parseDailyDeadline(block)) : Optional.empty();
     double interval = block.number("every_s", 1, MAX_DURATION_S, 0);
-    Span windowLength =
+    TimeSpan windowLength =
         dailyDeadline
             .map(ProductTermsReader::windowLength)
-            .orElse(Span.seconds(daily ? 0 : block.number("lasts_s", 1, MAX_DURATION_S, interval)));
-    Span safetyMargin = Span.seconds(block.number("margin_s", 0, MAX_DURATION_S, 0));
-    if (!daily && windowLength.compareTo(Span.seconds(interval)) > 0) {
+            .orElse(
+                TimeSpan.seconds(daily ? 0 : block.number("lasts_s", 1, MAX_DURATION_S, interval)));
+    TimeSpan safetyMargin = TimeSpan.seconds(block.number("margin_s", 0, MAX_DURATION_S, 0));
+    if (!daily && windowLength.compareTo(TimeSpan.seconds(interval)) > 0) {
       throw block.invalid("lasts_s must not exceed every_s");
     }
     if (safetyMargin.compareTo(windowLength) >= 0) {
@@ -127,7 +128,7 @@
     return new BatchDeadlineTerms(
         unquotedName(block),
         dailyDeadline,
-        daily ? Optional.empty() : Optional.of(Span.seconds(interval)),
+        daily ? Optional.empty() : Optional.of(TimeSpan.seconds(interval)),
         windowLength,
         block.textSet("classes"),
         block.textSet("teams"),
@@ -149,9 +150,9 @@
   }
 
   /** Returns the time from opening to deadline on a day without a daylight-saving change. */
-  private static Span windowLength(BatchDeadlineTerms.DailyDeadline deadline) {
+  private static TimeSpan windowLength(BatchDeadlineTerms.DailyDeadline deadline) {
     Duration length = Duration.between(deadline.opensAt(), deadline.dueAt());
-    return Span.millis((length.isNegative() ? length.plusDays(1) : length).toMillis());
+    return TimeSpan.millis((length.isNegative() ? length.plusDays(1) : length).toMillis());
   }
 
   private static LocalTime parseTimeOfDay(HclBlock block, String field, String defaultValue)
@@ -207,8 +208,8 @@
         block.textSet("teams"),
         (int) block.integer("most", 1, 100_000, 64),
         block.number("margin", 0, 0.9, 0.1),
-        Span.seconds(block.number("dwell_s", 0, 86_400, 10)),
-        Span.seconds(block.number("patience_s", 1, 86_400, 60)));
+        TimeSpan.seconds(block.number("dwell_s", 0, 86_400, 10)),
+        TimeSpan.seconds(block.number("patience_s", 1, 86_400, 60)));
   }
 
   /** Checks that the terms match the deployment and fit into one stored value. */
--- a/src/main/java/org/oakwalk/model/AcceptanceRule.java
+++ b/src/main/java/org/oakwalk/model/AcceptanceRule.java
@@ -48,7 +48,7 @@
   }
 
   private static boolean fits(JobSpec spec, MachineType type) {
-    return spec.resources().fitsInto(type.room())
+    return spec.resources().fitsInto(type.resources())
         && type.zones().stream().anyMatch(zone -> spec.allows(type.name(), zone, false));
   }
 
--- a/src/main/java/org/oakwalk/model/EdgeCaseRequests.java
+++ b/src/main/java/org/oakwalk/model/EdgeCaseRequests.java
@@ -5,7 +5,7 @@
 import java.util.Set;
 import java.util.function.Function;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
@@ -132,7 +132,10 @@
 
   private JobSpec tooLarge(JobId id) {
     double cpus =
-        world.cloud.types.values().stream().mapToDouble(type -> type.room().cpus()).max().orElse(0);
+        world.cloud.types.values().stream()
+            .mapToDouble(type -> type.resources().cpus())
+            .max()
+            .orElse(0);
     return newSpec(
         id, firstTeam(), JobSpec.Shape.SERVICE, 1, new Resources(cpus + 1, 0, 1), Set.of());
   }
@@ -158,7 +161,12 @@
   }
 
   private static JobSpec newSpec(
-      JobId id, String team, JobSpec.Shape shape, int tasks, Resources room, Set<String> types) {
+      JobId id,
+      String team,
+      JobSpec.Shape shape,
+      int tasks,
+      Resources resources,
+      Set<String> types) {
     return new JobSpec(
         id,
         "odd",
@@ -166,7 +174,7 @@
         shape,
         Priority.NORMAL,
         tasks,
-        room,
+        resources,
         types,
         Optional.empty(),
         false,
@@ -174,9 +182,9 @@
         false,
         "img",
         0,
-        Span.seconds(0),
-        Span.seconds(0),
-        Span.seconds(0),
+        TimeSpan.seconds(0),
+        TimeSpan.seconds(0),
+        TimeSpan.seconds(0),
         Optional.empty());
   }
 }
--- a/src/main/java/org/oakwalk/model/HeadroomRule.java
+++ b/src/main/java/org/oakwalk/model/HeadroomRule.java
@@ -152,7 +152,7 @@
   }
 
   private static Resources freeResources(SimWorker worker) {
-    return worker.type.room().minus(worker.usedResources());
+    return worker.type.resources().minus(worker.usedResources());
   }
 
   /** Whether slots on a worker count towards a headroom row in a zone. */
--- a/src/main/java/org/oakwalk/model/LargeJobStartRule.java
+++ b/src/main/java/org/oakwalk/model/LargeJobStartRule.java
@@ -108,7 +108,7 @@
 
   private double maxAmount(ToDoubleFunction<Resources> resource) {
     return world.cloud.types.values().stream()
-        .map(MachineType::room)
+        .map(MachineType::resources)
         .mapToDouble(resource)
         .max()
         .orElse(0);
@@ -170,10 +170,10 @@
             Double.MAX_VALUE);
     int slots = 0;
     for (Map.Entry<SimCloud.CapacityPool, Integer> part : maxFleet.entrySet()) {
-      SimCloud.CapacityPool market = part.getKey();
-      if (spec.allows(market.type(), market.zone(), market.spot())) {
-        Resources room = world.cloud.types.get(market.type()).room();
-        slots += part.getValue() * room.capacityFor(spec.resources());
+      SimCloud.CapacityPool pool = part.getKey();
+      if (spec.allows(pool.type(), pool.zone(), pool.spot())) {
+        Resources resources = world.cloud.types.get(pool.type()).resources();
+        slots += part.getValue() * resources.capacityFor(spec.resources());
       }
     }
     return Math.min(spec.tasks(), Math.min(slots, limit.capacityFor(spec.resources())));
--- a/src/main/java/org/oakwalk/model/PlanningWindowTracker.java
+++ b/src/main/java/org/oakwalk/model/PlanningWindowTracker.java
@@ -9,8 +9,8 @@
 import java.util.Optional;
 import java.util.TreeMap;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.planner.DeadlinePlanner;
@@ -79,7 +79,7 @@
   }
 
   /** Returns the time until the earliest deadline that covers a job, if there is one. */
-  Optional<Span> timeToDeadline(JobSpec spec) {
+  Optional<TimeSpan> timeToDeadline(JobSpec spec) {
     return deadlines.stream()
         .filter(deadline -> deadline.covers(spec))
         .flatMap(
@@ -88,7 +88,7 @@
                     .stream())
         .map(window -> window.finishBy().since(world.wallClock()))
         .filter(left -> left.millis() > 0)
-        .min(Span::compareTo);
+        .min(TimeSpan::compareTo);
   }
 
   private int doneTaskCount(JobSpec spec) {
--- a/src/main/java/org/oakwalk/model/ProductTermsParser.java
+++ b/src/main/java/org/oakwalk/model/ProductTermsParser.java
@@ -9,7 +9,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.NodeId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.product.BatchDeadlineTerms;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.product.HeadroomTerms;
@@ -89,11 +89,11 @@
                     LocalTime.parse(by),
                     LocalTime.parse(line.text("opens", "20:00")),
                     ZoneId.of(line.text("tz", "UTC")))),
-        every > 0 ? Optional.of(Span.seconds(every)) : Optional.empty(),
-        Span.seconds(line.number("lasts", every)),
+        every > 0 ? Optional.of(TimeSpan.seconds(every)) : Optional.empty(),
+        TimeSpan.seconds(line.number("lasts", every)),
         parseSet(line, "classes"),
         parseSet(line, "teams"),
-        Span.seconds(line.number("margin", 0)),
+        TimeSpan.seconds(line.number("margin", 0)),
         line.number("quantile", 0.9));
   }
 
@@ -116,8 +116,8 @@
         parseSet(line, "teams"),
         (int) line.number("most", 64),
         line.number("margin", 0.1),
-        Span.seconds(line.number("dwell", 10)),
-        Span.seconds(line.number("patience", 60)));
+        TimeSpan.seconds(line.number("dwell", 10)),
+        TimeSpan.seconds(line.number("patience", 60)));
   }
 
   /** Returns the comma-separated values of an option, or none if it is absent. */
--- a/src/main/java/org/oakwalk/model/QueueOrder.java
+++ b/src/main/java/org/oakwalk/model/QueueOrder.java
@@ -1,7 +1,7 @@
 package org.oakwalk.model;
 
 import org.oakwalk.core.Policy;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /** Queue order for a simulation run, so that runs with and without a plan can be compared. */
 public enum QueueOrder {
@@ -17,7 +17,7 @@
    * Higher priorities keep their distance from these.
    */
   private static final Policy.ScoringPolicy DEADLINE_SCORING =
-      new Policy.ScoringPolicy(0.0001, 0.01, 0, 0, 0, Span.seconds(60));
+      new Policy.ScoringPolicy(0.0001, 0.01, 0, 0, 0, TimeSpan.seconds(60));
 
   Policy.ScoringPolicy scoring(Policy.ScoringPolicy configured) {
     return this == EARLIEST_DEADLINE ? DEADLINE_SCORING : configured;
--- a/src/main/java/org/oakwalk/model/Scenario.java
+++ b/src/main/java/org/oakwalk/model/Scenario.java
@@ -16,8 +16,8 @@
 import org.oakwalk.core.Order;
 import org.oakwalk.core.SessionId;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.exchange.CapacityTransfer;
@@ -75,8 +75,8 @@
             .filter(l -> l.word(0).equals("settings"))
             .findFirst()
             .orElse(new ScenarioLine("settings", 0));
-    ScenarioPolicy plans = new ScenarioPolicy(base, lines, queueOrder);
-    world = new World(settings(base), plans, base);
+    ScenarioPolicy scenarioPolicy = new ScenarioPolicy(base, lines, queueOrder);
+    world = new World(settings(base), scenarioPolicy, base);
     hostSelector = new HostSelector(world);
     expectations = new Expectations(world);
     double end = 60;
@@ -199,13 +199,13 @@
         teams,
         objectives(),
         new Settings.WorkerTiming(
-            Span.seconds(base.number("report", 2)),
-            Span.seconds(base.number("lease", 10)),
-            Span.seconds(base.number("cancel", 40))),
+            TimeSpan.seconds(base.number("report", 2)),
+            TimeSpan.seconds(base.number("lease", 10)),
+            TimeSpan.seconds(base.number("cancel", 40))),
         new Settings.StateLimits(
             base.number("rps", 200), base.number("write_rps", 100), 4, (int) base.number("txn", 8)),
-        new Settings.CloudLimits(5, Span.seconds(base.number("lag", 5))),
-        Span.seconds(base.number("clockoff", 0)));
+        new Settings.CloudLimits(5, TimeSpan.seconds(base.number("lag", 5))),
+        TimeSpan.seconds(base.number("clockoff", 0)));
   }
 
   private List<Settings.Objective> objectives() {
@@ -229,7 +229,7 @@
             line.number("fetch", 1),
             line.number("price", 1),
             line.number("spot", 0.3),
-            Span.seconds(line.number("boot", 20)),
+            TimeSpan.seconds(line.number("boot", 20)),
             List.copyOf(world.settings.zones())));
   }
 
@@ -366,10 +366,12 @@
             line.hasWord("spot"),
             line.text("image", "img"),
             line.number("gb", 0),
-            Span.seconds(guess),
-            Span.seconds(line.number("saves", 0)),
-            Span.seconds(line.number("save", 0)),
-            due.isEmpty() ? Optional.empty() : Optional.of(Span.seconds(Double.parseDouble(due))));
+            TimeSpan.seconds(guess),
+            TimeSpan.seconds(line.number("saves", 0)),
+            TimeSpan.seconds(line.number("save", 0)),
+            due.isEmpty()
+                ? Optional.empty()
+                : Optional.of(TimeSpan.seconds(Double.parseDouble(due))));
     spec = queueOrder == QueueOrder.EARLIEST_DEADLINE ? withWindowDeadline(spec) : spec;
     if (world.users.containsKey(id)) {
       world.users.get(id).submit();
@@ -390,7 +392,7 @@
    * earlier.
    */
   private JobSpec withWindowDeadline(JobSpec spec) {
-    Optional<Span> deadline =
+    Optional<TimeSpan> deadline =
         world
             .planningWindows
             .timeToDeadline(spec)
@@ -446,7 +448,7 @@
             worker.address(),
             new Token(worker.token()),
             new SessionId(worker.session()),
-            List.of(new Order.Halt(task, worker.tasks.get(task).attempt, Span.millis(0)))),
+            List.of(new Order.Halt(task, worker.tasks.get(task).attempt, TimeSpan.millis(0)))),
         answer -> {});
   }
 
--- a/src/main/java/org/oakwalk/model/ScenarioMetrics.java
+++ b/src/main/java/org/oakwalk/model/ScenarioMetrics.java
@@ -11,8 +11,8 @@
 import java.util.TreeMap;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.JobSpec;
 
 /** Measures how well a scenario was served, by what workers do and which answers users receive. */
@@ -94,7 +94,7 @@
    * it has no deadline.
    */
   private Double deadlineSeconds(JobSpec spec) {
-    Double deadline = spec.deadline().map(Span::asSeconds).orElse(null);
+    Double deadline = spec.deadline().map(TimeSpan::asSeconds).orElse(null);
     for (Settings.Objective objective : world.settings.objectives()) {
       if (objective.kind().equals("finished") && objective.jobClass().equals(spec.jobClass())) {
         deadline =
--- a/src/main/java/org/oakwalk/model/ScenarioPolicy.java
+++ b/src/main/java/org/oakwalk/model/ScenarioPolicy.java
@@ -9,7 +9,7 @@
 import java.util.Set;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Policy;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.drain.DisruptionBudget;
 import org.oakwalk.core.drain.DrainPlan;
 import org.oakwalk.core.drain.DrainPolicy;
@@ -24,7 +24,7 @@
 
   private final ScenarioLine settingsLine;
   private final List<ScenarioLine> lines;
-  private final QueueOrder queueing;
+  private final QueueOrder queueOrder;
   private final List<DisruptionBudget> budgets = new ArrayList<>();
 
   /**
@@ -32,10 +32,10 @@
    *
    * @param settingsLine settings line of the scenario
    * @param lines lines of the scenario
-   * @param queueing queueing method of the controllers
+   * @param queueOrder queueing method of the controllers
    */
-  ScenarioPolicy(ScenarioLine settingsLine, List<ScenarioLine> lines, QueueOrder queueing) {
-    this.queueing = queueing;
+  ScenarioPolicy(ScenarioLine settingsLine, List<ScenarioLine> lines, QueueOrder queueOrder) {
+    this.queueOrder = queueOrder;
     this.settingsLine = settingsLine;
     this.lines = lines;
     for (ScenarioLine line : lines) {
@@ -57,13 +57,13 @@
     }
     ProductTerms terms = new ProductTermsParser(lines).termsFor(node, seconds);
     return new Policy(
-        queueing.scoring(policy.scoring()),
+        queueOrder.scoring(policy.scoring()),
         policy.placement(),
         policy.roundInterval(),
         policy.capacity(),
         (int) settingsLine.number("open", policy.maxOpenJobs()),
         new DrainPolicy(List.copyOf(plans.values()), budgets),
-        queueing == QueueOrder.PLANNED ? terms : withoutDeadlines(terms));
+        queueOrder == QueueOrder.PLANNED ? terms : withoutDeadlines(terms));
   }
 
   private static ProductTerms withoutDeadlines(ProductTerms terms) {
@@ -138,10 +138,10 @@
         DrainPlan.DrainMode.valueOf(line.text("then", "replace").toUpperCase(Locale.ROOT)),
         line.number("step", 1),
         (int) line.number("surge", line.number("step", 1)),
-        Span.seconds(line.number("pause", 0)),
-        Span.seconds(line.number("patience", 30)),
-        Span.seconds(line.number("replicawaits", 5)),
-        Span.seconds(line.number("workwaits", 15)));
+        TimeSpan.seconds(line.number("pause", 0)),
+        TimeSpan.seconds(line.number("patience", 30)),
+        TimeSpan.seconds(line.number("replicawaits", 5)),
+        TimeSpan.seconds(line.number("workwaits", 15)));
   }
 
   private static Set<String> parseSet(ScenarioLine line, String name) {
--- a/src/main/java/org/oakwalk/model/SimCloud.java
+++ b/src/main/java/org/oakwalk/model/SimCloud.java
@@ -8,7 +8,7 @@
 import java.util.function.Consumer;
 import org.oakwalk.core.MachineId;
 import org.oakwalk.core.RentalRequestId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.fleet.Rental;
 import org.oakwalk.core.port.Answer;
@@ -174,7 +174,7 @@
                 worker.pool.zone(),
                 worker.pool.spot(),
                 status,
-                Span.millis(listedAt - worker.rentedAt)));
+                TimeSpan.millis(listedAt - worker.rentedAt)));
       }
     }
     return new Answer.Rentals(rentals, false);
--- a/src/main/java/org/oakwalk/model/SimNode.java
+++ b/src/main/java/org/oakwalk/model/SimNode.java
@@ -13,7 +13,7 @@
 import org.oakwalk.core.Controller;
 import org.oakwalk.core.InboundRequestId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Order;
 import org.oakwalk.core.Report;
@@ -47,7 +47,7 @@
   final NodeId id;
   final String zone;
   private Controller controller;
-  private StartAfterEndDetector knownEnds = new StartAfterEndDetector();
+  private StartAfterEndDetector startAfterEndDetector = new StartAfterEndDetector();
 
   /** Queue for requests to the state service, if the service limits request rates. */
   private RequestQueue line;
@@ -96,7 +96,7 @@
     up = true;
     pendingResponses.clear();
     clearFreeze();
-    knownEnds = new StartAfterEndDetector();
+    startAfterEndDetector = new StartAfterEndDetector();
     controller =
         new Controller(
             world.settingsOf(this),
@@ -263,14 +263,16 @@
   private List<Effect> decide(Event event) {
     MDC.put(LOG_CONTEXT, " [" + world.time.seconds() + " s " + id + "]");
     try {
-      return controller.handle(event, new Moment(world.time.now()), world.wallClock());
+      return controller.handle(event, new MonotonicTime(world.time.now()), world.wallClock());
     } finally {
       MDC.remove(LOG_CONTEXT);
     }
   }
 
   private void execute(Effect effect) {
-    knownEnds.checkEffect(effect).ifPresent(start -> world.invariants.endedJobStarted(this, start));
+    startAfterEndDetector
+        .checkEffect(effect)
+        .ifPresent(start -> world.invariants.endedJobStarted(this, start));
     if (effect instanceof Effect.Respond respond) {
       Consumer<Response> then = pendingResponses.remove(respond.requestId());
       if (then != null) {
@@ -291,7 +293,7 @@
             world.commitAvailability.answerReceived(call.request(), answer);
             runOrDefer(
                 () -> {
-                  knownEnds.answerReceived(call.request(), answer);
+                  startAfterEndDetector.answerReceived(call.request(), answer);
                   handle(new Event.CallAnswered(call.call(), answer));
                 });
           }
--- a/src/main/java/org/oakwalk/model/SimWorker.java
+++ b/src/main/java/org/oakwalk/model/SimWorker.java
@@ -11,8 +11,8 @@
 import org.oakwalk.core.Order;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.SessionId;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.JobSpec;
@@ -61,11 +61,11 @@
   private double slowdown = 1;
   private final List<Runnable> deferred = new ArrayList<>();
 
-  SimWorker(World world, MachineId id, MachineType type, SimCloud.CapacityPool market) {
+  SimWorker(World world, MachineId id, MachineType type, SimCloud.CapacityPool pool) {
     this.world = world;
     this.id = id;
     this.type = type;
-    this.pool = market;
+    this.pool = pool;
     this.rentedAt = world.time.now();
     this.imageCache = new SimImageCache(world.time, type);
     this.reportSender = new ReportSender(world, this);
@@ -238,10 +238,10 @@
     tasks.forEach(
         (id, task) ->
             pieces.add(new Report.ReportedTask(id, task.attempt, task.state, task.cause)));
-    Optional<Span> left =
+    Optional<TimeSpan> left =
         reclaimAt == Long.MAX_VALUE
             ? Optional.empty()
-            : Optional.of(Span.millis(Math.max(0, reclaimAt - world.time.now())));
+            : Optional.of(TimeSpan.millis(Math.max(0, reclaimAt - world.time.now())));
     return new Report(
         id,
         address(),
@@ -357,7 +357,7 @@
    * Halts a task. A running task with checkpoints writes one first if the grace period is long
    * enough.
    */
-  private void halt(TaskId id, Task task, Span grace) {
+  private void halt(TaskId id, Task task, TimeSpan grace) {
     if (isExecuting(task) && task.state == Report.TaskState.RUNNING) {
       world.invariants.taskHalted(this, id, task.spec);
       world.metrics.taskStopped(id, task.spec, ScenarioMetrics.StopCause.COMMAND);
@@ -399,7 +399,9 @@
     reportSender.markChanged();
     if (task.spec == null || id.index() >= task.spec.tasks()) {
       refuseStart(task, Report.Cause.UNKNOWN);
-    } else if (!task.spec.resources().fitsInto(type.room().minus(usedResourcesWithout(task)))) {
+    } else if (!task.spec
+        .resources()
+        .fitsInto(type.resources().minus(usedResourcesWithout(task)))) {
       refuseStart(task, Report.Cause.NO_ROOM);
     } else {
       world.invariants.beforeAllocation(this, id, task.spec);
--- a/src/main/java/org/oakwalk/model/StarvationRule.java
+++ b/src/main/java/org/oakwalk/model/StarvationRule.java
@@ -98,7 +98,7 @@
             }
           });
       if (acceptsTasks(worker)) {
-        freeByMachine.put(worker, worker.type.room().minus(worker.usedResources()));
+        freeByMachine.put(worker, worker.type.resources().minus(worker.usedResources()));
       }
     }
   }
--- a/src/main/java/org/oakwalk/model/World.java
+++ b/src/main/java/org/oakwalk/model/World.java
@@ -65,10 +65,10 @@
 
   private int nextNode;
 
-  World(Settings settings, ScenarioPolicy plans, ScenarioLine base) {
+  World(Settings settings, ScenarioPolicy scenarioPolicy, ScenarioLine base) {
     this.settings = settings;
-    this.scenarioPolicy = plans;
-    this.planningWindows = new PlanningWindowTracker(this, plans.batchDeadlines());
+    this.scenarioPolicy = scenarioPolicy;
+    this.planningWindows = new PlanningWindowTracker(this, scenarioPolicy.batchDeadlines());
     long seed = Math.round(base.number("seed", 1));
     this.delayInjector =
         new DelayInjector(time, settings.workers().leaseDuration().asSeconds(), seed);
--- a/src/main/java/org/oakwalk/wire/FieldReader.java
+++ b/src/main/java/org/oakwalk/wire/FieldReader.java
@@ -4,7 +4,7 @@
 import java.util.ArrayList;
 import java.util.List;
 import java.util.Optional;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /** Reads typed fields of a map; errors name the missing or invalid field. */
 final class FieldReader {
@@ -98,15 +98,15 @@
     return number;
   }
 
-  Span seconds(String name) throws MalformedMessageException {
+  TimeSpan seconds(String name) throws MalformedMessageException {
     double seconds = amount(name);
     if (seconds > MAX_SECONDS) {
       throw new MalformedMessageException("field " + name + " is out of range");
     }
-    return Span.seconds(seconds);
+    return TimeSpan.seconds(seconds);
   }
 
-  Optional<Span> optionalSeconds(String name) throws MalformedMessageException {
+  Optional<TimeSpan> optionalSeconds(String name) throws MalformedMessageException {
     return has(name) ? Optional.of(seconds(name)) : Optional.empty();
   }
 
--- a/src/main/java/org/oakwalk/wire/JobCodec.java
+++ b/src/main/java/org/oakwalk/wire/JobCodec.java
@@ -7,7 +7,7 @@
 import java.util.Set;
 import java.util.TreeSet;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
@@ -61,7 +61,7 @@
         due(fields));
   }
 
-  private static Optional<Span> due(FieldReader fields) throws MalformedMessageException {
+  private static Optional<TimeSpan> due(FieldReader fields) throws MalformedMessageException {
     return fields.optionalSeconds("due_s");
   }
 
--- a/src/main/java/org/oakwalk/wire/PeerCodec.java
+++ b/src/main/java/org/oakwalk/wire/PeerCodec.java
@@ -10,7 +10,7 @@
 import java.util.Set;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.NodeId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.PeerMessage;
@@ -187,7 +187,7 @@
           (int) fields.count("status", 400, 599),
           fields.text("reason"),
           fields.has("retry_ms")
-              ? Optional.of(Span.millis(fields.count("retry_ms")))
+              ? Optional.of(TimeSpan.millis(fields.count("retry_ms")))
               : Optional.empty());
     }
     for (Response.JobState state : Response.JobState.values()) {
--- a/src/main/java/org/oakwalk/wire/StateServiceCodec.java
+++ b/src/main/java/org/oakwalk/wire/StateServiceCodec.java
@@ -224,9 +224,9 @@
     for (MachineType type : record.types().values()) {
       ObjectNode item = list.addObject();
       item.put("name", type.name());
-      item.put("cpus", type.room().cpus());
-      item.put("gpus", type.room().gpus());
-      item.put("memory_gb", type.room().memoryGb());
+      item.put("cpus", type.resources().cpus());
+      item.put("gpus", type.resources().gpus());
+      item.put("memory_gb", type.resources().memoryGb());
       item.put("cache_gb", type.cacheGb());
       item.put("fetch_gb_per_s", type.fetchGbPerSecond());
       item.put("price", type.price());
--- a/src/main/java/org/oakwalk/wire/WorkerCodec.java
+++ b/src/main/java/org/oakwalk/wire/WorkerCodec.java
@@ -14,8 +14,8 @@
 import org.oakwalk.core.Order;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.SessionId;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
@@ -130,13 +130,13 @@
     map.put("baton", report.token().value());
     report.reclaimNotice().ifPresent(remaining -> map.put("warning_s", remaining.asSeconds()));
     ArrayNode tasks = map.putArray("pieces");
-    for (Report.ReportedTask piece : report.tasks()) {
+    for (Report.ReportedTask task : report.tasks()) {
       ObjectNode item = tasks.addObject();
-      item.put("piece", piece.task().toString());
-      item.put("try", piece.attempt().value());
-      item.put("status", piece.state().name().toLowerCase(Locale.ROOT));
-      if (piece.ended()) {
-        item.put("cause", piece.cause().name().toLowerCase(Locale.ROOT));
+      item.put("piece", task.task().toString());
+      item.put("try", task.attempt().value());
+      item.put("status", task.state().name().toLowerCase(Locale.ROOT));
+      if (task.ended()) {
+        item.put("cause", task.cause().name().toLowerCase(Locale.ROOT));
       }
     }
   }
@@ -154,7 +154,7 @@
             case "run" -> new Order.Run(task, attempt);
             case "halt" ->
                 new Order.Halt(
-                    task, attempt, item.optionalSeconds("wind_down_s").orElse(Span.millis(0)));
+                    task, attempt, item.optionalSeconds("wind_down_s").orElse(TimeSpan.millis(0)));
             case "clear" -> new Order.Clear(task, attempt);
             default -> throw new MalformedMessageException("unknown order " + verb);
           });
--- a/src/test/java/org/oakwalk/adapter/OutboundRequestsTest.java
+++ b/src/test/java/org/oakwalk/adapter/OutboundRequestsTest.java
@@ -28,7 +28,7 @@
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.SessionId;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.PeerMessage;
@@ -69,10 +69,11 @@
             List.of("a"),
             Map.of(),
             List.of(),
-            new Settings.WorkerTiming(Span.seconds(1), Span.seconds(10), Span.seconds(30)),
+            new Settings.WorkerTiming(
+                TimeSpan.seconds(1), TimeSpan.seconds(10), TimeSpan.seconds(30)),
             new Settings.StateLimits(100, 100, 4, 8),
-            new Settings.CloudLimits(10, Span.seconds(1)),
-            Span.millis(0));
+            new Settings.CloudLimits(10, TimeSpan.seconds(1)),
+            TimeSpan.millis(0));
     outbound =
         new OutboundRequests(
             caller,
@@ -118,9 +119,9 @@
     stubResponse("/leases", 200, packed("{\"hold\":3}"));
     stubResponse("/commit", 409, packed("{\"failed\":[\"k\"],\"epoch\":7}"));
     Request.Watch watch =
-        new Request.Watch("c/", new Revision(1), Span.millis(0), Request.Urgency.ROUTINE);
+        new Request.Watch("c/", new Revision(1), TimeSpan.millis(0), Request.Urgency.ROUTINE);
     assertThat(call(watch)).isEqualTo(new Answer.Changes(new Revision(7), List.of()));
-    assertThat(call(new Request.GrantLease(Span.seconds(1))))
+    assertThat(call(new Request.GrantLease(TimeSpan.seconds(1))))
         .isInstanceOf(Answer.LeaseGranted.class);
     assertThat(call(new Request.Commit(List.of(), List.of(), Request.Urgency.ROUTINE)))
         .isEqualTo(new Answer.Conflict(List.of("k")));
--- a/src/test/java/org/oakwalk/core/WorkerTimingTest.java
+++ b/src/test/java/org/oakwalk/core/WorkerTimingTest.java
@@ -16,7 +16,7 @@
 
   private static Settings.WorkerTiming workers(double report, double lease, double cancel) {
     return new Settings.WorkerTiming(
-        Span.seconds(report), Span.seconds(lease), Span.seconds(cancel));
+        TimeSpan.seconds(report), TimeSpan.seconds(lease), TimeSpan.seconds(cancel));
   }
 
   @ParameterizedTest
--- a/src/test/java/org/oakwalk/core/capacity/MachineTypeWriterTest.java
+++ b/src/test/java/org/oakwalk/core/capacity/MachineTypeWriterTest.java
@@ -6,11 +6,11 @@
 import java.util.Map;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Outbox;
@@ -30,7 +30,7 @@
   private final FaultyStore store = new FaultyStore();
   private final StoreView view = new StoreView(outbox, 200, 1);
   private MachineTypeWriter writer;
-  private Moment now = new Moment(0);
+  private MonotonicTime now = new MonotonicTime(0);
 
   @BeforeEach
   void startTerm() {
@@ -39,10 +39,10 @@
     view.setListener(
         new StoreView.Listener() {
           @Override
-          public void leaderChanged(Moment at) {}
+          public void leaderChanged(MonotonicTime at) {}
 
           @Override
-          public void jobChanged(KnownJob known, Moment at) {}
+          public void jobChanged(KnownJob known, MonotonicTime at) {}
         });
     writer =
         new MachineTypeWriter(
@@ -58,14 +58,14 @@
       types.put(
           name,
           new MachineType(
-              name, new Resources(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a")));
+              name, new Resources(4, 0, 16), 10, 1, 1, 1, TimeSpan.seconds(1), List.of("a")));
     }
     return types;
   }
 
   private void tick(Map<String, MachineType> types, FaultyStore.CommitOutcome outcome) {
     for (int i = 0; i < 2; i++) {
-      now = now.plus(Span.seconds(6));
+      now = now.plus(TimeSpan.seconds(6));
       view.setTime(now);
       view.tick(now);
       store.serve(outbox, commit -> outcome);
--- a/src/test/java/org/oakwalk/core/cells/LoanExplorationTest.java
+++ b/src/test/java/org/oakwalk/core/cells/LoanExplorationTest.java
@@ -10,8 +10,8 @@
 import java.util.TreeSet;
 import java.util.function.Consumer;
 import org.junit.jupiter.api.Test;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 
 /**
  * Explores all states of a loan of one task, with the state machines of both cells: leaders fail
@@ -21,20 +21,21 @@
  * advancing the clock, all moments are moved back, so that equivalent states are equal.
  */
 class LoanExplorationTest {
-  private static final Span TICK = Span.seconds(10);
-  private static final Moment NOW = new Moment(1_000_000);
+  private static final TimeSpan TICK = TimeSpan.seconds(10);
+  private static final MonotonicTime NOW = new MonotonicTime(1_000_000);
   private static final int PERMIT_TICKS = 2;
   private static final int LEASE_TICKS = 1;
   private static final int OLDER_LEADER_TICKS = 1;
 
   /** Older moments are replaced by this one, because they can't make a difference any more. */
-  private static final Moment OLDEST_MOMENT = new Moment(NOW.millis() - 6 * TICK.millis());
+  private static final MonotonicTime OLDEST_MOMENT =
+      new MonotonicTime(NOW.millis() - 6 * TICK.millis());
 
   private static final LoanTerms TERMS =
       new LoanTerms(
-          Span.millis(PERMIT_TICKS * TICK.millis()),
-          Span.millis(LEASE_TICKS * TICK.millis()),
-          Span.seconds(1000));
+          TimeSpan.millis(PERMIT_TICKS * TICK.millis()),
+          TimeSpan.millis(LEASE_TICKS * TICK.millis()),
+          TimeSpan.seconds(1000));
 
   /** Bounds the number of ticks; the number of steps between two ticks is not bounded. */
   private static final int MAX_TICKS = 5;
@@ -46,15 +47,16 @@
    *
    * @param requestedAt of permit requests ("ask") and grants, when the permit was requested
    */
-  private record Message(String kind, Optional<Moment> requestedAt) implements Comparable<Message> {
+  private record Message(String kind, Optional<MonotonicTime> requestedAt)
+      implements Comparable<Message> {
     @Override
     public int compareTo(Message other) {
       int byKind = kind.compareTo(other.kind);
       return byKind != 0
           ? byKind
           : Long.compare(
-              requestedAt.map(Moment::millis).orElse(0L),
-              other.requestedAt.map(Moment::millis).orElse(0L));
+              requestedAt.map(MonotonicTime::millis).orElse(0L),
+              other.requestedAt.map(MonotonicTime::millis).orElse(0L));
     }
   }
 
@@ -77,7 +79,7 @@
       Set<Message> channel,
       int ticks) {
 
-    ExploredState send(String kind, Optional<Moment> asked) {
+    ExploredState send(String kind, Optional<MonotonicTime> asked) {
       Set<Message> withMessage = new TreeSet<>(channel);
       withMessage.add(new Message(kind, asked));
       return new ExploredState(
@@ -131,8 +133,8 @@
 
   private Fault fault = Fault.NONE;
 
-  private static Moment agedByOneTick(Moment moment) {
-    Moment aged = new Moment(moment.millis() - TICK.millis());
+  private static MonotonicTime agedByOneTick(MonotonicTime moment) {
+    MonotonicTime aged = new MonotonicTime(moment.millis() - TICK.millis());
     return aged.isAfter(OLDEST_MOMENT) ? aged : OLDEST_MOMENT;
   }
 
@@ -141,7 +143,7 @@
         new HomeLoan(s.home.state(), s.home.lastPermit().map(LoanExplorationTest::agedByOneTick));
     GuestLoan guest = s.guest;
     if (guest != null) {
-      Optional<Moment> until =
+      Optional<MonotonicTime> until =
           fault == Fault.ENDLESS_PERMIT
               ? guest.permitExpiry()
               : guest.permitExpiry().map(LoanExplorationTest::agedByOneTick);
@@ -185,7 +187,7 @@
     }
     // A leader fails, and its successor knows only what is stored.
     if (s.home.state() != HomeLoan.State.SETTLED) {
-      Moment until = new Moment(NOW.millis() + OLDER_LEADER_TICKS * TICK.millis());
+      MonotonicTime until = new MonotonicTime(NOW.millis() + OLDER_LEADER_TICKS * TICK.millis());
       HomeLoan recovered =
           fault == Fault.IGNORES_OLDER_LEADER ? HomeLoan.offered() : HomeLoan.recovered(until);
       sink.accept(
--- a/src/test/java/org/oakwalk/core/cells/LoanTermsTest.java
+++ b/src/test/java/org/oakwalk/core/cells/LoanTermsTest.java
@@ -6,8 +6,8 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 
 /**
  * Guards the timing condition of loans, without which a withdrawn task could still run in the guest
@@ -25,7 +25,7 @@
   void permitAndLeaseMustEndBeforeTheCancelDeadline(
       double permit, double lease, double cancel, boolean possible) {
     LoanTerms terms =
-        new LoanTerms(Span.seconds(permit), Span.seconds(lease), Span.seconds(cancel));
+        new LoanTerms(TimeSpan.seconds(permit), TimeSpan.seconds(lease), TimeSpan.seconds(cancel));
     assertThat(terms.findProblem().isEmpty()).isEqualTo(possible);
     terms
         .findProblem()
@@ -34,13 +34,14 @@
 
   @Test
   void tasksDoNotStartWithoutAValidPermit() {
-    LoanTerms terms = new LoanTerms(Span.seconds(15), Span.seconds(22), Span.seconds(47));
-    Moment now = new Moment(1_000_000);
+    LoanTerms terms =
+        new LoanTerms(TimeSpan.seconds(15), TimeSpan.seconds(22), TimeSpan.seconds(47));
+    MonotonicTime now = new MonotonicTime(1_000_000);
     assertThatThrownBy(() -> GuestLoan.stored().taskStarted(now))
         .isInstanceOf(IllegalStateException.class);
     GuestLoan running = GuestLoan.stored().requestPermit(now).permitGranted(now, terms);
     assertThat(running.mayRun(now)).isTrue();
-    assertThat(running.mayRun(now.plus(Span.seconds(15)))).isFalse();
+    assertThat(running.mayRun(now.plus(TimeSpan.seconds(15)))).isFalse();
     assertThat(running.recalled().mayRun(now)).isFalse();
     assertThat(running.taskStarted(now).recalled().mayClose()).isFalse();
     assertThat(HomeLoan.offered().recalled().permitRequested(now).lastPermit()).isEmpty();
--- a/src/test/java/org/oakwalk/core/drain/StopGrantsTest.java
+++ b/src/test/java/org/oakwalk/core/drain/StopGrantsTest.java
@@ -9,7 +9,7 @@
 import org.apache.commons.rng.UniformRandomProvider;
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.WallTime;
@@ -53,7 +53,7 @@
 
   private void tick(StopGrants grants, FaultyStore.CommitOutcome outcome) {
     now += 1100;
-    grants.tick(List.of(ONE, TWO), Map.of(), new Moment(now), WALL);
+    grants.tick(List.of(ONE, TWO), Map.of(), new MonotonicTime(now), WALL);
     store.serve(outbox, commit -> outcome);
   }
 
--- a/src/test/java/org/oakwalk/core/fleet/FenceTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/FenceTest.java
@@ -12,15 +12,15 @@
 import org.oakwalk.core.Attempt;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Order;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.SessionId;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.ArrayJobs;
@@ -50,11 +50,11 @@
       Map.of(
           "t",
           new MachineType(
-              "t", new Resources(64, 0, 64), 10, 1, 1, 1, Span.seconds(1), List.of("a")));
+              "t", new Resources(64, 0, 64), 10, 1, 1, 1, TimeSpan.seconds(1), List.of("a")));
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
-  private final Moment now = new Moment(1_000_000);
+  private final MonotonicTime now = new MonotonicTime(1_000_000);
   private Effect.Call watch;
   private Fleet fleet;
   private Machine machine;
@@ -66,10 +66,10 @@
     view.setListener(
         new StoreView.Listener() {
           @Override
-          public void leaderChanged(Moment at) {}
+          public void leaderChanged(MonotonicTime at) {}
 
           @Override
-          public void jobChanged(KnownJob known, Moment at) {}
+          public void jobChanged(KnownJob known, MonotonicTime at) {}
         });
     view.tick(now);
     StoredValue leader = new StoredValue.LeaderRecord(new NodeId("n"), "a", "x");
@@ -92,16 +92,17 @@
             jobs,
             view,
             null,
-            new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(40)),
+            new Settings.WorkerTiming(
+                TimeSpan.seconds(2), TimeSpan.seconds(10), TimeSpan.seconds(40)),
             new Fleet.Listener() {
               @Override
-              public void completed(Placement placement, Span ran) {}
+              public void completed(Placement placement, TimeSpan ran) {}
 
               @Override
-              public void placed(Job placed, Moment at) {}
+              public void placed(Job placed, MonotonicTime at) {}
 
               @Override
-              public void roomChanged() {}
+              public void capacityChanged() {}
             });
     fleet.types(TYPES);
     job = jobs.find(new JobId("j-1")).orElseThrow();
@@ -179,9 +180,9 @@
   @Test
   void delayedStartIsVoidOnlyOnceTheRaisedTokenIsConfirmed() {
     TaskId task = new TaskId(job.id(), 50);
-    Placement held = fleet.place(job, 50, fleet.nextAttempt(), machine, Span.seconds(1), now);
+    Placement held = fleet.place(job, 50, fleet.nextAttempt(), machine, TimeSpan.seconds(1), now);
     machine.pendingStarts().sentByCommand(new Machine.TaskAttempt(task, held.attempt()), GRANTED);
-    fleet.halt(held, Span.millis(0), Fleet.StopReason.NEEDLESS);
+    fleet.halt(held, TimeSpan.millis(0), Fleet.StopReason.NEEDLESS);
     List<Report.ReportedTask> ended = endedTasks(0, 16);
     machine.commandInFlight(true);
     report(GRANTED, ended);
@@ -231,8 +232,9 @@
   @Test
   void startsOfAWithdrawnJobAreCancelledWhileTheirCommandIsUnanswered() {
     CommandDispatcher dispatcher =
-        new CommandDispatcher(outbox, fleet, Span.seconds(5), answered -> {});
-    Placement placement = fleet.place(job, 0, fleet.nextAttempt(), machine, Span.seconds(1), now);
+        new CommandDispatcher(outbox, fleet, TimeSpan.seconds(5), answered -> {});
+    Placement placement =
+        fleet.place(job, 0, fleet.nextAttempt(), machine, TimeSpan.seconds(1), now);
     outbox.takeEffects();
     dispatcher.cancelStarts(List.of(placement));
     assertThat(outbox.takeEffects()).isEmpty();
--- a/src/test/java/org/oakwalk/core/fleet/MachineRegistryTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/MachineRegistryTest.java
@@ -14,10 +14,10 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.job.Resources;
 import org.oakwalk.core.port.Answer;
@@ -46,13 +46,13 @@
           null,
           new Fleet.Listener() {
             @Override
-            public void completed(Placement placement, Span ran) {}
+            public void completed(Placement placement, TimeSpan ran) {}
 
             @Override
-            public void placed(org.oakwalk.core.job.Job job, Moment now) {}
+            public void placed(org.oakwalk.core.job.Job job, MonotonicTime now) {}
 
             @Override
-            public void roomChanged() {}
+            public void capacityChanged() {}
           });
   private final MachineRegistry registry =
       new MachineRegistry(
@@ -69,18 +69,20 @@
         Map.of(
             "t",
             new MachineType(
-                "t", new Resources(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a"))));
+                "t", new Resources(4, 0, 16), 10, 1, 1, 1, TimeSpan.seconds(1), List.of("a"))));
   }
 
   private Machine addRegisteringMachine() {
     MachineId id = new MachineId("host-%06d".formatted(++machineCount));
     Machine.State state = Machine.State.REGISTERING;
-    return fleet.add(id, "10.0.0.1:9000", "t", "a", false, state, new Moment(now)).orElseThrow();
+    return fleet
+        .add(id, "10.0.0.1:9000", "t", "a", false, state, new MonotonicTime(now))
+        .orElseThrow();
   }
 
   private List<Effect.Call> tick() {
     now += 1000;
-    registry.tick(new Moment(now));
+    registry.tick(new MonotonicTime(now));
     return outbox.takeEffects().stream().map(Effect.Call.class::cast).toList();
   }
 
@@ -146,7 +148,7 @@
 
   private void returnMachine(Machine machine) {
     fleet.startReturn(machine);
-    fleet.confirmGone(machine, new Moment(now));
+    fleet.confirmGone(machine, new MonotonicTime(now));
     registry.machineGone(machine.id());
   }
 
--- a/src/test/java/org/oakwalk/core/fleet/PlacementTestSupport.java
+++ b/src/test/java/org/oakwalk/core/fleet/PlacementTestSupport.java
@@ -1,13 +1,13 @@
 package org.oakwalk.core.fleet;
 
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 
 /** Gives tests of other packages access to the state of placements, without worker reports. */
 public final class PlacementTestSupport {
   private PlacementTestSupport() {}
 
   /** Marks a placement as running from this moment on. */
-  public static void markRunning(Placement placement, Moment since) {
+  public static void markRunning(Placement placement, MonotonicTime since) {
     placement.enter(Placement.State.RUNNING, since);
   }
 }
--- a/src/test/java/org/oakwalk/core/fleet/SchedulingModeTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/SchedulingModeTest.java
@@ -7,8 +7,8 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.MonotonicTime;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.job.Resources;
 
@@ -36,7 +36,7 @@
   private static Machine machine(SchedulingMode mode) {
     MachineType type =
         new MachineType(
-            "m", new Resources(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
+            "m", new Resources(4, 0, 16), 40, 1, 1, 0.3, TimeSpan.seconds(20), List.of("a"));
     Machine machine =
         new Machine(
             new MachineId("m-1"),
@@ -46,7 +46,7 @@
             false,
             Machine.State.UP,
             new Token(1),
-            new Moment(1_000_000));
+            new MonotonicTime(1_000_000));
     if (mode == SchedulingMode.CORDONED) {
       machine.schedulingMode(SchedulingMode.DRAIN_PENDING);
     }
--- a/src/test/java/org/oakwalk/core/fleet/StateTransitionsTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/StateTransitionsTest.java
@@ -12,10 +12,10 @@
 import org.oakwalk.core.Attempt;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.Job;
@@ -27,7 +27,7 @@
  * Covers all state transitions of machines, placements and jobs; the tables list the legal ones.
  */
 class StateTransitionsTest {
-  private static final Moment NOW = new Moment(1_000_000);
+  private static final MonotonicTime NOW = new MonotonicTime(1_000_000);
 
   @ParameterizedTest
   @CsvSource({
@@ -122,7 +122,7 @@
   private static Machine machine(Machine.State state) {
     MachineType type =
         new MachineType(
-            "m", new Resources(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
+            "m", new Resources(4, 0, 16), 40, 1, 1, 0.3, TimeSpan.seconds(20), List.of("a"));
     return new Machine(new MachineId("m-1"), "", type, "a", false, state, new Token(1), NOW);
   }
 
@@ -133,7 +133,7 @@
         new Attempt(1),
         machine(Machine.State.UP),
         NOW,
-        Span.seconds(5));
+        TimeSpan.seconds(5));
   }
 
   private static Job job() {
@@ -153,9 +153,9 @@
             false,
             "image",
             1,
-            Span.seconds(5),
-            Span.seconds(0),
-            Span.seconds(0),
+            TimeSpan.seconds(5),
+            TimeSpan.seconds(0),
+            TimeSpan.seconds(0),
             Optional.empty());
     return new Job(spec, new Revision(1), new WallTime(0), false, NOW);
   }
--- a/src/test/java/org/oakwalk/core/headroom/HeadroomAllocatorTest.java
+++ b/src/test/java/org/oakwalk/core/headroom/HeadroomAllocatorTest.java
@@ -12,10 +12,10 @@
 import org.junit.jupiter.api.Test;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
@@ -34,7 +34,7 @@
  * tasks or loses its cached image.
  */
 class HeadroomAllocatorTest {
-  private static final Moment NOW = new Moment(1_000_000);
+  private static final MonotonicTime NOW = new MonotonicTime(1_000_000);
   private static final Resources SHAPE = new Resources(4, 4, 32);
   private static final HeadroomRow.HeadroomKey KEY =
       new HeadroomRow.HeadroomKey("serving", "crew", "search", SHAPE, Optional.empty());
@@ -48,22 +48,23 @@
     Fleet.Listener noListener =
         new Fleet.Listener() {
           @Override
-          public void completed(Placement placement, Span ran) {}
+          public void completed(Placement placement, TimeSpan ran) {}
 
           @Override
-          public void placed(Job job, Moment now) {}
+          public void placed(Job job, MonotonicTime now) {}
 
           @Override
-          public void roomChanged() {}
+          public void capacityChanged() {}
         };
     Settings.WorkerTiming timing =
-        new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(40));
+        new Settings.WorkerTiming(TimeSpan.seconds(2), TimeSpan.seconds(10), TimeSpan.seconds(40));
     fleet = new Fleet(new Token(1), null, null, null, timing, noListener);
     Resources machineResources = new Resources(16, 4, 128);
     fleet.types(
         Map.of(
             "g",
-            new MachineType("g", machineResources, 200, 1, 1, 1, Span.seconds(30), List.of("a"))));
+            new MachineType(
+                "g", machineResources, 200, 1, 1, 1, TimeSpan.seconds(30), List.of("a"))));
     for (int i = 0; i < 4; i++) {
       fleet
           .add(new MachineId("m-" + i), "", "g", "a", false, Machine.State.UP, NOW)
@@ -76,7 +77,7 @@
         KEY, Priority.HIGH, "weights", 150, Set.of(), false, 4, Map.of("a", slots));
   }
 
-  private static JobSpec spec(JobSpec.Shape shape, Resources room, String image, double gb) {
+  private static JobSpec spec(JobSpec.Shape shape, Resources resources, String image, double gb) {
     return new JobSpec(
         new JobId("j-1"),
         shape == JobSpec.Shape.SERVICE ? "search" : "resize",
@@ -84,7 +85,7 @@
         shape,
         Priority.NORMAL,
         8,
-        room,
+        resources,
         Set.of(),
         Optional.empty(),
         false,
@@ -92,15 +93,15 @@
         false,
         image,
         gb,
-        Span.seconds(10),
-        Span.seconds(0),
-        Span.seconds(0),
+        TimeSpan.seconds(10),
+        TimeSpan.seconds(0),
+        TimeSpan.seconds(0),
         Optional.empty());
   }
 
   private void placeTask(Machine machine, JobSpec spec) {
     Job job = new Job(spec, new Revision(1), new WallTime(0), false, NOW);
-    fleet.place(job, 0, fleet.nextAttempt(), machine, Span.seconds(10), NOW);
+    fleet.place(job, 0, fleet.nextAttempt(), machine, TimeSpan.seconds(10), NOW);
   }
 
   private void allocate(int slots) {
--- a/src/test/java/org/oakwalk/core/job/ArrayJobs.java
+++ b/src/test/java/org/oakwalk/core/job/ArrayJobs.java
@@ -3,7 +3,7 @@
 import java.util.Optional;
 import java.util.Set;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.store.FaultyStore;
 import org.oakwalk.core.store.JobRecord;
@@ -14,10 +14,10 @@
   private ArrayJobs() {}
 
   public static JobSpec spec(String id, int tasks) {
-    return spec(id, tasks, Span.seconds(1));
+    return spec(id, tasks, TimeSpan.seconds(1));
   }
 
-  public static JobSpec spec(String id, int tasks, Span estimatedRunTime) {
+  public static JobSpec spec(String id, int tasks, TimeSpan estimatedRunTime) {
     return new JobSpec(
         new JobId(id),
         "array",
@@ -34,8 +34,8 @@
         "img",
         0,
         estimatedRunTime,
-        Span.seconds(0),
-        Span.seconds(0),
+        TimeSpan.seconds(0),
+        TimeSpan.seconds(0),
         Optional.empty());
   }
 
--- a/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
+++ b/src/test/java/org/oakwalk/core/job/ResultWriterTest.java
@@ -12,11 +12,11 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
@@ -46,13 +46,13 @@
     final Guard guard;
     final JobRegistry jobs;
     final ResultWriter results;
-    private Moment now;
+    private MonotonicTime now;
 
-    LeaderUnderTest(FaultyStore store, int number, Moment now) {
+    LeaderUnderTest(FaultyStore store, int number, MonotonicTime now) {
       this(store, number, now, LIMITS);
     }
 
-    LeaderUnderTest(FaultyStore store, int number, Moment now, Settings.StateLimits limits) {
+    LeaderUnderTest(FaultyStore store, int number, MonotonicTime now, Settings.StateLimits limits) {
       this.now = now;
       Revision token =
           store.put(
@@ -62,10 +62,10 @@
       view.setListener(
           new StoreView.Listener() {
             @Override
-            public void leaderChanged(Moment at) {}
+            public void leaderChanged(MonotonicTime at) {}
 
             @Override
-            public void jobChanged(KnownJob known, Moment at) {
+            public void jobChanged(KnownJob known, MonotonicTime at) {
               applyChange(known, at);
             }
           });
@@ -86,7 +86,7 @@
       }
     }
 
-    private void applyChange(KnownJob known, Moment at) {
+    private void applyChange(KnownJob known, MonotonicTime at) {
       if (results != null) {
         jobs.applyStoredChange(known, at);
         if (known.phase().isFinal()) {
@@ -97,7 +97,7 @@
     }
 
     void step(FaultyStore store, FaultyStore.CommitOutcomes outcomes) {
-      now = now.plus(Span.millis(500));
+      now = now.plus(TimeSpan.millis(500));
       view.setTime(now);
       view.tick(now);
       results.tick(now);
@@ -141,7 +141,7 @@
   @Test
   void lateWriteOfOlderChunkDoesNotRemoveNewerResults() {
     storeOpenJob("j-1", 3);
-    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new MonotonicTime(0));
     leader.complete("j-1", 0);
     runSteps(leader, store, 1, FaultyStore.CommitOutcome.DELAYED);
     leader.complete("j-1", 1);
@@ -150,7 +150,7 @@
     assertThat(store.delayedCount()).isEqualTo(1);
     store.applyDelayed(0);
     assertThat(storedTasks("j-1").stream()).containsExactly(0, 1);
-    LeaderUnderTest next = new LeaderUnderTest(store, 2, new Moment(100_000));
+    LeaderUnderTest next = new LeaderUnderTest(store, 2, new MonotonicTime(100_000));
     assertThat(next.jobs.find(new JobId("j-1")).orElseThrow().doneCount()).isEqualTo(2);
   }
 
@@ -158,7 +158,7 @@
   @Test
   void lateChunkWriteAfterJobEndIsRejected() {
     storeOpenJob("j-1", 3);
-    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new MonotonicTime(0));
     leader.complete("j-1", 0);
     runSteps(leader, store, 1, FaultyStore.CommitOutcome.DELAYED);
     leader.complete("j-1", 1);
@@ -176,7 +176,7 @@
     storeOpenJob("j-1", 3);
     storeOpenJob("j-2", 3);
     storeOpenJob("j-3", 1);
-    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new MonotonicTime(0));
     store.put(StoreKeys.job(new JobId("j-1")), new StoredValue.Unreadable("damaged"));
     store.put(StoreKeys.job(new JobId("j-3")), new StoredValue.Unreadable("damaged"));
     leader.complete("j-1", 0);
@@ -205,7 +205,7 @@
     for (int job = 1; job <= 50; job++) {
       storeOpenJob("j-" + job, 1);
     }
-    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new MonotonicTime(0));
     for (int job = 1; job <= 50; job++) {
       leader.complete("j-" + job, 0);
     }
@@ -231,10 +231,10 @@
   @Test
   void nextLeaderFinishesJobWithStoredResults() {
     storeOpenJob("j-1", 2);
-    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new MonotonicTime(0));
     leader.complete("j-1", 0);
     runSteps(leader, store, 2, FaultyStore.CommitOutcome.ANSWER_LOST);
-    LeaderUnderTest next = new LeaderUnderTest(store, 2, new Moment(100_000));
+    LeaderUnderTest next = new LeaderUnderTest(store, 2, new MonotonicTime(100_000));
     next.complete("j-1", 1);
     runSteps(next, store, 10, FaultyStore.CommitOutcome.APPLIED);
     JobRecord record =
@@ -247,7 +247,7 @@
   @Test
   void chunksOfLargeArraysFitIntoTransactions() {
     Settings.StateLimits wide = new Settings.StateLimits(1000, 200, 32, 32);
-    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0), wide);
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new MonotonicTime(0), wide);
     List<String> ids = List.of("j-1", "j-2", "j-3");
     ids.forEach(id -> storeOpenJob(id, JobSpec.MAX_TASKS));
     runSteps(leader, store, 2, FaultyStore.CommitOutcome.APPLIED);
@@ -279,7 +279,7 @@
   void jobWithAllResultsStoredEndsWithoutReports() {
     storeOpenJob("j-1", 2);
     store.put(StoreKeys.doneChunk(new JobId("j-1"), 0), new StoredValue.DoneChunk("03"));
-    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new Moment(0));
+    LeaderUnderTest leader = new LeaderUnderTest(store, 1, new MonotonicTime(0));
     runSteps(leader, store, 5, FaultyStore.CommitOutcome.APPLIED);
     JobRecord record =
         (JobRecord) store.find(StoreKeys.job(new JobId("j-1"))).orElseThrow().value();
@@ -316,7 +316,7 @@
             acknowledged.put(id, new BitSet());
             ArrayJobs.storeRecord(runStore, id, tasks, JobRecord.Phase.OPEN);
           });
-      leader = new LeaderUnderTest(runStore, ++leaderCount, new Moment(0));
+      leader = new LeaderUnderTest(runStore, ++leaderCount, new MonotonicTime(0));
     }
 
     private FaultyStore.CommitOutcome outcome() {
@@ -337,7 +337,7 @@
           runStore.applyDelayed(random.nextInt(runStore.delayedCount()));
         }
         if (random.nextInt(25) == 0) {
-          leader = new LeaderUnderTest(runStore, ++leaderCount, new Moment(step * 10_000L));
+          leader = new LeaderUnderTest(runStore, ++leaderCount, new MonotonicTime(step * 10_000L));
         }
         assertNoAcknowledgedResultLost();
         if (step == 60) {
--- a/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
+++ b/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.MachineType;
 import org.oakwalk.core.port.Outbox;
@@ -38,7 +38,8 @@
   private static final UserRequest MALFORMED =
       new UserRequest.Submit(JOB, Optional.empty(), "field crew is missing");
 
-  private static final Response UNAVAILABLE = Response.unavailable("out of reach", Span.seconds(1));
+  private static final Response UNAVAILABLE =
+      Response.unavailable("out of reach", TimeSpan.seconds(1));
 
   private final FaultyStore store = new FaultyStore();
   private final Outbox outbox = new Outbox();
@@ -51,17 +52,17 @@
       new UserRequestHandler(outbox, view, teams, new AdmissionControl(teams, view, 1000));
   private final List<JobRecord.Phase> observedPhases = new ArrayList<>();
   private FaultyStore.CommitOutcome outcome = FaultyStore.CommitOutcome.APPLIED;
-  private Moment now = new Moment(1000);
+  private MonotonicTime now = new MonotonicTime(1000);
 
   @BeforeEach
   void load() {
     view.setListener(
         new StoreView.Listener() {
           @Override
-          public void leaderChanged(Moment at) {}
+          public void leaderChanged(MonotonicTime at) {}
 
           @Override
-          public void jobChanged(KnownJob job, Moment at) {
+          public void jobChanged(KnownJob job, MonotonicTime at) {
             observedPhases.add(job.phase());
           }
         });
@@ -73,8 +74,8 @@
     store.serve(outbox, commit -> outcome);
   }
 
-  private static MachineType type(String name, Resources room, String... zones) {
-    return new MachineType(name, room, 50, 1, 1, 0.3, Span.seconds(20), List.of(zones));
+  private static MachineType type(String name, Resources resources, String... zones) {
+    return new MachineType(name, resources, 50, 1, 1, 0.3, TimeSpan.seconds(20), List.of(zones));
   }
 
   /**
@@ -82,14 +83,14 @@
    * updated beforehand.
    */
   private Response ask(UserRequest request) {
-    now = now.plus(Span.seconds(1));
+    now = now.plus(TimeSpan.seconds(1));
     view.setTime(now);
     userRequests.clock(now, new WallTime(0));
     List<Response> answers = new ArrayList<>();
     userRequests.serve(request, answers::add);
     store.serve(outbox, commit -> outcome);
     for (int i = 0; i < 10 && answers.isEmpty(); i++) {
-      now = now.plus(Span.millis(100));
+      now = now.plus(TimeSpan.millis(100));
       view.tick(now);
       store.serve(outbox, commit -> outcome);
     }
@@ -143,9 +144,9 @@
         true,
         "img",
         0,
-        Span.seconds(1),
-        Span.seconds(0),
-        Span.seconds(0),
+        TimeSpan.seconds(1),
+        TimeSpan.seconds(0),
+        TimeSpan.seconds(0),
         Optional.empty());
   }
 
@@ -365,7 +366,7 @@
   void confirmedWithdrawalIsAppliedBeforeItIsAnswered() {
     assertThat(code(ask(simpleSubmission()))).isEqualTo(201);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
-    now = now.plus(Span.seconds(1));
+    now = now.plus(TimeSpan.seconds(1));
     userRequests.clock(now, new WallTime(0));
     observedPhases.clear();
     List<JobRecord.Phase> before = new ArrayList<>();
--- a/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
@@ -9,10 +9,10 @@
 import org.junit.jupiter.api.Test;
 import org.oakwalk.core.CallId;
 import org.oakwalk.core.LeaseId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Effect;
@@ -38,7 +38,7 @@
   private final StoreView view = new StoreView(outbox, 200, 3);
   private final List<Token> gainedTokens = new ArrayList<>();
   private final List<Effect.Call> sentCalls = new ArrayList<>();
-  private Moment now = new Moment(1_000_000);
+  private MonotonicTime now = new MonotonicTime(1_000_000);
   private Leadership leadership;
 
   @BeforeEach
@@ -50,25 +50,25 @@
             NODE,
             "z",
             "present",
-            Span.seconds(20),
+            TimeSpan.seconds(20),
             new Leadership.Listener() {
               @Override
-              public void leadershipGained(Token token, Moment at) {
+              public void leadershipGained(Token token, MonotonicTime at) {
                 gainedTokens.add(token);
               }
 
               @Override
-              public void leadershipLost(Token token, Moment at) {}
+              public void leadershipLost(Token token, MonotonicTime at) {}
             });
     view.setListener(
         new StoreView.Listener() {
           @Override
-          public void leaderChanged(Moment at) {
+          public void leaderChanged(MonotonicTime at) {
             leadership.leaderChanged(at);
           }
 
           @Override
-          public void jobChanged(KnownJob job, Moment at) {}
+          public void jobChanged(KnownJob job, MonotonicTime at) {}
         });
   }
 
@@ -98,9 +98,9 @@
     assertThat(commit.changes()).containsExactly(new Change.Remove(StoreKeys.LEADER));
     outbox.deliverAnswer(removal.call(), new Answer.Committed(new Revision(11)));
     deliverChange(new KeyChange(StoreKeys.LEADER, Optional.empty(), new Revision(11)));
-    leadership.tick(now.plus(Span.millis(200)));
+    leadership.tick(now.plus(TimeSpan.millis(200)));
     assertThat(takeSent(Request.GrantLease.class)).isEmpty();
-    leadership.tick(now.plus(Span.millis(300)));
+    leadership.tick(now.plus(TimeSpan.millis(300)));
     assertThat(takeSent(Request.GrantLease.class)).isPresent();
   }
 
@@ -116,15 +116,15 @@
   void leaseRenewalDoesNotExtendWorkerAnswerWindow() {
     sendClaim();
     deliverOwnKey(12);
-    Moment read = view.lastConfirmed();
-    while (now.since(read).compareTo(Span.seconds(19.9)) < 0) {
-      now = now.plus(Span.millis(100));
+    MonotonicTime read = view.lastConfirmed();
+    while (now.since(read).compareTo(TimeSpan.seconds(19.9)) < 0) {
+      now = now.plus(TimeSpan.millis(100));
       leadership.tick(now);
       takeSent(Request.RenewLease.class)
           .ifPresent(renewal -> outbox.deliverAnswer(renewal.call(), new Answer.Ok()));
     }
     assertThat(leadership.mayAnswerWorkers(now)).isTrue();
-    now = now.plus(Span.millis(100));
+    now = now.plus(TimeSpan.millis(100));
     leadership.tick(now);
     assertThat(leadership.state()).isEqualTo(Leadership.State.LEADING);
     assertThat(leadership.mayAnswerWorkers(now)).isFalse();
@@ -176,7 +176,7 @@
   @Test
   void claimAppliedLateGrantsLeadershipOnlyUntilItsLeaseEnds() {
     sendClaim();
-    now = now.plus(Span.millis(5100));
+    now = now.plus(TimeSpan.millis(5100));
     leadership.tick(now);
     assertThat(leadership.state()).isEqualTo(Leadership.State.FOLLOWING);
     assertThat(takeSent(Request.RevokeLease.class)).isPresent();
@@ -208,7 +208,7 @@
   }
 
   private void restartWatch() {
-    now = now.plus(Span.millis(400));
+    now = now.plus(TimeSpan.millis(400));
     view.setTime(now);
     view.tick(now);
   }
@@ -236,10 +236,10 @@
     deliverChange(new KeyChange(own.key(), Optional.of(own.value()), own.revision()));
   }
 
-  private void deliverChange(KeyChange news) {
+  private void deliverChange(KeyChange change) {
     outbox.deliverAnswer(
         takeSent(Request.Watch.class).orElseThrow().call(),
-        new Answer.Changes(news.revision(), List.of(news)));
+        new Answer.Changes(change.revision(), List.of(change)));
   }
 
   private static Entry leaderKey(NodeId node, String incarnation, long stamp) {
--- a/src/test/java/org/oakwalk/core/leadership/LeaseRelayTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/LeaseRelayTest.java
@@ -9,13 +9,13 @@
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.SessionId;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Effect;
@@ -47,11 +47,12 @@
               List.of("a", "b"),
               Map.of(),
               List.of(),
-              new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(45)),
+              new Settings.WorkerTiming(
+                  TimeSpan.seconds(2), TimeSpan.seconds(10), TimeSpan.seconds(45)),
               new Settings.StateLimits(200, 100, 4, 8),
-              new Settings.CloudLimits(10, Span.seconds(5)),
-              Span.seconds(1)));
-  private final Moment now = new Moment(1_000_000);
+              new Settings.CloudLimits(10, TimeSpan.seconds(5)),
+              TimeSpan.seconds(1)));
+  private final MonotonicTime now = new MonotonicTime(1_000_000);
 
   /** The store copy is at revision 9, then 10, and the leader in the other zone does not answer. */
   @BeforeEach
@@ -59,10 +60,10 @@
     view.setListener(
         new StoreView.Listener() {
           @Override
-          public void leaderChanged(Moment at) {}
+          public void leaderChanged(MonotonicTime at) {}
 
           @Override
-          public void jobChanged(KnownJob known, Moment at) {}
+          public void jobChanged(KnownJob known, MonotonicTime at) {}
         });
     view.tick(now);
     StoredValue leader = new StoredValue.LeaderRecord(new NodeId("n-1"), "a", "x");
--- a/src/test/java/org/oakwalk/core/placement/JobTargetsTest.java
+++ b/src/test/java/org/oakwalk/core/placement/JobTargetsTest.java
@@ -11,14 +11,14 @@
 import org.junit.jupiter.api.Test;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
 import org.oakwalk.core.job.Resources;
 
 /** Whether a restarted task makes its job miss a target that the present run would meet. */
 class JobTargetsTest {
-  private static JobSpec job(String jobClass, Optional<Span> due) {
+  private static JobSpec job(String jobClass, Optional<TimeSpan> due) {
     return new JobSpec(
         new JobId("j-1"),
         jobClass,
@@ -34,9 +34,9 @@
         true,
         "img",
         1,
-        Span.seconds(10),
-        Span.millis(0),
-        Span.millis(0),
+        TimeSpan.seconds(10),
+        TimeSpan.millis(0),
+        TimeSpan.millis(0),
         due);
   }
 
@@ -63,10 +63,10 @@
               "own",
               random.nextBoolean()
                   ? Optional.empty()
-                  : Optional.of(Span.seconds(random.nextInt(100))));
-      Span end = Span.seconds(random.nextInt(120));
-      Span ran = Span.seconds(random.nextInt(60));
-      Optional<Span> reached = targets.earliestReachable(spec, end.minus(ran));
+                  : Optional.of(TimeSpan.seconds(random.nextInt(100))));
+      TimeSpan end = TimeSpan.seconds(random.nextInt(120));
+      TimeSpan ran = TimeSpan.seconds(random.nextInt(60));
+      Optional<TimeSpan> reached = targets.earliestReachable(spec, end.minus(ran));
       boolean expected =
           reached.isPresent() && !reached.equals(targets.earliestReachable(spec, end));
       boolean actual =
--- a/src/test/java/org/oakwalk/core/placement/MachineSearchTest.java
+++ b/src/test/java/org/oakwalk/core/placement/MachineSearchTest.java
@@ -15,12 +15,12 @@
 import org.junit.jupiter.api.TestFactory;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Policy;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
@@ -35,7 +35,7 @@
 /** The search, which caches the terms of the distance, chooses the same machines as a full one. */
 class MachineSearchTest {
   private static final int SEEDS = 40;
-  private static final Moment NOW = new Moment(1_000_000);
+  private static final MonotonicTime NOW = new MonotonicTime(1_000_000);
 
   private final MachineDistance distances = new MachineDistance(Policy.defaults().placement());
 
@@ -59,7 +59,7 @@
     int jobs = 0;
     while (jobs < 12) {
       Job job = job(++jobs, random);
-      Span run = job.spec().estimatedRunTime();
+      TimeSpan run = job.spec().estimatedRunTime();
       MachineSearch search = new MachineSearch(distances, job, machines, run, NOW);
       for (int index = 0; index < job.spec().tasks(); index++) {
         Machine found = search.nearest(new TaskId(job.id(), index));
@@ -76,7 +76,7 @@
   }
 
   /** The definition: nearest to an ideal machine with the lowest utilization of each resource. */
-  private Machine exhaustiveSearch(Job job, List<Machine> machines, Span run) {
+  private Machine exhaustiveSearch(Job job, List<Machine> machines, TimeSpan run) {
     Machine best = null;
     double bestDistance = Double.MAX_VALUE;
     for (Machine machine : machines) {
@@ -119,16 +119,16 @@
             false,
             "image-" + random.nextInt(4),
             random.nextInt(12),
-            service ? Span.seconds(0) : Span.seconds(5 + random.nextInt(90)),
-            Span.seconds(0),
-            Span.seconds(0),
+            service ? TimeSpan.seconds(0) : TimeSpan.seconds(5 + random.nextInt(90)),
+            TimeSpan.seconds(0),
+            TimeSpan.seconds(0),
             Optional.empty());
     return new Job(spec, new Revision(number), new WallTime(0), false, NOW);
   }
 
   static Fleet fleet() {
     Settings.WorkerTiming timing =
-        new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(40));
+        new Settings.WorkerTiming(TimeSpan.seconds(2), TimeSpan.seconds(10), TimeSpan.seconds(40));
     Fleet fleet =
         new Fleet(
             new Token(1),
@@ -138,13 +138,13 @@
             timing,
             new Fleet.Listener() {
               @Override
-              public void completed(Placement placement, Span ran) {}
+              public void completed(Placement placement, TimeSpan ran) {}
 
               @Override
-              public void placed(Job job, Moment now) {}
+              public void placed(Job job, MonotonicTime now) {}
 
               @Override
-              public void roomChanged() {}
+              public void capacityChanged() {}
             });
     fleet.types(
         Map.of(
@@ -155,6 +155,6 @@
 
   private static MachineType type(String name, int cpus, int memory) {
     return new MachineType(
-        name, new Resources(cpus, 0, memory), 40, 0.8, 1, 0.3, Span.seconds(20), List.of("a"));
+        name, new Resources(cpus, 0, memory), 40, 0.8, 1, 0.3, TimeSpan.seconds(20), List.of("a"));
   }
 }
--- a/src/test/java/org/oakwalk/core/placement/PreemptionPlannerTest.java
+++ b/src/test/java/org/oakwalk/core/placement/PreemptionPlannerTest.java
@@ -13,9 +13,9 @@
 import org.junit.jupiter.params.provider.ValueSource;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
@@ -28,7 +28,7 @@
 
 /** The work and the costs of planning preemptions. */
 class PreemptionPlannerTest {
-  private static final Moment NOW = new Moment(1_000_000);
+  private static final MonotonicTime NOW = new MonotonicTime(1_000_000);
 
   /**
    * Guards against inspecting every task of the fleet, for each waiting job and in each round, as
@@ -45,9 +45,9 @@
     Placement stopped = null;
     for (int i = 0; i < machines; i++) {
       Job job = MachineSearchTest.job(i, RandomSource.XO_RO_SHI_RO_128_PP.create(i));
-      stopped = fleet.place(job, 0, fleet.nextAttempt(), all.get(i), Span.seconds(60), NOW);
+      stopped = fleet.place(job, 0, fleet.nextAttempt(), all.get(i), TimeSpan.seconds(60), NOW);
     }
-    fleet.halt(stopped, Span.seconds(5), Fleet.StopReason.PREEMPTED);
+    fleet.halt(stopped, TimeSpan.seconds(5), Fleet.StopReason.PREEMPTED);
     PreemptionPlanner preemption =
         new PreemptionPlanner(
             fleet.preemptionIndex(),
@@ -81,9 +81,9 @@
     List<Machine> all = List.copyOf(fleet.machines());
     Job gang = job("j-1", JobSpec.Shape.GANG, Priority.LOW, 2);
     Job array = job("j-2", JobSpec.Shape.ARRAY, Priority.LOW, 1);
-    run(fleet, array, 0, all.get(0), new Moment(NOW.millis() - 15_000));
-    run(fleet, gang, 0, all.get(1), new Moment(NOW.millis() - 10_000));
-    run(fleet, gang, 1, all.get(2), new Moment(NOW.millis() - 10_000));
+    run(fleet, array, 0, all.get(0), new MonotonicTime(NOW.millis() - 15_000));
+    run(fleet, gang, 0, all.get(1), new MonotonicTime(NOW.millis() - 10_000));
+    run(fleet, gang, 1, all.get(2), new MonotonicTime(NOW.millis() - 10_000));
     PreemptionPlanner preemption =
         new PreemptionPlanner(
             fleet.preemptionIndex(),
@@ -105,9 +105,9 @@
     assertThat(cheapest.machine()).isEqualTo(all.get(0));
   }
 
-  private static void run(Fleet fleet, Job job, int index, Machine machine, Moment since) {
+  private static void run(Fleet fleet, Job job, int index, Machine machine, MonotonicTime since) {
     Placement placement =
-        fleet.place(job, index, fleet.nextAttempt(), machine, Span.seconds(60), since);
+        fleet.place(job, index, fleet.nextAttempt(), machine, TimeSpan.seconds(60), since);
     PlacementTestSupport.markRunning(placement, since);
   }
 
@@ -128,9 +128,9 @@
             false,
             "image",
             1,
-            Span.seconds(60),
-            Span.seconds(0),
-            Span.seconds(0),
+            TimeSpan.seconds(60),
+            TimeSpan.seconds(0),
+            TimeSpan.seconds(0),
             Optional.empty());
     return new Job(spec, new Revision(1), new WallTime(0), false, NOW);
   }
