--- a/src/test/java/org/oakwalk/core/placement/RankingTest.java
+++ b/src/test/java/org/oakwalk/core/placement/RankingTest.java
@@ -16,13 +16,13 @@
 import org.junit.jupiter.api.TestFactory;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Policy;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.SessionId;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
@@ -48,10 +48,11 @@
   private static final int SEEDS = 20;
   private static final int STEPS = 120;
   private static final MachineType TYPE =
-      new MachineType("m", new Resources(4, 0, 16), 40, 1, 1, 0.3, Span.seconds(20), List.of("a"));
+      new MachineType(
+          "m", new Resources(4, 0, 16), 40, 1, 1, 0.3, TimeSpan.seconds(20), List.of("a"));
 
   private final Settings.WorkerTiming timing =
-      new Settings.WorkerTiming(Span.seconds(2), Span.seconds(10), Span.seconds(40));
+      new Settings.WorkerTiming(TimeSpan.seconds(2), TimeSpan.seconds(10), TimeSpan.seconds(40));
   private final Map<String, Settings.Team> teams =
       Map.of(
           "crew", new Settings.Team("crew", 30, 0, 0, 0),
@@ -59,7 +60,7 @@
   private final JobTargets targets =
       new JobTargets(List.of(new Settings.Objective("finished", "quick", 50, 0.9, 1)));
   private final StoreView view = new StoreView(new Outbox(), 200, 3);
-  private final JobRegistry jobs = new JobRegistry(view, new Token(1), new Moment(0));
+  private final JobRegistry jobs = new JobRegistry(view, new Token(1), new MonotonicTime(0));
   private final RunTimeEstimates runTimes = new RunTimeEstimates();
   private final JobScorer scorer = new JobScorer(Policy.defaults().scoring(), targets);
   private final Fleet fleet =
@@ -71,13 +72,13 @@
           timing,
           new Fleet.Listener() {
             @Override
-            public void completed(Placement placement, Span ran) {}
+            public void completed(Placement placement, TimeSpan ran) {}
 
             @Override
-            public void placed(Job job, Moment now) {}
+            public void placed(Job job, MonotonicTime now) {}
 
             @Override
-            public void roomChanged() {}
+            public void capacityChanged() {}
           });
   private final Quota quota = new Quota(teams, fleet);
   private int numbers;
@@ -101,7 +102,7 @@
     List<Job> known = new ArrayList<>();
     for (int step = 0; step < STEPS; step++) {
       millis += 50 + random.nextInt(900);
-      Moment now = new Moment(millis);
+      MonotonicTime now = new MonotonicTime(millis);
       WallTime wall = new WallTime(millis);
       if (known.size() < 60) {
         known.add(job(random, now, wall));
@@ -131,15 +132,15 @@
 
   /** The definition: the score computed from scratch. */
   private double scoreFromScratch(
-      Job job, Map<MachineType, Integer> machines, Moment now, WallTime wall) {
-    int places = machines.get(TYPE) * TYPE.room().capacityFor(job.spec().resources());
-    Span run = runTimes.expected(job.spec());
-    Span rest = run.plus(run.times(job.pendingCount() / (double) places));
-    Span wait = now.since(job.waitingSince());
-    return scorer.score(job, rest, wait, TYPE.room(), quota.withinGuarantee(job), wall);
+      Job job, Map<MachineType, Integer> machines, MonotonicTime now, WallTime wall) {
+    int places = machines.get(TYPE) * TYPE.resources().capacityFor(job.spec().resources());
+    TimeSpan run = runTimes.expected(job.spec());
+    TimeSpan rest = run.plus(run.times(job.pendingCount() / (double) places));
+    TimeSpan wait = now.since(job.waitingSince());
+    return scorer.score(job, rest, wait, TYPE.resources(), quota.withinGuarantee(job), wall);
   }
 
-  private static void change(Job job, UniformRandomProvider random, Moment now) {
+  private static void change(Job job, UniformRandomProvider random, MonotonicTime now) {
     int index = job.nextPending(0, now);
     if (index >= 0 && random.nextBoolean()) {
       job.assign(index);
@@ -151,7 +152,7 @@
     }
   }
 
-  private Job job(UniformRandomProvider random, Moment now, WallTime wall) {
+  private Job job(UniformRandomProvider random, MonotonicTime now, WallTime wall) {
     boolean service = varied && random.nextInt(4) == 0;
     JobId id = new JobId("j-" + ++numbers);
     JobSpec spec =
@@ -170,11 +171,11 @@
             !varied || random.nextBoolean(),
             "image",
             1,
-            service ? Span.seconds(0) : Span.seconds(5 + random.nextInt(60)),
-            Span.seconds(0),
-            Span.seconds(0),
+            service ? TimeSpan.seconds(0) : TimeSpan.seconds(5 + random.nextInt(60)),
+            TimeSpan.seconds(0),
+            TimeSpan.seconds(0),
             random.nextBoolean()
-                ? Optional.of(Span.seconds(20 + random.nextInt(200)))
+                ? Optional.of(TimeSpan.seconds(20 + random.nextInt(200)))
                 : Optional.empty());
     jobs.applyStoredChange(
         new KnownJob(id, JobRecord.Phase.OPEN, new Revision(numbers + 1), wall, spec, spec.tasks()),
@@ -199,13 +200,13 @@
     List<Job> inOrder = new ArrayList<>();
     for (int i = 0; i < 40; i++) {
       long millis = 1_000_000 + i * 1000L;
-      Job job = equalJob(new Moment(millis), new WallTime(millis));
+      Job job = equalJob(new MonotonicTime(millis), new WallTime(millis));
       inOrder.add(job);
       // Run times alternate between 0.93 and 1.0 of the guess; the change is too small for
       // rescoring.
       double ratio = i % 20 < 10 ? 0.93 : 1.0;
       runTimes.record(job, job.spec().estimatedRunTime().times(ratio));
-      ranking.refresh(machines, List.of(), new Moment(millis), new WallTime(millis));
+      ranking.refresh(machines, List.of(), new MonotonicTime(millis), new WallTime(millis));
     }
     Ranking.RankingTraversal traversal =
         ranking.new RankingTraversal(true, Set.of(), equivalenceClass -> 0, job -> 0);
@@ -216,9 +217,9 @@
     assertThat(order).containsExactlyElementsOf(inOrder);
   }
 
-  private Job equalJob(Moment now, WallTime wall) {
+  private Job equalJob(MonotonicTime now, WallTime wall) {
     JobId id = new JobId("j-" + ++numbers);
-    JobSpec spec = ArrayJobs.spec(id.value(), 3, Span.seconds(60));
+    JobSpec spec = ArrayJobs.spec(id.value(), 3, TimeSpan.seconds(60));
     jobs.applyStoredChange(
         new KnownJob(id, JobRecord.Phase.OPEN, new Revision(numbers + 1), wall, spec, spec.tasks()),
         now);
@@ -248,7 +249,7 @@
     varied = false;
     fleet.types(Map.of("m", TYPE));
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(7);
-    Moment begin = new Moment(1_000_000);
+    MonotonicTime begin = new MonotonicTime(1_000_000);
     for (int i = 0; i < 40; i++) {
       fleet
           .add(new MachineId("m-" + i), "", "m", "a", i % 3 == 0, Machine.State.UP, begin)
@@ -262,7 +263,7 @@
             targets,
             quota,
             runTimes,
-            Span.seconds(600),
+            TimeSpan.seconds(600),
             stops -> true,
             CapacityReserve.NONE,
             CapacityExchange.NONE);
@@ -271,12 +272,12 @@
     }
     long millis = begin.millis();
     for (Machine machine : fleet.machines()) {
-      report(machine, 1, List.of(), new Moment(millis));
+      report(machine, 1, List.of(), new MonotonicTime(millis));
     }
     // Warm-up: the queue is new to the leader, and deadlines that can still be met come nearer.
     for (int i = 0; i < 150; i++) {
       millis += 2000;
-      placer.runRound(true, true, new Moment(millis), new WallTime(millis));
+      placer.runRound(true, true, new MonotonicTime(millis), new WallTime(millis));
     }
     long before = placer.evaluations();
     List<Machine> machines = List.copyOf(fleet.machines());
@@ -293,14 +294,14 @@
                 ends ? Report.TaskState.ENDED : Report.TaskState.RUNNING,
                 ends ? Report.Cause.DONE : Report.Cause.OTHER));
       }
-      report(machine, 10 + i, pieces, new Moment(millis));
-      placer.runRound(true, i % 20 == 0, new Moment(millis), new WallTime(millis));
+      report(machine, 10 + i, pieces, new MonotonicTime(millis));
+      placer.runRound(true, i % 20 == 0, new MonotonicTime(millis), new WallTime(millis));
     }
     return placer.evaluations() - before;
   }
 
   private void report(
-      Machine machine, long sequence, List<Report.ReportedTask> pieces, Moment now) {
+      Machine machine, long sequence, List<Report.ReportedTask> pieces, MonotonicTime now) {
     fleet.handleReport(
         new Report(
             machine.id(),
--- a/src/test/java/org/oakwalk/core/planner/PlanningStatisticsTest.java
+++ b/src/test/java/org/oakwalk/core/planner/PlanningStatisticsTest.java
@@ -8,9 +8,9 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.Job;
 import org.oakwalk.core.job.JobSpec;
@@ -27,11 +27,11 @@
       new BatchDeadlineTerms(
           "d",
           Optional.empty(),
-          Optional.of(Span.seconds(2400)),
-          Span.seconds(2000),
+          Optional.of(TimeSpan.seconds(2400)),
+          TimeSpan.seconds(2000),
           Set.of(),
           Set.of(),
-          Span.seconds(0),
+          TimeSpan.seconds(0),
           0.9);
 
   private static Job job(String id, int tasks) {
@@ -51,11 +51,11 @@
             false,
             "img",
             0,
-            Span.seconds(20),
-            Span.seconds(0),
-            Span.seconds(0),
+            TimeSpan.seconds(20),
+            TimeSpan.seconds(0),
+            TimeSpan.seconds(0),
             Optional.empty());
-    return new Job(spec, new Revision(1), new WallTime(0), false, new Moment(0));
+    return new Job(spec, new Revision(1), new WallTime(0), false, new MonotonicTime(0));
   }
 
   @Test
@@ -63,7 +63,7 @@
     PlanningStatistics statistics = new PlanningStatistics();
     assertThat(statistics.runTimes.quantileRatio("photos", 0.9)).isGreaterThan(1);
     for (int i = 0; i < 100; i++) {
-      statistics.taskCompleted(job("j-" + i, 1), Span.seconds(i % 10 == 0 ? 60 : 20));
+      statistics.taskCompleted(job("j-" + i, 1), TimeSpan.seconds(i % 10 == 0 ? 60 : 20));
     }
     assertThat(statistics.runTimes.meanRatio("photos")).isCloseTo(1.2, within(0.1));
     assertThat(statistics.runTimes.quantileRatio("photos", 0.95)).isCloseTo(3, within(0.2));
@@ -76,10 +76,10 @@
     PlanningStatistics statistics = new PlanningStatistics();
     Job largeJob = job("odd", 1000);
     for (int i = 0; i < 1000; i++) {
-      statistics.taskCompleted(largeJob, Span.seconds(100));
+      statistics.taskCompleted(largeJob, TimeSpan.seconds(100));
     }
     for (int i = 0; i < 80; i++) {
-      statistics.taskCompleted(job("j-" + i, 1), Span.seconds(20));
+      statistics.taskCompleted(job("j-" + i, 1), TimeSpan.seconds(20));
     }
     assertThat(statistics.runTimes.meanRatio("photos")).isLessThan(1.5);
   }
@@ -113,7 +113,7 @@
     PlanningStatistics statistics = new PlanningStatistics();
     statistics.setTerms(List.of(DAWN));
     for (int i = 0; i < 60; i++) {
-      statistics.taskCompleted(job("j-" + i, 1), Span.seconds(10 + i));
+      statistics.taskCompleted(job("j-" + i, 1), TimeSpan.seconds(10 + i));
       statistics.jobChanged(job("k-" + i, 2), new WallTime(i * 30_000L));
     }
     PlanningStatistics restored = new PlanningStatistics();
--- a/src/test/java/org/oakwalk/core/planner/PlanningWindowTest.java
+++ b/src/test/java/org/oakwalk/core/planner/PlanningWindowTest.java
@@ -10,12 +10,12 @@
 import org.junit.jupiter.api.Test;
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.product.BatchDeadlineTerms;
 
 class PlanningWindowTest {
-  private static final Span NO_CLOCK_ERROR = Span.millis(0);
+  private static final TimeSpan NO_CLOCK_ERROR = TimeSpan.millis(0);
 
   private static BatchDeadlineTerms daily(String opens, String by, double margin) {
     return terms(
@@ -27,9 +27,16 @@
   }
 
   private static BatchDeadlineTerms terms(
-      Optional<BatchDeadlineTerms.DailyDeadline> daily, Optional<Span> every, double margin) {
+      Optional<BatchDeadlineTerms.DailyDeadline> daily, Optional<TimeSpan> every, double margin) {
     return new BatchDeadlineTerms(
-        "morning", daily, every, Span.seconds(100), Set.of(), Set.of(), Span.seconds(margin), 0.9);
+        "morning",
+        daily,
+        every,
+        TimeSpan.seconds(100),
+        Set.of(),
+        Set.of(),
+        TimeSpan.seconds(margin),
+        0.9);
   }
 
   private static WallTime at(String time) {
@@ -68,13 +75,13 @@
   void clockErrorMovesTheTargetEarlier() {
     WallTime now = at("2026-12-01T01:00+01:00");
     PlanningWindow window =
-        PlanningWindow.next(daily("20:00", "06:00", 600), now, Span.millis(250)).orElseThrow();
+        PlanningWindow.next(daily("20:00", "06:00", 600), now, TimeSpan.millis(250)).orElseThrow();
     assertThat(window.finishBy().millis()).isEqualTo(at("2026-12-01T05:50+01:00").millis() - 250);
   }
 
   @Test
   void windowsRepeatAtAFixedInterval() {
-    BatchDeadlineTerms terms = terms(Optional.empty(), Optional.of(Span.seconds(300)), 20);
+    BatchDeadlineTerms terms = terms(Optional.empty(), Optional.of(TimeSpan.seconds(300)), 20);
     PlanningWindow window =
         PlanningWindow.next(terms, new WallTime(1_000_000), NO_CLOCK_ERROR).orElseThrow();
     assertThat(window)
--- a/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
@@ -7,10 +7,10 @@
 import java.util.Set;
 import org.junit.jupiter.api.Test;
 import org.oakwalk.core.JobId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.Fleet;
@@ -37,14 +37,14 @@
 
 /** Covers the recovery of a new leader with malformed records and failing reads. */
 class RecoveryTest {
-  private static final Moment TERM_START = new Moment(1_000_000);
+  private static final MonotonicTime TERM_START = new MonotonicTime(1_000_000);
   private static final Token TOKEN = new Token(7);
   private static final Guard GUARD = new Guard(StoreKeys.LEADER, new Revision(7));
   private static final Map<String, MachineType> TYPES =
       Map.of(
           "t",
           new MachineType(
-              "t", new Resources(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a")));
+              "t", new Resources(4, 0, 16), 10, 1, 1, 1, TimeSpan.seconds(1), List.of("a")));
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
@@ -59,13 +59,13 @@
           null,
           new Fleet.Listener() {
             @Override
-            public void completed(Placement placement, Span ran) {}
+            public void completed(Placement placement, TimeSpan ran) {}
 
             @Override
-            public void placed(Job job, Moment now) {}
+            public void placed(Job job, MonotonicTime now) {}
 
             @Override
-            public void roomChanged() {}
+            public void capacityChanged() {}
           });
   private final Recovery recovery =
       new Recovery(
@@ -75,9 +75,9 @@
           new ResultWriter(outbox, jobs, view, GUARD, limits),
           new MachineRegistry(outbox, fleet, GUARD, limits),
           Set.of(),
-          Span.seconds(20),
+          TimeSpan.seconds(20),
           TERM_START);
-  private Moment now = TERM_START;
+  private MonotonicTime now = TERM_START;
 
   private JobRegistry jobBookWithOneJob() {
     JobSpec spec = ArrayJobs.spec("j-1", 10);
@@ -85,10 +85,10 @@
     view.setListener(
         new StoreView.Listener() {
           @Override
-          public void leaderChanged(Moment at) {}
+          public void leaderChanged(MonotonicTime at) {}
 
           @Override
-          public void jobChanged(KnownJob job, Moment at) {}
+          public void jobChanged(KnownJob job, MonotonicTime at) {}
         });
     view.tick(TERM_START);
     outbox.deliverAnswer(
@@ -98,7 +98,7 @@
   }
 
   private Effect.Call tickAndExpectRead(String prefix) {
-    now = now.plus(Span.millis(250));
+    now = now.plus(TimeSpan.millis(250));
     recovery.tick(TYPES, now);
     List<Effect> effects = outbox.takeEffects();
     assertThat(effects).hasSize(1);
@@ -132,7 +132,7 @@
               new ResultWriter(outbox, jobs, view, GUARD, limits),
               new MachineRegistry(outbox, fleet, GUARD, limits),
               Set.of(),
-              Span.seconds(20),
+              TimeSpan.seconds(20),
               TERM_START);
       fresh.tick(TYPES, now);
       outbox.deliverAnswer(((Effect.Call) outbox.takeEffects().get(0)).call(), answer);
@@ -153,12 +153,12 @@
         tickAndExpectRead(StoreKeys.DONE_PREFIX).call(),
         new Answer.Page(List.of(), false, new Revision(9)));
     Effect.Call machines = (Effect.Call) outbox.takeEffects().get(0);
-    now = now.plus(Span.seconds(5));
+    now = now.plus(TimeSpan.seconds(5));
     recovery.leaseRenewedBeforeReports(now);
-    Moment answered = now;
+    MonotonicTime answered = now;
     outbox.deliverAnswer(machines.call(), new Answer.Page(List.of(), false, new Revision(9)));
     assertThat(recovery.acceptsReports()).isTrue();
-    recovery.leaseRenewedBeforeReports(now.plus(Span.seconds(1)));
+    recovery.leaseRenewedBeforeReports(now.plus(TimeSpan.seconds(1)));
     assertThat(recovery.lastUnseenRenewal()).isEqualTo(answered);
   }
 
--- a/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
@@ -11,14 +11,14 @@
 import org.oakwalk.core.Attempt;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Order;
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.SessionId;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.fleet.Fleet;
 import org.oakwalk.core.fleet.Machine;
@@ -42,13 +42,13 @@
 /** Covers how a new leader handles stored results and unreadable records. */
 class StoredResultsTest {
   private static final MachineType TYPE =
-      new MachineType("m", new Resources(4, 0, 16), 10, 1, 1, 1, Span.seconds(1), List.of("a"));
+      new MachineType("m", new Resources(4, 0, 16), 10, 1, 1, 1, TimeSpan.seconds(1), List.of("a"));
   private static final Settings.StateLimits LIMITS = new Settings.StateLimits(100, 100, 4, 4);
 
   private final Outbox outbox = new Outbox();
   private final FaultyStore store = new FaultyStore();
   private final StoreView view = new StoreView(outbox, 200, 1);
-  private final Moment now = new Moment(1000);
+  private final MonotonicTime now = new MonotonicTime(1000);
   private JobRegistry jobs;
   private Fleet fleet;
   private Recovery recovery;
@@ -64,10 +64,10 @@
     view.setListener(
         new StoreView.Listener() {
           @Override
-          public void leaderChanged(Moment at) {}
+          public void leaderChanged(MonotonicTime at) {}
 
           @Override
-          public void jobChanged(KnownJob known, Moment at) {}
+          public void jobChanged(KnownJob known, MonotonicTime at) {}
         });
     view.tick(now);
     serve();
@@ -75,7 +75,7 @@
     Guard guard = new Guard(StoreKeys.LEADER, new Revision(100));
     jobs = new JobRegistry(view, token, now);
     Settings.WorkerTiming timing =
-        new Settings.WorkerTiming(Span.seconds(1), Span.seconds(10), Span.seconds(30));
+        new Settings.WorkerTiming(TimeSpan.seconds(1), TimeSpan.seconds(10), TimeSpan.seconds(30));
     fleet =
         new Fleet(
             token,
@@ -85,13 +85,13 @@
             timing,
             new Fleet.Listener() {
               @Override
-              public void completed(Placement placement, Span ran) {}
+              public void completed(Placement placement, TimeSpan ran) {}
 
               @Override
-              public void placed(Job job, Moment at) {}
+              public void placed(Job job, MonotonicTime at) {}
 
               @Override
-              public void roomChanged() {}
+              public void capacityChanged() {}
             });
     fleet.types(java.util.Map.of("m", TYPE));
     recovery =
@@ -102,7 +102,7 @@
             new ResultWriter(outbox, jobs, view, guard, LIMITS),
             new MachineRegistry(outbox, fleet, guard, LIMITS),
             Set.of(),
-            Span.seconds(20),
+            TimeSpan.seconds(20),
             now);
     for (int i = 0; i < 5; i++) {
       recovery.tick(java.util.Map.of("m", TYPE), now);
--- a/src/test/java/org/oakwalk/core/shared/StoredSharedRecordTest.java
+++ b/src/test/java/org/oakwalk/core/shared/StoredSharedRecordTest.java
@@ -12,7 +12,7 @@
 import org.apache.commons.rng.simple.RandomSource;
 import org.junit.jupiter.api.Test;
 import org.oakwalk.core.CallId;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
 import org.oakwalk.core.port.Answer;
@@ -95,7 +95,7 @@
       long now = 0;
       for (int step = 0; step < STEPS; step++, now += STEP_MILLIS) {
         faultsEnabled = step < STEPS / 2;
-        step(step, new Moment(now));
+        step(step, new MonotonicTime(now));
       }
       assertThat(currentLeader().record.isUpToDate()).as("up to date").isTrue();
       assertThat(readAsNewLeader()).as("number of the last write request").isEqualTo(lastWrite);
@@ -104,7 +104,7 @@
           .isLessThanOrEqualTo((int) (now / 1000 * LIMITS.writesPerSecond() / 10) + 10);
     }
 
-    private void step(int step, Moment now) {
+    private void step(int step, MonotonicTime now) {
       if (faultsEnabled && random.nextInt(60) == 0) {
         electLeader();
       }
@@ -200,7 +200,7 @@
           new SharedRecords(outbox, new Guard(StoreKeys.LEADER, Revision.NONE), LIMITS);
       SharedRecord<Row> record = state.declare("rows", Row.class);
       while (!state.isLoaded()) {
-        state.tick(new Moment(0));
+        state.tick(new MonotonicTime(0));
         for (Effect effect : outbox.takeEffects()) {
           Effect.Call call = (Effect.Call) effect;
           outbox.deliverAnswer(call.call(), apply(call.request()));
@@ -249,16 +249,16 @@
   @Test
   void laterWriteReplacesPendingWrite() {
     Leader leader = new Leader(new Revision(1));
-    leader.state.tick(new Moment(0));
+    leader.state.tick(new MonotonicTime(0));
     answer(leader, new Answer.Page(List.of(), false, new Revision(1)));
     long first = leader.record.requestWrite(List.of(new Row(1, 0, 1)));
-    leader.state.tick(new Moment(1000));
-    leader.state.tick(new Moment(2000));
+    leader.state.tick(new MonotonicTime(1000));
+    leader.state.tick(new MonotonicTime(2000));
     leader.record.requestWrite(List.of(new Row(2, 0, 1)));
     long last = leader.record.requestWrite(List.of(new Row(3, 0, 1)));
     answer(leader, new Answer.Committed(new Revision(2)));
     assertThat(leader.record.revision()).isEqualTo(first);
-    leader.state.tick(new Moment(3000));
+    leader.state.tick(new MonotonicTime(3000));
     answer(leader, new Answer.Committed(new Revision(3)));
     assertThat(leader.record.revision()).isEqualTo(last);
     assertThat(leader.record.storedRows()).containsExactly(new Row(3, 0, 1));
@@ -273,18 +273,18 @@
   void damagedRecordDoesNotAffectOtherRecords() {
     Leader leader = new Leader(new Revision(1));
     SharedRecord<Row> other = leader.state.declare("sound", Row.class);
-    leader.state.tick(new Moment(0));
+    leader.state.tick(new MonotonicTime(0));
     Entry damaged =
         new Entry(
             StoreKeys.sharedHead("rows"), new StoredValue.Unreadable("form 9"), new Revision(1));
     answer(leader, new Answer.Page(List.of(damaged), false, new Revision(1)));
     assertThat(leader.record.isUnusable()).isTrue();
     leader.record.requestWrite(List.of(new Row(1, 0, 1)));
-    leader.state.tick(new Moment(1000));
-    leader.state.tick(new Moment(2000));
+    leader.state.tick(new MonotonicTime(1000));
+    leader.state.tick(new MonotonicTime(2000));
     assertThat(leader.outbox.takeEffects()).isEmpty();
     other.requestWrite(List.of(new Row(1, 0, 1)));
-    leader.state.tick(new Moment(3000));
+    leader.state.tick(new MonotonicTime(3000));
     answer(leader, new Answer.Committed(new Revision(2)));
     assertThat(other.isUpToDate()).isTrue();
   }
--- a/src/test/java/org/oakwalk/core/store/RateLimitedService.java
+++ b/src/test/java/org/oakwalk/core/store/RateLimitedService.java
@@ -11,7 +11,7 @@
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 
@@ -45,10 +45,10 @@
         List.of("a"),
         Map.of(),
         List.of(),
-        new Settings.WorkerTiming(Span.seconds(1), Span.seconds(10), Span.seconds(30)),
+        new Settings.WorkerTiming(TimeSpan.seconds(1), TimeSpan.seconds(10), TimeSpan.seconds(30)),
         new Settings.StateLimits(REQUESTS_PER_SECOND, WRITES_PER_SECOND, 4, 8),
-        new Settings.CloudLimits(10, Span.seconds(1)),
-        Span.millis(0));
+        new Settings.CloudLimits(10, TimeSpan.seconds(1)),
+        TimeSpan.millis(0));
   }
 
   void after(long millis, Runnable action) {
--- a/src/test/java/org/oakwalk/core/store/RequestQueueTest.java
+++ b/src/test/java/org/oakwalk/core/store/RequestQueueTest.java
@@ -10,7 +10,7 @@
 import org.junit.jupiter.api.Test;
 import org.oakwalk.core.LeaseId;
 import org.oakwalk.core.Revision;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Request;
 
@@ -254,7 +254,7 @@
     List<Request.StateServiceRequest> requests =
         List.of(
             new Request.RenewLease(new LeaseId(1)),
-            new Request.Watch("k", Revision.NONE, Span.millis(0), Request.Urgency.ACCEPTANCE));
+            new Request.Watch("k", Revision.NONE, TimeSpan.millis(0), Request.Urgency.ACCEPTANCE));
     for (int round = 0; round < 20; round++) {
       run(service.now + 250);
       long startedAt = service.now;
--- a/src/test/java/org/oakwalk/core/store/StatusReadRateTest.java
+++ b/src/test/java/org/oakwalk/core/store/StatusReadRateTest.java
@@ -6,7 +6,7 @@
 import java.util.List;
 import java.util.Optional;
 import org.junit.jupiter.api.Test;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.port.Effect;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
@@ -39,18 +39,18 @@
       view.setListener(
           new StoreView.Listener() {
             @Override
-            public void leaderChanged(Moment at) {}
+            public void leaderChanged(MonotonicTime at) {}
 
             @Override
-            public void jobChanged(KnownJob job, Moment at) {}
+            public void jobChanged(KnownJob job, MonotonicTime at) {}
           });
       view.setLeading(number == 0);
     }
 
     void step() {
-      view.setTime(new Moment(service.now));
+      view.setTime(new MonotonicTime(service.now));
       if (service.now % TICK_MILLIS == 0) {
-        view.tick(new Moment(service.now));
+        view.tick(new MonotonicTime(service.now));
       }
       send();
       queue.sendDue(service.now);
@@ -73,7 +73,7 @@
     void query() {
       long startedAt = service.now;
       view.catchUp(
-          new Moment(startedAt),
+          new MonotonicTime(startedAt),
           current -> {
             answered++;
             failed += current ? 0 : 1;
--- a/src/test/java/org/oakwalk/core/store/StoreViewTest.java
+++ b/src/test/java/org/oakwalk/core/store/StoreViewTest.java
@@ -7,10 +7,10 @@
 import java.util.Optional;
 import org.junit.jupiter.api.BeforeEach;
 import org.junit.jupiter.api.Test;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.NodeId;
 import org.oakwalk.core.Revision;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Answer;
 import org.oakwalk.core.port.Effect;
@@ -28,20 +28,20 @@
   private final StoreView view = new StoreView(outbox, 200, 3);
   private final List<Effect.Call> sentCalls = new ArrayList<>();
   private int historyTruncations;
-  private Moment now = new Moment(1_000_000);
+  private MonotonicTime now = new MonotonicTime(1_000_000);
 
   @BeforeEach
   void setListener() {
     view.setListener(
         new StoreView.Listener() {
           @Override
-          public void leaderChanged(Moment at) {}
+          public void leaderChanged(MonotonicTime at) {}
 
           @Override
-          public void jobChanged(KnownJob job, Moment at) {}
+          public void jobChanged(KnownJob job, MonotonicTime at) {}
 
           @Override
-          public void historyTruncated(Moment at) {
+          public void historyTruncated(MonotonicTime at) {
             historyTruncations++;
           }
         });
@@ -49,7 +49,7 @@
 
   @Test
   void slowLoadConfirmsOnlyTheTimeOfItsFirstPage() {
-    Moment firstPageSent = now;
+    MonotonicTime firstPageSent = now;
     tick();
     answer(Request.ReadPage.class, page("a", true, 10));
     answer(Request.ReadPage.class, DOWN);
@@ -63,7 +63,7 @@
     assertThat(view.isFresh(now)).isFalse();
     Request.Watch next = (Request.Watch) takeSent(Request.Watch.class).orElseThrow().request();
     assertThat(next.after()).isEqualTo(new Revision(10));
-    assertThat(next.maxWait()).isEqualTo(Span.millis(0));
+    assertThat(next.maxWait()).isEqualTo(TimeSpan.millis(0));
   }
 
   @Test
@@ -71,7 +71,7 @@
     tick();
     answer(Request.ReadPage.class, DOWN);
     advance(5000);
-    Moment secondTry = now;
+    MonotonicTime secondTry = now;
     answer(Request.ReadPage.class, page("a", false, 10));
     assertThat(view.lastConfirmed()).isEqualTo(secondTry);
   }
@@ -79,7 +79,7 @@
   @Test
   void lateAnswerConfirmsOnlyTheTimeOfItsRequest() {
     load();
-    Moment watchSent = now;
+    MonotonicTime watchSent = now;
     Effect.Call watch = takeSent(Request.Watch.class).orElseThrow();
     advance(2000);
     outbox.deliverAnswer(watch.call(), new Answer.Changes(new Revision(11), List.of()));
@@ -89,7 +89,7 @@
   @Test
   void failedReadsDoNotAdvanceTheConfirmedTime() {
     load();
-    Moment before = view.lastConfirmed();
+    MonotonicTime before = view.lastConfirmed();
     answer(Request.Watch.class, DOWN);
     advance(500);
     answer(Request.Watch.class, new Answer.OutcomeUnknown("timeout"));
@@ -109,7 +109,7 @@
     outbox.deliverAnswer(watch.call(), gone);
     assertThat(historyTruncations).isEqualTo(1);
     advance(500);
-    Moment firstPageSent = now;
+    MonotonicTime firstPageSent = now;
     answer(Request.ReadPage.class, page("a", true, 50));
     outbox.deliverAnswer(read.call(), gone);
     assertThat(historyTruncations).isEqualTo(1);
@@ -124,7 +124,7 @@
   @Test
   void relayAnnouncementAgeCountsFromTheLastReadWithoutIt() {
     load();
-    Moment lastRead = view.lastConfirmed();
+    MonotonicTime lastRead = view.lastConfirmed();
     answer(Request.Watch.class, DOWN);
     advance(20_000);
     answer(
@@ -147,7 +147,7 @@
   }
 
   private void advance(long millis) {
-    now = now.plus(Span.millis(millis));
+    now = now.plus(TimeSpan.millis(millis));
     tick();
   }
 
--- a/src/test/java/org/oakwalk/daemon/DrainPolicyReaderTest.java
+++ b/src/test/java/org/oakwalk/daemon/DrainPolicyReaderTest.java
@@ -13,7 +13,7 @@
 import org.junit.jupiter.params.provider.CsvSource;
 import org.oakwalk.core.Policy;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.drain.DisruptionBudget;
 import org.oakwalk.core.drain.DrainPlan;
 
@@ -47,10 +47,10 @@
                 DrainPlan.DrainMode.REPLACE,
                 10,
                 10,
-                Span.seconds(5),
-                Span.seconds(120),
-                Span.seconds(5),
-                Span.seconds(15)));
+                TimeSpan.seconds(5),
+                TimeSpan.seconds(120),
+                TimeSpan.seconds(5),
+                TimeSpan.seconds(15)));
     assertThat(policy.drains().budgets())
         .containsExactly(
             new DisruptionBudget("vision", Optional.empty(), 0.1, Optional.of(600)),
--- a/src/test/java/org/oakwalk/daemon/ProductTermsReaderTest.java
+++ b/src/test/java/org/oakwalk/daemon/ProductTermsReaderTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.product.BatchDeadlineTerms;
 import org.oakwalk.core.product.ExchangeTerms;
 import org.oakwalk.core.product.HeadroomTerms;
@@ -51,19 +51,19 @@
                                 LocalTime.of(20, 0),
                                 ZoneId.of("Europe/Ljubljana"))),
                         Optional.empty(),
-                        Span.seconds(36_000),
+                        TimeSpan.seconds(36_000),
                         Set.of("resize"),
                         Set.of("vision"),
-                        Span.seconds(900),
+                        TimeSpan.seconds(900),
                         0.9),
                     new BatchDeadlineTerms(
                         "tide",
                         Optional.empty(),
-                        Optional.of(Span.seconds(21_600)),
-                        Span.seconds(7200),
+                        Optional.of(TimeSpan.seconds(21_600)),
+                        TimeSpan.seconds(7200),
                         Set.of(),
                         Set.of(),
-                        Span.seconds(0),
+                        TimeSpan.seconds(0),
                         0.9)),
                 List.of(
                     new HeadroomTerms(
@@ -82,8 +82,8 @@
                         Set.of("vision"),
                         64,
                         0.1,
-                        Span.seconds(10),
-                        Span.seconds(60)))));
+                        TimeSpan.seconds(10),
+                        TimeSpan.seconds(60)))));
   }
 
   @Test
--- a/src/test/java/org/oakwalk/daemon/SettingsTest.java
+++ b/src/test/java/org/oakwalk/daemon/SettingsTest.java
@@ -11,7 +11,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.CsvSource;
 import org.oakwalk.core.Policy;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 
 /** Reading and validation of the platform's settings file and of the operators' policy file. */
 class SettingsTest {
@@ -65,7 +65,7 @@
   @Test
   void platformFileIsRead() throws Exception {
     PlatformSettings settings = PlatformSettings.read(settingsFile(PLATFORM_TOML));
-    assertThat(settings.core().workers().leaseDuration()).isEqualTo(Span.seconds(20));
+    assertThat(settings.core().workers().leaseDuration()).isEqualTo(TimeSpan.seconds(20));
     assertThat(settings.core().teams().get("crew").cpusMax()).isEqualTo(2);
     assertThat(settings.core().objectives().get(0).jobClass()).isEqualTo("web");
     assertThat(settings.peers().values()).containsExactly("127.0.0.1:9");
@@ -112,7 +112,7 @@
     Policy policy =
         PolicyFile.read(settingsFile("score {\n  alpha = 0.4\n}\nrounds {\n  period_s = 1\n}\n"));
     assertThat(policy.scoring().alpha()).isEqualTo(0.4);
-    assertThat(policy.roundInterval()).isEqualTo(Span.seconds(1));
+    assertThat(policy.roundInterval()).isEqualTo(TimeSpan.seconds(1));
     assertThat(policy.placement()).isEqualTo(Policy.defaults().placement());
   }
 
--- a/src/test/java/org/oakwalk/daemon/StatusReadLoadTest.java
+++ b/src/test/java/org/oakwalk/daemon/StatusReadLoadTest.java
@@ -24,7 +24,7 @@
 import org.junit.jupiter.api.io.TempDir;
 import org.oakwalk.core.JobId;
 import org.oakwalk.core.Policy;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.job.JobSpec;
 import org.oakwalk.core.job.Priority;
@@ -67,9 +67,9 @@
         false,
         "img",
         1,
-        Span.seconds(60),
-        Span.millis(0),
-        Span.millis(0),
+        TimeSpan.seconds(60),
+        TimeSpan.millis(0),
+        TimeSpan.millis(0),
         Optional.empty());
   }
 
--- a/src/test/java/org/oakwalk/wire/DrainCodecTest.java
+++ b/src/test/java/org/oakwalk/wire/DrainCodecTest.java
@@ -15,7 +15,7 @@
 import org.junit.jupiter.params.ParameterizedTest;
 import org.junit.jupiter.params.provider.ValueSource;
 import org.oakwalk.core.MachineId;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.drain.DrainPlan;
 import org.oakwalk.core.store.StoredValue;
 
@@ -36,10 +36,10 @@
             DrainPlan.DrainMode.RETURN,
             0.25,
             40,
-            Span.seconds(5),
-            Span.seconds(120),
-            Span.seconds(5),
-            Span.seconds(15));
+            TimeSpan.seconds(5),
+            TimeSpan.seconds(120),
+            TimeSpan.seconds(5),
+            TimeSpan.seconds(15));
     return new StoredValue.DrainRecord(plan, new MachineId("host-000967"), 583);
   }
 
--- a/src/test/java/org/oakwalk/wire/MessageFormatTest.java
+++ b/src/test/java/org/oakwalk/wire/MessageFormatTest.java
@@ -30,8 +30,8 @@
 import org.oakwalk.core.Report;
 import org.oakwalk.core.Revision;
 import org.oakwalk.core.SessionId;
-import org.oakwalk.core.Span;
 import org.oakwalk.core.TaskId;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.fleet.MachineType;
@@ -76,7 +76,7 @@
   void ordersMatchReferenceBytes() {
     byte[] bytes =
         WorkerCodec.orders(
-            new Token(41), List.of(new Order.Halt(TASK, new Attempt(2), Span.seconds(10))));
+            new Token(41), List.of(new Order.Halt(TASK, new Attempt(2), TimeSpan.seconds(10))));
     String literal =
         "82" // a map of two
             + "a56261746f6e29" // baton 41
@@ -113,7 +113,7 @@
   void submittedJobSurvivesStorageRoundTrip() throws Exception {
     JobSpec spec = spec();
     assertThat(spec.zone()).isEmpty();
-    assertThat(spec.deadline()).contains(Span.seconds(900));
+    assertThat(spec.deadline()).contains(TimeSpan.seconds(900));
     JobRecord record = new JobRecord(spec, JobRecord.Phase.OPEN, new WallTime(5));
     assertThat(StateServiceCodec.value(new FieldReader(StateServiceCodec.value(record))))
         .isEqualTo(record);
@@ -212,7 +212,7 @@
         new SessionId(2),
         88,
         new Token(41),
-        Optional.of(Span.millis(1500)),
+        Optional.of(TimeSpan.millis(1500)),
         List.of(
             new Report.ReportedTask(
                 new TaskId(new JobId("j-1"), 3), new Attempt(2), Report.TaskState.RUNNING, null),
@@ -245,13 +245,13 @@
                 List.of(
                     new Order.Run(new TaskId(new JobId("j-1"), 4), new Attempt(2)),
                     new Order.Halt(
-                        new TaskId(new JobId("j-1"), 1), new Attempt(1), Span.seconds(10)),
+                        new TaskId(new JobId("j-1"), 1), new Attempt(1), TimeSpan.seconds(10)),
                     new Order.Clear(new TaskId(new JobId("j-1"), 0), new Attempt(1)))),
             new PeerMessage.ForwardUserRequest(new UserRequest.Query(new JobId("j-1"))),
             new PeerMessage.ForwardUserRequest(new UserRequest.Withdraw(new JobId("j-1"))),
             new PeerMessage.ForwardUserRequest(
                 new UserRequest.Submit(new JobId("j-000412"), Optional.of(spec()), "")),
-            new PeerMessage.ForwardedResponse(Response.unavailable("later", Span.seconds(1))),
+            new PeerMessage.ForwardedResponse(Response.unavailable("later", TimeSpan.seconds(1))),
             new PeerMessage.ForwardedResponse(
                 new Response.JobStatus(true, new JobId("j-1"), Response.JobState.RUNNING, 1, 2)));
     for (PeerMessage message : messages) {
@@ -272,7 +272,7 @@
                     1,
                     12,
                     4.5,
-                    Span.seconds(45),
+                    TimeSpan.seconds(45),
                     List.of("a", "b"))));
     ObjectNode page = BinaryEncoding.newMap();
     ArrayNode entries = page.putArray("entries");
@@ -430,7 +430,7 @@
                 + "\"value\":{\"sort\":\"leader\",\"node\":\"n\",\"zone\":\"a\",\"incarnation\":\"x\"},\"hold\":7},"
                 + "{\"delete\":\"c/d\"}]}");
     Request.Watch watch =
-        new Request.Watch("c/", new Revision(431), Span.seconds(10), Request.Urgency.ROUTINE);
+        new Request.Watch("c/", new Revision(431), TimeSpan.seconds(10), Request.Urgency.ROUTINE);
     assertThat(StateServiceCodec.encode(watch).path())
         .isEqualTo("/watch?starts=c%2F&from=431&hold_ms=10000");
   }
@@ -438,7 +438,7 @@
   @Test
   void stateServiceResponsesAreDecoded() throws Exception {
     Request.Watch watch =
-        new Request.Watch("c/", new Revision(1), Span.millis(0), Request.Urgency.ROUTINE);
+        new Request.Watch("c/", new Revision(1), TimeSpan.millis(0), Request.Urgency.ROUTINE);
     Answer answer =
         StateServiceCodec.decode(
             watch,
@@ -482,7 +482,8 @@
                 {"hosts":[{"ref":"host-000231","addr":"10.1.0.232:9000","flavor":"g8",
                  "region":"a","leftovers":true,"status":"running","held_s":61.5}],"more":false}
                 """));
-    assertThat(((Answer.Rentals) list).rentals().get(0).rentedFor()).isEqualTo(Span.millis(61500));
+    assertThat(((Answer.Rentals) list).rentals().get(0).rentedFor())
+        .isEqualTo(TimeSpan.millis(61500));
   }
 
   @Test
