--- a/src/main/java/org/oakwalk/core/CapacityProducts.java
+++ b/src/main/java/org/oakwalk/core/CapacityProducts.java
@@ -47,12 +47,12 @@
 
   private final ProductTermsWriter termsWriter;
   private final Outbox outbox;
-  private final Guard leader;
+  private final Guard leaderGuard;
   private final Settings settings;
   private final DeadlinePlanner planner;
   private final HeadroomController headroom;
   private final ProductContext context;
-  private Optional<SharedRecords> shared = Optional.empty();
+  private Optional<SharedRecords> sharedRecords = Optional.empty();
   private Optional<ExchangeController> exchange = Optional.empty();
   private SharedRecord<PlanRow> plans;
 
@@ -70,7 +70,7 @@
     this.context = context;
     this.termsWriter = new ProductTermsWriter(outbox, view, leader, declared);
     this.outbox = outbox;
-    this.leader = leader;
+    this.leaderGuard = leader;
     this.settings = settings;
   }
 
@@ -80,7 +80,7 @@
    */
   boolean allowsPlacement() {
     return termsWriter.activeTerms().isUndeclared()
-        || shared.filter(SharedRecords::isLoaded).isPresent();
+        || sharedRecords.filter(SharedRecords::isLoaded).isPresent();
   }
 
   /** An addition to the leader's log summary; empty without terms. */
@@ -103,11 +103,11 @@
     if (!termsWriter.isUpToDate()) {
       return;
     }
-    if (shared.isEmpty()) {
+    if (sharedRecords.isEmpty()) {
       openRecords(terms);
     }
-    shared.get().tick(now);
-    if (shared.get().isLoaded()) {
+    sharedRecords.get().tick(now);
+    if (sharedRecords.get().isLoaded()) {
       headroom.tick(terms.headrooms(), recovered, now);
       planner.tick(terms.batchDeadlines(), plans, types, recovered, now, wall);
     }
@@ -115,10 +115,10 @@
   }
 
   private void openRecords(ProductTerms terms) {
-    SharedRecords records = new SharedRecords(outbox, leader, settings.state());
+    SharedRecords records = new SharedRecords(outbox, leaderGuard, settings.state());
     headroom.declareRecord(records);
     plans = records.declare(DeadlinePlanner.RECORD_NAME, PlanRow.class);
-    shared = Optional.of(records);
+    sharedRecords = Optional.of(records);
     if (!terms.exchanges().isEmpty()) {
       exchange =
           Optional.of(
--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -167,7 +167,7 @@
     }
     lastEvent = Optional.of(now);
     view.setTime(now);
-    userRequests.clock(now, wall);
+    userRequests.setTime(now, wall);
     dispatch(event);
     return outbox.takeEffects();
   }
@@ -243,7 +243,7 @@
     leadership.tick(now);
     relay.tick(leadership.holdsToken(), now);
     machineTypeCatalog.tick(leadership.holdsToken(), view.machineTypes(), now);
-    userRequests.machineTypes(machineTypeCatalog.types());
+    userRequests.setMachineTypes(machineTypeCatalog.types());
     if (term.isPresent()
         && leadership.mayStepDown(now)
         && term.get().isCutOffFromWorkers(redirects.hasTarget(now), now)) {
@@ -277,7 +277,7 @@
 
   private void sendDigests(LeaderTerm current) {
     Map<JobId, PeerMessage.TaskCounts> counts = current.counts();
-    userRequests.taskCounts(counts);
+    userRequests.setTaskCounts(counts);
     PeerMessage message =
         new PeerMessage.Digest(
             settings.node(), current.token(), view.isFresh(now), counts, current.suspects());
@@ -309,7 +309,7 @@
         term.get().workerAnswered(report.machine(), now);
         return new Response.Orders(term.get().token(), halts.haltsFor(report));
       }
-      Optional<Response.Orders> orders = term.get().report(report, workerCutOff, now);
+      Optional<Response.Orders> orders = term.get().handleReport(report, workerCutOff, now);
       return orders.isPresent()
           ? orders.get()
           : Response.unavailable("no use can be made of the report", RETRY_AFTER);
@@ -412,7 +412,7 @@
         forwarding.leaderHeard(digest.from(), digest.token(), now);
       }
       if (term.isEmpty()) {
-        userRequests.taskCounts(digest.counts());
+        userRequests.setTaskCounts(digest.counts());
         suspects = digest.suspects();
         if (digest.reachesStateService()) {
           digestSender = Optional.of(digest.from());
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -62,7 +62,7 @@
   private final Fleet fleet;
   private final CommandDispatcher dispatcher;
   private final MachineRegistry machineRegistry;
-  private final ResultWriter results;
+  private final ResultWriter resultWriter;
   private final Recovery recovery;
   private final RunTimeEstimates runTimes = new RunTimeEstimates();
   private final SlowMachineDetector slowMachineDetector = new SlowMachineDetector(runTimes);
@@ -77,7 +77,7 @@
   private boolean roundDue = true;
   private MonotonicTime nextRegularRound;
   private MonotonicTime lastRound = new MonotonicTime(Long.MIN_VALUE / 2);
-  private Map<String, MachineType> types = Map.of();
+  private Map<String, MachineType> machineTypes = Map.of();
   private boolean hasPlaced;
   private Optional<MonotonicTime> recoveryCompletedAt = Optional.empty();
   private boolean recoveryLogged;
@@ -121,13 +121,13 @@
               }
             });
     this.machineRegistry = new MachineRegistry(outbox, fleet, guard, settings.state());
-    this.results = new ResultWriter(outbox, jobs, view, guard, settings.state());
+    this.resultWriter = new ResultWriter(outbox, jobs, view, guard, settings.state());
     this.recovery =
         new Recovery(
             outbox,
             fleet,
             jobs,
-            results,
+            resultWriter,
             machineRegistry,
             peersPossiblyInGrace(settings, view, graceLimit, now),
             graceLimit,
@@ -239,7 +239,7 @@
     Optional<Job> withdrawn = jobs.applyStoredChange(job, now);
     withdrawn.ifPresent(this::haltAll);
     if (job.phase().isFinal()) {
-      jobs.find(job.id()).ifPresent(results::jobEnded);
+      jobs.find(job.id()).ifPresent(resultWriter::jobEnded);
     }
     roundDue = true;
   }
@@ -265,7 +265,7 @@
   }
 
   /** Orders for a worker that reported; empty if its report can't be used yet. */
-  Optional<Response.Orders> report(Report report, boolean forwarded, MonotonicTime now) {
+  Optional<Response.Orders> handleReport(Report report, boolean forwarded, MonotonicTime now) {
     currentTime = now;
     Optional<Machine> machine = fleet.handleReport(report, true, now);
     if (machine.isEmpty() || fleet.mustNotRenewLease(machine.get(), now)) {
@@ -290,10 +290,10 @@
     double secondsLeft = machine.reclaimedAt().since(now).asSeconds();
     for (Placement placement : machine.placements()) {
       TimeSpan expected = runTimes.expected(placement.job().spec());
-      double ran =
+      double runSeconds =
           placement.runningSince() == null ? 0 : now.since(placement.runningSince()).asSeconds();
       boolean endsInTime =
-          !placement.job().spec().service() && expected.asSeconds() - ran < secondsLeft;
+          !placement.job().spec().service() && expected.asSeconds() - runSeconds < secondsLeft;
       if (!placement.halting() && !endsInTime) {
         fleet.halt(
             placement, placement.job().spec().checkpointDuration(), Fleet.StopReason.RECLAIMED);
@@ -323,17 +323,17 @@
    *     and returns nothing and stores no results
    */
   void tick(
-      Map<String, MachineType> currentTypes,
+      Map<String, MachineType> currentMachineTypes,
       boolean leaseCertain,
       MonotonicTime now,
       WallTime wall) {
     currentTime = now;
     placementWallTime = Optional.empty();
     logRecovery(now);
-    types = currentTypes;
-    fleet.types(types);
+    machineTypes = currentMachineTypes;
+    fleet.setMachineTypes(machineTypes);
     boolean wasRecovering = !recovery.complete();
-    recovery.tick(types, now);
+    recovery.tick(machineTypes, now);
     if (wasRecovering && recovery.complete()) {
       // Tasks of earlier leaders wait for the end of recovery, not for the next regular round.
       nextRegularRound = now;
@@ -348,11 +348,11 @@
     if (leaseCertain) {
       relayExpiry.tick(now);
       machineRegistry.tick(now);
-      results.tick(now);
-      machineTypeWriter.tick(types, now);
-      autoscaler.tick(types, recovery.complete(), now, wall);
+      resultWriter.tick(now);
+      machineTypeWriter.tick(machineTypes, now);
+      autoscaler.tick(machineTypes, recovery.complete(), now, wall);
       drainController.tick(recovery.complete(), now, wall);
-      products.tick(types, recovery.complete(), now, wall);
+      products.tick(machineTypes, recovery.complete(), now, wall);
       if (products.allowsPlacement()) {
         placementWallTime = Optional.of(wall);
         round(now, wall);
@@ -452,13 +452,13 @@
   }
 
   @Override
-  public void completed(Placement placement, TimeSpan ran) {
-    if (ran != null) {
-      slowMachineDetector.completed(placement, ran);
-      runTimes.record(placement.job(), ran);
+  public void completed(Placement placement, TimeSpan runTime) {
+    if (runTime != null) {
+      slowMachineDetector.completed(placement, runTime);
+      runTimes.record(placement.job(), runTime);
       if (placement.attempt().token().equals(token)) {
         // A task started by an earlier leader has run for longer than this leader has observed.
-        planner.taskCompleted(placement.job(), ran);
+        planner.taskCompleted(placement.job(), runTime);
       }
     }
   }
--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -144,7 +144,7 @@
   }
 
   /** Sets the machine types that the cloud offers, by name. */
-  public void types(Map<String, MachineType> current) {
+  public void setMachineTypes(Map<String, MachineType> current) {
     types = current;
   }
 
--- a/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
+++ b/src/main/java/org/oakwalk/core/job/UserRequestHandler.java
@@ -65,17 +65,17 @@
   }
 
   /** Sets the known machine types, by name. */
-  public void machineTypes(Map<String, MachineType> known) {
+  public void setMachineTypes(Map<String, MachineType> known) {
     machineTypes = known;
   }
 
   /** Sets the task counts of open jobs, as last sent by the leader. */
-  public void taskCounts(Map<JobId, PeerMessage.TaskCounts> current) {
+  public void setTaskCounts(Map<JobId, PeerMessage.TaskCounts> current) {
     taskCounts = current;
   }
 
   /** Sets the monotonic time and the wall-clock time for the next calls. */
-  public void clock(MonotonicTime monotonicTime, WallTime newWallTime) {
+  public void setTime(MonotonicTime monotonicTime, WallTime newWallTime) {
     now = monotonicTime;
     wallTime = newWallTime;
   }
--- a/src/main/java/org/oakwalk/core/leadership/LeaseRelay.java
+++ b/src/main/java/org/oakwalk/core/leadership/LeaseRelay.java
@@ -165,9 +165,12 @@
         && view.isFresh(currentTime)
         && remoteLeader().filter(leader -> leader.token().equals(token)).isPresent()
         && view.relays(zone)
-            .filter(relayed -> relayed.record().token().equals(token) && relayed.seenByWatch())
             .filter(
-                relayed -> !currentTime.isPast(relayed.earliestWrite(), window.minusClockDrift()))
+                announcement ->
+                    announcement.record().token().equals(token) && announcement.seenByWatch())
+            .filter(
+                announcement ->
+                    !currentTime.isPast(announcement.earliestWrite(), window.minusClockDrift()))
             .isPresent();
   }
 
--- a/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
+++ b/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
@@ -46,18 +46,18 @@
   public MonotonicTime lastRenewal(String zone, MonotonicTime fallback, MonotonicTime now) {
     return zone.isEmpty()
         ? view.relays().stream()
-            .map(relayed -> lastRenewal(relayed, now))
+            .map(announcement -> lastRenewal(announcement, now))
             .reduce(fallback, RelayExpiry::later)
         : view.relays(zone)
-            .map(relayed -> later(lastRenewal(relayed, now), fallback))
+            .map(announcement -> later(lastRenewal(announcement, now), fallback))
             .orElse(fallback);
   }
 
-  private MonotonicTime lastRenewal(StoreView.RelayAnnouncement relayed, MonotonicTime now) {
-    if (!relayed.record().token().equals(token)) {
+  private MonotonicTime lastRenewal(StoreView.RelayAnnouncement announcement, MonotonicTime now) {
+    if (!announcement.record().token().equals(token)) {
       return new MonotonicTime(Long.MIN_VALUE / 2);
     }
-    MonotonicTime end = relayed.seenAt().plus(relayPeriod);
+    MonotonicTime end = announcement.seenAt().plus(relayPeriod);
     return end.isAfter(now) ? now : end;
   }
 
@@ -73,22 +73,22 @@
     if (removalPending || nextAttempt.isAfter(now)) {
       return;
     }
-    for (StoreView.RelayAnnouncement relayed : view.relays()) {
-      boolean hasOlderToken = relayed.record().token().compareTo(token) < 0;
-      if (hasOlderToken || now.isPast(relayed.seenAt(), relayPeriod.plus(leaseDuration))) {
-        remove(relayed, now);
+    for (StoreView.RelayAnnouncement announcement : view.relays()) {
+      boolean hasOlderToken = announcement.record().token().compareTo(token) < 0;
+      if (hasOlderToken || now.isPast(announcement.seenAt(), relayPeriod.plus(leaseDuration))) {
+        remove(announcement, now);
         return;
       }
     }
   }
 
-  private void remove(StoreView.RelayAnnouncement relayed, MonotonicTime now) {
-    String key = StoreKeys.relay(relayed.record().zone());
+  private void remove(StoreView.RelayAnnouncement announcement, MonotonicTime now) {
+    String key = StoreKeys.relay(announcement.record().zone());
     removalPending = true;
     nextAttempt = now.plus(RETRY_DELAY);
     outbox.call(
         new Request.Commit(
-            List.of(guard, new Guard(key, relayed.revision())),
+            List.of(guard, new Guard(key, announcement.revision())),
             List.of(new Change.Remove(key)),
             Request.Urgency.ROUTINE),
         answer -> removalPending = false);
--- a/src/main/java/org/oakwalk/daemon/EventLoop.java
+++ b/src/main/java/org/oakwalk/daemon/EventLoop.java
@@ -133,10 +133,10 @@
               TimeSpan.millis(monotonicMillis() - submittedAt));
         }
         listener.respond(respond.requestId(), respond.response());
-      } else if (effect instanceof Effect.RecordDuration measured) {
-        histograms.record(latencyMetric(measured.metric()), measured.span());
-      } else if (effect instanceof Effect.CancelCommands recall) {
-        outbound.cancelCommands(recall.address());
+      } else if (effect instanceof Effect.RecordDuration recordDuration) {
+        histograms.record(latencyMetric(recordDuration.metric()), recordDuration.span());
+      } else if (effect instanceof Effect.CancelCommands cancelCommands) {
+        outbound.cancelCommands(cancelCommands.address());
       } else if (effect instanceof Effect.Call call) {
         outbound.call(
             call.request(), now, answer -> handle(new Event.CallAnswered(call.call(), answer)));
--- a/src/main/java/org/oakwalk/model/SimState.java
+++ b/src/main/java/org/oakwalk/model/SimState.java
@@ -219,21 +219,21 @@
     } else if (request instanceof Request.Commit commit) {
       then.accept(commit(commit));
     } else if (request instanceof Request.GrantLease grant) {
-      StoredLease hold = new StoredLease();
-      hold.ttlMillis = grant.ttl().millis();
-      hold.expiresAt = time.now() + hold.ttlMillis;
-      leases.put(++lastLeaseId, hold);
+      StoredLease lease = new StoredLease();
+      lease.ttlMillis = grant.ttl().millis();
+      lease.expiresAt = time.now() + lease.ttlMillis;
+      leases.put(++lastLeaseId, lease);
       then.accept(new Answer.LeaseGranted(new LeaseId(lastLeaseId)));
     } else if (request instanceof Request.RenewLease renew) {
-      StoredLease hold = leases.get(renew.lease().value());
-      if (hold == null) {
+      StoredLease lease = leases.get(renew.lease().value());
+      if (lease == null) {
         then.accept(new Answer.Refused(404, "no such lease"));
       } else {
-        hold.expiresAt = time.now() + hold.ttlMillis;
+        lease.expiresAt = time.now() + lease.ttlMillis;
         then.accept(new Answer.Ok());
       }
-    } else if (request instanceof Request.RevokeLease drop) {
-      endLease(drop.lease().value());
+    } else if (request instanceof Request.RevokeLease revoke) {
+      endLease(revoke.lease().value());
       then.accept(new Answer.Ok());
     }
   }
@@ -248,8 +248,8 @@
       if (entries.size() == PAGE_SIZE) {
         return new Answer.Page(entries, true, new Revision(revision));
       }
-      StoredEntry kept = entry.getValue();
-      entries.add(new Entry(entry.getKey(), kept.value(), new Revision(kept.revision())));
+      StoredEntry stored = entry.getValue();
+      entries.add(new Entry(entry.getKey(), stored.value(), new Revision(stored.revision())));
     }
     return new Answer.Page(entries, false, new Revision(revision));
   }
@@ -270,8 +270,8 @@
     writeCount += commit.changes().size();
     List<String> failed = new ArrayList<>();
     for (Guard guard : commit.guards()) {
-      StoredEntry kept = keys.get(guard.key());
-      if ((kept == null ? 0 : kept.revision()) != guard.revision().value()) {
+      StoredEntry stored = keys.get(guard.key());
+      if ((stored == null ? 0 : stored.revision()) != guard.revision().value()) {
         failed.add(guard.key());
       }
     }
--- a/src/main/java/org/oakwalk/model/StartAfterEndDetector.java
+++ b/src/main/java/org/oakwalk/model/StartAfterEndDetector.java
@@ -58,10 +58,10 @@
     if (effect instanceof Effect.Respond respond) {
       Response response = respond.response();
       observeResponse(response);
-      if (response instanceof Response.PeerResponse toPeer) {
-        if (toPeer.message() instanceof PeerMessage.ForwardedResponse forwarded) {
+      if (response instanceof Response.PeerResponse peerResponse) {
+        if (peerResponse.message() instanceof PeerMessage.ForwardedResponse forwarded) {
           observeResponse(forwarded.response());
-        } else if (toPeer.message() instanceof PeerMessage.ForwardedReportOrders carried) {
+        } else if (peerResponse.message() instanceof PeerMessage.ForwardedReportOrders carried) {
           return forbiddenStart(carried.orders());
         }
       }
--- a/src/main/java/org/oakwalk/wire/StateServiceCodec.java
+++ b/src/main/java/org/oakwalk/wire/StateServiceCodec.java
@@ -55,8 +55,8 @@
     if (request instanceof Request.RenewLease renew) {
       return post("/leases/" + renew.lease().value() + "/renew", BinaryEncoding.newMap());
     }
-    if (request instanceof Request.RevokeLease drop) {
-      return new OutgoingRequest("DELETE", "/leases/" + drop.lease().value(), null);
+    if (request instanceof Request.RevokeLease revoke) {
+      return new OutgoingRequest("DELETE", "/leases/" + revoke.lease().value(), null);
     }
     return post("/commit", commit((Request.Commit) request));
   }
--- a/src/test/java/org/oakwalk/core/WorkerTimingTest.java
+++ b/src/test/java/org/oakwalk/core/WorkerTimingTest.java
@@ -14,7 +14,7 @@
   /** Clocks of two machines drift apart by up to 0.05%. */
   private static final double CLOCK_DRIFT = 1.0005;
 
-  private static Settings.WorkerTiming workers(double report, double lease, double cancel) {
+  private static Settings.WorkerTiming timing(double report, double lease, double cancel) {
     return new Settings.WorkerTiming(
         TimeSpan.seconds(report), TimeSpan.seconds(lease), TimeSpan.seconds(cancel));
   }
@@ -32,7 +32,7 @@
   })
   void cancelledTaskLifetimeStaysBelowCancelDeadline(
       double report, double lease, double cancel, boolean relays) {
-    Settings.WorkerTiming timing = workers(report, lease, cancel);
+    Settings.WorkerTiming timing = timing(report, lease, cancel);
     assertThat(timing.meetsCancelDeadline()).isTrue();
     double grace = timing.graceLimit().minusClockDrift().asSeconds() * CLOCK_DRIFT;
     assertThat(grace + lease * CLOCK_DRIFT).isLessThan(cancel);
@@ -49,7 +49,7 @@
   @ParameterizedTest
   @CsvSource({"15.25, 17", "15.25, 15.25", "15.25, 10", "20, 1"})
   void noGraceWhenLeaseOutlastsCancelDeadline(double lease, double cancel) {
-    Settings.WorkerTiming timing = workers(2.5, lease, cancel);
+    Settings.WorkerTiming timing = timing(2.5, lease, cancel);
     assertThat(timing.meetsCancelDeadline()).isFalse();
     assertThat(timing.graceLimit()).isLessThanOrEqualTo(StoreView.MAX_LAG);
     assertThat(timing.relaysLeases()).isFalse();
--- a/src/test/java/org/oakwalk/core/fleet/FenceTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/FenceTest.java
@@ -104,7 +104,7 @@
               @Override
               public void capacityChanged() {}
             });
-    fleet.types(TYPES);
+    fleet.setMachineTypes(TYPES);
     job = jobs.find(new JobId("j-1")).orElseThrow();
     machine = report(GRANTED, List.of());
     fleet.markUp(machine);
--- a/src/test/java/org/oakwalk/core/fleet/MachineRegistryTest.java
+++ b/src/test/java/org/oakwalk/core/fleet/MachineRegistryTest.java
@@ -65,7 +65,7 @@
   private long now;
 
   MachineRegistryTest() {
-    fleet.types(
+    fleet.setMachineTypes(
         Map.of(
             "t",
             new MachineType(
--- a/src/test/java/org/oakwalk/core/headroom/HeadroomAllocatorTest.java
+++ b/src/test/java/org/oakwalk/core/headroom/HeadroomAllocatorTest.java
@@ -60,7 +60,7 @@
         new Settings.WorkerTiming(TimeSpan.seconds(2), TimeSpan.seconds(10), TimeSpan.seconds(40));
     fleet = new Fleet(new Token(1), null, null, null, timing, noListener);
     Resources machineResources = new Resources(16, 4, 128);
-    fleet.types(
+    fleet.setMachineTypes(
         Map.of(
             "g",
             new MachineType(
--- a/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
+++ b/src/test/java/org/oakwalk/core/job/UserRequestHandlerTest.java
@@ -66,7 +66,7 @@
             observedPhases.add(job.phase());
           }
         });
-    userRequests.machineTypes(
+    userRequests.setMachineTypes(
         Map.of(
             "m", type("m", new Resources(4, 0, 16), "a", "b"),
             "g", type("g", new Resources(8, 2, 32), "b")));
@@ -85,7 +85,7 @@
   private Response ask(UserRequest request) {
     now = now.plus(TimeSpan.seconds(1));
     view.setTime(now);
-    userRequests.clock(now, new WallTime(0));
+    userRequests.setTime(now, new WallTime(0));
     List<Response> answers = new ArrayList<>();
     userRequests.serve(request, answers::add);
     store.serve(outbox, commit -> outcome);
@@ -231,7 +231,7 @@
 
   @Test
   void withoutMachineTypesOnlyTypeIndependentRefusalsAreFinal() {
-    userRequests.machineTypes(Map.of());
+    userRequests.setMachineTypes(Map.of());
     assertThat(code(ask(simpleSubmission()))).isEqualTo(503);
     assertThat(code(ask(MALFORMED))).isEqualTo(400);
     assertThat(code(ask(submit(spec("array", 1, 1, 0, 1, "nobody", "any"))))).isEqualTo(422);
@@ -367,7 +367,7 @@
     assertThat(code(ask(simpleSubmission()))).isEqualTo(201);
     assertThat(state(ask(QUERY))).isEqualTo(Response.JobState.QUEUED);
     now = now.plus(TimeSpan.seconds(1));
-    userRequests.clock(now, new WallTime(0));
+    userRequests.setTime(now, new WallTime(0));
     observedPhases.clear();
     List<JobRecord.Phase> before = new ArrayList<>();
     userRequests.serve(WITHDRAW, answer -> before.addAll(observedPhases));
--- a/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
+++ b/src/test/java/org/oakwalk/core/leadership/LeadershipTest.java
@@ -231,8 +231,8 @@
         new Answer.Page(entries, false, new Revision(10)));
   }
 
-  private void deliverOwnKey(long stamp) {
-    Entry own = leaderKey(NODE, "present", stamp);
+  private void deliverOwnKey(long revision) {
+    Entry own = leaderKey(NODE, "present", revision);
     deliverChange(new KeyChange(own.key(), Optional.of(own.value()), own.revision()));
   }
 
@@ -242,11 +242,11 @@
         new Answer.Changes(change.revision(), List.of(change)));
   }
 
-  private static Entry leaderKey(NodeId node, String incarnation, long stamp) {
+  private static Entry leaderKey(NodeId node, String incarnation, long revision) {
     return new Entry(
         StoreKeys.LEADER,
         new StoredValue.LeaderRecord(node, "z", incarnation),
-        new Revision(stamp));
+        new Revision(revision));
   }
 
   private Optional<Effect.Call> takeSent(Class<? extends Request> kind) {
--- a/src/test/java/org/oakwalk/core/placement/MachineSearchTest.java
+++ b/src/test/java/org/oakwalk/core/placement/MachineSearchTest.java
@@ -146,7 +146,7 @@
               @Override
               public void capacityChanged() {}
             });
-    fleet.types(
+    fleet.setMachineTypes(
         Map.of(
             "small", type("small", 4, 8),
             "large", type("large", 16, 64)));
--- a/src/test/java/org/oakwalk/core/placement/RankingTest.java
+++ b/src/test/java/org/oakwalk/core/placement/RankingTest.java
@@ -247,7 +247,7 @@
    */
   private long evaluationsWith(int waiting) {
     varied = false;
-    fleet.types(Map.of("m", TYPE));
+    fleet.setMachineTypes(Map.of("m", TYPE));
     UniformRandomProvider random = RandomSource.XO_RO_SHI_RO_128_PP.create(7);
     MonotonicTime begin = new MonotonicTime(1_000_000);
     for (int i = 0; i < 40; i++) {
--- a/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/StoredResultsTest.java
@@ -93,7 +93,7 @@
               @Override
               public void capacityChanged() {}
             });
-    fleet.types(java.util.Map.of("m", TYPE));
+    fleet.setMachineTypes(java.util.Map.of("m", TYPE));
     recovery =
         new Recovery(
             outbox,
