--- a/src/main/java/org/oakwalk/core/CapacityProducts.java
+++ b/src/main/java/org/oakwalk/core/CapacityProducts.java
@@ -30,8 +30,9 @@
 
 /**
  * Capacity features around the scheduler under one token: planning for recurring batch deadlines
- * (dawns), headroom for service replicas, and exchanges of room between batch jobs and services. It
- * does nothing unless terms for them are stored or configured on this node.
+ * ({@code dawn} blocks of the policy file), headroom for service replicas, and transfers of
+ * capacity between batch jobs and services. Without terms for them, stored or configured on this
+ * node, it does nothing.
  */
 final class CapacityProducts implements CapacityExchange {
   /** Scheduler components that the capacity features operate on. */
@@ -83,12 +84,12 @@
         || sharedRecords.filter(SharedRecords::isLoaded).isPresent();
   }
 
-  /** An addition to the leader's log summary; empty without terms. */
+  /** Summary of the headroom for the leader's log line; empty without terms. */
   String summary() {
     return headroom.summary().map(line -> "; " + line).orElse("");
   }
 
-  /** Applies the terms in force. */
+  /** Runs the capacity features under the active terms. */
   void tick(Map<String, MachineType> types, boolean recovered, MonotonicTime now, WallTime wall) {
     if (termsWriter.isUnused()) {
       return;
--- a/src/main/java/org/oakwalk/core/Controller.java
+++ b/src/main/java/org/oakwalk/core/Controller.java
@@ -31,10 +31,17 @@
  */
 public final class Controller {
   private static final Logger LOG = LoggerFactory.getLogger(Controller.class);
+
+  /** Interval of the digests that a leader sends to its peers. */
   private static final TimeSpan DIGEST_INTERVAL = TimeSpan.millis(1000);
+
+  /** Interval of the leader's summary in the log. */
   private static final TimeSpan SUMMARY_INTERVAL = TimeSpan.seconds(10);
 
-  /** A node without a store read for longer than this is ready only while a peer can serve it. */
+  /**
+   * Maximum age of the last store read at which this node reports ready on its own; beyond it, the
+   * node is ready only while a peer can serve its requests.
+   */
   private static final TimeSpan READY_CONTACT_TIMEOUT = TimeSpan.seconds(6);
 
   /** How long after its last digest a leader still counts as able to serve user requests. */
@@ -398,7 +405,7 @@
   private void handlePeerMessage(Event.PeerMessageReceived received) {
     if (received.message() instanceof PeerMessage.Digest digest
         && view.isImplausible(digest.token(), now)) {
-      // Accepting it would keep this node from leading, and from recognizing the real leader.
+      // Accepting the token would keep this node from leading and from recognizing the real leader.
       if (rejectedDigests++ == 0) {
         LOG.error(
             "digest from {} rejected: token {} was never granted", digest.from(), digest.token());
--- a/src/main/java/org/oakwalk/core/LeaderTerm.java
+++ b/src/main/java/org/oakwalk/core/LeaderTerm.java
@@ -229,7 +229,7 @@
     return token;
   }
 
-  /** Whether a worker reports a higher token than this leader has sent it. */
+  /** Whether a worker reports a higher token than this leader has sent to it. */
   boolean reportsHigherToken(Report report) {
     return fleet.showsUnissuedToken(report);
   }
@@ -301,7 +301,7 @@
     }
   }
 
-  /** Whether machines exist but hardly any of them reaches this node. */
+  /** Whether machines exist but almost none of them reaches this node. */
   boolean isCutOffFromWorkers(boolean followersForward, MonotonicTime now) {
     return recovery.complete() && autoscaler.failureDetector().isCutOff(followersForward, now);
   }
--- a/src/main/java/org/oakwalk/core/MonotonicTime.java
+++ b/src/main/java/org/oakwalk/core/MonotonicTime.java
@@ -1,6 +1,9 @@
 package org.oakwalk.core;
 
-/** A reading of this process's monotonic clock, in milliseconds. */
+/**
+ * A reading of this process's monotonic clock, in milliseconds. Readings of different processes are
+ * not comparable.
+ */
 public record MonotonicTime(long millis) implements Comparable<MonotonicTime> {
   public MonotonicTime plus(TimeSpan span) {
     return new MonotonicTime(millis + span.millis());
@@ -14,7 +17,7 @@
     return millis > other.millis;
   }
 
-  /** Whether more than {@code span} has passed since {@code earlier}. */
+  /** Whether this reading is more than {@code span} after {@code earlier}. */
   public boolean isPast(MonotonicTime earlier, TimeSpan span) {
     return millis - earlier.millis > span.millis();
   }
--- a/src/main/java/org/oakwalk/core/Policy.java
+++ b/src/main/java/org/oakwalk/core/Policy.java
@@ -13,7 +13,16 @@
     DrainPolicy drains,
     ProductTerms product) {
 
-  /** Weights of the job score. */
+  /**
+   * Weights of the job score.
+   *
+   * @param alpha weight of priority and size; the urgency terms have the rest of 1
+   * @param deadlineWeight weight of the closeness of the deadline
+   * @param remainingWeight weight of a short remaining run time
+   * @param waitWeight weight of each hour of waiting
+   * @param guaranteeBonus added to the score of a job within its team's guarantee
+   * @param minTimeLeft lower bound of the time left to a deadline in the score
+   */
   public record ScoringPolicy(
       double alpha,
       double deadlineWeight,
@@ -27,11 +36,24 @@
    *
    * @param maxUtilization share of a machine that tasks may use, unless one task needs more than
    *     the rest
+   * @param imageWeight weight of the time to fetch an image in the choice of a machine
+   * @param reserveAfterRounds regular rounds without a placement after which machines are reserved
+   *     for a job
    */
   public record PlacementPolicy(
       double maxUtilization, double imageWeight, int reserveAfterRounds) {}
 
-  /** Renting and returning of machines. */
+  /**
+   * Renting and returning of machines.
+   *
+   * @param headroom machines rented above demand, as a fraction of it
+   * @param spareMachines machines rented above demand and headroom for each type in demand
+   * @param spotShare maximum share of spot machines, which the cloud may reclaim, among those that
+   *     need not be ordinary ones
+   * @param suspectAfter silence after which a machine that cannot be reached counts as failed
+   * @param bootTimeout limit of the time after which a rented machine that has not reported is
+   *     given up; late or failed boots raise it
+   */
   public record CapacityPolicy(
       double headroom,
       int spareMachines,
--- a/src/main/java/org/oakwalk/core/Report.java
+++ b/src/main/java/org/oakwalk/core/Report.java
@@ -24,9 +24,12 @@
 
   /** State of a task on a machine. */
   public enum TaskState {
+    /** The machine fetches the task's image. */
     FETCHING,
+    /** The task waits for the other tasks of its gang. */
     GATHERING,
     RUNNING,
+    /** The task saves its progress before it ends. */
     FLUSHING,
     ENDED
   }
@@ -36,8 +39,10 @@
     DONE,
     HALTED,
     ERROR,
+    /** The machine did not have enough free resources. */
     NO_ROOM,
     BUSY,
+    /** The worker does not know the task. */
     UNKNOWN,
     OTHER
   }
--- a/src/main/java/org/oakwalk/core/Settings.java
+++ b/src/main/java/org/oakwalk/core/Settings.java
@@ -28,7 +28,14 @@
     }
   }
 
-  /** A service-level objective for a class of jobs. */
+  /**
+   * A service-level objective for a class of jobs.
+   *
+   * @param kind what the objective limits, for example {@code finished} or {@code wait}
+   * @param withinSeconds target time for kinds with a fixed limit
+   * @param share share of the jobs that must meet the target
+   * @param deadlineFactor for kinds relative to a job's deadline, the target as a multiple of it
+   */
   public record Objective(
       String kind, String jobClass, double withinSeconds, double share, double deadlineFactor) {}
 
@@ -71,7 +78,7 @@
 
     /**
      * How long workers may be answered after the earliest moment from which a withdrawal may be
-     * unknown to this node, or its tasks may still start; for a leader that moment is the begin of
+     * unknown to this node, or its tasks may still start; for a leader that moment is the start of
      * its last store read. An answer keeps tasks alive for one lease, so their sessions end within
      * {@code cancelDeadline} of that moment. If the settings leave no time for this, the limit is
      * the normal lag of a store copy, without which the leader could never answer.
--- a/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
+++ b/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
@@ -39,7 +39,7 @@
   }
 
   /**
-   * The last moment up to now at which a follower may have renewed leases in the zone under this
+   * The latest time up to now at which a follower may have renewed leases in the zone under this
    * leader's token, or {@code fallback} if that is later. An empty zone name stands for an unknown
    * zone, so all zones count.
    */
--- a/src/main/java/org/oakwalk/core/port/Answer.java
+++ b/src/main/java/org/oakwalk/core/port/Answer.java
@@ -17,7 +17,7 @@
   /** No usable answer arrived: the request may have been executed, or may still be. */
   record OutcomeUnknown(String reason) implements Answer {}
 
-  /** The request was certainly not executed. */
+  /** The request was rejected, and certainly not executed. */
   record Refused(int status, String reason) implements Answer {}
 
   /** A page of keys, and the store revision at which it was read. */
--- a/src/main/java/org/oakwalk/core/port/Event.java
+++ b/src/main/java/org/oakwalk/core/port/Event.java
@@ -19,7 +19,8 @@
   /**
    * A worker's report arrived.
    *
-   * @param crowded whether the worker should be redirected because this node is short of sockets
+   * @param redirectPreferred whether the worker should be redirected because this node is short of
+   *     sockets
    */
   record WorkerReportReceived(InboundRequestId requestId, Report report, boolean redirectPreferred)
       implements Event {}
--- a/src/main/java/org/oakwalk/core/port/PeerMessage.java
+++ b/src/main/java/org/oakwalk/core/port/PeerMessage.java
@@ -22,7 +22,7 @@
    * @param reachesStateService whether the sender reaches the state service, so that other
    *     controllers may forward requests to it
    * @param counts task counts for display
-   * @param suspects jobs that fail on every machine, for a succeeding leader
+   * @param suspects jobs that fail on every machine, for the next leader
    */
   record Digest(
       NodeId from,
@@ -46,7 +46,10 @@
   /** A worker's report that a follower received and forwards to the leader. */
   record ForwardReport(Report report) implements PeerMessage {}
 
-  /** Answer to a forwarded report; without a token its sender does not lead. */
+  /**
+   * Answer to a forwarded report: the leader's orders for the worker. The token is empty if the
+   * sender does not lead.
+   */
   record ForwardedReportOrders(Optional<Token> token, List<Order> orders) implements PeerMessage {}
 
   /** A user's request, forwarded by a controller that cannot reach the state service. */
--- a/src/main/java/org/oakwalk/core/port/Response.java
+++ b/src/main/java/org/oakwalk/core/port/Response.java
@@ -23,7 +23,7 @@
   record JobStatus(boolean created, JobId job, JobState state, int done, int running)
       implements Response {}
 
-  /** An error; the caller may retry after the span, if there is one. */
+  /** An error; the caller may retry after {@code retryAfter}, if given. */
   record Problem(int status, String reason, Optional<TimeSpan> retryAfter) implements Response {}
 
   /** Orders for a worker that reported. */
