--- a/src/main/java/org/oakwalk/adapter/OutboundRequests.java
+++ b/src/main/java/org/oakwalk/adapter/OutboundRequests.java
@@ -50,7 +50,7 @@
   private final ServiceAddresses addresses;
   private final CallbackExecutor callbacks;
   private final RequestQueue stateQueue;
-  private final TokenBucket cloudBudget;
+  private final TokenBucket cloudTokenBucket;
   private final List<QueuedCall> cloudQueue = new ArrayList<>();
   private final Deque<QueuedCall> commandQueue = new ArrayDeque<>();
   private final int maxConcurrentCommands;
@@ -71,7 +71,7 @@
     this.callbacks = callbacks;
     stateQueue = new RequestQueue(settings, now, this::sendState);
     double cloudRate = settings.cloud().requestsPerSecond() * CLOUD_RATE_FRACTION;
-    cloudBudget = new TokenBucket(cloudRate, Math.max(2, cloudRate), now);
+    cloudTokenBucket = new TokenBucket(cloudRate, Math.max(2, cloudRate), now);
   }
 
   /** Queues a request and sends it as soon as its budget allows. */
@@ -93,9 +93,9 @@
   public void sendDue(long now) {
     sendCommands(now);
     stateQueue.sendDue(now);
-    while (!cloudQueue.isEmpty() && cloudBudget.hasTokens(1, now)) {
+    while (!cloudQueue.isEmpty() && cloudTokenBucket.hasTokens(1, now)) {
       QueuedCall next = cloudQueue.remove(0);
-      cloudBudget.spend(1);
+      cloudTokenBucket.spend(1);
       send(
           addresses.cloud(),
           next.request(),
@@ -154,7 +154,7 @@
 
   private void handleCloudAnswer(QueuedCall call, Answer answer) {
     if (answer instanceof Answer.Refused refused && refused.status() == TOO_MANY_REQUESTS) {
-      cloudBudget.pauseUntil(answerTime + CLOUD_OVERLOAD_PAUSE_MILLIS);
+      cloudTokenBucket.pauseUntil(answerTime + CLOUD_OVERLOAD_PAUSE_MILLIS);
       if (call.attempts() < MAX_CLOUD_ATTEMPTS) {
         cloudQueue.add(
             new QueuedCall(
--- a/src/main/java/org/oakwalk/cli/ExperimentCommand.java
+++ b/src/main/java/org/oakwalk/cli/ExperimentCommand.java
@@ -156,21 +156,21 @@
 
   private boolean runScenario(String name, String text, QueueOrder queueOrder)
       throws InvalidSettingsException {
-    ScenarioResult outcome;
+    ScenarioResult result;
     try {
-      outcome = new Scenario(text, queueOrder).run();
+      result = new Scenario(text, queueOrder).run();
     } catch (IllegalArgumentException e) {
       throw new InvalidSettingsException(name + ": " + e.getMessage());
     }
     PrintWriter out = spec.commandLine().getOut();
-    if (!quiet || !outcome.passed()) {
-      out.println(name + (outcome.passed() ? ": all held" : ": NOT HELD"));
-      outcome.failureMessage().lines().forEach(line -> out.println("  " + line));
+    if (!quiet || !result.passed()) {
+      out.println(name + (result.passed() ? ": all held" : ": NOT HELD"));
+      result.failureMessage().lines().forEach(line -> out.println("  " + line));
     }
     if (!quiet) {
-      outcome.planningReport().forEach(line -> out.println("  " + line));
+      result.planningReport().forEach(line -> out.println("  " + line));
     }
-    for (Map.Entry<String, Double> figure : outcome.metrics().entrySet()) {
+    for (Map.Entry<String, Double> figure : result.metrics().entrySet()) {
       String value = String.format(Locale.ROOT, "%.4f", figure.getValue());
       csvLines.add(name + "," + figure.getKey() + "," + value);
       if (!quiet) {
@@ -178,6 +178,6 @@
       }
     }
     out.flush();
-    return outcome.passed();
+    return result.passed();
   }
 }
--- a/src/main/java/org/oakwalk/core/drain/ReplicaMover.java
+++ b/src/main/java/org/oakwalk/core/drain/ReplicaMover.java
@@ -125,7 +125,7 @@
     Machine source = placement.machine();
     return fleet.machines().stream()
         .filter(machine -> machine != source && (allowRemovalPlanned || !machine.removalPlanned()))
-        .filter(machine -> hasRoomFor(machine, spec, now))
+        .filter(machine -> hasCapacityFor(machine, spec, now))
         .filter(machine -> spec.allows(machine.type().name(), machine.zone(), machine.spot()))
         .filter(
             machine -> machine.zone().equals(source.zone()) || !spec.oneZone() && !spec.spread())
@@ -145,7 +145,7 @@
   }
 
   /** Returns whether a machine that is not being drained has room for a task now. */
-  private boolean hasRoomFor(Machine machine, JobSpec spec, MonotonicTime now) {
+  private boolean hasCapacityFor(Machine machine, JobSpec spec, MonotonicTime now) {
     return machine.schedulingMode() == SchedulingMode.ACTIVE
         && machine.acceptsTasks(now, suspectAfter)
         && spec.resources().fitsInto(unreserved(machine));
@@ -164,7 +164,7 @@
     boolean canStart =
         placement.job().isOpen()
             && placement.job().isUnassigned(placement.task().index())
-            && hasRoomFor(move.target, spec, now)
+            && hasCapacityFor(move.target, spec, now)
             && !move.target.refusesNewAttempt(placement.task())
             && quota.allows(placement.job(), 1);
     move.enter(canStart ? State.STARTING : State.TARGET_LOST);
--- a/src/main/java/org/oakwalk/core/fleet/Fleet.java
+++ b/src/main/java/org/oakwalk/core/fleet/Fleet.java
@@ -85,9 +85,9 @@
     /**
      * A task has completed.
      *
-     * @param ran how long it ran, or null if that is unknown
+     * @param runTime how long it ran, or null if that is unknown
      */
-    void completed(Placement placement, TimeSpan ran);
+    void completed(Placement placement, TimeSpan runTime);
 
     /** A task was placed on a machine. */
     void placed(Job job, MonotonicTime now);
--- a/src/main/java/org/oakwalk/core/placement/GangReservations.java
+++ b/src/main/java/org/oakwalk/core/placement/GangReservations.java
@@ -125,7 +125,7 @@
     List<Job> order = new ArrayList<>(waiting);
     order.sort(Comparator.comparing((Job gang) -> !overdue(gang, wall)));
     for (Job gang : order) {
-      int requiredRounds = preemption.mayFreeRoom(gang) ? 0 : minRounds;
+      int requiredRounds = preemption.mayFreeCapacity(gang) ? 0 : minRounds;
       boolean waitedEnough =
           gang.unplacedSinceRound() >= 0
               && regularRounds - gang.unplacedSinceRound() >= requiredRounds;
--- a/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
+++ b/src/main/java/org/oakwalk/core/placement/LargeJobBonus.java
@@ -322,14 +322,14 @@
   }
 
   /** Records that a job found no room; its class is then skipped if the job is boosted. */
-  void recordNoRoom(Job job) {
+  void recordUnplaced(Job job) {
     if (bonuses.containsKey(job)) {
       classesWithoutRoom.add(ServedShares.TeamClass.of(job));
     }
   }
 
   /** Whether the job is boosted, but a boosted job of its class found no room in this round. */
-  boolean classHasNoRoom(Job job) {
+  boolean isClassUnplaced(Job job) {
     return bonuses.containsKey(job) && classesWithoutRoom.contains(ServedShares.TeamClass.of(job));
   }
 
--- a/src/main/java/org/oakwalk/core/placement/Placer.java
+++ b/src/main/java/org/oakwalk/core/placement/Placer.java
@@ -174,12 +174,12 @@
     Map<Ranking.EquivalenceClass, Integer> misses = new HashMap<>();
     for (Job job = traversal.next(); job != null; job = traversal.next()) {
       if (job.nextPending(0, now) < 0
-          || largeJobs.classHasNoRoom(job) && !newlyWaitingServices.contains(job)) {
+          || largeJobs.isClassUnplaced(job) && !newlyWaitingServices.contains(job)) {
         continue;
       }
       ClassDecision decision = placeAndHandleMiss(job);
       if (decision != ClassDecision.CONTINUE) {
-        largeJobs.recordNoRoom(job);
+        largeJobs.recordUnplaced(job);
       }
       if (decision == ClassDecision.SKIP_CLASS
           || decision == ClassDecision.MISSED
--- a/src/main/java/org/oakwalk/core/placement/PreemptionPlanner.java
+++ b/src/main/java/org/oakwalk/core/placement/PreemptionPlanner.java
@@ -93,7 +93,7 @@
   }
 
   /** Whether any task is being stopped, or could be preempted for this job. */
-  boolean mayFreeRoom(Job job) {
+  boolean mayFreeCapacity(Job job) {
     boolean guaranteed = quota.withinGuarantee(job);
     return stoppable.anyHalting() || stoppable.anyMatch(sort -> preemptible(sort, job, guaranteed));
   }
--- a/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
+++ b/src/main/java/org/oakwalk/core/placement/UnplacedJobHandler.java
@@ -82,7 +82,7 @@
     if (job.isSuspect()
         || !(mayPreempt || mayPreemptLow)
         || stopped >= MAX_PREEMPTIONS_PER_ROUND
-        || !preemption.mayFreeRoom(job)
+        || !preemption.mayFreeCapacity(job)
         || reserve.claimsFreedResources(job)) {
       return false;
     }
@@ -167,7 +167,7 @@
     if (withImage.stream().anyMatch(machine -> candidates.reservations().get(machine) == job)) {
       return true;
     }
-    if (!preemption.mayFreeRoom(job)) {
+    if (!preemption.mayFreeCapacity(job)) {
       return false;
     }
     List<PreemptionPlanner.PreemptionPlan> plans = preemption.plans(job, withImage, now, wall);
--- a/src/main/java/org/oakwalk/model/ExchangeRule.java
+++ b/src/main/java/org/oakwalk/model/ExchangeRule.java
@@ -105,14 +105,14 @@
             other ->
                 world.scenarioPolicy.exchanges().stream()
                     .noneMatch(exchange -> exchange.isTaker(other)))
-        .anyMatch(other -> mayNeedRoom(other.id()));
+        .anyMatch(other -> mayNeedCapacity(other.id()));
   }
 
   /**
    * Whether a job may need room: it is stored as open, or its user has been told so. The record may
    * be stored long before the user gets the answer, if it ever arrives.
    */
-  private boolean mayNeedRoom(JobId id) {
+  private boolean mayNeedCapacity(JobId id) {
     boolean stored =
         world.state.value(StoreKeys.job(id)).orElse(null) instanceof JobRecord record
             && record.phase() == JobRecord.Phase.OPEN;
--- a/src/main/java/org/oakwalk/model/MessageFaultActions.java
+++ b/src/main/java/org/oakwalk/model/MessageFaultActions.java
@@ -10,11 +10,11 @@
  */
 final class MessageFaultActions {
   private final World world;
-  private final HostSelector hosts;
+  private final HostSelector hostSelector;
 
-  MessageFaultActions(World world, HostSelector hosts) {
+  MessageFaultActions(World world, HostSelector hostSelector) {
     this.world = world;
-    this.hosts = hosts;
+    this.hostSelector = hostSelector;
   }
 
   /**
@@ -25,33 +25,36 @@
     switch (line.word(2)) {
       case "cut" ->
           world.network.partition(
-              hosts.group(line.word(3)), hosts.group(line.word(4)), seconds, line.hasWord("hold"));
+              hostSelector.group(line.word(3)),
+              hostSelector.group(line.word(4)),
+              seconds,
+              line.hasWord("hold"));
       case "slownet" ->
           world.network.delay(
-              hosts.group(line.word(3)),
-              hosts.group(line.word(4)),
+              hostSelector.group(line.word(3)),
+              hostSelector.group(line.word(4)),
               seconds,
               line.number("by", 0.5),
               line.hasWord("oneway"));
       case "copies" ->
           world.network.duplicate(
-              hosts.group(line.word(3)),
-              hosts.group(line.word(4)),
+              hostSelector.group(line.word(3)),
+              hostSelector.group(line.word(4)),
               seconds,
               line.number("after", 90),
               line.hasWord("runs"));
-      case "deaf" -> world.network.dropInbound(hosts.group(line.word(3)), seconds);
+      case "deaf" -> world.network.dropInbound(hostSelector.group(line.word(3)), seconds);
       case "closelooks" -> world.consistencyProbes.begin(line);
       case "latereports" -> {
         if (line.hasWord("fornext")) {
-          world.reportReplay.addRule(hosts.group(line.word(3)), line);
+          world.reportReplay.addRule(hostSelector.group(line.word(3)), line);
         } else {
-          world.delayInjector.repeatReports(hosts.group(line.word(3)), line);
+          world.delayInjector.repeatReports(hostSelector.group(line.word(3)), line);
         }
       }
       case "laterentals" -> world.cloud.delayRentals(seconds, line.number("after", 0));
       case "quickboots" -> world.cloud.setQuickBoots(line.number(3));
-      case "noreports" -> world.reportLoss.start(hosts.group(line.word(3)), seconds);
+      case "noreports" -> world.reportLoss.start(hostSelector.group(line.word(3)), seconds);
       case "latewrites" -> world.delayInjector.delayWrites(currentNodeNames(line.word(3)), line);
       case "cancelnow" -> world.cancellations.cancelNow(line);
       case "cancelatend" -> world.cancellations.cancelAtCompletion(line);
@@ -66,7 +69,7 @@
   /** Returns a predicate that keeps matching the nodes that a name denotes now. */
   private Predicate<String> currentNodeNames(String name) {
     Set<String> names = new TreeSet<>();
-    hosts.nodes(name).forEach(node -> names.add(node.id.value()));
+    hostSelector.nodes(name).forEach(node -> names.add(node.id.value()));
     return names::contains;
   }
 }
--- a/src/main/java/org/oakwalk/model/ScenarioPolicy.java
+++ b/src/main/java/org/oakwalk/model/ScenarioPolicy.java
@@ -96,7 +96,7 @@
   }
 
   /** Whether any file may reserve room for some jobs, by headroom or an exchange. */
-  boolean mayReserveRoom() {
+  boolean mayReserveCapacity() {
     return lines.stream()
         .map(line -> line.word(0))
         .anyMatch(word -> word.equals("headroom") || word.equals("exchange"));
--- a/src/main/java/org/oakwalk/model/StarvationRule.java
+++ b/src/main/java/org/oakwalk/model/StarvationRule.java
@@ -42,7 +42,8 @@
   private record WaitingJob(double since, int waitingTasks) {}
 
   private final World world;
-  private final Map<TaskRequirements, Map<SimWorker, Double>> roomAvailableSince = new HashMap<>();
+  private final Map<TaskRequirements, Map<SimWorker, Double>> capacityAvailableSince =
+      new HashMap<>();
   private final Map<JobId, WaitingJob> waitingJobs = new HashMap<>();
   private double faultsEndAt;
   private int ticks;
@@ -66,7 +67,7 @@
   Optional<String> tick() {
     if (ticks++ % TICKS_PER_CHECK != 0
         || world.time.seconds() < faultsEndAt
-        || world.scenarioPolicy.mayReserveRoom()) {
+        || world.scenarioPolicy.mayReserveCapacity()) {
       return Optional.empty();
     }
     surveyMachines();
@@ -80,7 +81,7 @@
         }
       }
     }
-    roomAvailableSince.keySet().retainAll(checkedRequirements);
+    capacityAvailableSince.keySet().retainAll(checkedRequirements);
     return Optional.empty();
   }
 
@@ -127,7 +128,7 @@
         new WaitingJob(
             before == null || waiting < before.waitingTasks() ? now : before.since(), waiting);
     waitingJobs.put(spec.id(), wait);
-    Map<SimWorker, Double> room = machinesWithRoom(spec);
+    Map<SimWorker, Double> availableSince = machinesWithCapacity(spec);
     if (now - wait.since() < MAX_WAIT_SECONDS) {
       return Optional.empty();
     }
@@ -138,7 +139,7 @@
               + wait.since()
               + " s, and there is room for the whole gang");
     }
-    return room.entrySet().stream()
+    return availableSince.entrySet().stream()
         .filter(entry -> now - entry.getValue() >= MAX_WAIT_SECONDS)
         .filter(entry -> zoneAllowed(spec, entry.getKey().pool.zone()))
         .findFirst()
@@ -181,9 +182,10 @@
    * Returns the machines with room for a task of the job, each with the time since which it has had
    * it.
    */
-  private Map<SimWorker, Double> machinesWithRoom(JobSpec spec) {
+  private Map<SimWorker, Double> machinesWithCapacity(JobSpec spec) {
     TaskRequirements need = TaskRequirements.of(spec);
-    Map<SimWorker, Double> since = roomAvailableSince.computeIfAbsent(need, n -> new HashMap<>());
+    Map<SimWorker, Double> since =
+        capacityAvailableSince.computeIfAbsent(need, n -> new HashMap<>());
     if (checkedRequirements.add(need)) {
       since.keySet().retainAll(freeByMachine.keySet());
       freeByMachine.forEach(
--- a/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
+++ b/src/test/java/org/oakwalk/core/recovery/RecoveryTest.java
@@ -48,7 +48,7 @@
 
   private final Outbox outbox = new Outbox();
   private final StoreView view = new StoreView(outbox, 200, 3);
-  private final JobRegistry jobs = jobBookWithOneJob();
+  private final JobRegistry jobs = jobRegistryWithOneJob();
   private final Settings.StateLimits limits = new Settings.StateLimits(200, 100, 4, 8);
   private final Fleet fleet =
       new Fleet(
@@ -79,7 +79,7 @@
           TERM_START);
   private MonotonicTime now = TERM_START;
 
-  private JobRegistry jobBookWithOneJob() {
+  private JobRegistry jobRegistryWithOneJob() {
     JobSpec spec = ArrayJobs.spec("j-1", 10);
     JobRecord record = new JobRecord(spec, JobRecord.Phase.OPEN, new WallTime(1));
     view.setListener(
