--- a/src/main/java/org/oakwalk/core/CapacityProducts.java
+++ b/src/main/java/org/oakwalk/core/CapacityProducts.java
@@ -30,8 +30,9 @@
 
 /**
  * Capacity features around the scheduler under one token: planning for recurring batch deadlines
- * (dawns), headroom for service replicas, and exchanges of room between batch jobs and services. It
- * does nothing unless terms for them are stored or configured on this node.
+ * ({@code dawn} blocks of the policy file), headroom for service replicas, and transfers of
+ * capacity between batch jobs and services. Without terms for them, stored or configured on this
+ * node, it does nothing.
  */
 final class CapacityProducts implements CapacityExchange {
   /** Scheduler components that the capacity features operate on. */
@@ -39,20 +40,20 @@
       Fleet fleet,
       JobRegistry jobs,
       Quota quota,
-      DisruptionLimiter gate,
+      DisruptionLimiter disruptionLimiter,
       RunTimeEstimates runTimes,
-      Span suspectAfter,
+      TimeSpan suspectAfter,
       CapacityReserve reserve,
       BiConsumer<Machine, Job> reserveForGang) {}
 
-  private final ProductTermsWriter keeper;
+  private final ProductTermsWriter termsWriter;
   private final Outbox outbox;
-  private final Guard leader;
+  private final Guard leaderGuard;
   private final Settings settings;
   private final DeadlinePlanner planner;
   private final HeadroomController headroom;
   private final ProductContext context;
-  private Optional<SharedRecords> shared = Optional.empty();
+  private Optional<SharedRecords> sharedRecords = Optional.empty();
   private Optional<ExchangeController> exchange = Optional.empty();
   private SharedRecord<PlanRow> plans;
 
@@ -68,9 +69,9 @@
     this.headroom = headroom;
     this.planner = planner;
     this.context = context;
-    this.keeper = new ProductTermsWriter(outbox, view, leader, declared);
+    this.termsWriter = new ProductTermsWriter(outbox, view, leader, declared);
     this.outbox = outbox;
-    this.leader = leader;
+    this.leaderGuard = leader;
     this.settings = settings;
   }
 
@@ -79,35 +80,35 @@
    * none.
    */
   boolean allowsPlacement() {
-    return keeper.activeTerms().isUndeclared()
-        || shared.filter(SharedRecords::isLoaded).isPresent();
+    return termsWriter.activeTerms().isUndeclared()
+        || sharedRecords.filter(SharedRecords::isLoaded).isPresent();
   }
 
-  /** An addition to the leader's log summary; empty without terms. */
+  /** Summary of the headroom for the leader's log line; empty without terms. */
   String summary() {
     return headroom.summary().map(line -> "; " + line).orElse("");
   }
 
-  /** Applies the terms in force. */
-  void tick(Map<String, MachineType> types, boolean recovered, Moment now, WallTime wall) {
-    if (keeper.isUnused()) {
+  /** Runs the capacity features under the active terms. */
+  void tick(Map<String, MachineType> types, boolean recovered, MonotonicTime now, WallTime wall) {
+    if (termsWriter.isUnused()) {
       return;
     }
-    keeper.tick(now);
-    ProductTerms terms = keeper.activeTerms();
+    termsWriter.tick(now);
+    ProductTerms terms = termsWriter.activeTerms();
     if (terms.isUndeclared()) {
       headroom.disable();
       planner.disable();
       return;
     }
-    if (!keeper.isUpToDate()) {
+    if (!termsWriter.isUpToDate()) {
       return;
     }
-    if (shared.isEmpty()) {
+    if (sharedRecords.isEmpty()) {
       openRecords(terms);
     }
-    shared.get().tick(now);
-    if (shared.get().isLoaded()) {
+    sharedRecords.get().tick(now);
+    if (sharedRecords.get().isLoaded()) {
       headroom.tick(terms.headrooms(), recovered, now);
       planner.tick(terms.batchDeadlines(), plans, types, recovered, now, wall);
     }
@@ -115,20 +116,20 @@
   }
 
   private void openRecords(ProductTerms terms) {
-    SharedRecords state = new SharedRecords(outbox, leader, settings.state());
-    headroom.declareRecord(state);
-    plans = state.declare(DeadlinePlanner.RECORD_NAME, PlanRow.class);
-    shared = Optional.of(state);
+    SharedRecords records = new SharedRecords(outbox, leaderGuard, settings.state());
+    headroom.declareRecord(records);
+    plans = records.declare(DeadlinePlanner.RECORD_NAME, PlanRow.class);
+    sharedRecords = Optional.of(records);
     if (!terms.exchanges().isEmpty()) {
       exchange =
           Optional.of(
               new ExchangeController(
                   terms.exchanges(),
-                  state.declare("exchange", CapacityTransfer.class),
+                  records.declare("exchange", CapacityTransfer.class),
                   context.fleet(),
                   context.jobs(),
                   context.quota(),
-                  context.gate(),
+                  context.disruptionLimiter(),
                   context.runTimes(),
                   context.suspectAfter(),
                   context.reserve(),
@@ -142,7 +143,8 @@
   }
 
   @Override
-  public boolean requestRoom(Job job, List<Machine> machines, Moment now, WallTime wall) {
-    return exchange.filter(each -> each.requestRoom(job, machines, now, wall)).isPresent();
+  public boolean requestCapacity(
+      Job job, List<Machine> machines, MonotonicTime now, WallTime wall) {
+    return exchange.filter(each -> each.requestCapacity(job, machines, now, wall)).isPresent();
   }
 }
--- a/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
+++ b/src/main/java/org/oakwalk/core/leadership/RelayExpiry.java
@@ -1,9 +1,9 @@
 package org.oakwalk.core.leadership;
 
 import java.util.List;
-import org.oakwalk.core.Moment;
+import org.oakwalk.core.MonotonicTime;
 import org.oakwalk.core.Settings;
-import org.oakwalk.core.Span;
+import org.oakwalk.core.TimeSpan;
 import org.oakwalk.core.Token;
 import org.oakwalk.core.port.Outbox;
 import org.oakwalk.core.port.Request;
@@ -17,16 +17,16 @@
  * in each zone, and when their announcements can be removed from the store.
  */
 public final class RelayExpiry {
-  private static final Span RETRY_DELAY = Span.seconds(1);
+  private static final TimeSpan RETRY_DELAY = TimeSpan.seconds(1);
 
   private final Outbox outbox;
   private final StoreView view;
   private final Guard guard;
   private final Token token;
-  private final Span relayPeriod;
-  private final Span leaseDuration;
+  private final TimeSpan relayPeriod;
+  private final TimeSpan leaseDuration;
   private boolean removalPending;
-  private Moment nextAttempt = new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime nextAttempt = new MonotonicTime(Long.MIN_VALUE / 2);
 
   public RelayExpiry(
       Outbox outbox, StoreView view, Guard guard, Token token, Settings.WorkerTiming timing) {
@@ -39,29 +39,29 @@
   }
 
   /**
-   * The last moment up to now at which a follower may have renewed leases in the zone under this
+   * The latest time up to now at which a follower may have renewed leases in the zone under this
    * leader's token, or {@code fallback} if that is later. An empty zone name stands for an unknown
    * zone, so all zones count.
    */
-  public Moment lastRenewal(String zone, Moment fallback, Moment now) {
+  public MonotonicTime lastRenewal(String zone, MonotonicTime fallback, MonotonicTime now) {
     return zone.isEmpty()
         ? view.relays().stream()
-            .map(relayed -> lastRenewal(relayed, now))
+            .map(announcement -> lastRenewal(announcement, now))
             .reduce(fallback, RelayExpiry::later)
         : view.relays(zone)
-            .map(relayed -> later(lastRenewal(relayed, now), fallback))
+            .map(announcement -> later(lastRenewal(announcement, now), fallback))
             .orElse(fallback);
   }
 
-  private Moment lastRenewal(StoreView.RelayAnnouncement relayed, Moment now) {
-    if (!relayed.record().token().equals(token)) {
-      return new Moment(Long.MIN_VALUE / 2);
+  private MonotonicTime lastRenewal(StoreView.RelayAnnouncement announcement, MonotonicTime now) {
+    if (!announcement.record().token().equals(token)) {
+      return new MonotonicTime(Long.MIN_VALUE / 2);
     }
-    Moment end = relayed.seenAt().plus(relayPeriod);
+    MonotonicTime end = announcement.seenAt().plus(relayPeriod);
     return end.isAfter(now) ? now : end;
   }
 
-  private static Moment later(Moment one, Moment other) {
+  private static MonotonicTime later(MonotonicTime one, MonotonicTime other) {
     return one.isAfter(other) ? one : other;
   }
 
@@ -69,26 +69,26 @@
    * Removes announcements under older tokens, and those under which every lease has expired or has
    * been renewed by the leader itself, so that a later partition can be announced again.
    */
-  public void tick(Moment now) {
+  public void tick(MonotonicTime now) {
     if (removalPending || nextAttempt.isAfter(now)) {
       return;
     }
-    for (StoreView.RelayAnnouncement relayed : view.relays()) {
-      boolean hasOlderToken = relayed.record().token().compareTo(token) < 0;
-      if (hasOlderToken || now.isPast(relayed.seenAt(), relayPeriod.plus(leaseDuration))) {
-        remove(relayed, now);
+    for (StoreView.RelayAnnouncement announcement : view.relays()) {
+      boolean hasOlderToken = announcement.record().token().compareTo(token) < 0;
+      if (hasOlderToken || now.isPast(announcement.seenAt(), relayPeriod.plus(leaseDuration))) {
+        remove(announcement, now);
         return;
       }
     }
   }
 
-  private void remove(StoreView.RelayAnnouncement relayed, Moment now) {
-    String key = StoreKeys.relay(relayed.record().zone());
+  private void remove(StoreView.RelayAnnouncement announcement, MonotonicTime now) {
+    String key = StoreKeys.relay(announcement.record().zone());
     removalPending = true;
     nextAttempt = now.plus(RETRY_DELAY);
     outbox.call(
         new Request.Commit(
-            List.of(guard, new Guard(key, relayed.revision())),
+            List.of(guard, new Guard(key, announcement.revision())),
             List.of(new Change.Remove(key)),
             Request.Urgency.ROUTINE),
         answer -> removalPending = false);
