--- a/src/test/java/org/oakwalk/core/planner/PlanningWindowTest.java
+++ b/src/test/java/org/oakwalk/core/planner/PlanningWindowTest.java
@@ -14,6 +14,7 @@
 import org.oakwalk.core.WallTime;
 import org.oakwalk.core.product.BatchDeadlineTerms;
 
+/** Windows of recurring deadlines: time zones, changes of the clock, and fixed intervals. */
 class PlanningWindowTest {
   private static final TimeSpan NO_CLOCK_ERROR = TimeSpan.millis(0);
 
