--- a/src/main/java/org/oakwalk/model/SimState.java
+++ b/src/main/java/org/oakwalk/model/SimState.java
@@ -65,7 +65,7 @@
   /**
    * Creates a service without any keys.
    *
-   * @param rateLimiter limits on requests and writes; unlimited if empty
+   * @param rates limits on requests and writes; unlimited if empty
    * @param changes number of changes kept in the history for watches
    */
   SimState(Timeline time, Optional<StoreRateLimiter> rates, int changes) {
